--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/World.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/World.java
@@ -191,7 +191,7 @@
         double part =
             policy == Policy.IDLE_SLOTS
                 ? idlePart(vm, zone)
-                : vm.table.part(Setup.CUSTOMER, Setup.SERVICE, region, zone);
+                : vm.table.trafficFraction(Setup.CUSTOMER, Setup.SERVICE, region, zone);
         remote[region] += zone / setup.zonesPerRegion() == region ? 0 : part;
       }
     }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/ColdAllowance.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/ColdTargetLimiter.java
@@ -18,34 +18,34 @@
  * chosen alike everywhere, that alone may send to it while it is cold, each with an equal whole
  * part of the bound. Near entry VMs come first.
  */
-public final class ColdAllowance {
+public final class ColdTargetLimiter {
   /** Span of one count; a little over the second that counts, for what is on its way. */
-  private static final long SPAN_MILLIS = 1_100;
+  private static final long WINDOW_MILLIS = 1_100;
 
   /** Requests that stay unused, for a target seen by two views of the entry VMs at once. */
-  private static final int SPARE = 1;
+  private static final int RESERVED_REQUESTS = 1;
 
   /** Longer than the store's outages that the users tell of, by far. */
-  private static final long MISSING_COUNTS_MILLIS = 60_000;
+  private static final long MISSING_VM_GRACE_MILLIS = 60_000;
 
-  private double over;
-  private int slack;
+  private double rateFactor;
+  private int extraRequests;
   private final String self;
-  private final Map<String, EntryPlace> entries = new HashMap<>();
-  private final Map<String, Long> missingSince = new HashMap<>();
-  private final Map<String, Deque<Long>> sent = new HashMap<>();
+  private final Map<String, EntryVmLocation> entryVms = new HashMap<>();
+  private final Map<String, Long> missingSinceMillis = new HashMap<>();
+  private final Map<String, Deque<Long>> sentTimes = new HashMap<>();
 
   /**
    * Where an entry VM is.
    *
    * @param name its name
    */
-  public record EntryPlace(String name, String zone, String region) {}
+  public record EntryVmLocation(String name, String zone, String region) {}
 
-  private ColdAllowance(String self, double over, int slack) {
+  private ColdTargetLimiter(String self, double rateFactor, int extraRequests) {
     this.self = self;
-    this.over = over;
-    this.slack = slack;
+    this.rateFactor = rateFactor;
+    this.extraRequests = extraRequests;
   }
 
   /**
@@ -53,14 +53,14 @@
    *
    * @param self name of this entry VM
    */
-  public static ColdAllowance of(String self, double over, int slack) {
-    return new ColdAllowance(self, over, slack);
+  public static ColdTargetLimiter of(String self, double rateFactor, int extraRequests) {
+    return new ColdTargetLimiter(self, rateFactor, extraRequests);
   }
 
   /** Puts newer bounds in force. */
-  public void bounds(double newOver, int newSlack) {
-    over = newOver;
-    slack = newSlack;
+  public void updateLimits(double newRateFactor, int newExtraRequests) {
+    rateFactor = newRateFactor;
+    extraRequests = newExtraRequests;
   }
 
   /**
@@ -71,75 +71,75 @@
    * bound among themselves, each believing to be nearly alone, a cold target would get it several
    * times over. What a VM that has really gone leaves unused is little, and cold times are short.
    */
-  public void entries(Collection<EntryPlace> live, long now) {
+  public void updateEntryVms(Collection<EntryVmLocation> live, long now) {
     Set<String> named = new HashSet<>();
-    for (EntryPlace entry : live) {
+    for (EntryVmLocation entry : live) {
       named.add(entry.name());
-      entries.put(entry.name(), entry);
-      missingSince.remove(entry.name());
+      entryVms.put(entry.name(), entry);
+      missingSinceMillis.remove(entry.name());
     }
-    for (String known : entries.keySet()) {
+    for (String known : entryVms.keySet()) {
       if (!named.contains(known)) {
-        missingSince.putIfAbsent(known, now);
+        missingSinceMillis.putIfAbsent(known, now);
       }
     }
-    entries.keySet().removeIf(known -> isForgotten(known, now));
-    missingSince.keySet().retainAll(entries.keySet());
+    entryVms.keySet().removeIf(known -> isExpired(known, now));
+    missingSinceMillis.keySet().retainAll(entryVms.keySet());
   }
 
-  private boolean isForgotten(String name, long now) {
-    Long since = missingSince.get(name);
-    return since != null && now - since >= MISSING_COUNTS_MILLIS;
+  private boolean isExpired(String name, long now) {
+    Long since = missingSinceMillis.get(name);
+    return since != null && now - since >= MISSING_VM_GRACE_MILLIS;
   }
 
   /** True where this entry VM may send one more request to a cold target now. */
   public boolean permits(TargetFacts target, double coldPerSecond, long now) {
-    int total = (int) Math.floor(coldPerSecond * over + slack) - SPARE;
-    int mine = part(target, total);
+    int total = (int) Math.floor(coldPerSecond * rateFactor + extraRequests) - RESERVED_REQUESTS;
+    int mine = ownRequestLimit(target, total);
     if (mine == 0) {
       return false;
     }
-    Deque<Long> times = sent.get(target.id());
+    Deque<Long> times = sentTimes.get(target.id());
     if (times == null) {
       return true;
     }
-    while (!times.isEmpty() && now - times.peekFirst() >= SPAN_MILLIS) {
+    while (!times.isEmpty() && now - times.peekFirst() >= WINDOW_MILLIS) {
       times.removeFirst();
     }
     return times.size() < mine;
   }
 
   /** Counts a request that is sent to a cold target. */
-  public void sent(TargetFacts target, long now) {
-    sent.computeIfAbsent(target.id(), id -> new ArrayDeque<>()).addLast(now);
+  public void recordSent(TargetFacts target, long now) {
+    sentTimes.computeIfAbsent(target.id(), id -> new ArrayDeque<>()).addLast(now);
   }
 
   /** Forgets a target that is gone. */
-  public void forget(String target) {
-    sent.remove(target);
+  public void removeTarget(String target) {
+    sentTimes.remove(target);
   }
 
-  private int part(TargetFacts target, int total) {
-    if (entries.isEmpty() || total <= 0) {
+  private int ownRequestLimit(TargetFacts target, int total) {
+    if (entryVms.isEmpty() || total <= 0) {
       return 0;
     }
-    int senders = Math.min(entries.size(), Math.max(1, total / 2));
+    int senders = Math.min(entryVms.size(), Math.max(1, total / 2));
     boolean chosen =
-        entries.values().stream()
-            .sorted(nearFirst(target))
+        entryVms.values().stream()
+            .sorted(byDistance(target))
             .limit(senders)
             .anyMatch(entry -> entry.name().equals(self));
     return chosen ? Math.max(1, total / senders) : 0;
   }
 
-  private static Comparator<EntryPlace> nearFirst(TargetFacts target) {
-    return Comparator.<EntryPlace>comparingInt(entry -> distance(entry, target))
+  private static Comparator<EntryVmLocation> byDistance(TargetFacts target) {
+    return Comparator.<EntryVmLocation>comparingInt(entry -> distance(entry, target))
         .thenComparingLong(
             entry -> Hashing.komihash5_0().hashCharsToLong(target.id() + '\n' + entry.name()))
-        .thenComparing(EntryPlace::name);
+        .thenComparing(EntryVmLocation::name);
   }
 
-  private static int distance(EntryPlace entry, TargetFacts target) {
+  private static int distance(EntryVmLocation entry, TargetFacts target) {
     if (entry.zone().equals(target.zone())) {
       return 0;
     }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RegionPrice.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/CrossRegionCostFactor.java
@@ -13,14 +13,14 @@
  * double millis = RegionPrice.of(object) * weights.otherRegionMillis();
  * }</pre>
  */
-final class RegionPrice {
+final class CrossRegionCostFactor {
   /** Keeps prices independent of the order of targets, which follows from the same hash. */
   private static final long SALT = 1;
 
   /** Prices lie this far below and above their mean, as a part of it. */
   private static final double SPREAD = 0.5;
 
-  private RegionPrice() {}
+  private CrossRegionCostFactor() {}
 
   /** The price for an object, by its hash; 1 on average over all objects. */
   static double of(long object) {
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/Homes.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/PreferredTargets.java
@@ -18,7 +18,7 @@
  * double surely = homes.knows(target, weights);
  * }</pre>
  */
-final class Homes {
+final class PreferredTargets {
   private static final Hasher64 HASHER = Hashing.komihash5_0();
 
   /** A target and its place in the order of targets for an object; the highest comes first. */
@@ -26,7 +26,7 @@
 
   /** The first two targets of a region. */
   private record Choices(Ranked first, @Nullable Ranked second) {
-    Choices with(Ranked other) {
+    Choices withCandidate(Ranked other) {
       if (other.weight() > first.weight()) {
         return new Choices(other, first);
       }
@@ -37,19 +37,19 @@
     }
   }
 
-  private final Map<String, Choices> regions = new HashMap<>();
-  private @Nullable Ranked home;
+  private final Map<String, Choices> choicesByRegion = new HashMap<>();
+  private @Nullable Ranked preferred;
 
-  private Homes() {}
+  private PreferredTargets() {}
 
   /** No target is preferred: requests whose route does not go by object. */
-  static Homes none() {
-    return new Homes();
+  static PreferredTargets none() {
+    return new PreferredTargets();
   }
 
   /** The homes of an object, by its hash, among all targets that take work. */
-  static Homes of(long object, List<TargetState> usable) {
-    Homes homes = new Homes();
+  static PreferredTargets of(long object, List<TargetState> usable) {
+    PreferredTargets homes = new PreferredTargets();
     for (TargetState target : usable) {
       homes.add(new Ranked(target, HASHER.hashLongLongToLong(object, target.idHash())));
     }
@@ -57,32 +57,33 @@
   }
 
   private void add(Ranked ranked) {
-    Ranked first = home;
+    Ranked first = preferred;
     if (first == null || ranked.weight() > first.weight()) {
-      home = ranked;
+      preferred = ranked;
     }
     String region = ranked.target().facts().region();
-    Choices known = regions.get(region);
-    regions.put(region, known == null ? new Choices(ranked, null) : known.with(ranked));
+    Choices known = choicesByRegion.get(region);
+    choicesByRegion.put(
+        region, known == null ? new Choices(ranked, null) : known.withCandidate(ranked));
   }
 
   /** True where {@code target} is the first of its region. */
-  boolean isFirstOfRegion(TargetState target) {
-    Choices choices = regions.get(target.facts().region());
+  boolean isRegionPreferred(TargetState target) {
+    Choices choices = choicesByRegion.get(target.facts().region());
     return choices != null && choices.first().target() == target;
   }
 
   /** How surely {@code target} is believed to know the object, by its place alone; 0 to 1. */
-  double knows(TargetState target, PlacingWeights weights) {
-    Ranked first = home;
+  double warmProbability(TargetState target, PlacementWeights weights) {
+    Ranked first = preferred;
     if (first != null && first.target() == target) {
-      return weights.homeKnows();
+      return weights.preferredWarmProbability();
     }
-    if (isFirstOfRegion(target)) {
-      return weights.regionHomeKnows();
+    if (isRegionPreferred(target)) {
+      return weights.regionPreferredWarmProbability();
     }
-    Choices choices = regions.get(target.facts().region());
+    Choices choices = choicesByRegion.get(target.facts().region());
     Ranked second = choices == null ? null : choices.second();
-    return second != null && second.target() == target ? weights.secondKnows() : 0;
+    return second != null && second.target() == target ? weights.regionSecondWarmProbability() : 0;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RegionLoad.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RegionLoad.java
@@ -11,52 +11,53 @@
  */
 final class RegionLoad {
   /** Reports of the region that count in its mean. */
-  private static final int REPORTS = 20;
+  private static final int REPORT_WINDOW = 20;
 
   /** Reports of the region that weigh as much as the guess from this VM's own requests. */
-  private static final double GUESS_WEIGHT = 3;
+  private static final double PRIOR_WEIGHT_REPORTS = 3;
 
-  private final RunningMean reported = RunningMean.ofLast(REPORTS);
-  private int slots;
-  private int own;
-  private int peers;
+  private final RunningMean reportedLoadPerSlot = RunningMean.ofLast(REPORT_WINDOW);
+  private int slotCount;
+  private int ownRequestCount;
+  private int peerCount;
 
   /** Targets with that many slots have joined the region, or left it where it is negative. */
-  void slotsAdded(int number) {
-    slots += number;
+  void addSlots(int change) {
+    slotCount += change;
   }
 
   /** Requests believed to be at all targets of the region. */
-  double busy() {
-    return own + guess(slots);
+  double estimatedRequestCount() {
+    return ownRequestCount + estimatePeerLoad(slotCount);
   }
 
   /** Slots of the region's targets. */
-  int slots() {
-    return slots;
+  int slotCount() {
+    return slotCount;
   }
 
   /** This VM has sent a request there, or one has ended where {@code change} is negative. */
   void addOwnRequests(int change) {
-    own += change;
+    ownRequestCount += change;
   }
 
   /** Sets how many other entry VMs are assumed to send the same share there as this one. */
-  void peers(int number) {
-    peers = number;
+  void updatePeerCount(int number) {
+    peerCount = number;
   }
 
   /** Records that others have {@code load} requests at a target with {@code ofSlots} slots. */
-  void recordReport(double load, int ofSlots) {
-    reported.add(load / ofSlots);
+  void recordReport(double load, int targetSlots) {
+    reportedLoadPerSlot.add(load / targetSlots);
   }
 
   /** Requests of other entry VMs that a target with {@code ofSlots} slots has, as a guess. */
-  double guess(int ofSlots) {
-    double guessed = slots == 0 ? 0 : (double) own * peers / slots;
-    long reports = reported.count();
+  double estimatePeerLoad(int targetSlots) {
+    double guessed = slotCount == 0 ? 0 : (double) ownRequestCount * peerCount / slotCount;
+    long reports = reportedLoadPerSlot.count();
     double perSlot =
-        (reports * reported.value() + GUESS_WEIGHT * guessed) / (reports + GUESS_WEIGHT);
-    return perSlot * ofSlots;
+        (reports * reportedLoadPerSlot.value() + PRIOR_WEIGHT_REPORTS * guessed)
+            / (reports + PRIOR_WEIGHT_REPORTS);
+    return perSlot * targetSlots;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RegionShare.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RegionObjectShare.java
@@ -18,31 +18,31 @@
  * <p>Until anything is known of the load, slots count as busy as they may be. From then on the
  * share moves no faster than requests may change region.
  */
-final class RegionShare {
+final class RegionObjectShare {
   /** Keeps the choice independent of prices and of the order of targets. */
   private static final long SALT = 2;
 
   /** Part of the slots that may be busy on the mean: above, most requests wait. */
-  private static final double MOST_BUSY = 0.6;
+  private static final double MAX_UTILIZATION = 0.6;
 
   /** Part of the bound on shifts that is used: other things move requests as well. */
-  private static final double USED = 0.6;
+  private static final double USED_FRACTION = 0.6;
 
-  private static final class Kept {
-    double part;
-    long movedAt;
+  private static final class RetainedShare {
+    double fraction;
+    long updatedAtMillis;
 
-    Kept(double part, long movedAt) {
-      this.part = part;
-      this.movedAt = movedAt;
+    RetainedShare(double fraction, long updatedAtMillis) {
+      this.fraction = fraction;
+      this.updatedAtMillis = updatedAtMillis;
     }
   }
 
   private final DoubleSupplier settleMillis;
-  private final Map<String, Kept> services = new HashMap<>();
+  private final Map<String, RetainedShare> retainedByService = new HashMap<>();
   private double zoneShare;
 
-  private RegionShare(DoubleSupplier settleMillis) {
+  private RegionObjectShare(DoubleSupplier settleMillis) {
     this.settleMillis = settleMillis;
   }
 
@@ -51,12 +51,12 @@
    *
    * @param settleMillis time in which all requests of a region may change region; 0 for no bound
    */
-  static RegionShare create(DoubleSupplier settleMillis) {
-    return new RegionShare(settleMillis);
+  static RegionObjectShare create(DoubleSupplier settleMillis) {
+    return new RegionObjectShare(settleMillis);
   }
 
   /** Sets which share of all zones this VM's region has; 0 where that is not known. */
-  void zoneShare(double share) {
+  void updateZoneShare(double share) {
     zoneShare = share;
   }
 
@@ -64,24 +64,27 @@
    * True where the region keeps the object.
    *
    * @param slotShare share of the service's slots that the region has
-   * @param busy part of all the service's slots that is busy
+   * @param utilization part of all the service's slots that is busy
    */
-  boolean keeps(long object, String service, double slotShare, double busy, long now) {
+  boolean retains(long object, String service, double slotShare, double utilization, long now) {
     if (slotShare >= zoneShare) {
       return true;
     }
-    return ObjectHash.uniform(object, SALT) < part(service, slotShare, busy, now);
+    return ObjectHash.uniform(object, SALT)
+        < retainedFraction(service, slotShare, utilization, now);
   }
 
   /** Part of the service's objects that the region keeps. */
-  double part(String service, double slotShare, double busy, long now) {
+  double retainedFraction(String service, double slotShare, double utilization, long now) {
     double even = slotShare / zoneShare;
-    Kept kept = services.computeIfAbsent(service, name -> new Kept(even, now));
-    double wanted = busy <= 0 ? kept.part : Math.min(1, even * MOST_BUSY / busy);
+    RetainedShare kept =
+        retainedByService.computeIfAbsent(service, name -> new RetainedShare(even, now));
+    double wanted =
+        utilization <= 0 ? kept.fraction : Math.min(1, even * MAX_UTILIZATION / utilization);
     double settle = settleMillis.getAsDouble();
-    double most = settle <= 0 ? 1 : USED * (now - kept.movedAt) / settle;
-    kept.part += Math.max(-most, Math.min(most, wanted - kept.part));
-    kept.movedAt = now;
-    return kept.part;
+    double most = settle <= 0 ? 1 : USED_FRACTION * (now - kept.updatedAtMillis) / settle;
+    kept.fraction += Math.max(-most, Math.min(most, wanted - kept.fraction));
+    kept.updatedAtMillis = now;
+    return kept.fraction;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/Distances.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RoundTripTimes.java
@@ -9,42 +9,44 @@
  * <p>The shortest of many is the way there and back without queues. Until one was seen, a zone
  * counts as far as zones and regions usually are.
  */
-public final class Distances {
+public final class RoundTripTimes {
   /** Way there and back inside a zone, to another zone, to another region, until measured. */
-  private static final double IN_ZONE_MILLIS = 0.5;
+  private static final double DEFAULT_SAME_ZONE_MILLIS = 0.5;
 
-  private static final double IN_REGION_MILLIS = 3;
-  private static final double ELSEWHERE_MILLIS = 60;
+  private static final double DEFAULT_SAME_REGION_MILLIS = 3;
+  private static final double DEFAULT_CROSS_REGION_MILLIS = 60;
 
   private final String zone;
   private final String region;
-  private final Map<String, Double> shortest = new HashMap<>();
+  private final Map<String, Double> minMillisByZone = new HashMap<>();
 
-  private Distances(String zone, String region) {
+  private RoundTripTimes(String zone, String region) {
     this.zone = zone;
     this.region = region;
   }
 
   /** Distances from {@code zone}, none measured yet. */
-  public static Distances from(String zone, String region) {
-    return new Distances(zone, region);
+  public static RoundTripTimes from(String zone, String region) {
+    return new RoundTripTimes(zone, region);
   }
 
   /** Notes that a connection to a target in {@code targetZone} took {@code millis}. */
-  public void connected(String targetZone, double millis) {
-    shortest.merge(targetZone, millis, Math::min);
+  public void recordConnect(String targetZone, double millis) {
+    minMillisByZone.merge(targetZone, millis, Math::min);
   }
 
   /** Way there and back, in milliseconds. */
   public double millis(TargetFacts target) {
-    Double known = shortest.get(target.zone());
+    Double known = minMillisByZone.get(target.zone());
     if (known != null) {
       return known;
     }
     if (target.zone().equals(zone)) {
-      return IN_ZONE_MILLIS;
+      return DEFAULT_SAME_ZONE_MILLIS;
     }
-    return target.region().equals(region) ? IN_REGION_MILLIS : ELSEWHERE_MILLIS;
+    return target.region().equals(region)
+        ? DEFAULT_SAME_REGION_MILLIS
+        : DEFAULT_CROSS_REGION_MILLIS;
   }
 
   /** The region that ways are measured from. */
@@ -54,7 +56,7 @@
 
   /** True where a connection to the target's zone was established before. */
   boolean isMeasured(TargetFacts target) {
-    return shortest.containsKey(target.zone());
+    return minMillisByZone.containsKey(target.zone());
   }
 
   /** True where the target is in another zone than this entry VM. */
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RunTimes.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RunTimes.java
@@ -16,69 +16,71 @@
  */
 public final class RunTimes {
   /** Run of an unknown object until measured, as a part of the route's latency goal. */
-  private static final double COLD_OF_GOAL = 1.5;
+  private static final double DEFAULT_COLD_GOAL_FACTOR = 1.5;
 
   /** Run of a known object until measured, as a part of the route's latency goal. */
-  private static final double WARM_OF_GOAL = 0.5;
+  private static final double DEFAULT_WARM_GOAL_FACTOR = 0.5;
 
   /** Runs that count in a mean. */
-  private static final int RUNS = 20;
+  private static final int RUN_WINDOW = 20;
 
   private static final long NEVER = -1;
 
-  private static final class Means {
-    final Mean cold;
-    final Mean warm;
+  private static final class RouteTimes {
+    final RunTimeEstimate cold;
+    final RunTimeEstimate warm;
 
-    Means(long goalMillis) {
-      cold = new Mean(COLD_OF_GOAL * goalMillis);
-      warm = new Mean(WARM_OF_GOAL * goalMillis);
+    RouteTimes(long goalMillis) {
+      cold = new RunTimeEstimate(DEFAULT_COLD_GOAL_FACTOR * goalMillis);
+      warm = new RunTimeEstimate(DEFAULT_WARM_GOAL_FACTOR * goalMillis);
     }
 
-    Mean of(boolean known) {
-      return known ? warm : cold;
+    RunTimeEstimate of(boolean isWarm) {
+      return isWarm ? warm : cold;
     }
   }
 
-  private static final class Mean {
-    private final RunningMean measured = RunningMean.ofLast(RUNS);
-    private final RunningMean within = RunningMean.ofLast(RUNS);
-    private final RunningMean behind = RunningMean.ofLast(RUNS);
-    private double run;
-    private long ranAt = NEVER;
+  private static final class RunTimeEstimate {
+    private final RunningMean unqueuedRuns = RunningMean.ofLast(RUN_WINDOW);
+    private final RunningMean waitsAndRuns = RunningMean.ofLast(RUN_WINDOW);
+    private final RunningMean queuedRuns = RunningMean.ofLast(RUN_WINDOW);
+    private double estimateMillis;
+    private long updatedAtMillis = NEVER;
 
-    Mean(double guess) {
-      run = guess;
+    RunTimeEstimate(double initialMillis) {
+      estimateMillis = initialMillis;
     }
 
-    double millis() {
-      boolean bounded = measured.count() == 0 && within.count() > 0;
-      return bounded ? Math.min(run, within.value()) : run;
+    double estimateMillis() {
+      boolean bounded = unqueuedRuns.count() == 0 && waitsAndRuns.count() > 0;
+      return bounded ? Math.min(estimateMillis, waitsAndRuns.value()) : estimateMillis;
     }
 
-    void ran(double millis, double settleMillis, long now) {
-      double part = 1.0 / RUNS;
-      if (ranAt != NEVER && settleMillis > 0) {
-        part = Math.min(part, (now - ranAt) / settleMillis);
+    void recordRun(double millis, double settleMillis, long now) {
+      double part = 1.0 / RUN_WINDOW;
+      if (updatedAtMillis != NEVER && settleMillis > 0) {
+        part = Math.min(part, (now - updatedAtMillis) / settleMillis);
       }
-      run += part * (millis - run);
-      ranAt = now;
-      measured.add(millis);
+      estimateMillis += part * (millis - estimateMillis);
+      updatedAtMillis = now;
+      unqueuedRuns.add(millis);
     }
 
     /** What was measured, with free slots where there were any, else behind queues. */
-    OptionalDouble measuredBy(long fewest) {
-      if (measured.count() >= fewest) {
-        return OptionalDouble.of(measured.value());
+    OptionalDouble measuredMillis(long minRuns) {
+      if (unqueuedRuns.count() >= minRuns) {
+        return OptionalDouble.of(unqueuedRuns.value());
       }
-      return behind.count() >= fewest ? OptionalDouble.of(behind.value()) : OptionalDouble.empty();
+      return queuedRuns.count() >= minRuns
+          ? OptionalDouble.of(queuedRuns.value())
+          : OptionalDouble.empty();
     }
   }
 
   /** A route at one of its services: another service may run its requests in another time. */
-  private record Place(String service, String route) {}
+  private record RouteAtService(String service, String route) {}
 
-  private final Map<Place, Means> places = new HashMap<>();
+  private final Map<RouteAtService, RouteTimes> timesByRoute = new HashMap<>();
   private final DoubleSupplier settleMillis;
 
   private RunTimes(DoubleSupplier settleMillis) {
@@ -94,58 +96,60 @@
     return new RunTimes(settleMillis);
   }
 
-  private Means means(String service, RouteRule route) {
-    return places.computeIfAbsent(
-        new Place(service, route.name()), place -> new Means(route.latencyGoalMillis()));
+  private RouteTimes routeTimes(String service, RouteRule route) {
+    return timesByRoute.computeIfAbsent(
+        new RouteAtService(service, route.name()),
+        place -> new RouteTimes(route.latencyGoalMillis()));
   }
 
   /** Forgets all routes but those of these names: operators add and remove them for years. */
-  public void retain(Set<String> routes) {
-    places.keySet().removeIf(place -> !routes.contains(place.route()));
+  public void retainRoutes(Set<String> routes) {
+    timesByRoute.keySet().removeIf(place -> !routes.contains(place.route()));
   }
 
   /** Mean time of a run, in milliseconds; an object that the target knows takes no longer. */
-  public double millis(String service, RouteRule route, boolean known) {
-    Means means = means(service, route);
-    boolean guessed = known && means.warm.measured.count() == 0;
-    double millis = means.of(known).millis();
-    return guessed ? Math.min(millis, means.cold.millis()) : millis;
+  public double estimateMillis(String service, RouteRule route, boolean isWarm) {
+    RouteTimes means = routeTimes(service, route);
+    boolean guessed = isWarm && means.warm.unqueuedRuns.count() == 0;
+    double millis = means.of(isWarm).estimateMillis();
+    return guessed ? Math.min(millis, means.cold.estimateMillis()) : millis;
   }
 
   /** Runs that the mean follows from; 0 where it is a guess. */
-  public long measured(String service, RouteRule route, boolean known) {
-    return means(service, route).of(known).measured.count();
+  public long measuredRunCount(String service, RouteRule route, boolean isWarm) {
+    return routeTimes(service, route).of(isWarm).unqueuedRuns.count();
   }
 
   /** Mean of the measured runs alone, without the guess before them; 0 where there are none. */
-  public double measuredMillis(String service, RouteRule route, boolean known) {
-    return means(service, route).of(known).measured.value();
+  public double measuredMillis(String service, RouteRule route, boolean isWarm) {
+    return routeTimes(service, route).of(isWarm).unqueuedRuns.value();
   }
 
   /**
    * Time of a run by what was measured alone, also behind queues; that of the other kind where only
    * that was measured, and empty where neither was.
    *
-   * @param fewest runs that a mean follows from
+   * @param minRuns runs that a mean follows from
    */
-  OptionalDouble fromMeasured(String service, RouteRule route, boolean known, long fewest) {
-    Means means = means(service, route);
-    OptionalDouble asked = means.of(known).measuredBy(fewest);
-    return asked.isPresent() ? asked : means.of(!known).measuredBy(fewest);
+  OptionalDouble estimateFromMeasured(
+      String service, RouteRule route, boolean isWarm, long minRuns) {
+    RouteTimes means = routeTimes(service, route);
+    OptionalDouble asked = means.of(isWarm).measuredMillis(minRuns);
+    return asked.isPresent() ? asked : means.of(!isWarm).measuredMillis(minRuns);
   }
 
   /** Takes the time of one run behind a queue, from which the wait was taken off. */
-  void ranBehind(String service, RouteRule route, boolean known, double millis) {
-    means(service, route).of(known).behind.add(millis);
+  void recordQueuedRun(String service, RouteRule route, boolean isWarm, double millis) {
+    routeTimes(service, route).of(isWarm).queuedRuns.add(millis);
   }
 
   /** Takes the time of one run that ended at {@code now}. */
-  public void ran(String service, RouteRule route, boolean known, double millis, long now) {
-    means(service, route).of(known).ran(millis, settleMillis.getAsDouble(), now);
+  public void recordRun(String service, RouteRule route, boolean isWarm, double millis, long now) {
+    routeTimes(service, route).of(isWarm).recordRun(millis, settleMillis.getAsDouble(), now);
   }
 
   /** Takes the time of a wait and the run after it, of which there is no other measure. */
-  public void ranWithin(String service, RouteRule route, boolean known, double millis) {
-    means(service, route).of(known).within.add(millis);
+  public void recordWaitAndRun(String service, RouteRule route, boolean isWarm, double millis) {
+    routeTimes(service, route).of(isWarm).waitsAndRuns.add(millis);
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RunningMean.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RunningMean.java
@@ -10,23 +10,23 @@
  * }</pre>
  */
 final class RunningMean {
-  private final double step;
+  private final double minWeight;
   private double value;
   private long count;
 
-  private RunningMean(double step) {
-    this.step = step;
+  private RunningMean(double minWeight) {
+    this.minWeight = minWeight;
   }
 
   /** A mean of nothing yet, in which about the last {@code values} count. */
-  static RunningMean ofLast(int values) {
-    return new RunningMean(1.0 / values);
+  static RunningMean ofLast(int window) {
+    return new RunningMean(1.0 / window);
   }
 
   /** Takes one more value in. */
   void add(double measured) {
     count++;
-    value += Math.max(step, 1.0 / count) * (measured - value);
+    value += Math.max(minWeight, 1.0 / count) * (measured - value);
   }
 
   /** The mean; 0 where there is no value yet. */
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/SlotTimes.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/SlotHoldTimes.java
@@ -18,34 +18,34 @@
  * slotTimes.millis("search"); // 200
  * }</pre>
  */
-final class SlotTimes {
+final class SlotHoldTimes {
   /** Answers that count in the mean of a service. */
-  private static final int ANSWERS = 20;
+  private static final int ANSWER_WINDOW = 20;
 
-  private final Map<String, RunningMean> services = new HashMap<>();
+  private final Map<String, RunningMean> meansByService = new HashMap<>();
 
-  private SlotTimes() {}
+  private SlotHoldTimes() {}
 
   /** Slot times with nothing measured yet. */
-  static SlotTimes create() {
-    return new SlotTimes();
+  static SlotHoldTimes create() {
+    return new SlotHoldTimes();
   }
 
   /**
    * Takes the time of one answer.
    *
    * @param millis from its arrival at the target to its end
-   * @param rounds requests that waited there, for each slot
+   * @param queueRounds requests that waited there, for each slot
    */
-  void answered(String service, double millis, double rounds) {
-    services
-        .computeIfAbsent(service, name -> RunningMean.ofLast(ANSWERS))
-        .add(millis / (1 + rounds));
+  void recordAnswer(String service, double millis, double queueRounds) {
+    meansByService
+        .computeIfAbsent(service, name -> RunningMean.ofLast(ANSWER_WINDOW))
+        .add(millis / (1 + queueRounds));
   }
 
   /** Mean time for which a request holds a slot; empty until one was answered. */
-  OptionalDouble millis(String service) {
-    RunningMean mean = services.get(service);
+  OptionalDouble meanMillis(String service) {
+    RunningMean mean = meansByService.get(service);
     return mean == null ? OptionalDouble.empty() : OptionalDouble.of(mean.value());
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/TargetFacts.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/TargetFacts.java
@@ -3,7 +3,7 @@
 /**
  * What a target says of itself in the platform's list.
  *
- * @param start id and time of its start
+ * @param incarnation id and time of its start
  * @param sequence number of what it says of itself, growing from its start
  * @param service the service it runs
  * @param host IP number
@@ -11,11 +11,12 @@
  * @param zone availability zone
  * @param region region of that zone
  * @param slots requests that it runs at once, at least 1
- * @param leaving true where it takes nothing new
- * @param coldMillis how much longer it stays cold, counted from when this was read; 0 where warm
+ * @param isDraining true where it takes nothing new
+ * @param remainingColdMillis how much longer it stays cold, counted from when this was read; 0
+ *     where warm
  */
 public record TargetFacts(
-    TargetStart start,
+    TargetIncarnation incarnation,
     long sequence,
     String service,
     String host,
@@ -23,11 +24,11 @@
     String zone,
     String region,
     int slots,
-    boolean leaving,
-    long coldMillis) {
+    boolean isDraining,
+    long remainingColdMillis) {
   /** The target's id. */
   public String id() {
-    return start.id();
+    return incarnation.id();
   }
 
   /**
@@ -36,24 +37,24 @@
    * a new start, and counts.
    */
   boolean isOlderThan(TargetFacts known) {
-    boolean sameStart = start.born() != 0 && start.equals(known.start);
-    return start.isBefore(known.start) || (sameStart && sequence < known.sequence);
+    boolean sameStart = incarnation.startedAtMillis() != 0 && incarnation.equals(known.incarnation);
+    return incarnation.isBefore(known.incarnation) || (sameStart && sequence < known.sequence);
   }
 
   /** True where service, region and slots are those of {@code other}. */
-  boolean servesAs(TargetFacts other) {
+  boolean hasSameServiceRegionAndSlots(TargetFacts other) {
     return service.equals(other.service) && region.equals(other.region) && slots == other.slots;
   }
 
   /** The same target, leaving. */
-  public TargetFacts asLeaving() {
+  public TargetFacts asDraining() {
     return new TargetFacts(
-        start, sequence, service, host, port, zone, region, slots, true, coldMillis);
+        incarnation, sequence, service, host, port, zone, region, slots, true, remainingColdMillis);
   }
 
   /** The same target, cold for another {@code millis}. */
   public TargetFacts coldFor(long millis) {
     return new TargetFacts(
-        start, sequence, service, host, port, zone, region, slots, leaving, millis);
+        incarnation, sequence, service, host, port, zone, region, slots, isDraining, millis);
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/TargetStart.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/TargetIncarnation.java
@@ -12,12 +12,15 @@
  * }</pre>
  *
  * @param id the target's id
- * @param born Unix time of the start in milliseconds, by the target's clock; 0 where the target
- *     does not say, so that the id alone tells starts apart
+ * @param startedAtMillis Unix time of the start in milliseconds, by the target's clock; 0 where the
+ *     target does not say, so that the id alone tells starts apart
  */
-public record TargetStart(String id, long born) {
+public record TargetIncarnation(String id, long startedAtMillis) {
   /** True where both say when they started and {@code other} started later under the same id. */
-  public boolean isBefore(TargetStart other) {
-    return id.equals(other.id) && born != 0 && other.born != 0 && born < other.born;
+  public boolean isBefore(TargetIncarnation other) {
+    return id.equals(other.id)
+        && startedAtMillis != 0
+        && other.startedAtMillis != 0
+        && startedAtMillis < other.startedAtMillis;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/TargetState.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/TargetState.java
@@ -15,7 +15,7 @@
    * Objects remembered for each target. Targets keep about 25 objects; remembering a few fewer errs
    * toward believing a target cold, which costs a warm run elsewhere, not a cold run here.
    */
-  private static final int OBJECTS_REMEMBERED = 24;
+  private static final int MAX_REMEMBERED_OBJECTS = 24;
 
   /**
    * What a load report says beyond the mean counts half after this time: about one run of a
@@ -24,43 +24,43 @@
   private static final double LOAD_HALF_LIFE_MILLIS = 400;
 
   /** Reports that count in the mean of the load of others. */
-  private static final int LOAD_REPORTS = 10;
+  private static final int LOAD_REPORT_WINDOW = 10;
 
   /** Reports of the target itself that weigh as much as what its region's targets reported. */
-  private static final double REGION_WEIGHT = 2;
+  private static final double REGION_PRIOR_WEIGHT_REPORTS = 2;
 
   /** Part of a new outcome in the share of failures; about the last ten outcomes count. */
-  private static final double FAILURE_STEP = 0.1;
+  private static final double FAILURE_SMOOTHING = 0.1;
 
   /** Part of a new run's time in the slowness; about the last five runs count. */
-  private static final double SLOWNESS_STEP = 0.2;
+  private static final double SLOWNESS_SMOOTHING = 0.2;
 
-  private static final double LEAST_SLOWNESS = 0.5;
-  private static final double MOST_SLOWNESS = 12;
+  private static final double MIN_SLOWNESS = 0.5;
+  private static final double MAX_SLOWNESS = 12;
 
   private final long idHash;
-  private final RegionLoad region;
+  private final RegionLoad regionLoad;
   private TargetFacts facts;
-  private boolean newlyJoined;
-  private boolean hadWork;
+  private boolean isNewlyJoined;
+  private boolean hasHadRequest;
   private int inFlight;
-  private double others;
-  private final RunningMean usualOthers = RunningMean.ofLast(LOAD_REPORTS);
-  private long othersSeenAt;
-  private long coldUntil;
+  private double peerLoad;
+  private final RunningMean meanPeerLoad = RunningMean.ofLast(LOAD_REPORT_WINDOW);
+  private long lastReportAtMillis;
+  private long coldUntilMillis;
   private double failureShare;
-  private long failureSeenAt;
+  private long lastOutcomeAtMillis;
   private double slowness = 1;
-  private long avoidUntil;
+  private long avoidUntilMillis;
   // Oldest first.
-  private final Set<Long> objects = new LinkedHashSet<>();
+  private final Set<Long> recentObjects = new LinkedHashSet<>();
 
-  TargetState(TargetFacts facts, RegionLoad region, long now, boolean newlyJoined) {
+  TargetState(TargetFacts facts, RegionLoad regionLoad, long now, boolean isNewlyJoined) {
     this.facts = facts;
-    this.region = region;
+    this.regionLoad = regionLoad;
     this.idHash = Hashing.komihash5_0().hashCharsToLong(facts.id());
-    this.coldUntil = now + facts.coldMillis();
-    this.newlyJoined = newlyJoined;
+    this.coldUntilMillis = now + facts.remainingColdMillis();
+    this.isNewlyJoined = isNewlyJoined;
   }
 
   /** What the target says of itself. */
@@ -75,23 +75,23 @@
 
   void update(TargetFacts newer, long now) {
     facts = newer;
-    coldUntil = now + newer.coldMillis();
-    if (newer.coldMillis() > 0) {
-      objects.clear();
+    coldUntilMillis = now + newer.remainingColdMillis();
+    if (newer.remainingColdMillis() > 0) {
+      recentObjects.clear();
     }
   }
 
   /** Treats the target as cold until {@code until} at least. */
-  public void coldUntil(long until) {
-    if (until > coldUntil) {
-      coldUntil = until;
-      objects.clear();
+  public void markColdUntil(long until) {
+    if (until > coldUntilMillis) {
+      coldUntilMillis = until;
+      recentObjects.clear();
     }
   }
 
   /** True where the target bears only a few requests a second. */
   public boolean isCold(long now) {
-    return now < coldUntil;
+    return now < coldUntilMillis;
   }
 
   /** Requests of this entry VM that are there now. */
@@ -100,27 +100,27 @@
   }
 
   /** True where this entry VM has sent a request there. */
-  boolean hadWork() {
-    return hadWork;
+  boolean hasHadRequest() {
+    return hasHadRequest;
   }
 
   /** True where it joined others that had work, and has had no request from this entry VM. */
   boolean isNewlyJoined() {
-    return newlyJoined;
+    return isNewlyJoined;
   }
 
   /** Counts a request that is sent there. */
   public void startRequest() {
-    newlyJoined = false;
-    hadWork = true;
+    isNewlyJoined = false;
+    hasHadRequest = true;
     inFlight++;
-    region.addOwnRequests(1);
+    regionLoad.addOwnRequests(1);
   }
 
   /** Counts a request that has ended there, however. */
   public void endRequest() {
     inFlight--;
-    region.addOwnRequests(-1);
+    regionLoad.addOwnRequests(-1);
   }
 
   /**
@@ -128,10 +128,10 @@
    * already.
    */
   public void recordReport(LoadReport load, long now) {
-    others = Math.max(0, load.running() + load.waiting() - inFlight);
-    usualOthers.add(others);
-    othersSeenAt = now;
-    region.recordReport(others, facts.slots());
+    peerLoad = Math.max(0, load.running() + load.waiting() - inFlight);
+    meanPeerLoad.add(peerLoad);
+    lastReportAtMillis = now;
+    regionLoad.recordReport(peerLoad, facts.slots());
   }
 
   /**
@@ -142,36 +142,38 @@
    * them.
    */
   public double load(long now) {
-    double age = Math.max(0, now - othersSeenAt);
+    double age = Math.max(0, now - lastReportAtMillis);
     double fresh = Math.pow(0.5, age / LOAD_HALF_LIFE_MILLIS);
-    long reports = usualOthers.count();
-    double heard = Math.min(reports, LOAD_REPORTS);
+    long reports = meanPeerLoad.count();
+    double heard = Math.min(reports, LOAD_REPORT_WINDOW);
     double usual =
-        (heard * usualOthers.value() + REGION_WEIGHT * region.guess(facts.slots()))
-            / (heard + REGION_WEIGHT);
-    return inFlight + usual + (reports == 0 ? 0 : (others - usual) * fresh);
+        (heard * meanPeerLoad.value()
+                + REGION_PRIOR_WEIGHT_REPORTS * regionLoad.estimatePeerLoad(facts.slots()))
+            / (heard + REGION_PRIOR_WEIGHT_REPORTS);
+    return inFlight + usual + (reports == 0 ? 0 : (peerLoad - usual) * fresh);
   }
 
   /** True where the target has reported its load in the last {@code millis}. */
   boolean hasReportWithin(long millis, long now) {
-    return usualOthers.count() > 0 && now - othersSeenAt <= millis;
+    return meanPeerLoad.count() > 0 && now - lastReportAtMillis <= millis;
   }
 
   /** Notes that the target served or failed a request. */
-  public void outcome(boolean good, long now) {
-    failureShare = failureShare(now) + FAILURE_STEP * ((good ? 0 : 1) - failureShare(now));
-    failureSeenAt = now;
+  public void recordOutcome(boolean isSuccess, long now) {
+    failureShare =
+        failureShare(now) + FAILURE_SMOOTHING * ((isSuccess ? 0 : 1) - failureShare(now));
+    lastOutcomeAtMillis = now;
   }
 
   /** Share of the latest requests that failed there, 0 to 1; forgotten by halves each second. */
   public double failureShare(long now) {
-    return failureShare * Math.pow(0.5, Math.max(0, now - failureSeenAt) / 1_000.0);
+    return failureShare * Math.pow(0.5, Math.max(0, now - lastOutcomeAtMillis) / 1_000.0);
   }
 
   /** Notes that a run took {@code ratio} of the time that was expected. */
-  void ran(double ratio) {
-    double bounded = Math.max(LEAST_SLOWNESS, Math.min(MOST_SLOWNESS, ratio));
-    slowness += SLOWNESS_STEP * (bounded - slowness);
+  void recordRunTimeRatio(double ratio) {
+    double bounded = Math.max(MIN_SLOWNESS, Math.min(MAX_SLOWNESS, ratio));
+    slowness += SLOWNESS_SMOOTHING * (bounded - slowness);
   }
 
   /** How much longer than expected runs take there; 1 is as expected. */
@@ -181,29 +183,29 @@
 
   /** Sends nothing there until {@code until} unless there is no other. */
   public void avoidUntil(long until) {
-    avoidUntil = Math.max(avoidUntil, until);
+    avoidUntilMillis = Math.max(avoidUntilMillis, until);
   }
 
   /** Forgets that the target was to be avoided, since it answered. */
-  public void reached() {
-    avoidUntil = 0;
+  public void clearAvoidance() {
+    avoidUntilMillis = 0;
   }
 
   boolean isAvoided(long now) {
-    return now < avoidUntil;
+    return now < avoidUntilMillis;
   }
 
   /** Notes that the target has run {@code object}. */
-  public void remember(long object) {
-    objects.remove(object);
-    objects.add(object);
-    if (objects.size() > OBJECTS_REMEMBERED) {
-      objects.remove(objects.iterator().next());
+  public void recordObject(long object) {
+    recentObjects.remove(object);
+    recentObjects.add(object);
+    if (recentObjects.size() > MAX_REMEMBERED_OBJECTS) {
+      recentObjects.remove(recentObjects.iterator().next());
     }
   }
 
   /** True where this entry VM has had {@code object} run there lately. */
-  public boolean knows(long object) {
-    return objects.contains(object);
+  public boolean hasCached(long object) {
+    return recentObjects.contains(object);
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/TargetTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/TargetTable.java
@@ -29,10 +29,10 @@
 
   private final Map<String, TargetState> byId = new HashMap<>();
   private final Map<String, List<TargetState>> byService = new HashMap<>();
-  private final Map<String, Long> removals = new HashMap<>();
-  private final Map<String, Map<String, RegionLoad>> loads = new HashMap<>();
-  private Map<String, Integer> peers = Map.of();
-  private final Set<String> emptied = new HashSet<>();
+  private final Map<String, Long> removalTimes = new HashMap<>();
+  private final Map<String, Map<String, RegionLoad>> loadsByService = new HashMap<>();
+  private Map<String, Integer> peerCountsByRegion = Map.of();
+  private final Set<String> evacuatedZones = new HashSet<>();
 
   private TargetTable() {}
 
@@ -51,26 +51,26 @@
     if (facts.isOlderThan(known.facts())) {
       return Change.OUTDATED;
     }
-    if (known.facts().start().isBefore(facts.start())) {
+    if (known.facts().incarnation().isBefore(facts.incarnation())) {
       remove(facts.id());
       add(facts, now);
       return Change.STARTED_AGAIN;
     }
-    removals.remove(facts.id());
-    if (!known.facts().servesAs(facts)) {
+    removalTimes.remove(facts.id());
+    if (!known.facts().hasSameServiceRegionAndSlots(facts)) {
       remove(facts.id());
       add(facts, now);
       return Change.CHANGED;
     }
-    known.update(known.facts().leaving() ? facts.asLeaving() : facts, now);
+    known.update(known.facts().isDraining() ? facts.asDraining() : facts, now);
     return Change.CHANGED;
   }
 
   private void add(TargetFacts facts, long now) {
-    RegionLoad region = load(facts);
-    region.slotsAdded(facts.slots());
-    List<TargetState> others = ofService(facts.service());
-    TargetState fresh = new TargetState(facts, region, now, joinsWorking(others));
+    RegionLoad region = regionLoad(facts);
+    region.addSlots(facts.slots());
+    List<TargetState> others = targetsOfService(facts.service());
+    TargetState fresh = new TargetState(facts, region, now, joinsTargetsWithRequests(others));
     byId.put(facts.id(), fresh);
     others.add(fresh);
   }
@@ -81,86 +81,89 @@
    * joined: if all VMs sent each of them a first request, each VM's first requests would stay in
    * its region, however few slots that has.
    */
-  private static boolean joinsWorking(List<TargetState> others) {
-    return others.stream().anyMatch(TargetState::hadWork);
+  private static boolean joinsTargetsWithRequests(List<TargetState> others) {
+    return others.stream().anyMatch(TargetState::hasHadRequest);
   }
 
-  private RegionLoad load(TargetFacts facts) {
-    return loads
+  private RegionLoad regionLoad(TargetFacts facts) {
+    return loadsByService
         .computeIfAbsent(facts.service(), name -> new HashMap<>())
         .computeIfAbsent(
             facts.region(),
             name -> {
               RegionLoad fresh = new RegionLoad();
-              fresh.peers(peers.getOrDefault(name, 0));
+              fresh.updatePeerCount(peerCountsByRegion.getOrDefault(name, 0));
               return fresh;
             });
   }
 
   /** Sets how many other entry VMs are assumed to send the same share to each region. */
-  public void peers(Map<String, Integer> byRegion) {
-    peers = Map.copyOf(byRegion);
-    loads
+  public void updatePeerCounts(Map<String, Integer> countsByRegion) {
+    peerCountsByRegion = Map.copyOf(countsByRegion);
+    loadsByService
         .values()
         .forEach(
-            regions -> regions.forEach((name, load) -> load.peers(peers.getOrDefault(name, 0))));
+            regions ->
+                regions.forEach(
+                    (name, load) ->
+                        load.updatePeerCount(peerCountsByRegion.getOrDefault(name, 0))));
   }
 
-  private List<TargetState> ofService(String service) {
+  private List<TargetState> targetsOfService(String service) {
     return byService.computeIfAbsent(service, name -> new ArrayList<>());
   }
 
   /** Removes a target at {@code at}, unless it is put again before. */
-  public void removeAt(String id, long at) {
+  public void scheduleRemoval(String id, long at) {
     if (byId.containsKey(id)) {
-      removals.putIfAbsent(id, at);
+      removalTimes.putIfAbsent(id, at);
     }
   }
 
   private void remove(String id) {
-    removals.remove(id);
+    removalTimes.remove(id);
     TargetState gone = byId.remove(id);
     if (gone != null) {
-      load(gone.facts()).slotsAdded(-gone.facts().slots());
+      regionLoad(gone.facts()).addSlots(-gone.facts().slots());
       byService.get(gone.facts().service()).remove(gone);
     }
   }
 
   /** Removes that start of a target now; a later start under the same id stays. */
-  public void remove(TargetStart start) {
+  public void remove(TargetIncarnation start) {
     TargetState known = byId.get(start.id());
-    if (known != null && known.facts().start().equals(start)) {
+    if (known != null && known.facts().incarnation().equals(start)) {
       remove(start.id());
     }
   }
 
   /** Carries out the removals that are due and returns the starts of targets removed. */
-  public List<TargetStart> sweep(long now) {
-    List<TargetStart> due =
-        removals.entrySet().stream()
+  public List<TargetIncarnation> removeDue(long now) {
+    List<TargetIncarnation> due =
+        removalTimes.entrySet().stream()
             .filter(removal -> removal.getValue() <= now)
-            .map(removal -> byId.get(removal.getKey()).facts().start())
+            .map(removal -> byId.get(removal.getKey()).facts().incarnation())
             .toList();
     due.forEach(start -> remove(start.id()));
     return due;
   }
 
   /** Sends nothing more to the targets of {@code zone}. */
-  public void empty(String zone) {
-    emptied.add(zone);
+  public void evacuateZone(String zone) {
+    evacuatedZones.add(zone);
   }
 
   /**
    * Takes a zone back. Its targets may have turned cold while they had no work, so that they count
    * as cold for {@code coldMillis}.
    */
-  public void takeBack(String zone, long now, long coldMillis) {
-    if (!emptied.remove(zone)) {
+  public void endEvacuation(String zone, long now, long coldMillis) {
+    if (!evacuatedZones.remove(zone)) {
       return;
     }
     for (TargetState target : byId.values()) {
       if (target.facts().zone().equals(zone)) {
-        target.coldUntil(now + coldMillis);
+        target.markColdUntil(now + coldMillis);
       }
     }
   }
@@ -176,31 +179,33 @@
   }
 
   /** True where new work may go to {@code target}; a removal counts from its very moment. */
-  public boolean takesWork(TargetState target, long now) {
-    Long removal = removals.get(target.facts().id());
+  public boolean acceptsRequests(TargetState target, long now) {
+    Long removal = removalTimes.get(target.facts().id());
     boolean removed = removal != null && removal <= now;
-    return !removed && !target.facts().leaving() && !emptied.contains(target.facts().zone());
+    return !removed
+        && !target.facts().isDraining()
+        && !evacuatedZones.contains(target.facts().zone());
   }
 
   /** Share of a service's slots that a region has; 1 where the service has none. */
   double slotShare(String service, String region) {
-    Map<String, RegionLoad> regions = loads.getOrDefault(service, Map.of());
+    Map<String, RegionLoad> regions = loadsByService.getOrDefault(service, Map.of());
     int all = 0;
     int own = 0;
     for (Map.Entry<String, RegionLoad> known : regions.entrySet()) {
-      all += known.getValue().slots();
-      own += known.getKey().equals(region) ? known.getValue().slots() : 0;
+      all += known.getValue().slotCount();
+      own += known.getKey().equals(region) ? known.getValue().slotCount() : 0;
     }
     return all == 0 ? 1 : (double) own / all;
   }
 
   /** Part of a service's slots, in all regions, that is believed to be busy; 0 to 1. */
-  double busyShare(String service) {
+  double utilization(String service) {
     double busy = 0;
     int slots = 0;
-    for (RegionLoad region : loads.getOrDefault(service, Map.of()).values()) {
-      busy += region.busy();
-      slots += region.slots();
+    for (RegionLoad region : loadsByService.getOrDefault(service, Map.of()).values()) {
+      busy += region.estimatedRequestCount();
+      slots += region.slotCount();
     }
     return slots == 0 ? 0 : Math.min(1, busy / slots);
   }
@@ -209,7 +214,7 @@
   public List<TargetState> usable(String service, long now) {
     List<TargetState> usable = new ArrayList<>();
     for (TargetState target : byService.getOrDefault(service, List.of())) {
-      if (takesWork(target, now)) {
+      if (acceptsRequests(target, now)) {
         usable.add(target);
       }
     }
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/CustomerTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/CustomerTable.java
@@ -10,12 +10,12 @@
 
 /** The routes of all services of one contract. */
 final class CustomerTable {
-  private final RegionIndex regions;
-  private final Map<String, ServiceTable> services;
+  private final RegionIndex regionIndex;
+  private final Map<String, ServiceTable> tablesByService;
 
   private CustomerTable(RegionIndex regions, Map<String, ServiceTable> services) {
-    this.regions = regions;
-    this.services = services;
+    this.regionIndex = regions;
+    this.tablesByService = services;
   }
 
   static CustomerTable build(
@@ -24,21 +24,21 @@
       Map<String, List<ZoneSummary>> summaries,
       SteeringInputs inputs,
       @Nullable CustomerTable previous) {
-    boolean sameRegions = previous != null && previous.regions.fits(contract);
+    boolean sameRegions = previous != null && previous.regionIndex.matches(contract);
     RegionIndex regions =
-        previous != null && sameRegions ? previous.regions : RegionIndex.of(contract);
+        previous != null && sameRegions ? previous.regionIndex : RegionIndex.of(contract);
     Map<String, ServiceTable> services = new HashMap<>();
     for (Contract.Service service : contract.services()) {
       List<ZoneSummary> own = summaries.getOrDefault(service.name(), List.of());
       ServiceFacts facts = ServiceFacts.of(contract, service, state, own, inputs.nowMillis());
       ServiceTable before =
-          previous != null && sameRegions ? previous.services.get(service.name()) : null;
+          previous != null && sameRegions ? previous.tablesByService.get(service.name()) : null;
       services.put(service.name(), ServiceTable.build(facts, regions, inputs.ttlMillis(), before));
     }
     return new CustomerTable(regions, services);
   }
 
   @Nullable ServiceTable service(String name) {
-    return services.get(name);
+    return tablesByService.get(name);
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/Origins.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/DemandByOrigin.java
@@ -12,18 +12,18 @@
  * callers that goes to h. Without this step, callers sent away would count as demand of the region
  * that they were sent to, and no longer of their own, and steering would bring them back at once.
  */
-final class Origins {
-  private static final int ROUNDS = 8;
-  private static final double LEAST_PART = 0.05;
+final class DemandByOrigin {
+  private static final int ITERATIONS = 8;
+  private static final double MIN_LOCAL_FRACTION = 0.05;
 
-  private Origins() {}
+  private DemandByOrigin() {}
 
   /**
    * Demand by region of the caller.
    *
-   * @param parts parts in force, by region of the caller and zone
+   * @param fractions parts in force, by region of the caller and zone
    */
-  static double[] demand(Contract contract, List<ZoneReading> zones, double[][] parts) {
+  static double[] estimateDemand(Contract contract, List<ZoneReading> zones, double[][] fractions) {
     int regions = contract.regions().size();
     double[] asked = new double[regions];
     double[][] sent = new double[regions][regions];
@@ -31,17 +31,18 @@
       int to = regionOf(contract, zones.get(zone).region());
       asked[to] += zones.get(zone).demandPerSecond();
       for (int from = 0; from < regions; from++) {
-        sent[from][to] += parts[from][zone];
+        sent[from][to] += fractions[from][zone];
       }
     }
     double[] demand = asked.clone();
-    for (int round = 0; round < ROUNDS; round++) {
+    for (int round = 0; round < ITERATIONS; round++) {
       for (int home = 0; home < regions; home++) {
         double foreign = 0;
         for (int from = 0; from < regions; from++) {
           foreign += from == home ? 0 : demand[from] * sent[from][home];
         }
-        demand[home] = Math.max(0, asked[home] - foreign) / Math.max(LEAST_PART, sent[home][home]);
+        demand[home] =
+            Math.max(0, asked[home] - foreign) / Math.max(MIN_LOCAL_FRACTION, sent[home][home]);
       }
     }
     return demand;
--- /dev/null
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/FallbackOrder.java
@@ -0,0 +1,154 @@
+package org.sageladder.core.steering;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.function.Predicate;
+import org.jspecify.annotations.Nullable;
+import org.sageladder.core.contract.Contract;
+import org.sageladder.core.membership.Member;
+
+/**
+ * Orders the entry VMs of one answer so that each next one survives what stopped the one before: a
+ * VM's death, a zone's, a region's or its being full.
+ *
+ * <p>Places abroad are drawn in proportion to their room. Were each answer to name the one zone
+ * with the most room, all callers whom a full region refuses would ask that zone at once, be
+ * refused there too, and never learn of the room that is left elsewhere.
+ */
+final class FallbackOrder {
+  private static final double MIN_HEADROOM_PER_SECOND = 1e-3;
+
+  private final Contract.Region callerRegion;
+  private final List<ServiceFacts.Zone> allZones;
+  private final List<ServiceFacts.Zone> localZonesByHeadroom = new ArrayList<>();
+  private final List<ServiceFacts.Zone> remoteZones = new ArrayList<>();
+  private final boolean isRegionFull;
+  private final int maxEntries;
+
+  private FallbackOrder(
+      Contract.Region callerRegion, ServiceFacts facts, boolean isRegionFull, int maxEntries) {
+    this.callerRegion = callerRegion;
+    this.allZones = facts.zones();
+    this.isRegionFull = isRegionFull;
+    this.maxEntries = maxEntries;
+    for (ServiceFacts.Zone zone : facts.zones()) {
+      if (!zone.holders().isEmpty()) {
+        (isLocal(zone) ? localZonesByHeadroom : remoteZones).add(zone);
+      }
+    }
+    localZonesByHeadroom.sort(
+        Comparator.comparingDouble(zone -> -zone.reading().headroomPerSecond()));
+  }
+
+  /**
+   * Fall-backs for the callers of {@code home}.
+   *
+   * @param isRegionFull true where steering sends some of these callers to other regions
+   * @param maxEntries entry VMs of one answer
+   */
+  static FallbackOrder forCallersOf(
+      Contract.Region callerRegion, ServiceFacts facts, boolean isRegionFull, int maxEntries) {
+    return new FallbackOrder(callerRegion, facts, isRegionFull, maxEntries);
+  }
+
+  /**
+   * {@code first} and the entry VMs to ask after it.
+   *
+   * @param point where in the room of the other regions to look first, 0 to below 1
+   */
+  List<Member> startingWith(Member first, double point) {
+    List<Member> entries = new ArrayList<>();
+    entries.add(first);
+    int turn = Math.floorMod(first.vm().hashCode(), 1 << 16);
+    if (!isRegionFull) {
+      addOneHolder(entries, allZones, zone -> zone.name().equals(first.zone()), turn);
+    }
+    addOneHolder(entries, localZonesByHeadroom, zone -> !zone.name().equals(first.zone()), turn);
+    ServiceFacts.Zone drawn = drawRemoteZone(point, zone -> !zone.name().equals(first.zone()));
+    if (drawn != null) {
+      addOneHolder(entries, List.of(drawn), zone -> true, turn);
+    }
+    if (isRegionFull && drawn != null) {
+      String region = drawn.reading().region();
+      ServiceFacts.Zone next =
+          drawRemoteZone(point, zone -> !zone.reading().region().equals(region));
+      if (next != null) {
+        addOneHolder(entries, List.of(next), zone -> true, turn);
+      }
+    }
+    addRemainingHolders(entries, this::isLocal);
+    addRemainingHolders(entries, zone -> true);
+    return entries;
+  }
+
+  private boolean isLocal(ServiceFacts.Zone zone) {
+    return callerRegion.zones().contains(zone.name());
+  }
+
+  /** The zone abroad at {@code point} of the room of all that pass {@code filter}, or null. */
+  private ServiceFacts.@Nullable Zone drawRemoteZone(
+      double point, Predicate<ServiceFacts.Zone> filter) {
+    double sum = 0;
+    for (ServiceFacts.Zone zone : remoteZones) {
+      sum += filter.test(zone) ? headroom(zone) : 0;
+    }
+    double left = point * sum;
+    ServiceFacts.Zone last = null;
+    for (ServiceFacts.Zone zone : remoteZones) {
+      if (!filter.test(zone)) {
+        continue;
+      }
+      last = zone;
+      left -= headroom(zone);
+      if (left < 0) {
+        break;
+      }
+    }
+    return last;
+  }
+
+  private static double headroom(ServiceFacts.Zone zone) {
+    return Math.max(MIN_HEADROOM_PER_SECOND, zone.reading().headroomPerSecond());
+  }
+
+  /** Adds one holder of the first zone that has a new one, not the same for all first entries. */
+  private void addOneHolder(
+      List<Member> entries,
+      List<ServiceFacts.Zone> zones,
+      Predicate<ServiceFacts.Zone> filter,
+      int turn) {
+    for (ServiceFacts.Zone zone : zones) {
+      if (!filter.test(zone)) {
+        continue;
+      }
+      int holders = zone.holders().size();
+      for (int i = 0; i < holders; i++) {
+        Member member = zone.holders().get((turn + i) % holders).member();
+        if (!entries.contains(member) && entries.size() < maxEntries) {
+          entries.add(member);
+          return;
+        }
+      }
+    }
+  }
+
+  private void addRemainingHolders(List<Member> entries, Predicate<ServiceFacts.Zone> filter) {
+    for (ServiceFacts.Zone zone : allZones) {
+      if (entries.size() >= maxEntries) {
+        return;
+      }
+      if (filter.test(zone)) {
+        addAllHolders(entries, zone);
+      }
+    }
+  }
+
+  private void addAllHolders(List<Member> entries, ServiceFacts.Zone zone) {
+    for (ServiceFacts.Holder holder : zone.holders()) {
+      if (entries.size() < maxEntries && !entries.contains(holder.member())) {
+        entries.add(holder.member());
+      }
+    }
+  }
+}
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/Apportion.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/LargestRemainder.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /** Divides a whole number of places in proportion to weights, by largest remainder. */
-final class Apportion {
-  private Apportion() {}
+final class LargestRemainder {
+  private LargestRemainder() {}
 
   /** Places for each weight; they add up to {@code places} unless all weights are 0. */
-  static int[] of(List<Double> weights, int places) {
+  static int[] apportion(List<Double> weights, int count) {
     double sum = 0;
     for (double weight : weights) {
       sum += weight;
@@ -19,12 +19,12 @@
     double[] remainders = new double[counts.length];
     int given = 0;
     for (int i = 0; i < counts.length; i++) {
-      double exact = weights.get(i) / sum * places;
+      double exact = weights.get(i) / sum * count;
       counts[i] = (int) exact;
       remainders[i] = exact - counts[i];
       given += counts[i];
     }
-    for (; given < places; given++) {
+    for (; given < count; given++) {
       int largest = 0;
       for (int i = 1; i < counts.length; i++) {
         if (remainders[i] > remainders[largest]) {
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/LookUpTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/LookUpTable.java
@@ -21,10 +21,10 @@
  * takes over what has not changed.
  */
 public final class LookUpTable {
-  private final Map<String, CustomerTable> customers;
+  private final Map<String, CustomerTable> tablesByCustomer;
 
   private LookUpTable(Map<String, CustomerTable> customers) {
-    this.customers = customers;
+    this.tablesByCustomer = customers;
   }
 
   /** Makes the table for all contracts in {@code state}. */
@@ -33,7 +33,8 @@
     Map<String, CustomerTable> customers = new HashMap<>();
     LookUpTable previous = inputs.previous();
     for (Contract contract : state.contracts().values()) {
-      CustomerTable before = previous == null ? null : previous.customers.get(contract.customer());
+      CustomerTable before =
+          previous == null ? null : previous.tablesByCustomer.get(contract.customer());
       Map<String, List<ZoneSummary>> own = summaries.getOrDefault(contract.customer(), Map.of());
       customers.put(contract.customer(), CustomerTable.build(contract, state, own, inputs, before));
     }
@@ -69,13 +70,13 @@
    * @param region position of the region in the contract
    * @param zone position of the zone among all zones of the contract
    */
-  public double part(String customer, String service, int region, int zone) {
+  public double trafficFraction(String customer, String service, int region, int zone) {
     ServiceTable table = table(customer, service);
-    return table == null ? 0 : table.part(region, zone);
+    return table == null ? 0 : table.trafficFraction(region, zone);
   }
 
   private @Nullable ServiceTable table(String customer, String service) {
-    CustomerTable contract = customers.get(customer);
+    CustomerTable contract = tablesByCustomer.get(customer);
     return contract == null ? null : contract.service(service);
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/RegionIndex.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/RegionIndex.java
@@ -6,7 +6,7 @@
 
 /** Which region each block of clients counts as: one byte a block. */
 final class RegionIndex {
-  private static final int MOST_BLOCKS = 1 << 24;
+  private static final int MAX_BLOCKS = 1 << 24;
 
   private final List<Contract.ClientBlocks> ranges;
   private final List<Contract.Region> regions;
@@ -23,7 +23,7 @@
   static RegionIndex of(Contract contract) {
     int last = -1;
     for (Contract.ClientBlocks range : contract.clientBlocks()) {
-      last = Math.max(last, Math.min(range.last(), MOST_BLOCKS - 1));
+      last = Math.max(last, Math.min(range.last(), MAX_BLOCKS - 1));
     }
     byte[] index = new byte[last + 1];
     Arrays.fill(index, (byte) -1);
@@ -39,7 +39,7 @@
     return new RegionIndex(contract.clientBlocks(), contract.regions(), index);
   }
 
-  boolean fits(Contract contract) {
+  boolean matches(Contract contract) {
     return ranges.equals(contract.clientBlocks()) && regions.equals(contract.regions());
   }
 
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/ServiceFacts.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/ServiceFacts.java
@@ -31,7 +31,7 @@
     return zones.stream().map(Zone::reading).toList();
   }
 
-  boolean sameRoutes(ServiceFacts other) {
+  boolean hasSameRoutes(ServiceFacts other) {
     if (contract.revision() != other.contract.revision() || zones.size() != other.zones.size()) {
       return false;
     }
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/ServiceTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/ServiceTable.java
@@ -11,60 +11,61 @@
 /** The routes of one service: for the callers of each region, an array that a look-up indexes. */
 final class ServiceTable {
   /** Fewest answers in an array, so a zone's part is a whole number of 64ths or less. */
-  static final int ANSWERS = 64;
+  static final int MIN_ANSWERS = 64;
 
-  private static final int MOST_ANSWERS = 1024;
+  private static final int MAX_ANSWERS = 1024;
 
   /** Answers for each gate, so that gates of equal slots get equal parts to about a quarter. */
   private static final int ANSWERS_PER_HOLDER = 4;
 
-  private static final int MOST_ENTRIES = 4;
+  private static final int MAX_ENTRIES = 4;
 
   private final ServiceFacts facts;
-  private final double[][] parts;
-  private final RegionIndex regions;
+  private final double[][] fractions;
+  private final RegionIndex regionIndex;
   private final Route[][] answers;
 
   private ServiceTable(
-      ServiceFacts facts, double[][] parts, RegionIndex regions, Route[][] answers) {
+      ServiceFacts facts, double[][] fractions, RegionIndex regionIndex, Route[][] answers) {
     this.facts = facts;
-    this.parts = parts;
-    this.regions = regions;
+    this.fractions = fractions;
+    this.regionIndex = regionIndex;
     this.answers = answers;
   }
 
   /** Makes the table, or returns {@code previous} where nothing that it rests on has changed. */
   static ServiceTable build(
-      ServiceFacts facts, RegionIndex regions, int ttlMillis, @Nullable ServiceTable previous) {
-    double[][] target = wanted(facts, previous);
+      ServiceFacts facts, RegionIndex regionIndex, int ttlMillis, @Nullable ServiceTable previous) {
+    double[][] target = desiredFractions(facts, previous);
     double[][] parts =
-        previous == null ? target : Damping.step(previous.facts, previous.parts, facts, target);
-    if (previous != null && previous.isStillGood(facts, parts)) {
+        previous == null ? target : Damping.step(previous.facts, previous.fractions, facts, target);
+    if (previous != null && previous.isUpToDate(facts, parts)) {
       return previous;
     }
     int count = facts.contract().regions().size();
     Route[][] answers = new Route[count][];
     for (int region = 0; region < count; region++) {
-      answers[region] = answersFor(region, facts, parts[region], ttlMillis);
+      answers[region] = buildAnswers(region, facts, parts[region], ttlMillis);
     }
-    return new ServiceTable(facts, parts, regions, answers);
+    return new ServiceTable(facts, parts, regionIndex, answers);
   }
 
-  private static double[][] wanted(ServiceFacts facts, @Nullable ServiceTable previous) {
+  private static double[][] desiredFractions(ServiceFacts facts, @Nullable ServiceTable previous) {
     if (previous == null || previous.facts.zones().size() != facts.zones().size()) {
       return Waterfall.divide(facts.contract(), facts.readings());
     }
-    double[] demand = Origins.demand(facts.contract(), facts.readings(), previous.parts);
+    double[] demand =
+        DemandByOrigin.estimateDemand(facts.contract(), facts.readings(), previous.fractions);
     return Waterfall.divide(facts.contract(), facts.readings(), demand);
   }
 
-  private boolean isStillGood(ServiceFacts newFacts, double[][] newParts) {
-    if (!facts.sameRoutes(newFacts)) {
+  private boolean isUpToDate(ServiceFacts newFacts, double[][] newParts) {
+    if (!facts.hasSameRoutes(newFacts)) {
       return false;
     }
-    for (int region = 0; region < parts.length; region++) {
-      for (int zone = 0; zone < parts[region].length; zone++) {
-        if (Math.abs(parts[region][zone] - newParts[region][zone]) > 0.5 / ANSWERS) {
+    for (int region = 0; region < fractions.length; region++) {
+      for (int zone = 0; zone < fractions[region].length; zone++) {
+        if (Math.abs(fractions[region][zone] - newParts[region][zone]) > 0.5 / MIN_ANSWERS) {
           return false;
         }
       }
@@ -73,7 +74,7 @@
   }
 
   @Nullable Route route(int block, long random) {
-    int region = regions.of(block);
+    int region = regionIndex.of(block);
     if (region < 0) {
       return null;
     }
@@ -82,11 +83,12 @@
   }
 
   /** Part of the callers of {@code region} that is sent to {@code zone}, both by index. */
-  double part(int region, int zone) {
-    return parts[region][zone];
+  double trafficFraction(int region, int zone) {
+    return fractions[region][zone];
   }
 
-  private static Route[] answersFor(int region, ServiceFacts facts, double[] parts, int ttlMillis) {
+  private static Route[] buildAnswers(
+      int region, ServiceFacts facts, double[] parts, int ttlMillis) {
     List<Member> holders = new ArrayList<>();
     List<Double> weights = new ArrayList<>();
     for (int zone = 0; zone < parts.length; zone++) {
@@ -98,17 +100,17 @@
         }
       }
     }
-    int length = answersFor(holders.size());
-    int[] counts = Apportion.of(weights, length);
+    int length = answerCount(holders.size());
+    int[] counts = LargestRemainder.apportion(weights, length);
     Route[] routes = new Route[length];
     Contract.Region home = facts.contract().regions().get(region);
-    FallBacks fallBacks =
-        FallBacks.forCallersOf(home, facts, isSpilling(home, facts, parts), MOST_ENTRIES);
+    FallbackOrder fallBacks =
+        FallbackOrder.forCallersOf(home, facts, isOverflowing(home, facts, parts), MAX_ENTRIES);
     Map<List<Member>, Route> made = new HashMap<>();
     int filled = 0;
     for (int i = 0; i < counts.length; i++) {
       for (int n = 0; n < counts[i]; n++) {
-        List<Member> entries = fallBacks.after(holders.get(i), (n + 0.5) / counts[i]);
+        List<Member> entries = fallBacks.startingWith(holders.get(i), (n + 0.5) / counts[i]);
         routes[filled++] =
             made.computeIfAbsent(entries, list -> route(list, home, facts, ttlMillis));
       }
@@ -120,24 +122,24 @@
    * A power of two, larger where many gates hold the service: with fewer answers than gates some
    * would never be named, whatever their part.
    */
-  private static int answersFor(int holders) {
+  private static int answerCount(int holders) {
     if (holders == 0) {
       return 0;
     }
-    int length = ANSWERS;
-    while (length < ANSWERS_PER_HOLDER * holders && length < MOST_ANSWERS) {
+    int length = MIN_ANSWERS;
+    while (length < ANSWERS_PER_HOLDER * holders && length < MAX_ANSWERS) {
       length *= 2;
     }
     return length;
   }
 
   /** True where so many callers of {@code home} are sent abroad that an answer shows it. */
-  private static boolean isSpilling(Contract.Region home, ServiceFacts facts, double[] parts) {
+  private static boolean isOverflowing(Contract.Region home, ServiceFacts facts, double[] parts) {
     double abroad = 0;
     for (int zone = 0; zone < parts.length; zone++) {
       abroad += home.zones().contains(facts.zones().get(zone).name()) ? 0 : parts[zone];
     }
-    return abroad > 1.0 / ANSWERS;
+    return abroad > 1.0 / MIN_ANSWERS;
   }
 
   private static Route route(
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/Waterfall.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/Waterfall.java
@@ -17,26 +17,26 @@
  * because it goes by demand and not by idle slots, they do not all run after the same idle zone.
  */
 public final class Waterfall {
-  private static final double LEAST_DEMAND = 1e-6;
+  private static final double MIN_DEMAND_PER_SECOND = 1e-6;
 
   private final Contract contract;
   private final List<ZoneReading> zones;
   private final double[] demand;
-  private final double[] left;
-  private final double[][] flow;
+  private final double[] remainingPerSecond;
+  private final double[][] assignedPerSecond;
 
   private Waterfall(Contract contract, List<ZoneReading> zones, double[] demand) {
     int regions = contract.regions().size();
     this.contract = contract;
     this.zones = zones;
     this.demand = demand.clone();
-    this.left = new double[zones.size()];
-    this.flow = new double[regions][zones.size()];
+    this.remainingPerSecond = new double[zones.size()];
+    this.assignedPerSecond = new double[regions][zones.size()];
     for (int zone = 0; zone < zones.size(); zone++) {
-      left[zone] = zones.get(zone).limit();
+      remainingPerSecond[zone] = zones.get(zone).usablePerSecond();
     }
     for (int region = 0; region < regions; region++) {
-      this.demand[region] = Math.max(LEAST_DEMAND, demand[region]);
+      this.demand[region] = Math.max(MIN_DEMAND_PER_SECOND, demand[region]);
     }
   }
 
@@ -61,20 +61,20 @@
     int regions = contract.regions().size();
     double[] excess = new double[regions];
     for (int region = 0; region < regions; region++) {
-      excess[region] = waterfall.fillHome(region);
+      excess[region] = waterfall.assignLocal(region);
     }
     double[] spilled = waterfall.spill(excess);
     for (int region = 0; region < regions; region++) {
-      waterfall.keep(region, excess[region] - spilled[region]);
+      waterfall.assignUnserved(region, excess[region] - spilled[region]);
     }
-    return waterfall.parts();
+    return waterfall.toFractions();
   }
 
   /** Serves the region's own callers at home as far as it can; answers what is left of them. */
-  private double fillHome(int region) {
+  private double assignLocal(int region) {
     List<Integer> home = zonesOf(region);
-    double carried = Math.min(demand[region], sumLeft(home));
-    pour(region, home, carried);
+    double carried = Math.min(demand[region], totalRemaining(home));
+    assignProportionally(region, home, carried);
     return demand[region] - carried;
   }
 
@@ -89,7 +89,7 @@
     for (double one : excess) {
       total += one;
     }
-    double[] before = left.clone();
+    double[] before = remainingPerSecond.clone();
     double[] spilled = new double[excess.length];
     for (int from = 0; from < excess.length; from++) {
       if (excess[from] <= 0) {
@@ -106,22 +106,22 @@
     double[] room = new double[contract.regions().size()];
     for (int to = 0; to < room.length; to++) {
       if (to != from) {
-        room[to] = Math.min(linkLimit(from, to), share * openRoom(to, headroom));
+        room[to] = Math.min(linkLimit(from, to), share * headroomForRemoteCallers(to, headroom));
         reachable += room[to];
       }
     }
     double sent = Math.min(excess, reachable);
     for (int to = 0; to < room.length && reachable > 0; to++) {
       if (room[to] > 0) {
-        pour(from, openZonesOf(to), sent * room[to] / reachable);
+        assignProportionally(from, zonesAcceptingRemoteCallers(to), sent * room[to] / reachable);
       }
     }
     return sent;
   }
 
-  private double openRoom(int region, double[] headroom) {
+  private double headroomForRemoteCallers(int region, double[] headroom) {
     double room = 0;
-    for (int zone : openZonesOf(region)) {
+    for (int zone : zonesAcceptingRemoteCallers(region)) {
       room += headroom[zone];
     }
     return room;
@@ -139,7 +139,7 @@
   }
 
   /** What nobody can carry stays at home, where it waits or is refused; abroad only if it must. */
-  private void keep(int region, double rest) {
+  private void assignUnserved(int region, double rest) {
     if (rest <= 0) {
       return;
     }
@@ -152,27 +152,27 @@
       capacity += zones.get(zone).capacityPerSecond();
     }
     for (int zone : places) {
-      flow[region][zone] += rest * zones.get(zone).capacityPerSecond() / capacity;
+      assignedPerSecond[region][zone] += rest * zones.get(zone).capacityPerSecond() / capacity;
     }
   }
 
-  private void pour(int region, List<Integer> places, double amount) {
-    double room = sumLeft(places);
+  private void assignProportionally(int region, List<Integer> places, double amount) {
+    double room = totalRemaining(places);
     if (room <= 0 || amount <= 0) {
       return;
     }
     double poured = Math.min(amount, room);
     for (int zone : places) {
-      double part = poured * left[zone] / room;
-      flow[region][zone] += part;
-      left[zone] -= part;
+      double part = poured * remainingPerSecond[zone] / room;
+      assignedPerSecond[region][zone] += part;
+      remainingPerSecond[zone] -= part;
     }
   }
 
-  private double sumLeft(List<Integer> places) {
+  private double totalRemaining(List<Integer> places) {
     double sum = 0;
     for (int zone : places) {
-      sum += left[zone];
+      sum += remainingPerSecond[zone];
     }
     return sum;
   }
@@ -187,9 +187,9 @@
     return found;
   }
 
-  private List<Integer> openZonesOf(int region) {
+  private List<Integer> zonesAcceptingRemoteCallers(int region) {
     List<Integer> found = zonesOf(region);
-    found.removeIf(zone -> !zones.get(zone).takesOthers());
+    found.removeIf(zone -> !zones.get(zone).acceptsRemoteCallers());
     return found;
   }
 
@@ -206,8 +206,8 @@
     return places;
   }
 
-  private double[][] parts() {
-    for (double[] row : flow) {
+  private double[][] toFractions() {
+    for (double[] row : assignedPerSecond) {
       double sum = 0;
       for (double one : row) {
         sum += one;
@@ -216,6 +216,6 @@
         row[zone] /= sum;
       }
     }
-    return flow;
+    return assignedPerSecond;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/ZoneReading.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/ZoneReading.java
@@ -23,25 +23,26 @@
    * <p>Requests come unevenly: a zone filled to the brim refuses what a neighbour could carry. A
    * ceiling below the capacity is filled whole, since it climbs only where it is used.
    */
-  private static final double FILL = 0.9;
+  private static final double FILL_FRACTION = 0.9;
 
   /** Most that steering reckons the zone to carry, of all callers. */
-  double limit() {
+  double usablePerSecond() {
     return switch (age) {
-      case FRESH, OLD -> Math.min(FILL * capacityPerSecond, ceilingPerSecond);
+      case FRESH, OLD -> Math.min(FILL_FRACTION * capacityPerSecond, ceilingPerSecond);
       case AGEING ->
-          Math.min(FILL * capacityPerSecond, Math.min(ceilingPerSecond, admittedPerSecond));
+          Math.min(
+              FILL_FRACTION * capacityPerSecond, Math.min(ceilingPerSecond, admittedPerSecond));
       case ABSENT -> capacityPerSecond;
     };
   }
 
   /** What the zone could take besides what it admits. */
-  double room() {
-    return limit() - admittedPerSecond;
+  double headroomPerSecond() {
+    return usablePerSecond() - admittedPerSecond;
   }
 
   /** True where callers of other regions may be sent here. */
-  boolean takesOthers() {
+  boolean acceptsRemoteCallers() {
     return age == ReadingAge.FRESH || age == ReadingAge.AGEING;
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/ColdAllowanceTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/ColdTargetLimiterTest.java
@@ -6,17 +6,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.sageladder.core.placing.ColdAllowance.EntryPlace;
+import org.sageladder.core.placing.ColdTargetLimiter.EntryVmLocation;
 
 /** What cold targets get from all entry VMs together. */
-class ColdAllowanceTest {
+class ColdTargetLimiterTest {
   private static final double RATE = 3.1;
   private static final int BOUND = (int) (RATE * 1.5 + 5);
 
-  private static List<EntryPlace> entries(int count) {
-    List<EntryPlace> entries = new ArrayList<>();
+  private static List<EntryVmLocation> entries(int count) {
+    List<EntryVmLocation> entries = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      entries.add(new EntryPlace("e-" + i, "z" + i % 6, "r" + i % 3));
+      entries.add(new EntryVmLocation("e-" + i, "z" + i % 6, "r" + i % 3));
     }
     return entries;
   }
@@ -29,19 +29,19 @@
   @Test
   void allEntryVmsTogetherStayUnderTheBound() {
     for (int machines : new int[] {1, 2, 3, 8, 12, 85}) {
-      List<EntryPlace> entries = entries(machines);
-      List<ColdAllowance> allowances = new ArrayList<>();
-      for (EntryPlace entry : entries) {
-        ColdAllowance allowance = ColdAllowance.of(entry.name(), 1.5, 5);
-        allowance.entries(entries, 0);
+      List<EntryVmLocation> entries = entries(machines);
+      List<ColdTargetLimiter> allowances = new ArrayList<>();
+      for (EntryVmLocation entry : entries) {
+        ColdTargetLimiter allowance = ColdTargetLimiter.of(entry.name(), 1.5, 5);
+        allowance.updateEntryVms(entries, 0);
         allowances.add(allowance);
       }
-      TargetFacts target = PlacingFixture.target("t", "z1", "r1", 3_000);
+      TargetFacts target = PlacementFixture.target("t", "z1", "r1", 3_000);
       List<Long> sent = new ArrayList<>();
       for (long now = 0; now < 2_000; now += 10) {
-        for (ColdAllowance allowance : allowances) {
+        for (ColdTargetLimiter allowance : allowances) {
           if (allowance.permits(target, RATE, now)) {
-            allowance.sent(target, now);
+            allowance.recordSent(target, now);
             sent.add(now);
           }
         }
@@ -60,8 +60,8 @@
    */
   @Test
   void sendsNothingBeforeTheOthersAreKnown() {
-    ColdAllowance allowance = ColdAllowance.of("e-0", 1.5, 5);
-    TargetFacts target = PlacingFixture.target("t", "z1", "r1", 3_000);
+    ColdTargetLimiter allowance = ColdTargetLimiter.of("e-0", 1.5, 5);
+    TargetFacts target = PlacementFixture.target("t", "z1", "r1", 3_000);
     assertEquals(false, allowance.permits(target, RATE, 0));
   }
 
@@ -72,15 +72,15 @@
    */
   @Test
   void aVmThatSeesOnlyItselfAfterALapseDoesNotTakeEverybodysPart() {
-    List<EntryPlace> entries = entries(12);
-    TargetFacts target = PlacingFixture.target("t", "z1", "r1", 3_000);
+    List<EntryVmLocation> entries = entries(12);
+    TargetFacts target = PlacementFixture.target("t", "z1", "r1", 3_000);
     int sent = 0;
-    for (EntryPlace entry : entries) {
-      ColdAllowance allowance = ColdAllowance.of(entry.name(), 1.5, 5);
-      allowance.entries(entries, 0);
-      allowance.entries(List.of(entry), 20_000);
+    for (EntryVmLocation entry : entries) {
+      ColdTargetLimiter allowance = ColdTargetLimiter.of(entry.name(), 1.5, 5);
+      allowance.updateEntryVms(entries, 0);
+      allowance.updateEntryVms(List.of(entry), 20_000);
       while (allowance.permits(target, RATE, 20_100)) {
-        allowance.sent(target, 20_100);
+        allowance.recordSent(target, 20_100);
         sent++;
       }
     }
@@ -90,15 +90,15 @@
   /** A VM that has been gone for a minute does not keep its part for ever. */
   @Test
   void aVmThatIsGoneForLongIsForgotten() {
-    List<EntryPlace> entries = entries(2);
-    ColdAllowance allowance = ColdAllowance.of("e-0", 1.5, 5);
-    TargetFacts target = PlacingFixture.target("t", "z0", "r0", 3_000);
-    allowance.entries(entries, 0);
-    allowance.entries(entries.subList(0, 1), 1_000);
-    allowance.entries(entries.subList(0, 1), 61_000);
+    List<EntryVmLocation> entries = entries(2);
+    ColdTargetLimiter allowance = ColdTargetLimiter.of("e-0", 1.5, 5);
+    TargetFacts target = PlacementFixture.target("t", "z0", "r0", 3_000);
+    allowance.updateEntryVms(entries, 0);
+    allowance.updateEntryVms(entries.subList(0, 1), 1_000);
+    allowance.updateEntryVms(entries.subList(0, 1), 61_000);
     int sent = 0;
     while (allowance.permits(target, RATE, 61_000)) {
-      allowance.sent(target, 61_000);
+      allowance.recordSent(target, 61_000);
       sent++;
     }
     assertEquals(BOUND - 1, sent);
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/RegionPriceTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/CrossRegionCostFactorTest.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import org.sageladder.core.placing.PlacingDecision.Send;
+import org.sageladder.core.placing.PlacementDecision.Send;
 import org.sageladder.core.routing.RouteRule;
 
 /** Guards against all objects of a route changing region as a learnt run time passes a price. */
-class RegionPriceTest {
+class CrossRegionCostFactorTest {
   private static final int OBJECTS = 2_000;
   private static final int ANSWERS = 60;
 
@@ -22,17 +22,17 @@
   private static final double FAR_MILLIS = 40;
   private static final double UNKNOWN_RUN_MILLIS = 300;
 
-  private final PlacingFixture fixture = new PlacingFixture().withFour();
+  private final PlacementFixture fixture = new PlacementFixture().withFour();
 
   @Test
   void objectsChangeRegionOneAfterTheOtherWhileRunTimesAreLearnt() {
-    fixture.distances.connected("s1", FAR_MILLIS);
-    fixture.distances.connected("s2", FAR_MILLIS);
-    RouteRule route = PlacingFixture.route(Set.of());
+    fixture.distances.recordConnect("s1", FAR_MILLIS);
+    fixture.distances.recordConnect("s2", FAR_MILLIS);
+    RouteRule route = PlacementFixture.route(Set.of());
     double first = shareInSouth();
     double before = first;
     for (int i = 0; i < ANSWERS; i++) {
-      fixture.runTimes.ran("search", route, false, UNKNOWN_RUN_MILLIS, i);
+      fixture.runTimes.recordRun("search", route, false, UNKNOWN_RUN_MILLIS, i);
       double after = shareInSouth();
       double changed = Math.abs(after - before);
       assertTrue(changed <= MOST_SHIFT / ANSWERS_A_SPAN, changed + " after answer " + i);
@@ -43,7 +43,8 @@
 
   @Test
   void theMeanPriceIsOne() {
-    double mean = LongStream.range(0, OBJECTS).mapToDouble(RegionPrice::of).average().orElse(0);
+    double mean =
+        LongStream.range(0, OBJECTS).mapToDouble(CrossRegionCostFactor::of).average().orElse(0);
     assertEquals(1, mean, 0.02);
   }
 
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/AddedRouteTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/NewRouteTest.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.sageladder.core.placing.Placement.Order;
-import org.sageladder.core.placing.PlacingDecision.Send;
+import org.sageladder.core.placing.Placement.PlacementRequest;
+import org.sageladder.core.placing.PlacementDecision.Send;
 import org.sageladder.core.routing.RouteRule;
 import org.sageladder.core.routing.ServiceShare;
 
@@ -23,7 +23,7 @@
  * request that asks, as if its like stood in the queue: longer than the time left, so it was not
  * sent, so its run was never measured.
  */
-class AddedRouteTest {
+class NewRouteTest {
   private static final List<String> TARGETS = List.of("n-1", "n-2", "s-1", "s-2");
 
   /** The queues of the test are about this long for requests of the first route. */
@@ -33,11 +33,11 @@
   private static final long ADDED_RUN_MILLIS = 5;
   private static final long LEFT_MILLIS = 980;
 
-  private final PlacingFixture fixture = new PlacingFixture().withFour();
+  private final PlacementFixture fixture = new PlacementFixture().withFour();
 
   /** Goal of 1,000 ms: without a run of it, its run is taken to be 1,500 ms. */
   private static RouteRule added() {
-    RouteRule first = PlacingFixture.route(Set.of());
+    RouteRule first = PlacementFixture.route(Set.of());
     return new RouteRule(
         "added",
         first.host(),
@@ -53,24 +53,24 @@
         false);
   }
 
-  private static Order order(RouteRule route, long object) {
-    return new Order(route, "search", object, LEFT_MILLIS);
+  private static PlacementRequest order(RouteRule route, long object) {
+    return new PlacementRequest(route, "search", object, LEFT_MILLIS);
   }
 
-  private PlacingDecision place(RouteRule route, long object) {
+  private PlacementDecision place(RouteRule route, long object) {
     return place(route, object, Set.of());
   }
 
-  private PlacingDecision place(RouteRule route, long object, Set<String> tried) {
+  private PlacementDecision place(RouteRule route, long object, Set<String> tried) {
     return fixture.placement.place(
-        order(route, object), PlacingFixture.SERVICE, tried, fixture.now);
+        order(route, object), PlacementFixture.SERVICE, tried, fixture.now);
   }
 
   private void answer(RouteRule route, Send send, long object, long millis, LoadReport load) {
-    fixture.placement.sent(send, fixture.now);
+    fixture.placement.recordSent(send, fixture.now);
     send.target().endRequest();
     send.target().recordReport(load, fixture.now);
-    fixture.placement.answered(order(route, object), send, (double) millis, load, fixture.now);
+    fixture.placement.recordAnswer(order(route, object), send, (double) millis, load, fixture.now);
   }
 
   private void crowd() {
@@ -84,7 +84,7 @@
 
   @BeforeEach
   void theFirstRouteHasRunForAWhile() {
-    RouteRule first = PlacingFixture.route(Set.of());
+    RouteRule first = PlacementFixture.route(Set.of());
     for (long object = 0; object < 200; object++) {
       Send send = (Send) place(first, object);
       answer(first, send, object, FIRST_RUN_MILLIS, new LoadReport(0, 0, 3));
@@ -97,12 +97,12 @@
     crowd();
     for (long object = 1_000; object < 1_020; object++) {
       Send first =
-          assertInstanceOf(Send.class, place(PlacingFixture.route(Set.of()), object), "first");
+          assertInstanceOf(Send.class, place(PlacementFixture.route(Set.of()), object), "first");
       assertInstanceOf(Send.class, place(added(), object), "added");
       Set<String> others = new HashSet<>(TARGETS);
       others.remove(first.target().facts().id());
       Send same = assertInstanceOf(Send.class, place(added(), object, others), "same target");
-      assertEquals(first.waitMillis(), same.waitMillis(), 1);
+      assertEquals(first.expectedWaitMillis(), same.expectedWaitMillis(), 1);
     }
   }
 
@@ -118,7 +118,9 @@
       answer(added(), send, object, ADDED_RUN_MILLIS, crowded);
     }
     Send next = assertInstanceOf(Send.class, place(added(), 2_000));
-    assertTrue(next.runMillis() < 100, "a run of 5 ms is expected to take " + next.runMillis());
+    assertTrue(
+        next.expectedRunMillis() < 100,
+        "a run of 5 ms is expected to take " + next.expectedRunMillis());
   }
 
   /**
@@ -127,12 +129,12 @@
    */
   @Test
   void isNotRefusedByAVmThatHasMeasuredNothing() {
-    PlacingFixture fresh = new PlacingFixture().withFour();
+    PlacementFixture fresh = new PlacementFixture().withFour();
     for (String id : TARGETS) {
       fresh.targets.find(id).orElseThrow().recordReport(new LoadReport(3, 4, 3), fresh.now);
     }
-    PlacingDecision decision =
-        fresh.placement.place(order(added(), 1), PlacingFixture.SERVICE, Set.of(), fresh.now);
+    PlacementDecision decision =
+        fresh.placement.place(order(added(), 1), PlacementFixture.SERVICE, Set.of(), fresh.now);
     assertInstanceOf(Send.class, decision);
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/PlacingFixture.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementFixture.java
@@ -2,54 +2,63 @@
 
 import java.util.List;
 import java.util.Set;
-import org.sageladder.core.placing.ColdAllowance.EntryPlace;
-import org.sageladder.core.placing.Placement.Order;
-import org.sageladder.core.placing.PlacingDecision.Send;
+import org.sageladder.core.placing.ColdTargetLimiter.EntryVmLocation;
+import org.sageladder.core.placing.Placement.PlacementRequest;
+import org.sageladder.core.placing.PlacementDecision.Send;
 import org.sageladder.core.routing.RouteRule;
 import org.sageladder.core.routing.ServiceRule;
 import org.sageladder.core.routing.ServiceShare;
 
 /** An entry VM in zone {@code n1} of region {@code north}, with targets in two regions. */
-final class PlacingFixture {
+final class PlacementFixture {
   static final ServiceRule SERVICE = new ServiceRule("search", 300, 3_000, 3.1);
 
   final TargetTable targets = TargetTable.create();
-  final Distances distances;
+  final RoundTripTimes distances;
   final RunTimes runTimes;
-  final ColdAllowance cold = ColdAllowance.of("e-1", 1.5, 5);
+  final ColdTargetLimiter cold = ColdTargetLimiter.of("e-1", 1.5, 5);
   final Placement placement;
   long now = 1_000;
 
-  PlacingFixture() {
+  PlacementFixture() {
     this("north");
   }
 
   /** An entry VM in zone {@code n1} of that region. */
-  PlacingFixture(String region) {
+  PlacementFixture(String region) {
     this(region, 1);
   }
 
   /** The same, where {@code mostShift} of its requests may change region within a span. */
-  PlacingFixture(String region, double mostShift) {
-    distances = Distances.from("n1", region);
-    ShiftBound shift = ShiftBound.of(mostShift);
+  PlacementFixture(String region, double mostShift) {
+    distances = RoundTripTimes.from("n1", region);
+    RegionShiftLimiter shift = RegionShiftLimiter.of(mostShift);
     runTimes = RunTimes.create(shift::settleMillis);
     placement =
-        Placement.among(targets, distances, runTimes, cold, shift, PlacingWeights.standard());
-    cold.entries(List.of(new EntryPlace("e-1", "n1", "north")), 0);
+        Placement.among(targets, distances, runTimes, cold, shift, PlacementWeights.standard());
+    cold.updateEntryVms(List.of(new EntryVmLocation("e-1", "n1", "north")), 0);
   }
 
   static TargetFacts target(String id, String zone, String region, long coldMillis) {
     return new TargetFacts(
-        new TargetStart(id, 0), 0, "search", "10.0.0.1", 80, zone, region, 3, false, coldMillis);
+        new TargetIncarnation(id, 0),
+        0,
+        "search",
+        "10.0.0.1",
+        80,
+        zone,
+        region,
+        3,
+        false,
+        coldMillis);
   }
 
-  PlacingFixture with(String id, String zone, String region) {
+  PlacementFixture with(String id, String zone, String region) {
     targets.put(target(id, zone, region, 0), now);
     return this;
   }
 
-  PlacingFixture withFour() {
+  PlacementFixture withFour() {
     return with("n-1", "n1", "north")
         .with("n-2", "n2", "north")
         .with("s-1", "s1", "south")
@@ -72,8 +81,9 @@
         false);
   }
 
-  PlacingDecision place(long object, Set<String> tried, Set<String> regions) {
-    return placement.place(new Order(route(regions), "search", object, 2_000), SERVICE, tried, now);
+  PlacementDecision place(long object, Set<String> tried, Set<String> regions) {
+    return placement.place(
+        new PlacementRequest(route(regions), "search", object, 2_000), SERVICE, tried, now);
   }
 
   Send send(long object) {
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementTest.java
@@ -8,14 +8,14 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.sageladder.core.placing.Placement.Order;
-import org.sageladder.core.placing.PlacingDecision.Reason;
-import org.sageladder.core.placing.PlacingDecision.Refuse;
-import org.sageladder.core.placing.PlacingDecision.Send;
+import org.sageladder.core.placing.Placement.PlacementRequest;
+import org.sageladder.core.placing.PlacementDecision.Reason;
+import org.sageladder.core.placing.PlacementDecision.Refuse;
+import org.sageladder.core.placing.PlacementDecision.Send;
 
 /** Where a request goes. */
 class PlacementTest {
-  private final PlacingFixture fixture = new PlacingFixture().withFour();
+  private final PlacementFixture fixture = new PlacementFixture().withFour();
 
   /**
    * Searchers of one song wait three times as long as they need where each of their requests meets
@@ -23,7 +23,7 @@
    */
   @Test
   void twoEntryVmsChooseTheSameTargetForAnObject() {
-    PlacingFixture other = new PlacingFixture().withFour();
+    PlacementFixture other = new PlacementFixture().withFour();
     for (long object = 0; object < 50; object++) {
       assertEquals(
           fixture.send(object).target().facts().id(), other.send(object).target().facts().id());
@@ -43,12 +43,12 @@
    */
   @Test
   void goesElsewhereOnceTheSlotsAreFull() {
-    fixture.distances.connected("s1", 20);
-    fixture.distances.connected("s2", 20);
+    fixture.distances.recordConnect("s1", 20);
+    fixture.distances.recordConnect("s2", 20);
     for (int i = 0; i < 6; i++) {
       Send send = fixture.send(7);
       assertTrue(send.target().load(fixture.now) < 3, "queues behind " + send.target().facts());
-      fixture.placement.sent(send, fixture.now);
+      fixture.placement.recordSent(send, fixture.now);
     }
   }
 
@@ -58,10 +58,10 @@
   @Test
   void neverLeavesTheAllowedRegions() {
     for (int i = 0; i < 40; i++) {
-      PlacingDecision decision = fixture.place(i, Set.of(), Set.of("south"));
+      PlacementDecision decision = fixture.place(i, Set.of(), Set.of("south"));
       if (decision instanceof Send send) {
         assertEquals("south", send.target().facts().region());
-        fixture.placement.sent(send, fixture.now);
+        fixture.placement.recordSent(send, fixture.now);
       }
     }
     assertInstanceOf(Refuse.class, fixture.place(1, Set.of(), Set.of("west")));
@@ -71,11 +71,11 @@
   @Test
   void leavingTargetsAndEmptiedZonesGetNothing() {
     Send first = fixture.send(7);
-    fixture.targets.empty(first.target().facts().zone());
+    fixture.targets.evacuateZone(first.target().facts().zone());
     Send second = fixture.send(7);
     assertNotEquals(first.target().facts().zone(), second.target().facts().zone());
     TargetFacts facts = second.target().facts();
-    fixture.targets.put(facts.asLeaving(), fixture.now);
+    fixture.targets.put(facts.asDraining(), fixture.now);
     assertNotEquals(facts.id(), fixture.send(7).target().facts().id());
   }
 
@@ -86,7 +86,7 @@
    */
   @Test
   void aGuessOfARunRefusesNothing() {
-    double run = fixture.send(1).runMillis();
+    double run = fixture.send(1).expectedRunMillis();
     for (String id : new String[] {"n-1", "n-2", "s-1", "s-2"}) {
       TargetState target = fixture.targets.find(id).orElseThrow();
       for (int i = 0; i < 4; i++) {
@@ -94,33 +94,38 @@
       }
     }
     long left = Math.round(run);
-    Order order = new Order(PlacingFixture.route(Set.of()), "search", 1, left);
-    PlacingDecision decision =
-        fixture.placement.place(order, PlacingFixture.SERVICE, Set.of(), fixture.now);
+    PlacementRequest order =
+        new PlacementRequest(PlacementFixture.route(Set.of()), "search", 1, left);
+    PlacementDecision decision =
+        fixture.placement.place(order, PlacementFixture.SERVICE, Set.of(), fixture.now);
     Send send = assertInstanceOf(Send.class, decision);
-    assertTrue(send.waitMillis() > 0 && send.waitMillis() + send.runMillis() > left);
+    assertTrue(
+        send.expectedWaitMillis() > 0
+            && send.expectedWaitMillis() + send.expectedRunMillis() > left);
   }
 
   /** A caller whose request cannot begin before its time is up is told so at once. */
   @Test
   void refusesWhatCannotBeginInTime() {
-    Order measured = new Order(PlacingFixture.route(Set.of()), "search", 1, 2_000);
+    PlacementRequest measured =
+        new PlacementRequest(PlacementFixture.route(Set.of()), "search", 1, 2_000);
     Send first = fixture.send(1);
-    fixture.placement.sent(first, fixture.now);
+    fixture.placement.recordSent(first, fixture.now);
     first.target().endRequest();
     LoadReport idle = new LoadReport(0, 0, 3);
-    fixture.placement.answered(measured, first, 600, idle, fixture.now);
-    PlacingDecision decision = fixture.place(1, Set.of(), Set.of());
+    fixture.placement.recordAnswer(measured, first, 600, idle, fixture.now);
+    PlacementDecision decision = fixture.place(1, Set.of(), Set.of());
     int sent = 0;
     while (decision instanceof Send send) {
-      fixture.placement.sent(send, fixture.now);
+      fixture.placement.recordSent(send, fixture.now);
       sent++;
       decision = fixture.place(sent, Set.of(), Set.of());
     }
     Refuse refuse = (Refuse) decision;
     assertEquals(Reason.TOO_LATE, refuse.reason());
     assertTrue(sent > 12, "12 slots, but only " + sent + " were sent");
-    assertTrue(refuse.retryMillis() > 1_000, "told to come back after " + refuse.retryMillis());
+    assertTrue(
+        refuse.retryAfterMillis() > 1_000, "told to come back after " + refuse.retryAfterMillis());
   }
 
   /**
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/PlacingUnderLoadTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementUnderLoadTest.java
@@ -11,13 +11,13 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 import org.junit.jupiter.api.Test;
-import org.sageladder.core.placing.ColdAllowance.EntryPlace;
-import org.sageladder.core.placing.Placement.Order;
-import org.sageladder.core.placing.PlacingDecision.Send;
+import org.sageladder.core.placing.ColdTargetLimiter.EntryVmLocation;
+import org.sageladder.core.placing.Placement.PlacementRequest;
+import org.sageladder.core.placing.PlacementDecision.Send;
 import org.sageladder.core.placing.TargetModel.Outcome;
 
 /** What callers get from placing, on the model of targets, beside policies that know less. */
-class PlacingUnderLoadTest {
+class PlacementUnderLoadTest {
   /** Load that targets can bear only if most runs are of objects they know: 80/s for 36 slots. */
   private static final int HEAVY = 80;
 
@@ -29,50 +29,52 @@
   private static final long SHORT_TIMEOUT_MILLIS = 1_000;
 
   /** The product's decisions, one set of tables for each entry VM. */
-  private static class Ours implements TargetModel.Policy {
+  private static class PlacementPolicy implements TargetModel.Policy {
     private final long timeoutMillis;
-    private final List<PlacingFixture> vms = new ArrayList<>();
+    private final List<PlacementFixture> vms = new ArrayList<>();
     private final Map<String, Send> sent = new HashMap<>();
     private final Map<String, Long> sentAt = new HashMap<>();
 
-    Ours() {
+    PlacementPolicy() {
       this(2_000);
     }
 
-    Ours(long timeoutMillis) {
+    PlacementPolicy(long timeoutMillis) {
       this.timeoutMillis = timeoutMillis;
       for (int vm = 0; vm < TargetModel.VMS; vm++) {
-        PlacingFixture fixture = new PlacingFixture(TargetModel.regionOf(vm));
-        fixture.cold.entries(List.of(new EntryPlace("e-1", "a", TargetModel.regionOf(vm))), 0);
+        PlacementFixture fixture = new PlacementFixture(TargetModel.regionOf(vm));
+        fixture.cold.updateEntryVms(
+            List.of(new EntryVmLocation("e-1", "a", TargetModel.regionOf(vm))), 0);
         for (TargetFacts facts : TargetModel.facts()) {
           fixture.targets.put(facts, 0);
           boolean near = facts.region().equals(TargetModel.regionOf(vm));
-          fixture.distances.connected(facts.zone(), near ? 1 : 40);
+          fixture.distances.recordConnect(facts.zone(), near ? 1 : 40);
         }
         vms.add(fixture);
       }
     }
 
-    private Order order(long object) {
-      return new Order(PlacingFixture.route(Set.of()), "search", object, timeoutMillis);
+    private PlacementRequest order(long object) {
+      return new PlacementRequest(
+          PlacementFixture.route(Set.of()), "search", object, timeoutMillis);
     }
 
     /** The target for what was refused, or null. */
-    @Nullable Send despite(PlacingDecision.Refuse refused) {
+    @Nullable Send despite(PlacementDecision.Refuse refused) {
       return null;
     }
 
     @Override
     public String choose(int vm, long object, long now) {
       Placement placement = vms.get(vm).placement;
-      PlacingDecision decision =
-          placement.place(order(object), PlacingFixture.SERVICE, Set.of(), now);
+      PlacementDecision decision =
+          placement.place(order(object), PlacementFixture.SERVICE, Set.of(), now);
       Send send =
-          decision instanceof PlacingDecision.Refuse refuse ? despite(refuse) : (Send) decision;
+          decision instanceof PlacementDecision.Refuse refuse ? despite(refuse) : (Send) decision;
       if (send == null) {
         return null;
       }
-      placement.sent(send, now);
+      placement.recordSent(send, now);
       String key = vm + "/" + object + "/" + send.target().facts().id();
       sent.put(key, send);
       sentAt.put(key, now);
@@ -91,31 +93,31 @@
       if (ran) {
         vms.get(vm)
             .placement
-            .answered(order(object), send, (double) (now - sentAt.get(key)), load, now);
+            .recordAnswer(order(object), send, (double) (now - sentAt.get(key)), load, now);
       }
     }
   }
 
   /** The same, but that it refuses by the wait alone, whatever the run behind it takes. */
-  private static final class ByWaitAlone extends Ours {
-    ByWaitAlone(long timeoutMillis) {
+  private static final class RefusalByWaitPolicy extends PlacementPolicy {
+    RefusalByWaitPolicy(long timeoutMillis) {
       super(timeoutMillis);
     }
 
     @Override
-    @Nullable Send despite(PlacingDecision.Refuse refused) {
-      PlacingDecision.Judged judged = refused.judged();
-      return judged != null && judged.send().waitMillis() <= SHORT_TIMEOUT_MILLIS
+    @Nullable Send despite(PlacementDecision.Refuse refused) {
+      PlacementDecision.CandidateEstimate judged = refused.bestCandidate();
+      return judged != null && judged.send().expectedWaitMillis() <= SHORT_TIMEOUT_MILLIS
           ? judged.send()
           : null;
     }
   }
 
   /** Least of own requests and reported load, near ones first among equals. */
-  private static final class LeastUsed implements TargetModel.Policy {
+  private static final class LeastLoadedPolicy implements TargetModel.Policy {
     private final List<TargetTable> vms = new ArrayList<>();
 
-    LeastUsed() {
+    LeastLoadedPolicy() {
       for (int vm = 0; vm < TargetModel.VMS; vm++) {
         TargetTable table = TargetTable.create();
         TargetModel.facts().forEach(facts -> table.put(facts, 0));
@@ -148,7 +150,7 @@
   }
 
   /** Any target. */
-  private static final class AnyTarget implements TargetModel.Policy {
+  private static final class RandomPolicy implements TargetModel.Policy {
     private final Random random = new Random(99);
     private final List<TargetFacts> all = TargetModel.facts();
 
@@ -169,9 +171,9 @@
    */
   @Test
   void moreIsAnsweredInTimeThanByLoadOrByChance() {
-    Outcome ours = TargetModel.play(new Ours(), HEAVY, SECONDS);
-    Outcome leastUsed = TargetModel.play(new LeastUsed(), HEAVY, SECONDS);
-    Outcome any = TargetModel.play(new AnyTarget(), HEAVY, SECONDS);
+    Outcome ours = TargetModel.play(new PlacementPolicy(), HEAVY, SECONDS);
+    Outcome leastUsed = TargetModel.play(new LeastLoadedPolicy(), HEAVY, SECONDS);
+    Outcome any = TargetModel.play(new RandomPolicy(), HEAVY, SECONDS);
     String figures = "ours " + ours + ", least used " + leastUsed + ", any " + any;
     assertTrue(ours.inGoal() >= leastUsed.inGoal() + 0.1, figures);
     assertTrue(ours.inGoal() >= any.inGoal() + 0.1, figures);
@@ -188,14 +190,14 @@
     for (int perSecond : new int[] {100, 130, 160, 200}) {
       Outcome ours =
           TargetModel.mean(
-              () -> new Ours(SHORT_TIMEOUT_MILLIS),
+              () -> new PlacementPolicy(SHORT_TIMEOUT_MILLIS),
               perSecond,
               SECONDS,
               SHORT_TIMEOUT_MILLIS,
               DRAWS);
       Outcome former =
           TargetModel.mean(
-              () -> new ByWaitAlone(SHORT_TIMEOUT_MILLIS),
+              () -> new RefusalByWaitPolicy(SHORT_TIMEOUT_MILLIS),
               perSecond,
               SECONDS,
               SHORT_TIMEOUT_MILLIS,
@@ -209,8 +211,8 @@
   /** At a load that targets bear in any case nobody is refused for the sake of order. */
   @Test
   void aQuietHourRefusesNobody() {
-    Outcome ours = TargetModel.play(new Ours(), 20, SECONDS);
-    Outcome leastUsed = TargetModel.play(new LeastUsed(), 20, SECONDS);
+    Outcome ours = TargetModel.play(new PlacementPolicy(), 20, SECONDS);
+    Outcome leastUsed = TargetModel.play(new LeastLoadedPolicy(), 20, SECONDS);
     assertTrue(ours.answered() == 1, "answered " + ours);
     assertTrue(ours.inGoal() >= leastUsed.inGoal() + 0.1, ours + ", least used " + leastUsed);
   }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/RegionLoadTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/RegionLoadTest.java
@@ -8,7 +8,7 @@
 
 /** What an entry VM believes of the load of targets that it has not heard of lately. */
 class RegionLoadTest {
-  private final PlacingFixture fixture = new PlacingFixture().withFour();
+  private final PlacementFixture fixture = new PlacementFixture().withFour();
 
   private TargetState target(String id) {
     return fixture.targets.find(id).orElseThrow();
@@ -21,7 +21,7 @@
    */
   @Test
   void beforeAnyWordTheOthersAreTakenToSendAsThisVmDoes() {
-    fixture.targets.peers(Map.of("north", 20, "south", 20));
+    fixture.targets.updatePeerCounts(Map.of("north", 20, "south", 20));
     target("n-1").startRequest();
     assertTrue(target("n-2").load(0) > 3, "load " + target("n-2").load(0));
     assertEquals(0, target("s-1").load(0));
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/RegionShareTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/RegionObjectShareTest.java
@@ -7,22 +7,22 @@
 import org.junit.jupiter.api.Test;
 
 /** Which objects a region keeps. */
-class RegionShareTest {
+class RegionObjectShareTest {
   private static final int OBJECTS = 10_000;
   private static final double THIRD = 1.0 / 3;
   private static final double SETTLE_MILLIS = 2_000 / 0.15;
 
-  private static RegionShare share(double zones) {
-    RegionShare share = RegionShare.create(() -> SETTLE_MILLIS);
-    share.zoneShare(zones);
+  private static RegionObjectShare share(double zones) {
+    RegionObjectShare share = RegionObjectShare.create(() -> SETTLE_MILLIS);
+    share.updateZoneShare(zones);
     return share;
   }
 
-  private static int kept(RegionShare share, double slotShare, double busy, long now) {
+  private static int kept(RegionObjectShare share, double slotShare, double busy, long now) {
     Random random = new Random(1);
     int kept = 0;
     for (int i = 0; i < OBJECTS; i++) {
-      kept += share.keeps(random.nextLong(), "s", slotShare, busy, now) ? 1 : 0;
+      kept += share.retains(random.nextLong(), "s", slotShare, busy, now) ? 1 : 0;
     }
     return kept;
   }
@@ -30,7 +30,7 @@
   /** Guards against a region whose few targets have queues while those of others stand idle. */
   @Test
   void regionWithFewSlotsKeepsAsManyObjectsAsItsSlotsBear() {
-    RegionShare share = share(THIRD);
+    RegionObjectShare share = share(THIRD);
     assertEquals(0.3 * OBJECTS, kept(share, 0.1, 0, 0), 0.02 * OBJECTS);
     assertEquals(0.3 * OBJECTS, kept(share, 0.1, 0.6, 60_000), 0.02 * OBJECTS);
     assertEquals(0.6 * OBJECTS, kept(share, 0.1, 0.3, 120_000), 0.02 * OBJECTS);
@@ -40,7 +40,7 @@
   void regionWithEnoughSlotsOrLittleLoadKeepsAll() {
     assertEquals(OBJECTS, kept(share(THIRD), 0.4, 1, 0));
     assertEquals(OBJECTS, kept(share(0), 0.1, 1, 0));
-    RegionShare idle = share(THIRD);
+    RegionObjectShare idle = share(THIRD);
     kept(idle, 0.1, 0.1, 0);
     assertEquals(OBJECTS, kept(idle, 0.1, 0.1, 60_000));
   }
@@ -48,12 +48,12 @@
   /** Guards against requests that change region together as soon as the load is known. */
   @Test
   void shareMovesNoFasterThanRequestsMayChangeRegion() {
-    RegionShare share = share(THIRD);
-    double before = share.part("s", 0.1, 0, 0);
+    RegionObjectShare share = share(THIRD);
+    double before = share.retainedFraction("s", 0.1, 0, 0);
     for (long now = 0; now <= 2_000; now += 10) {
-      share.part("s", 0.1, 0.05, now);
+      share.retainedFraction("s", 0.1, 0.05, now);
     }
-    double moved = share.part("s", 0.1, 0.05, 2_000) - before;
+    double moved = share.retainedFraction("s", 0.1, 0.05, 2_000) - before;
     assertTrue(moved > 0.05 && moved < 0.15, "moved " + moved);
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/ShiftBoundTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/RegionShiftLimiterTest.java
@@ -12,25 +12,25 @@
 import org.junit.jupiter.api.Test;
 
 /** How fast the requests of a region may move to others, over all entry VMs. */
-class ShiftBoundTest {
+class RegionShiftLimiterTest {
   private static final double MOST = 0.15;
   private static final long SPAN_MILLIS = 2_000;
   private static final int SPANS = 20;
 
   /** One of many VMs: what it would like and what its bound makes of that. */
   private static final class Vm {
-    final ShiftBound bound;
+    final RegionShiftLimiter bound;
     final double perSecond;
     double nextAt;
 
     Vm(double most, double perSecond) {
-      bound = ShiftBound.of(most);
+      bound = RegionShiftLimiter.of(most);
       this.perSecond = perSecond;
     }
 
     String send(String wish, long now) {
-      boolean moved = wish.equals("south") && bound.permits(now);
-      bound.placed(moved, now);
+      boolean moved = wish.equals("south") && bound.permitsShift(now);
+      bound.recordPlaced(moved, now);
       return moved ? "south" : "north";
     }
   }
@@ -99,26 +99,26 @@
   /** The first span is free: nothing moves where nothing ran before. */
   @Test
   void theFirstSpanIsFree() {
-    ShiftBound bound = ShiftBound.of(MOST);
+    RegionShiftLimiter bound = RegionShiftLimiter.of(MOST);
     for (int i = 0; i < 20; i++) {
-      assertTrue(bound.permits(i));
-      bound.placed(i % 2 == 0, i);
+      assertTrue(bound.permitsShift(i));
+      bound.recordPlaced(i % 2 == 0, i);
     }
   }
 
   /** A zone is emptied: what it ran must go elsewhere at once. */
   @Test
   void theBoundIsLiftedWhereRoomChanged() {
-    ShiftBound bound = ShiftBound.of(MOST);
+    RegionShiftLimiter bound = RegionShiftLimiter.of(MOST);
     for (int i = 0; i < 100; i++) {
-      bound.placed(false, 50L * i);
+      bound.recordPlaced(false, 50L * i);
     }
-    bound.placed(true, 5_000);
-    bound.placed(true, 5_000);
-    assertFalse(bound.permits(5_001));
-    bound.liftUntil(9_000);
-    assertTrue(bound.permits(5_001));
-    assertFalse(bound.permits(9_000));
+    bound.recordPlaced(true, 5_000);
+    bound.recordPlaced(true, 5_000);
+    assertFalse(bound.permitsShift(5_001));
+    bound.suspendUntil(9_000);
+    assertTrue(bound.permitsShift(5_001));
+    assertFalse(bound.permitsShift(9_000));
   }
 
   /** Once a few have moved, the next request stays in its region though others have more room. */
@@ -129,11 +129,11 @@
   }
 
   private static String regionOfNextOnceNearIsFull(double most) {
-    PlacingFixture fixture = new PlacingFixture("north", most).withFour();
+    PlacementFixture fixture = new PlacementFixture("north", most).withFour();
     for (int i = 0; i < 60; i++) {
       fixture.now += 100;
       var send = fixture.send(i);
-      fixture.placement.sent(send, fixture.now);
+      fixture.placement.recordSent(send, fixture.now);
       send.target().endRequest();
     }
     fixture.now += 100;
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/RunTimesTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/RunTimesTest.java
@@ -10,42 +10,42 @@
 /** What is known of the runs of routes. */
 class RunTimesTest {
   private final RunTimes runTimes = RunTimes.create(() -> 0);
-  private final RouteRule route = PlacingFixture.route(Set.of());
+  private final RouteRule route = PlacementFixture.route(Set.of());
 
   /** A route that is removed and added again years later starts with nothing known. */
   @Test
   void aRemovedRouteIsForgotten() {
-    runTimes.ran("search", route, true, 150, 0);
-    runTimes.retain(Set.of("r"));
-    assertEquals(1, runTimes.measured("search", route, true));
-    runTimes.retain(Set.of("another"));
-    assertEquals(0, runTimes.measured("search", route, true));
+    runTimes.recordRun("search", route, true, 150, 0);
+    runTimes.retainRoutes(Set.of("r"));
+    assertEquals(1, runTimes.measuredRunCount("search", route, true));
+    runTimes.retainRoutes(Set.of("another"));
+    assertEquals(0, runTimes.measuredRunCount("search", route, true));
   }
 
   /** In a queue that never empties no run is met with a free slot, yet its time can be told. */
   @Test
   void runsBehindQueuesAreMeasuredToo() {
-    assertEquals(OptionalDouble.empty(), runTimes.fromMeasured("search", route, true, 2));
-    runTimes.ranBehind("search", route, true, 140);
-    runTimes.ranBehind("search", route, true, 160);
-    assertEquals(OptionalDouble.of(150), runTimes.fromMeasured("search", route, true, 2));
-    runTimes.ran("search", route, true, 200, 0);
-    runTimes.ran("search", route, true, 200, 0);
-    assertEquals(OptionalDouble.of(200), runTimes.fromMeasured("search", route, true, 2));
+    assertEquals(OptionalDouble.empty(), runTimes.estimateFromMeasured("search", route, true, 2));
+    runTimes.recordQueuedRun("search", route, true, 140);
+    runTimes.recordQueuedRun("search", route, true, 160);
+    assertEquals(OptionalDouble.of(150), runTimes.estimateFromMeasured("search", route, true, 2));
+    runTimes.recordRun("search", route, true, 200, 0);
+    runTimes.recordRun("search", route, true, 200, 0);
+    assertEquals(OptionalDouble.of(200), runTimes.estimateFromMeasured("search", route, true, 2));
   }
 
   /** Guards against all entry VMs leaving their common guess within the same second. */
   @Test
   void aMeanMovesNoFasterThanItMaySettle() {
     RunTimes settling = RunTimes.create(() -> 10_000);
-    double guess = settling.millis("search", route, false);
+    double guess = settling.estimateMillis("search", route, false);
     for (long now = 0; now < 2_000; now += 20) {
-      runTimes.ran("search", route, false, guess / 2, now);
-      settling.ran("search", route, false, guess / 2, now);
+      runTimes.recordRun("search", route, false, guess / 2, now);
+      settling.recordRun("search", route, false, guess / 2, now);
     }
-    assertEquals(guess / 2, runTimes.millis("search", route, false), 0.05 * guess);
+    assertEquals(guess / 2, runTimes.estimateMillis("search", route, false), 0.05 * guess);
     double settled = guess / 2 * (1 + Math.exp(-0.2));
-    assertEquals(settled, settling.millis("search", route, false), 0.05 * guess);
+    assertEquals(settled, settling.estimateMillis("search", route, false), 0.05 * guess);
     assertEquals(guess / 2, settling.measuredMillis("search", route, false), 1);
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/OldBeliefsTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/StaleEstimatesTest.java
@@ -7,20 +7,20 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.sageladder.core.placing.Placement.Order;
-import org.sageladder.core.placing.PlacingDecision.Send;
+import org.sageladder.core.placing.Placement.PlacementRequest;
+import org.sageladder.core.placing.PlacementDecision.Send;
 import org.sageladder.core.routing.RouteRule;
 import org.sageladder.core.routing.ServiceShare;
 
 /** What was guessed, or held once, gives way to what is measured now. */
-class OldBeliefsTest {
+class StaleEstimatesTest {
   private static final LoadReport IDLE = new LoadReport(0, 0, 3);
   private static final LoadReport FULL = new LoadReport(3, 9, 3);
 
-  private final PlacingFixture fixture = new PlacingFixture().with("n-1", "n1", "north");
+  private final PlacementFixture fixture = new PlacementFixture().with("n-1", "n1", "north");
 
   private static RouteRule route(String name, String service, long goalMillis) {
-    RouteRule like = PlacingFixture.route(Set.of());
+    RouteRule like = PlacementFixture.route(Set.of());
     return new RouteRule(
         name,
         like.host(),
@@ -36,24 +36,24 @@
         like.anonymous());
   }
 
-  private static Order order(RouteRule route, long object, long millisLeft) {
-    return new Order(route, route.services().get(0).service(), object, millisLeft);
+  private static PlacementRequest order(RouteRule route, long object, long millisLeft) {
+    return new PlacementRequest(route, route.services().get(0).service(), object, millisLeft);
   }
 
-  private Send send(Order order) {
-    PlacingDecision decision =
-        fixture.placement.place(order, PlacingFixture.SERVICE, Set.of(), fixture.now);
+  private Send send(PlacementRequest order) {
+    PlacementDecision decision =
+        fixture.placement.place(order, PlacementFixture.SERVICE, Set.of(), fixture.now);
     return assertInstanceOf(Send.class, decision);
   }
 
   private void answered(RouteRule route, int times, long millis, LoadReport load) {
     for (int i = 0; i < times; i++) {
-      Order order = order(route, i, 10_000);
+      PlacementRequest order = order(route, i, 10_000);
       Send send = send(order);
-      fixture.placement.sent(send, fixture.now);
+      fixture.placement.recordSent(send, fixture.now);
       send.target().endRequest();
       send.target().recordReport(load, fixture.now);
-      fixture.placement.answered(order, send, (double) millis, load, fixture.now);
+      fixture.placement.recordAnswer(order, send, (double) millis, load, fixture.now);
     }
   }
 
@@ -105,11 +105,12 @@
     RouteRule before = route("moved", "search", 400);
     answered(before, 100, 5, IDLE);
     RouteRule after = route("moved", "ledger", 400);
-    TargetStart start = new TargetStart("l-1", 0);
+    TargetIncarnation start = new TargetIncarnation("l-1", 0);
     fixture.targets.put(
         new TargetFacts(start, 0, "ledger", "10.0.0.2", 80, "n1", "north", 3, false, 0),
         fixture.now);
-    assertTrue(send(order(after, 1, 10_000)).runMillis() > 100, "runs of the former service");
+    assertTrue(
+        send(order(after, 1, 10_000)).expectedRunMillis() > 100, "runs of the former service");
     answered(after, 5, 500, IDLE);
     assertEquals(1, target("l-1").slowness(), 0.1);
   }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/TargetModel.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/TargetModel.java
@@ -157,7 +157,7 @@
         String id = region + "-" + i;
         facts.add(
             new TargetFacts(
-                new TargetStart(id, 0),
+                new TargetIncarnation(id, 0),
                 0,
                 "search",
                 "10.0.0.1",
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/TargetTableTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/TargetTableTest.java
@@ -10,7 +10,7 @@
 
 /** Which targets an entry VM knows. */
 class TargetTableTest {
-  private final PlacingFixture fixture = new PlacingFixture().withFour();
+  private final PlacementFixture fixture = new PlacementFixture().withFour();
 
   /**
    * The store was away and all entries lapsed; the targets live. Removed at once they would leave
@@ -18,12 +18,12 @@
    */
   @Test
   void aLapsedEntryThatIsBackInTimeIsKept() {
-    fixture.targets.removeAt("n-1", 3_000);
-    assertEquals(List.of(), fixture.targets.sweep(2_999));
+    fixture.targets.scheduleRemoval("n-1", 3_000);
+    assertEquals(List.of(), fixture.targets.removeDue(2_999));
     fixture.with("n-1", "n1", "north");
-    assertEquals(List.of(), fixture.targets.sweep(9_000));
-    fixture.targets.removeAt("n-2", 9_000);
-    assertEquals(List.of(new TargetStart("n-2", 0)), fixture.targets.sweep(9_000));
+    assertEquals(List.of(), fixture.targets.removeDue(9_000));
+    fixture.targets.scheduleRemoval("n-2", 9_000);
+    assertEquals(List.of(new TargetIncarnation("n-2", 0)), fixture.targets.removeDue(9_000));
     assertEquals(3, fixture.targets.size());
   }
 
@@ -33,7 +33,7 @@
    */
   @Test
   void aRemovalCountsFromItsMoment() {
-    fixture.targets.removeAt("n-1", 3_000);
+    fixture.targets.scheduleRemoval("n-1", 3_000);
     assertEquals(4, fixture.targets.usable("search", 2_999).size());
     assertEquals(3, fixture.targets.usable("search", 3_000).size());
   }
@@ -51,19 +51,28 @@
   /** A heartbeat that was sent before the target said it leaves comes late: it is leaving still. */
   @Test
   void aLeavingTargetStaysSo() {
-    TargetFacts ready = PlacingFixture.target("n-1", "n1", "north", 0);
+    TargetFacts ready = PlacementFixture.target("n-1", "n1", "north", 0);
     fixture.targets.put(
         new TargetFacts(
-            new TargetStart("n-1", 0), 0, "search", "10.0.0.1", 80, "n1", "north", 3, true, 0),
+            new TargetIncarnation("n-1", 0),
+            0,
+            "search",
+            "10.0.0.1",
+            80,
+            "n1",
+            "north",
+            3,
+            true,
+            0),
         1);
     fixture.targets.put(ready, 2);
-    assertFalse(fixture.targets.takesWork(fixture.targets.find("n-1").orElseThrow(), 3));
+    assertFalse(fixture.targets.acceptsRequests(fixture.targets.find("n-1").orElseThrow(), 3));
   }
 
   private static TargetFacts born(long born, long sequence, long coldMillis) {
-    TargetFacts plain = PlacingFixture.target("n-1", "n1", "north", coldMillis);
+    TargetFacts plain = PlacementFixture.target("n-1", "n1", "north", coldMillis);
     return new TargetFacts(
-        new TargetStart("n-1", born),
+        new TargetIncarnation("n-1", born),
         sequence,
         plain.service(),
         plain.host(),
@@ -83,22 +92,22 @@
   @Test
   void aTargetThatStartsAgainUnderItsIdIsAnother() {
     TargetTable table = TargetTable.create();
-    assertEquals(Change.JOINED, table.put(born(1_000, 7, 0).asLeaving(), 1));
+    assertEquals(Change.JOINED, table.put(born(1_000, 7, 0).asDraining(), 1));
     TargetState former = table.find("n-1").orElseThrow();
-    former.remember(5);
+    former.recordObject(5);
     former.startRequest();
     former.avoidUntil(90_000);
-    former.outcome(false, 1);
-    table.removeAt("n-1", 50);
+    former.recordOutcome(false, 1);
+    table.scheduleRemoval("n-1", 50);
     assertEquals(Change.STARTED_AGAIN, table.put(born(2_000, 0, 3_000), 2));
     TargetState later = table.find("n-1").orElseThrow();
-    assertFalse(later.knows(5));
+    assertFalse(later.hasCached(5));
     assertFalse(later.isAvoided(3));
     assertTrue(later.isCold(3));
     assertEquals(0, later.inFlight());
     assertEquals(0, later.failureShare(3));
-    assertEquals(List.of(), table.sweep(60));
-    assertTrue(table.takesWork(later, 60));
+    assertEquals(List.of(), table.removeDue(60));
+    assertTrue(table.acceptsRequests(later, 60));
     former.endRequest();
     assertEquals(0, later.inFlight());
   }
@@ -136,9 +145,9 @@
   void onlyTheStartThatIsGoneIsRemoved() {
     TargetTable table = TargetTable.create();
     table.put(born(2_000, 0, 0), 1);
-    table.remove(new TargetStart("n-1", 1_000));
+    table.remove(new TargetIncarnation("n-1", 1_000));
     assertTrue(table.find("n-1").isPresent());
-    table.remove(new TargetStart("n-1", 2_000));
+    table.remove(new TargetIncarnation("n-1", 2_000));
     assertFalse(table.find("n-1").isPresent());
   }
 
@@ -147,8 +156,8 @@
    */
   @Test
   void aZoneTakenBackIsCold() {
-    fixture.targets.empty("n1");
-    fixture.targets.takeBack("n1", 5_000, 3_000);
+    fixture.targets.evacuateZone("n1");
+    fixture.targets.endEvacuation("n1", 5_000, 3_000);
     TargetState target = fixture.targets.find("n-1").orElseThrow();
     assertTrue(target.isCold(7_999));
     assertFalse(target.isCold(8_000));
--- a/sageladder-core/src/test/java/org/sageladder/core/steering/FallBacksTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/steering/FallbackOrderTest.java
@@ -16,7 +16,7 @@
 import org.sageladder.core.membership.Member;
 import org.sageladder.core.membership.ZoneSummary;
 
-class FallBacksTest {
+class FallbackOrderTest {
   private static final long NOW = 1_000_000;
   private static final int SOUTHERN_BLOCK = 50;
 
@@ -67,7 +67,7 @@
     ClusterState state = new ClusterState(views.contracts(), views.views(), summaries);
     LookUpTable table = LookUpTable.build(state, SteeringInputs.at(NOW));
     List<Route> routes = new ArrayList<>();
-    for (int random = 0; random < ServiceTable.ANSWERS; random++) {
+    for (int random = 0; random < ServiceTable.MIN_ANSWERS; random++) {
       Route route = table.lookUp("c", "s", SOUTHERN_BLOCK, random);
       assertNotNull(route);
       routes.add(route);
--- a/sageladder-core/src/test/java/org/sageladder/core/steering/WaterfallTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/steering/WaterfallTest.java
@@ -69,7 +69,7 @@
     inForce[1] = new double[] {0, 0, 0.5, 0.5, 0, 0};
     inForce[2] = new double[] {0, 0, 0, 0, 0.5, 0.5};
     List<ZoneReading> asked = zones(ReadingAge.FRESH, 120, 80);
-    double[] demand = Origins.demand(contract(List.of()), asked, inForce);
+    double[] demand = DemandByOrigin.estimateDemand(contract(List.of()), asked, inForce);
     assertEquals(240, demand[0], 1);
     assertEquals(20, demand[1], 1);
     assertTrue(demand[2] >= 19 && demand[2] <= 21);
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Attempt.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Attempt.java
@@ -10,9 +10,9 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.jspecify.annotations.Nullable;
 import org.sageladder.core.placing.LoadReport;
-import org.sageladder.core.placing.Placement.Order;
-import org.sageladder.core.placing.PlacingDecision.Send;
-import org.sageladder.core.placing.TargetStart;
+import org.sageladder.core.placing.Placement.PlacementRequest;
+import org.sageladder.core.placing.PlacementDecision.Send;
+import org.sageladder.core.placing.TargetIncarnation;
 import org.sageladder.core.placing.TargetState;
 
 /** One sending of a request to one target, until its answer is whole, lost or abandoned. */
@@ -40,7 +40,7 @@
 
   private final Forwarder forwarder;
   private final Exchange exchange;
-  private final Order order;
+  private final PlacementRequest order;
   private final Send send;
   private final long startedAt;
   private final long startedAtWall;
@@ -50,7 +50,7 @@
   private @Nullable HeldAnswer answer;
   private Loop.@Nullable Timer check;
 
-  Attempt(Forwarder forwarder, Exchange exchange, Order order, Send send) {
+  Attempt(Forwarder forwarder, Exchange exchange, PlacementRequest order, Send send) {
     this.forwarder = forwarder;
     this.exchange = exchange;
     this.order = order;
@@ -78,7 +78,7 @@
 
   void start(boolean once) {
     forwarder.attempts().add(this);
-    forwarder.placement().sent(send, startedAt);
+    forwarder.placement().recordSent(send, startedAt);
     forwarder
         .connections()
         .with(
@@ -86,12 +86,12 @@
             once ? FRESH_ENOUGH_FOR_ONCE_MILLIS : Long.MAX_VALUE,
             this::connected,
             this::unreachable,
-            millis -> forwarder.distances().connected(target().facts().zone(), millis));
+            millis -> forwarder.distances().recordConnect(target().facts().zone(), millis));
   }
 
   private void connected(TargetConnection ready) {
     if (over) {
-      forwarder.connections().giveBack(target().facts().start(), ready);
+      forwarder.connections().giveBack(target().facts().incarnation(), ready);
       return;
     }
     connection = ready;
@@ -99,7 +99,7 @@
     ready.send(head(), exchange.requestId(), this);
     exchange.body().writeTo(ready);
     exchange.readOn();
-    double late = CHECK_AFTER_EXPECTED * (send.waitMillis() + send.runMillis());
+    double late = CHECK_AFTER_EXPECTED * (send.expectedWaitMillis() + send.expectedRunMillis());
     long after = Math.max(LEAST_UNTIL_CHECK_MILLIS, (long) late);
     check = forwarder.loop().after(after, () -> checkPath(ready));
   }
@@ -215,7 +215,7 @@
   private void finish(boolean neutral) {
     leave();
     if (!neutral) {
-      target().outcome(false, forwarder.loop().now());
+      target().recordOutcome(false, forwarder.loop().now());
     }
   }
 
@@ -249,7 +249,7 @@
     if (load != null) {
       target().recordReport(load, now);
     }
-    forwarder.connections().giveBack(target().facts().start(), used);
+    forwarder.connections().giveBack(target().facts().incarnation(), used);
     if (notRun) {
       refused(load, now);
       held.release();
@@ -257,15 +257,15 @@
       return;
     }
     if (!forwarder.dialect().isGenuine(held.status(), held.headers())) {
-      target().outcome(false, now);
+      target().recordOutcome(false, now);
       held.release();
       exchange.lost(this, "an answer that the target did not make");
       return;
     }
     if (held.status() < 500) {
-      forwarder.placement().answered(order, send, (double) millis(), load, now);
+      forwarder.placement().recordAnswer(order, send, (double) millis(), load, now);
     } else {
-      target().outcome(false, now);
+      target().recordOutcome(false, now);
     }
     exchange.whole(this, held);
   }
@@ -278,7 +278,7 @@
     }
     // A target that refuses with slots free does so for another reason than its load.
     if (load.running() < load.slots()) {
-      target().outcome(false, now);
+      target().recordOutcome(false, now);
     }
   }
 
@@ -287,9 +287,9 @@
    * though its connection may stay open for seconds where the target ended behind a cut. An attempt
    * that began shortly before the new start, by clocks that may differ, may be with the new one.
    */
-  void targetStartedAgain(TargetStart later) {
-    boolean former = target().facts().start().isBefore(later);
-    if (over || !former || startedAtWall >= later.born() - CLOCKS_APART_MILLIS) {
+  void targetStartedAgain(TargetIncarnation later) {
+    boolean former = target().facts().incarnation().isBefore(later);
+    if (over || !former || startedAtWall >= later.startedAtMillis() - CLOCKS_APART_MILLIS) {
       return;
     }
     TargetConnection used = connection;
--- a/sageladder-forward/src/main/java/org/sageladder/forward/CrashWatch.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/CrashWatch.java
@@ -11,7 +11,7 @@
 import org.sageladder.core.event.EventKind;
 import org.sageladder.core.event.EventSink;
 import org.sageladder.core.placing.TargetFacts;
-import org.sageladder.core.placing.TargetStart;
+import org.sageladder.core.placing.TargetIncarnation;
 import org.sageladder.core.quarantine.CrashReport;
 import org.sageladder.core.quarantine.Quarantine;
 
@@ -37,7 +37,7 @@
   private final Loop loop;
   private final EventSink log;
   private final Quarantine quarantine = Quarantine.create(Quarantine.Limits.standard());
-  private final Map<TargetStart, Lost> suspects = new HashMap<>();
+  private final Map<TargetIncarnation, Lost> suspects = new HashMap<>();
   private final Set<Long> seenBefore = new HashSet<>();
   private Consumer<CrashReport> tell = report -> {};
 
@@ -67,20 +67,20 @@
 
   /** A request's connection ended before any byte of an answer. */
   void lost(TargetFacts target, long fingerprint, boolean once) {
-    Lost known = suspects.get(target.start());
+    Lost known = suspects.get(target.incarnation());
     if (known == null) {
       known = new Lost(new HashSet<>(), once);
       var unused = loop.after(PROBE_AFTER_MILLIS, () -> probe(target));
     }
     known.fingerprints().add(fingerprint);
-    suspects.put(target.start(), new Lost(known.fingerprints(), known.anyOnce() || once));
+    suspects.put(target.incarnation(), new Lost(known.fingerprints(), known.anyOnce() || once));
   }
 
   private void probe(TargetFacts target) {
     loop.connect(target.host(), target.port(), PROBE_MILLIS, new ChannelInboundHandlerAdapter())
         .addListener(
             (ChannelFuture done) -> {
-              Lost lost = suspects.remove(target.start());
+              Lost lost = suspects.remove(target.incarnation());
               if (done.isSuccess()) {
                 Sockets.close(done.channel());
               } else if (lost != null) {
@@ -91,7 +91,11 @@
 
   private void crashed(TargetFacts target, Lost lost) {
     CrashReport report =
-        new CrashReport(target.id(), target.start().born(), loop.wallMillis(), lost.fingerprints());
+        new CrashReport(
+            target.id(),
+            target.incarnation().startedAtMillis(),
+            loop.wallMillis(),
+            lost.fingerprints());
     boolean again = lost.fingerprints().stream().anyMatch(seenBefore::contains);
     seenBefore.addAll(lost.fingerprints());
     quarantine.add(report);
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Exchange.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Exchange.java
@@ -17,8 +17,8 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 import org.sageladder.core.event.EventKind;
-import org.sageladder.core.placing.Placement.Order;
-import org.sageladder.core.placing.PlacingDecision;
+import org.sageladder.core.placing.Placement.PlacementRequest;
+import org.sageladder.core.placing.PlacementDecision;
 import org.sageladder.core.quota.QuotaDecision;
 import org.sageladder.core.result.Outcome;
 import org.sageladder.core.result.ResultCode;
@@ -207,7 +207,7 @@
     String subject = key == null ? id : key;
     object =
         Hashing.komihash5_0().hashCharsToLong(matched.host() + matched.prefix() + '\n' + subject);
-    forwarder.retries().request(service, startedAt);
+    forwarder.retries().recordRequest(service, startedAt);
     waitsForTurn = !first && !matched.idempotent();
     if (HttpUtil.is100ContinueExpected(head)) {
       caller.write(
@@ -306,11 +306,12 @@
       quotaDecided(quota);
       return;
     }
-    Order order = new Order(route(), service, object, millisLeft(), sender.workspaceOrNull());
+    PlacementRequest order =
+        new PlacementRequest(route(), service, object, millisLeft(), sender.workspaceOrNull());
     ServiceRule rule = rules == null ? null : rules.service(service).orElse(null);
-    PlacingDecision decision = forwarder.placement().place(order, rule, tried, now);
-    if (decision instanceof PlacingDecision.Send send) {
-      if (!forwarder.hasTimeFor(send.waitMillis() + send.runMillis())) {
+    PlacementDecision decision = forwarder.placement().place(order, rule, tried, now);
+    if (decision instanceof PlacementDecision.Send send) {
+      if (!forwarder.hasTimeFor(send.expectedWaitMillis() + send.expectedRunMillis())) {
         end(ResultCode.STOPPING, STOPPING_RETRY_MILLIS, "no time left before the stop");
         return;
       }
@@ -320,9 +321,9 @@
       next.start(!route().idempotent());
       return;
     }
-    PlacingDecision.Refuse refuse = (PlacingDecision.Refuse) decision;
-    String why = forwarder.requests().refusal(refuse, order.millisLeft());
-    end(ResultCode.NO_TARGET, refuse.retryMillis(), why);
+    PlacementDecision.Refuse refuse = (PlacementDecision.Refuse) decision;
+    String why = forwarder.requests().refusal(refuse, order.remainingMillis());
+    end(ResultCode.NO_TARGET, refuse.retryAfterMillis(), why);
   }
 
   /** Goes on with what the workspace's quota allows; a pending decision comes here later. */
@@ -355,8 +356,8 @@
     attempt = null;
     note(EventKind.RETRIED, refused, otherTarget ? "another target is there" : "refused");
     if (otherTarget) {
-      forwarder.targets().remove(refused.target().facts().start());
-      forwarder.forget(refused.target().facts().start());
+      forwarder.targets().remove(refused.target().facts().incarnation());
+      forwarder.forget(refused.target().facts().incarnation());
       unreached++;
     } else {
       sends++;
@@ -365,7 +366,10 @@
       place();
       return;
     }
-    end(ResultCode.TARGET_REFUSED, (long) refused.decision().runMillis(), "refused by its target");
+    end(
+        ResultCode.TARGET_REFUSED,
+        (long) refused.decision().expectedRunMillis(),
+        "refused by its target");
   }
 
   /** The target may have run the request, and there is no whole answer. */
@@ -391,7 +395,7 @@
         && sends < route().mostTargets()
         && unreached < MOST_UNREACHED
         && millisLeft() > LEAST_FOR_ANOTHER_MILLIS
-        && forwarder.retries().take(service, forwarder.loop().now());
+        && forwarder.retries().tryAcquire(service, forwarder.loop().now());
   }
 
   /** The answer is whole. */
@@ -463,7 +467,7 @@
     Attempt known = attempt;
     if (known != null) {
       mayHaveRun |= known.isSent();
-      known.target().outcome(false, forwarder.loop().now());
+      known.target().recordOutcome(false, forwarder.loop().now());
       note(EventKind.FAILED, known, "no answer in time");
       stopAttempt();
     }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Forwarder.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Forwarder.java
@@ -16,15 +16,15 @@
 import org.jspecify.annotations.Nullable;
 import org.sageladder.core.event.EventKind;
 import org.sageladder.core.event.EventSink;
-import org.sageladder.core.placing.ColdAllowance;
-import org.sageladder.core.placing.Distances;
+import org.sageladder.core.placing.ColdTargetLimiter;
 import org.sageladder.core.placing.Placement;
-import org.sageladder.core.placing.PlacingWeights;
-import org.sageladder.core.placing.RetryAllowance;
+import org.sageladder.core.placing.PlacementWeights;
+import org.sageladder.core.placing.RegionShiftLimiter;
+import org.sageladder.core.placing.RoundTripTimes;
 import org.sageladder.core.placing.RunTimes;
-import org.sageladder.core.placing.ShiftBound;
+import org.sageladder.core.placing.ServiceRetryBudget;
 import org.sageladder.core.placing.TargetFacts;
-import org.sageladder.core.placing.TargetStart;
+import org.sageladder.core.placing.TargetIncarnation;
 import org.sageladder.core.placing.TargetTable;
 import org.sageladder.core.quarantine.CrashReport;
 import org.sageladder.core.quota.QuotaBounds;
@@ -56,10 +56,10 @@
   private final Metrics metrics;
   private final RequestLog requests;
   private final TargetTable targets = TargetTable.create();
-  private final Distances distances;
-  private final ColdAllowance cold;
-  private final RetryAllowance retries;
-  private final ShiftBound shift;
+  private final RoundTripTimes distances;
+  private final ColdTargetLimiter cold;
+  private final ServiceRetryBudget retries;
+  private final RegionShiftLimiter shift;
   private final RunTimes runTimes;
   private final Placement placement;
   private final TargetConnections connections;
@@ -113,16 +113,16 @@
     this.log = log;
     this.metrics = metrics;
     this.requests = new RequestLog(log, metrics);
-    this.distances = Distances.from(identity.zone(), identity.region());
-    this.cold = ColdAllowance.of(identity.name(), identity.coldOver(), identity.coldSlack());
+    this.distances = RoundTripTimes.from(identity.zone(), identity.region());
+    this.cold = ColdTargetLimiter.of(identity.name(), identity.coldOver(), identity.coldSlack());
     this.retries =
-        RetryAllowance.of(
+        ServiceRetryBudget.of(
             identity.retryRatio(), identity.retryExtra(), identity.retryWindowMillis());
-    this.shift = ShiftBound.of(identity.mostShift());
+    this.shift = RegionShiftLimiter.of(identity.mostShift());
     this.runTimes = RunTimes.create(shift::settleMillis);
     this.placement =
-        Placement.among(targets, distances, runTimes, cold, shift, PlacingWeights.standard());
-    placement.zoneShare(identity.zoneShare());
+        Placement.among(targets, distances, runTimes, cold, shift, PlacementWeights.standard());
+    placement.updateZoneShare(identity.zoneShare());
     this.connections = new TargetConnections(loop, dialect);
     this.crashes = new CrashWatch(loop, log);
     this.random = new Random(identity.name().hashCode());
@@ -185,7 +185,7 @@
     }
     rules = newer;
     Set<String> routes = newer.routeNames();
-    runTimes.retain(routes);
+    runTimes.retainRoutes(routes);
     turns.keySet().retainAll(routes);
     quotas.workspaces(newer.keys().workspaces());
     return true;
@@ -218,27 +218,27 @@
 
   /** Puts newer bounds in force; name, zone and region are those of the start. */
   public void bounds(Identity newer) {
-    cold.bounds(newer.coldOver(), newer.coldSlack());
-    retries.bounds(newer.retryRatio(), newer.retryExtra(), newer.retryWindowMillis());
-    shift.bound(newer.mostShift());
+    cold.updateLimits(newer.coldOver(), newer.coldSlack());
+    retries.updateLimits(newer.retryRatio(), newer.retryExtra(), newer.retryWindowMillis());
+    shift.updateLimit(newer.mostShift());
     quotas.bounds(newer.quotas());
   }
 
   /** Tells which entry VMs are live, and how many were seen at once. */
-  public void entries(List<ColdAllowance.EntryPlace> live) {
-    cold.entries(live, loop.now());
-    retries.machines(live.size());
+  public void entries(List<ColdTargetLimiter.EntryVmLocation> live) {
+    cold.updateEntryVms(live, loop.now());
+    retries.updateEntryVmCount(live.size());
     int near = (int) live.stream().filter(vm -> vm.region().equals(region)).count();
     Map<String, Integer> others = new HashMap<>();
     live.forEach(vm -> others.put(vm.region(), Math.max(0, near - 1)));
-    targets.peers(others);
-    quotas.live(live.stream().map(ColdAllowance.EntryPlace::name).toList());
+    targets.updatePeerCounts(others);
+    quotas.live(live.stream().map(ColdTargetLimiter.EntryVmLocation::name).toList());
   }
 
   /** Forgets a start of a target that is gone: its connections and its counts. */
-  public void forget(TargetStart target) {
+  public void forget(TargetIncarnation target) {
     connections.forget(target);
-    cold.forget(target.id());
+    cold.removeTarget(target.id());
   }
 
   /**
@@ -247,11 +247,12 @@
    * a bound that is kept too strictly for a second harms nobody.
    */
   public TargetTable.Change put(TargetFacts facts) {
-    Optional<TargetStart> former = targets.find(facts.id()).map(known -> known.facts().start());
+    Optional<TargetIncarnation> former =
+        targets.find(facts.id()).map(known -> known.facts().incarnation());
     TargetTable.Change change = targets.put(facts, loop.now());
     if (change == TargetTable.Change.STARTED_AGAIN) {
       connections.forget(former.orElseThrow());
-      List.copyOf(attempts).forEach(attempt -> attempt.targetStartedAgain(facts.start()));
+      List.copyOf(attempts).forEach(attempt -> attempt.targetStartedAgain(facts.incarnation()));
     }
     return change;
   }
@@ -261,7 +262,7 @@
    * other room than before.
    */
   public void roomChanged() {
-    shift.liftUntil(loop.now() + ROOM_CHANGED_MILLIS);
+    shift.suspendUntil(loop.now() + ROOM_CHANGED_MILLIS);
   }
 
   /** Takes a target's crash that another entry VM has told. */
@@ -316,18 +317,18 @@
     long now = loop.now();
     CallerLimits limits = callerLimits();
     List.copyOf(callers).forEach(connection -> connection.sweep(now, limits));
-    targets.sweep(now).forEach(this::removed);
+    targets.removeDue(now).forEach(this::removed);
     connections.sweep();
   }
 
-  private void removed(TargetStart target) {
+  private void removed(TargetIncarnation target) {
     forget(target);
     log.record(
         EventKind.TARGET_GIVEN_UP,
         "",
         "",
         target.id(),
-        target.born(),
+        target.startedAtMillis(),
         "not in the platform's list any more");
   }
 
@@ -387,11 +388,11 @@
     return placement;
   }
 
-  RetryAllowance retries() {
+  ServiceRetryBudget retries() {
     return retries;
   }
 
-  Distances distances() {
+  RoundTripTimes distances() {
     return distances;
   }
 
--- a/sageladder-forward/src/main/java/org/sageladder/forward/RequestLog.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/RequestLog.java
@@ -4,9 +4,9 @@
 import org.jspecify.annotations.Nullable;
 import org.sageladder.core.event.EventKind;
 import org.sageladder.core.event.EventSink;
-import org.sageladder.core.placing.PlacingDecision.Judged;
-import org.sageladder.core.placing.PlacingDecision.Refuse;
-import org.sageladder.core.placing.PlacingDecision.Send;
+import org.sageladder.core.placing.PlacementDecision.CandidateEstimate;
+import org.sageladder.core.placing.PlacementDecision.Refuse;
+import org.sageladder.core.placing.PlacementDecision.Send;
 import org.sageladder.core.routing.RoutingRules;
 
 /** Writes what became of requests and of their attempts: a log line each, counters and times. */
@@ -71,7 +71,7 @@
    */
   String refusal(Refuse refuse, long millisLeft) {
     metrics.count("no_target_" + lower(refuse.reason()));
-    Judged judged = refuse.judged();
+    CandidateEstimate judged = refuse.bestCandidate();
     if (judged == null) {
       return refuse.reason().name();
     }
@@ -80,17 +80,17 @@
         + " at "
         + send.target().facts().id()
         + ": expected "
-        + Math.round(send.waitMillis())
+        + Math.round(send.expectedWaitMillis())
         + " + "
-        + Math.round(send.runMillis())
+        + Math.round(send.expectedRunMillis())
         + " ms by "
-        + judged.runsMeasured()
+        + judged.measuredRunCount()
         + " runs, load "
-        + Math.round(judged.load() * TENTHS) / TENTHS
+        + Math.round(judged.targetLoad() * TENTHS) / TENTHS
         + " of "
         + send.target().facts().slots()
         + " slots held "
-        + Math.round(judged.slotMillis())
+        + Math.round(judged.slotHoldMillis())
         + " ms, "
         + millisLeft
         + " left,";
@@ -110,11 +110,11 @@
     }
     // Without a formatter, which costs more than the rest of the line, since each request has one.
     return ", known "
-        + attempt.decision().known()
+        + attempt.decision().isWarm()
         + ", expected "
-        + Math.round(attempt.decision().waitMillis())
+        + Math.round(attempt.decision().expectedWaitMillis())
         + " + "
-        + Math.round(attempt.decision().runMillis())
+        + Math.round(attempt.decision().expectedRunMillis())
         + " ms, sent for "
         + attempt.millis()
         + " ms, own there "
--- a/sageladder-forward/src/main/java/org/sageladder/forward/TargetConnections.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/TargetConnections.java
@@ -11,7 +11,7 @@
 import java.util.function.DoubleConsumer;
 import org.jspecify.annotations.Nullable;
 import org.sageladder.core.placing.TargetFacts;
-import org.sageladder.core.placing.TargetStart;
+import org.sageladder.core.placing.TargetIncarnation;
 
 /**
  * Open connections to targets, kept for the next request to the same start of a target.
@@ -36,7 +36,7 @@
 
   private final Loop loop;
   private final Dialect dialect;
-  private final Map<TargetStart, Deque<TargetConnection>> idle = new HashMap<>();
+  private final Map<TargetIncarnation, Deque<TargetConnection>> idle = new HashMap<>();
 
   TargetConnections(Loop loop, Dialect dialect) {
     this.loop = loop;
@@ -55,7 +55,7 @@
       Consumer<TargetConnection> ready,
       Consumer<String> failed,
       DoubleConsumer established) {
-    TargetConnection kept = take(target.start(), mostIdleMillis);
+    TargetConnection kept = take(target.incarnation(), mostIdleMillis);
     if (kept != null) {
       ready.accept(kept);
       return;
@@ -83,7 +83,7 @@
     };
   }
 
-  private @Nullable TargetConnection take(TargetStart target, long mostIdleMillis) {
+  private @Nullable TargetConnection take(TargetIncarnation target, long mostIdleMillis) {
     Deque<TargetConnection> kept = idle.get(target);
     long now = loop.now();
     while (kept != null && !kept.isEmpty()) {
@@ -98,7 +98,7 @@
   }
 
   /** Takes a connection back after a whole answer; closes it where it cannot be used again. */
-  void giveBack(TargetStart target, TargetConnection connection) {
+  void giveBack(TargetIncarnation target, TargetConnection connection) {
     if (!connection.isReusable()) {
       connection.abandon();
       return;
@@ -109,7 +109,7 @@
   }
 
   /** Closes the idle connections to a start of a target that is gone. */
-  void forget(TargetStart target) {
+  void forget(TargetIncarnation target) {
     Deque<TargetConnection> kept = idle.remove(target);
     if (kept != null) {
       kept.forEach(
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryControl.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryControl.java
@@ -8,7 +8,7 @@
 import org.jspecify.annotations.Nullable;
 import org.sageladder.core.event.EventKind;
 import org.sageladder.core.event.EventSink;
-import org.sageladder.core.placing.ColdAllowance.EntryPlace;
+import org.sageladder.core.placing.ColdTargetLimiter.EntryVmLocation;
 import org.sageladder.core.placing.TargetFacts;
 import org.sageladder.core.placing.TargetTable;
 import org.sageladder.core.routing.RoutingRules;
@@ -152,7 +152,7 @@
     } else if (fact instanceof Fact.Target target) {
       target(target.target());
     } else if (fact instanceof Fact.ZoneEmptied zone) {
-      forwarder.targets().empty(zone.zone());
+      forwarder.targets().evacuateZone(zone.zone());
       forwarder.roomChanged();
       log.record(EventKind.VIEW_CHANGED, "", "", zone.zone(), 0, "zone is emptied");
     } else if (fact instanceof Fact.Crash crash) {
@@ -191,21 +191,21 @@
 
   private void target(TargetFacts target) {
     TargetTable.Change change = forwarder.put(target);
-    EventKind kind = target.leaving() ? EventKind.TARGET_LEAVING : EventKind.TARGET_HELD;
+    EventKind kind = target.isDraining() ? EventKind.TARGET_LEAVING : EventKind.TARGET_HELD;
     log.record(
         kind,
         "",
         target.service(),
         target.id(),
-        target.start().born(),
-        change + ", " + target.zone() + ", cold for " + target.coldMillis() + " ms");
+        target.incarnation().startedAtMillis(),
+        change + ", " + target.zone() + ", cold for " + target.remainingColdMillis() + " ms");
   }
 
   @Override
   public void removed(String key, Fact before, int atOnce) {
     if (before instanceof Fact.Target target) {
       long wait = mayBeLapse(atOnce) ? LAPSED_MILLIS : 0;
-      forwarder.targets().removeAt(target.target().id(), loop.now() + wait);
+      forwarder.targets().scheduleRemoval(target.target().id(), loop.now() + wait);
       forwarder.roomChanged();
       log.record(
           EventKind.TARGET_LEAVING,
@@ -215,7 +215,7 @@
           0,
           "removed, held " + wait + " ms");
     } else if (before instanceof Fact.ZoneEmptied zone) {
-      forwarder.targets().takeBack(zone.zone(), loop.now(), coldMillis());
+      forwarder.targets().endEvacuation(zone.zone(), loop.now(), coldMillis());
       forwarder.roomChanged();
       log.record(EventKind.VIEW_CHANGED, "", "", zone.zone(), 0, "zone is taken back");
     } else if (before instanceof Fact.Entry entry) {
@@ -234,7 +234,7 @@
   public void spoilt(String key, @Nullable Fact before, Fact.Unreadable item) {
     spoiltItems.note(key, item);
     if (before instanceof Fact.Target target) {
-      forwarder.targets().removeAt(target.target().id(), loop.now());
+      forwarder.targets().scheduleRemoval(target.target().id(), loop.now());
     } else if (before instanceof Fact.Entry entry) {
       lapsing.add(entry.vm().name());
       memberGone(entry.vm());
@@ -289,8 +289,8 @@
   private void publishEntries() {
     entriesChanged = false;
     Collection<EntryVm> live = lookUps.live();
-    List<EntryPlace> places =
-        live.stream().map(vm -> new EntryPlace(vm.name(), vm.zone(), vm.region())).toList();
+    List<EntryVmLocation> places =
+        live.stream().map(vm -> new EntryVmLocation(vm.name(), vm.zone(), vm.region())).toList();
     feed.live(live);
     liveListener.accept(live);
     forwarder.entries(places);
--- a/sageladder-forward/src/test/java/org/sageladder/forward/ForwardingBed.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ForwardingBed.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import org.sageladder.core.event.EventSink;
-import org.sageladder.core.placing.ColdAllowance.EntryPlace;
+import org.sageladder.core.placing.ColdTargetLimiter.EntryVmLocation;
 import org.sageladder.core.placing.TargetFacts;
-import org.sageladder.core.placing.TargetStart;
+import org.sageladder.core.placing.TargetIncarnation;
 import org.sageladder.core.quota.QuotaBounds;
 import org.sageladder.core.routing.ApiKeys;
 import org.sageladder.core.routing.CallerLimits;
@@ -72,7 +72,7 @@
     targets.add(target);
     TargetFacts facts =
         new TargetFacts(
-            new TargetStart("t-" + targets.size(), 0),
+            new TargetIncarnation("t-" + targets.size(), 0),
             0,
             "s",
             "127.0.0.1",
@@ -85,7 +85,7 @@
     onLoop(
         () -> {
           forwarder.put(facts);
-          forwarder.entries(List.of(new EntryPlace("e-1", "z", "r")));
+          forwarder.entries(List.of(new EntryVmLocation("e-1", "z", "r")));
         });
   }
 
--- a/sageladder-forward/src/test/java/org/sageladder/forward/RequestLogTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/RequestLogTest.java
@@ -5,12 +5,12 @@
 
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.event.EventSink;
-import org.sageladder.core.placing.PlacingDecision.Judged;
-import org.sageladder.core.placing.PlacingDecision.Reason;
-import org.sageladder.core.placing.PlacingDecision.Refuse;
-import org.sageladder.core.placing.PlacingDecision.Send;
+import org.sageladder.core.placing.PlacementDecision.CandidateEstimate;
+import org.sageladder.core.placing.PlacementDecision.Reason;
+import org.sageladder.core.placing.PlacementDecision.Refuse;
+import org.sageladder.core.placing.PlacementDecision.Send;
 import org.sageladder.core.placing.TargetFacts;
-import org.sageladder.core.placing.TargetStart;
+import org.sageladder.core.placing.TargetIncarnation;
 import org.sageladder.core.placing.TargetState;
 import org.sageladder.core.placing.TargetTable;
 
@@ -21,7 +21,7 @@
 
   private static TargetState target() {
     TargetTable table = TargetTable.create();
-    TargetStart start = new TargetStart("t-1", 0);
+    TargetIncarnation start = new TargetIncarnation("t-1", 0);
     table.put(new TargetFacts(start, 0, "s", "10.0.0.1", 80, "z", "r", 3, false, 0), 0);
     return table.find("t-1").orElseThrow();
   }
@@ -33,9 +33,10 @@
   @Test
   void aRefusalSaysWhatItWasDecidedBy() {
     Send best = new Send(target(), false, 1_500, 1_040);
-    Refuse refuse = new Refuse(Reason.TOO_LATE, 1_040, new Judged(best, 420, 4.1, 0));
+    Refuse refuse = new Refuse(Reason.TOO_LATE, 1_040, new CandidateEstimate(best, 420, 4.1, 0));
     assertEquals(
-        "TOO_LATE at t-1: expected 1040 + 1500 ms by 0 runs, load 4.1 of 3 slots held 420 ms, 980 left,",
+        "TOO_LATE at t-1: expected 1040 + 1500 ms by 0 runs, load 4.1 of 3 slots held 420 ms, 980"
+            + " left,",
         log.refusal(refuse, 980));
     assertTrue(metrics.text().contains("sageladder_no_target_too_late 1"), metrics.text());
   }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/StartedAgainTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/StartedAgainTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.placing.TargetFacts;
-import org.sageladder.core.placing.TargetStart;
+import org.sageladder.core.placing.TargetIncarnation;
 import org.sageladder.forward.ForwardingBed.Caller;
 
 /** A target that starts again under its id: what was open to its former start ends with that. */
@@ -15,7 +15,16 @@
 
   private static TargetFacts facts(ScriptedTarget target, long born) {
     return new TargetFacts(
-        new TargetStart("t-1", born), 0, "s", "127.0.0.1", target.port(), "z", "r", 2, false, 0);
+        new TargetIncarnation("t-1", born),
+        0,
+        "s",
+        "127.0.0.1",
+        target.port(),
+        "z",
+        "r",
+        2,
+        false,
+        0);
   }
 
   private static void put(ForwardingBed bed, ScriptedTarget target, long born) throws Exception {
--- a/sageladder-forward/src/test/java/org/sageladder/forward/WithdrawnTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/WithdrawnTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.placing.TargetFacts;
-import org.sageladder.core.placing.TargetStart;
+import org.sageladder.core.placing.TargetIncarnation;
 import org.sageladder.forward.ForwardingBed.Caller;
 
 /**
@@ -100,6 +100,15 @@
 
   private static TargetFacts born(ScriptedTarget target, long born) {
     return new TargetFacts(
-        new TargetStart("t-1", born), 0, "s", "127.0.0.1", target.port(), "z", "r", 2, false, 0);
+        new TargetIncarnation("t-1", born),
+        0,
+        "s",
+        "127.0.0.1",
+        target.port(),
+        "z",
+        "r",
+        2,
+        false,
+        0);
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetTarget.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetTarget.java
@@ -1,7 +1,7 @@
 package org.sageladder.scenario;
 
 import org.sageladder.core.placing.TargetFacts;
-import org.sageladder.core.placing.TargetStart;
+import org.sageladder.core.placing.TargetIncarnation;
 import org.sageladder.forward.Loop;
 import org.sageladder.scenario.Deployment.Service;
 import org.sageladder.standin.network.SimulatedHost;
@@ -57,7 +57,7 @@
 
   /** Ledgers tell starts of a target apart, also those under the same id. */
   private String ledgerName() {
-    return process.facts().start().toString();
+    return process.facts().incarnation().toString();
   }
 
   void start(long coldMillis) {
@@ -69,7 +69,7 @@
     Loop own = parts.network().loopOf(host);
     TargetFacts facts =
         new TargetFacts(
-            new TargetStart(id, parts.now()),
+            new TargetIncarnation(id, parts.now()),
             0,
             service.name(),
             host.ip(),
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/PlatformTexts.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/PlatformTexts.java
@@ -115,10 +115,10 @@
     entry.put("service", facts.service());
     entry.put("address", facts.host() + ':' + facts.port());
     entry.put("zone", facts.zone()).put("config_version", "v1");
-    entry.put("slots", facts.slots()).put("state", facts.leaving() ? "draining" : "ready");
-    entry.put("cold_left", facts.coldMillis() + "ms").put("sequence", sequence);
-    if (facts.start().born() != 0) {
-      entry.put("born", facts.start().born());
+    entry.put("slots", facts.slots()).put("state", facts.isDraining() ? "draining" : "ready");
+    entry.put("cold_left", facts.remainingColdMillis() + "ms").put("sequence", sequence);
+    if (facts.incarnation().startedAtMillis() != 0) {
+      entry.put("born", facts.incarnation().startedAtMillis());
     }
     return entry.toString();
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/TargetStandIn.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/TargetStandIn.java
@@ -97,7 +97,7 @@
     this.ledger = ledger;
     this.random = new Random(seed ^ facts.id().hashCode());
     this.crash = crash;
-    this.coldUntil = loop.now() + facts.coldMillis();
+    this.coldUntil = loop.now() + facts.remainingColdMillis();
     this.coldKnownAt = loop.now();
   }
 
@@ -127,7 +127,7 @@
 
   /** What it says of itself now. */
   public TargetFacts facts() {
-    TargetFacts now = leaving ? facts.asLeaving() : facts;
+    TargetFacts now = leaving ? facts.asDraining() : facts;
     return now.coldFor(Math.max(0, coldUntil - loop.now()));
   }
 
@@ -226,7 +226,7 @@
     ledger.arrived(
         new Ledger.Arrival(
             id,
-            facts.start().toString(),
+            facts.incarnation().toString(),
             facts.service(),
             facts.zone(),
             facts.region(),
@@ -268,7 +268,7 @@
 
   private void begin(Job job) {
     boolean known = traits.remembers() > 0 && memory.containsKey(job.object);
-    job.run = ledger.began(job.id, facts.start().toString(), known, loop.now());
+    job.run = ledger.began(job.id, facts.incarnation().toString(), known, loop.now());
     if (job.path.contains("poison")) {
       crash.run();
       return;
