--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/CodeSlopes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/CodeSlopes.java
@@ -224,7 +224,7 @@
               3,
               false));
     }
-    gate.holdings(holdings);
+    gate.updateHoldings(holdings);
     return gate;
   }
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/EntryVm.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/EntryVm.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 import org.sageladder.core.event.EventSink;
-import org.sageladder.core.limits.GateNumbers;
+import org.sageladder.core.limits.GateStats;
 import org.sageladder.core.limits.ServiceGate;
 import org.sageladder.core.membership.ClusterState;
 import org.sageladder.core.membership.Holding;
@@ -41,7 +41,7 @@
               false));
     }
     this.gate = newGate(setup, agenda);
-    gate.holdings(holdings);
+    gate.updateHoldings(holdings);
   }
 
   private static ServiceGate newGate(Setup setup, Agenda agenda) {
@@ -54,7 +54,7 @@
     gate.close();
     incarnation++;
     gate = newGate(setup, agenda);
-    gate.holdings(holdings, Set.copyOf(holdings.stream().map(Holding::target).toList()));
+    gate.updateHoldings(holdings, Set.copyOf(holdings.stream().map(Holding::target).toList()));
   }
 
   Member member() {
@@ -62,15 +62,15 @@
   }
 
   ZoneSummary summary(long nowMillis) {
-    GateNumbers numbers = gate.numbers();
+    GateStats numbers = gate.stats();
     return new ZoneSummary(
         zone,
         Setup.CUSTOMER,
         Setup.SERVICE,
         nowMillis,
-        numbers.slots(),
-        numbers.busy(),
-        numbers.queued(),
+        numbers.usableSlots(),
+        numbers.busySlots(),
+        numbers.queuedCount(),
         numbers.admittedPerSecond(),
         numbers.ceilingPerSecond(),
         numbers.offeredPerSecond());
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Retries.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Retries.java
@@ -27,7 +27,7 @@
             Setup.CUSTOMER, setup.service(), agenda.time(), agenda, EventSink.none());
     EntryVm vm = new EntryVm(setup, agenda, 0, "r0z0", 0);
     EntryVm other = new EntryVm(setup, agenda, 0, "r0z0", 1);
-    gate.holdings(List.of(vm.holdings.get(0), other.holdings.get(0)));
+    gate.updateHoldings(List.of(vm.holdings.get(0), other.holdings.get(0)));
   }
 
   /** Runs both and compares. */
@@ -65,7 +65,7 @@
   private void finish(Admission.Slot slot, int number) {
     boolean lost = random.nextBoolean();
     slot.release(lost ? Admission.Completion.LOST : Admission.Completion.ANSWERED);
-    if (lost && number < MOST_TRIES && (!bounded || gate.takeRetry())) {
+    if (lost && number < MOST_TRIES && (!bounded || gate.tryAcquireRetry())) {
       ask(slot.target().target(), number + 1);
     }
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/contract/ContractCheck.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/contract/ContractCheck.java
@@ -57,21 +57,21 @@
 
   private void checkRegions() {
     if (contract.regions().isEmpty()) {
-      add("regions", "none; give at least one region with at least one zone");
+      addProblem("regions", "none; give at least one region with at least one zone");
     }
     Set<String> regions = new HashSet<>();
     Set<String> zones = new HashSet<>();
     for (Region region : contract.regions()) {
       String key = "regions[" + region.name() + "]";
       if (!regions.add(region.name())) {
-        add(key, "the region is given twice; give each name once");
+        addProblem(key, "the region is given twice; give each name once");
       }
       if (region.zones().isEmpty()) {
-        add(key + ".zones", "none; give at least one zone");
+        addProblem(key + ".zones", "none; give at least one zone");
       }
       for (String zone : region.zones()) {
         if (!zones.add(zone)) {
-          add(key + ".zones", "zone '" + zone + "' is given twice; a zone is in one region");
+          addProblem(key + ".zones", "zone '" + zone + "' is given twice; a zone is in one region");
         }
       }
     }
@@ -80,7 +80,7 @@
   private void checkDelays() {
     Contract.Delays delays = contract.delays();
     if (delays.betweenZonesMillis() > delays.betweenRegionsMillis()) {
-      add(
+      addProblem(
           "delays.betweenZones",
           delays.betweenZonesMillis()
               + " ms is longer than betweenRegions, "
@@ -94,7 +94,8 @@
    */
   private void checkClientBlocks() {
     if (contract.clientBlocks().isEmpty()) {
-      add("clientBlocks", "none; give the blocks of each region's callers, from 0 without gaps");
+      addProblem(
+          "clientBlocks", "none; give the blocks of each region's callers, from 0 without gaps");
     }
     int next = 0;
     List<ClientBlocks> ordered =
@@ -105,11 +106,12 @@
       String key = "clientBlocks[" + range.first() + "-" + range.last() + "]";
       checkRegionKnown(key + ".region", range.region());
       if (range.first() < next) {
-        add(
+        addProblem(
             key + ".first",
             "block " + range.first() + " is in another range too; start at " + next);
       } else if (range.first() > next) {
-        add(key + ".first", "blocks " + next + " to " + (range.first() - 1) + " are in no range");
+        addProblem(
+            key + ".first", "blocks " + next + " to " + (range.first() - 1) + " are in no range");
       }
       next = Math.max(next, range.last() + 1);
     }
@@ -117,16 +119,16 @@
 
   private void checkServices() {
     if (contract.services().isEmpty()) {
-      add("services", "none; give at least one service");
+      addProblem("services", "none; give at least one service");
     }
     Set<String> names = new HashSet<>();
     for (Service service : contract.services()) {
       String key = "services[" + service.name() + "]";
       if (!names.add(service.name())) {
-        add(key, "the service is given twice; give each name once");
+        addProblem(key, "the service is given twice; give each name once");
       }
       checkTimes(key, service);
-      checkCounts(key, service);
+      checkConnectionsAndRetries(key, service);
       checkCaps(key, service);
     }
   }
@@ -134,45 +136,46 @@
   private void checkTimes(String key, Service service) {
     double deadlineMillis = service.longestDeadline().toNanos() / 1e6;
     if (service.meanServiceMillis() > deadlineMillis) {
-      add(
+      addProblem(
           key + ".longestDeadline",
-          text(deadlineMillis)
+          formatNumber(deadlineMillis)
               + " ms is shorter than meanService, "
-              + text(service.meanServiceMillis())
+              + formatNumber(service.meanServiceMillis())
               + " ms; most requests would end at their deadline");
     }
     if (service.queueWait().compareTo(service.longestDeadline()) > 0) {
-      add(key + ".queueWait", "it is longer than longestDeadline; no request waits that long");
+      addProblem(
+          key + ".queueWait", "it is longer than longestDeadline; no request waits that long");
     }
     double drainMillis = service.drainLimit().toNanos() / 1e6;
     if (drainMillis < 2 * service.meanServiceMillis()) {
-      add(
+      addProblem(
           key + ".drainLimit",
-          text(drainMillis)
+          formatNumber(drainMillis)
               + " ms would cut off requests in flight; give at least twice meanService, "
-              + text(2 * service.meanServiceMillis())
+              + formatNumber(2 * service.meanServiceMillis())
               + " ms");
     }
     double fullQueueMillis =
         service.queuePerTarget() * service.meanServiceMillis() / service.slotsPerTarget();
     double queueWaitMillis = service.queueWait().toNanos() / 1e6;
     if (fullQueueMillis > queueWaitMillis) {
-      add(
+      addProblem(
           key + ".queuePerTarget",
           "the last of "
               + service.queuePerTarget()
               + " waits about "
-              + text(fullQueueMillis)
+              + formatNumber(fullQueueMillis)
               + " ms, more than queueWait, "
-              + text(queueWaitMillis)
+              + formatNumber(queueWaitMillis)
               + " ms; give at most "
               + (int) (queueWaitMillis * service.slotsPerTarget() / service.meanServiceMillis()));
     }
   }
 
-  private void checkCounts(String key, Service service) {
+  private void checkConnectionsAndRetries(String key, Service service) {
     if (service.connectionsPerTarget() < service.slotsPerTarget()) {
-      add(
+      addProblem(
           key + ".connectionsPerTarget",
           service.connectionsPerTarget()
               + " connections cannot fill "
@@ -180,38 +183,39 @@
               + " slots; give at least as many connections as slots");
     }
     if (!service.repeatable() && service.retryFraction() > 0) {
-      add(
+      addProblem(
           key + ".retryFraction",
-          text(service.retryFraction())
+          formatNumber(service.retryFraction())
               + " for requests that must not repeat; give 0, or repeatable: true");
     }
   }
 
   private void checkCaps(String key, Service service) {
-    checkCapLetsOneIn(key + ".regionShiftCap", service.regionShiftCap(), zoneCapacity(service));
-    checkCapLetsOneIn(key + ".targetShiftCap", service.targetShiftCap(), service.targetCapacity());
+    checkCapAllowsGrowth(key + ".regionShiftCap", service.regionShiftCap(), zoneCapacity(service));
+    checkCapAllowsGrowth(
+        key + ".targetShiftCap", service.targetShiftCap(), service.targetCapacity());
     double regionRate = gainPerSecond(service.regionShiftCap());
     double targetRate = gainPerSecond(service.targetShiftCap());
     if (targetRate < regionRate) {
-      add(
+      addProblem(
           key + ".regionShiftCap",
           "it lets a region gain "
-              + text(100 * regionRate)
+              + formatNumber(100 * regionRate)
               + " % of its capacity a second, which is out of reach while targetShiftCap lets its"
               + " targets gain "
-              + text(100 * targetRate)
+              + formatNumber(100 * targetRate)
               + " %; lower it or raise targetShiftCap");
     }
   }
 
   /** A ceiling that gains less than one request in a window never leaves zero. */
-  private void checkCapLetsOneIn(String key, ShiftCap cap, double capacity) {
+  private void checkCapAllowsGrowth(String key, ShiftCap cap, double capacity) {
     double gained = cap.gainFraction() * capacity * cap.window().toNanos() / 1e9;
     if (gained < 1) {
-      add(
+      addProblem(
           key,
           "it admits "
-              + text(gained)
+              + formatNumber(gained)
               + " requests more in a window, so traffic could never shift; let it be at least 1");
     }
   }
@@ -223,20 +227,20 @@
       checkRegionKnown(key + ".from", limit.from());
       checkRegionKnown(key + ".to", limit.to());
       if (limit.from().equals(limit.to())) {
-        add(key, "a link joins two different regions");
+        addProblem(key, "a link joins two different regions");
       }
       if (!links.add(limit.from() + " " + limit.to())) {
-        add(key, "the link is given twice; give each direction once");
+        addProblem(key, "the link is given twice; give each direction once");
       }
       double carried = regionCapacity(limit.to());
       if (carried > 0 && limit.requestsPerSecond() > carried) {
-        add(
+        addProblem(
             key + ".requestsPerSecond",
-            text(limit.requestsPerSecond())
+            formatNumber(limit.requestsPerSecond())
                 + " is more than the sum that the targets of '"
                 + limit.to()
                 + "' carry, "
-                + text(carried)
+                + formatNumber(carried)
                 + "; the limit could never hold");
       }
     }
@@ -245,7 +249,7 @@
   private void checkRegionKnown(String key, String name) {
     List<String> names = contract.regions().stream().map(Region::name).toList();
     if (!names.contains(name)) {
-      add(key, "no region is named '" + name + "'; regions: " + String.join(", ", names));
+      addProblem(key, "no region is named '" + name + "'; regions: " + String.join(", ", names));
     }
   }
 
@@ -270,13 +274,13 @@
     return cap.gainFraction() * 1e9 / cap.window().toNanos();
   }
 
-  private static String text(double number) {
+  private static String formatNumber(double number) {
     return number == Math.rint(number)
         ? String.valueOf((long) number)
         : String.format(Locale.ROOT, "%.3g", number);
   }
 
-  private void add(String key, String message) {
+  private void addProblem(String key, String message) {
     problems.add(new Problem(key, message));
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/Gate.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/Gate.java
@@ -23,12 +23,12 @@
    * Spends one retry of the service's budget; false where none is left and the request must end as
    * it is. Work that no target ran counts too: it also costs a target something to refuse.
    */
-  default boolean takeRetry() {
+  default boolean tryAcquireRetry() {
     return true;
   }
 
   /** When a request that is refused now is worth sending again. */
-  default Duration comeBack() {
+  default Duration retryAfter() {
     return Duration.ofSeconds(1);
   }
 
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/WaitBudget.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/QueueBudget.java
@@ -10,29 +10,29 @@
  * <p>Background requests may fill half of the places, interactive ones four fifths, critical ones
  * all. Safe for use by several threads.
  */
-public final class WaitBudget {
-  private static final double BACKGROUND_PART = 0.5;
-  private static final double INTERACTIVE_PART = 0.8;
+public final class QueueBudget {
+  private static final double BACKGROUND_FRACTION = 0.5;
+  private static final double INTERACTIVE_FRACTION = 0.8;
 
-  private final int most;
+  private final int maxWaiting;
   private final AtomicInteger waiting = new AtomicInteger();
 
-  private WaitBudget(int most) {
-    this.most = most;
+  private QueueBudget(int most) {
+    this.maxWaiting = most;
   }
 
   /** A budget of {@code most} waiting requests. */
-  public static WaitBudget of(int most) {
+  public static QueueBudget of(int most) {
     if (most < 1) {
       throw new IllegalArgumentException(
           "cannot bound waiting requests by " + most + ": use 1 or more, for instance 1000");
     }
-    return new WaitBudget(most);
+    return new QueueBudget(most);
   }
 
   /** Takes one place for a request of that class; false where its class must not wait now. */
-  boolean take(RequestClass requestClass) {
-    int limit = limit(requestClass);
+  boolean tryAcquire(RequestClass requestClass) {
+    int limit = maxWaitingOf(requestClass);
     int now = waiting.get();
     while (now < limit) {
       if (waiting.compareAndSet(now, now + 1)) {
@@ -43,20 +43,20 @@
     return false;
   }
 
-  void giveBack() {
+  void release() {
     waiting.decrementAndGet();
   }
 
   /** Requests waiting at all gates. */
-  public int waiting() {
+  public int waitingCount() {
     return waiting.get();
   }
 
-  private int limit(RequestClass requestClass) {
+  private int maxWaitingOf(RequestClass requestClass) {
     return switch (requestClass) {
-      case CRITICAL -> most;
-      case INTERACTIVE -> (int) Math.max(1, most * INTERACTIVE_PART);
-      case BACKGROUND -> (int) Math.max(1, most * BACKGROUND_PART);
+      case CRITICAL -> maxWaiting;
+      case INTERACTIVE -> (int) Math.max(1, maxWaiting * INTERACTIVE_FRACTION);
+      case BACKGROUND -> (int) Math.max(1, maxWaiting * BACKGROUND_FRACTION);
     };
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/RetryBudget.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/RetryBudget.java
@@ -9,19 +9,19 @@
  * }</pre>
  *
  * <p>Each first try earns {@code fraction} of a retry, each retry spends one; at most {@link
- * #MOST_SAVED} are saved up, so that a quiet hour does not pay for a storm. Over any time the
- * retries are at most {@code fraction} of the first tries, plus what had been saved. Safe for use
- * by several threads.
+ * #MAX_SAVED_RETRIES} are saved up, so that a quiet hour does not pay for a storm. Over any time
+ * the retries are at most {@code fraction} of the first tries, plus what had been saved. Safe for
+ * use by several threads.
  */
 public final class RetryBudget {
   /** Retries that may be saved up. */
-  public static final int MOST_SAVED = 10;
+  public static final int MAX_SAVED_RETRIES = 10;
 
   private double fraction;
-  private double saved = 1;
-  private long firstTries;
+  private double savedRetries = 1;
+  private long firstAttempts;
   private long retries;
-  private long denied;
+  private long deniedRetries;
 
   private RetryBudget(double fraction) {
     this.fraction = fraction;
@@ -45,37 +45,37 @@
   }
 
   /** Puts the fraction of a new contract revision in force; what was saved stays. */
-  public synchronized void fraction(double newFraction) {
+  public synchronized void updateFraction(double newFraction) {
     checkFraction(newFraction);
     fraction = newFraction;
   }
 
   /** Counts a request that is sent to a target for the first time. */
-  public synchronized void firstTry() {
-    firstTries++;
-    saved = Math.min(MOST_SAVED, saved + fraction);
+  public synchronized void recordFirstAttempt() {
+    firstAttempts++;
+    savedRetries = Math.min(MAX_SAVED_RETRIES, savedRetries + fraction);
   }
 
   /** Spends one retry; false where none is left, and the request must fail instead. */
-  public synchronized boolean takeRetry() {
-    if (saved < 1) {
-      denied++;
+  public synchronized boolean tryAcquireRetry() {
+    if (savedRetries < 1) {
+      deniedRetries++;
       return false;
     }
-    saved--;
+    savedRetries--;
     retries++;
     return true;
   }
 
   /** First tries, retries and denied retries since the start. */
-  public synchronized Numbers numbers() {
-    return new Numbers(firstTries, retries, denied);
+  public synchronized Counts counts() {
+    return new Counts(firstAttempts, retries, deniedRetries);
   }
 
   /**
    * What a budget counted.
    *
-   * @param denied retries that were wanted and not allowed
+   * @param deniedRetries retries that were wanted and not allowed
    */
-  public record Numbers(long firstTries, long retries, long denied) {}
+  public record Counts(long firstAttempts, long retries, long deniedRetries) {}
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/ServiceGate.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/ServiceGate.java
@@ -37,33 +37,33 @@
    * What a refused request counts as demand: an answer names four places, so its caller is refused
    * four times before it is lost, and is then counted once over all.
    */
-  private static final double REFUSED_PART = 1.0 / 4;
+  private static final double REFUSED_DEMAND_WEIGHT = 1.0 / 4;
 
-  private static final String TAKEN_OVER =
+  private static final String TAKEN_OVER_DETAIL =
       "another entry VM held the targets a moment ago, and may have used their gain";
 
-  private static final double REFUSED_FRACTION = 0.1;
-  private static final double SECOND = Duration.ofSeconds(1).toNanos();
-  private static final long SHORTEST_HINT_NANOS = Duration.ofMillis(10).toNanos();
-  private static final long SHORTEST_WAKE_NANOS = Duration.ofMillis(1).toNanos();
+  private static final double NON_REPEATABLE_RETRY_FRACTION = 0.1;
+  private static final double NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
+  private static final long MIN_RETRY_AFTER_NANOS = Duration.ofMillis(10).toNanos();
+  private static final long MIN_WAKE_DELAY_NANOS = Duration.ofMillis(1).toNanos();
 
   private final String customer;
   private final TimeSource time;
   private final Scheduler scheduler;
   private final EventSink events;
-  private final WaitBudget budget;
+  private final QueueBudget queueBudget;
 
-  private final RetryBudget retries;
+  private final RetryBudget retryBudget;
 
   private final Object lock = new Object();
   private final TargetPool pool;
-  private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
+  private final ArrayDeque<WaitingRequest> queue = new ArrayDeque<>();
   private boolean closed;
-  private boolean wakeScheduled;
+  private boolean queueCheckScheduled;
   private final SmoothedRate offeredRate;
-  private long offered;
-  private long admitted;
-  private long refused;
+  private long offeredCount;
+  private long admittedCount;
+  private long refusedCount;
 
   private ServiceGate(
       String customer,
@@ -71,15 +71,15 @@
       TimeSource time,
       Scheduler scheduler,
       EventSink events,
-      WaitBudget budget,
+      QueueBudget budget,
       HoldingGuard guard) {
     this.customer = customer;
     this.pool = new TargetPool(service, guard, time.nanos());
     this.time = time;
     this.scheduler = scheduler;
     this.events = events;
-    this.budget = budget;
-    this.retries = RetryBudget.of(retryFraction(service));
+    this.queueBudget = budget;
+    this.retryBudget = RetryBudget.of(retryFraction(service));
     this.offeredRate = new SmoothedRate(time.nanos());
   }
 
@@ -88,17 +88,17 @@
    * retries are bounded by a tenth, whatever the contract says of repeats.
    */
   private static double retryFraction(Contract.Service service) {
-    return service.repeatable() ? service.retryFraction() : REFUSED_FRACTION;
+    return service.repeatable() ? service.retryFraction() : NON_REPEATABLE_RETRY_FRACTION;
   }
 
   @Override
-  public boolean takeRetry() {
-    return retries.takeRetry();
+  public boolean tryAcquireRetry() {
+    return retryBudget.tryAcquireRetry();
   }
 
   /** First tries, retries and denied retries of this service here. */
-  public RetryBudget.Numbers retryNumbers() {
-    return retries.numbers();
+  public RetryBudget.Counts retryCounts() {
+    return retryBudget.counts();
   }
 
   /** A gate that holds no targets yet and so refuses all work. */
@@ -114,7 +114,7 @@
         time,
         scheduler,
         events,
-        WaitBudget.of(Integer.MAX_VALUE),
+        QueueBudget.of(Integer.MAX_VALUE),
         HoldingGuard.trusting());
   }
 
@@ -130,7 +130,7 @@
       TimeSource time,
       Scheduler scheduler,
       EventSink events,
-      WaitBudget budget,
+      QueueBudget budget,
       HoldingGuard guard) {
     return new ServiceGate(customer, service, time, scheduler, events, budget, guard);
   }
@@ -140,32 +140,33 @@
    *
    * <p>Targets no longer named get no new work; slots in use stay valid until released.
    */
-  public void holdings(List<Holding> holdings) {
-    holdings(holdings, Set.of());
+  public void updateHoldings(List<Holding> holdings) {
+    updateHoldings(holdings, Set.of());
   }
 
   /**
    * Replaces the targets that this VM holds.
    *
    * @param takenOver names of those that another entry VM, or an earlier incarnation of this one,
-   *     held until now; they get work one window later, or once {@link #learn} tells of them
+   *     held until now; they get work one window later, or once {@link #importHistory} tells of
+   *     them
    */
-  public void holdings(List<Holding> holdings, Set<String> takenOver) {
+  public void updateHoldings(List<Holding> holdings, Set<String> takenOver) {
     List<Decision> decisions = new ArrayList<>();
     synchronized (lock) {
-      pool.hold(holdings, takenOver, time.nanos());
-      pump(decisions);
+      pool.updateHoldings(holdings, takenOver, time.nanos());
+      processQueue(decisions);
     }
     deliver(decisions);
   }
 
   /**
-   * What this gate counted of a target that {@link #holdings} took from it, to be sent to the entry
-   * VM that holds it now; empty where there is nothing to tell or it has been told.
+   * What this gate counted of a target that {@link #updateHoldings} took from it, to be sent to the
+   * entry VM that holds it now; empty where there is nothing to tell or it has been told.
    */
-  public Optional<TargetHistory> handOver(String target) {
+  public Optional<TargetHistory> exportHistory(String target) {
     synchronized (lock) {
-      return Optional.ofNullable(pool.handOver(target, time.nanos(), time.wallMillis()));
+      return Optional.ofNullable(pool.exportHistory(target, time.nanos(), time.wallMillis()));
     }
   }
 
@@ -174,24 +175,24 @@
    *
    * @return true where the target is held here and waited for it
    */
-  public boolean learn(TargetHistory history) {
+  public boolean importHistory(TargetHistory history) {
     List<Decision> decisions = new ArrayList<>();
     boolean taken;
     synchronized (lock) {
-      taken = pool.learn(history, time.nanos(), time.wallMillis());
-      pump(decisions);
+      taken = pool.importHistory(history, time.nanos(), time.wallMillis());
+      processQueue(decisions);
     }
     deliver(decisions);
     return taken;
   }
 
   /** Puts the limits of a new revision in force; waiting requests keep their places. */
-  public void contract(Contract.Service newService) {
+  public void updateService(Contract.Service newService) {
     List<Decision> decisions = new ArrayList<>();
-    retries.fraction(retryFraction(newService));
+    retryBudget.updateFraction(retryFraction(newService));
     synchronized (lock) {
-      pool.service(newService, time.nanos());
-      pump(decisions);
+      pool.updateService(newService, time.nanos());
+      processQueue(decisions);
     }
     deliver(decisions);
   }
@@ -201,16 +202,16 @@
    *
    * @param nowNanos monotonic time at which the report was taken
    */
-  public void targetLoad(
+  public void onLoadReport(
       String target, int reportedBusy, int reportedSlots, boolean draining, long nowNanos) {
     synchronized (lock) {
       TargetSlots known = pool.target(target);
       if (known == null) {
         return;
       }
-      known.report(reportedBusy, reportedSlots, nowNanos);
+      known.onLoadReport(reportedBusy, reportedSlots, nowNanos);
       if (draining) {
-        known.markLeaving();
+        known.markDraining();
       }
     }
   }
@@ -218,21 +219,21 @@
   @Override
   public Cancellable request(AdmissionRequest request, Consumer<Admission> whenDecided) {
     List<Decision> decisions = new ArrayList<>(1);
-    Waiting waiting = new Waiting(request, whenDecided, giveUpAt(request));
+    WaitingRequest waiting = new WaitingRequest(request, whenDecided, waitDeadlineNanos(request));
     synchronized (lock) {
-      offered++;
-      arrive(waiting, decisions);
+      offeredCount++;
+      admitOrEnqueue(waiting, decisions);
     }
     deliver(decisions);
     return () -> cancel(waiting);
   }
 
-  private long giveUpAt(AdmissionRequest request) {
+  private long waitDeadlineNanos(AdmissionRequest request) {
     long longest = time.nanos() + service().queueWait().toNanos();
     return longest - request.deadlineNanos() < 0 ? longest : request.deadlineNanos();
   }
 
-  private void arrive(Waiting waiting, List<Decision> decisions) {
+  private void admitOrEnqueue(WaitingRequest waiting, List<Decision> decisions) {
     if (closed) {
       refuse(waiting, ResultCode.STOPPING, "this entry VM is stopping", decisions);
       return;
@@ -241,31 +242,35 @@
       refuse(waiting, ResultCode.NO_TARGET, "no target held here may take it", decisions);
       return;
     }
-    if (pool.workFromNanos(time.nanos()) - waiting.giveUpAt >= 0) {
-      refuse(waiting, ResultCode.SHIFT_CAP, TAKEN_OVER, decisions);
+    if (pool.earliestWorkNanos(time.nanos()) - waiting.waitDeadlineNanos >= 0) {
+      refuse(waiting, ResultCode.SHIFT_CAP, TAKEN_OVER_DETAIL, decisions);
       return;
     }
-    TargetPool.Choice choice = pool.choose(waiting.request.avoidTarget(), time.nanos());
+    TargetPool.Choice choice = pool.selectTarget(waiting.request.excludedTarget(), time.nanos());
     if (queue.isEmpty() && choice.target() != null) {
       admit(waiting, choice.target(), decisions);
       return;
     }
-    if (queue.size() >= pool.heldTargets() * pool.service().queuePerTarget()) {
+    if (queue.size() >= pool.heldTargetCount() * pool.service().queuePerTarget()) {
       String detail = queue.size() + " requests wait already";
       refuse(
           waiting,
-          choice.capped() ? ResultCode.SHIFT_CAP : ResultCode.QUEUE_FULL,
+          choice.isCapped() ? ResultCode.SHIFT_CAP : ResultCode.QUEUE_FULL,
           detail,
           decisions);
       return;
     }
-    if (!budget.take(pool.service().requestClass())) {
-      refuse(waiting, shedCode(), budget.waiting() + " requests wait on this entry VM", decisions);
+    if (!queueBudget.tryAcquire(pool.service().requestClass())) {
+      refuse(
+          waiting,
+          shedCode(),
+          queueBudget.waitingCount() + " requests wait on this entry VM",
+          decisions);
       return;
     }
-    waiting.capped = choice.capped();
+    waiting.capped = choice.isCapped();
     queue.add(waiting);
-    scheduleWake();
+    scheduleQueueCheck();
   }
 
   private ResultCode shedCode() {
@@ -273,24 +278,25 @@
     return background ? ResultCode.BACKGROUND_SHED : ResultCode.QUEUE_FULL;
   }
 
-  private boolean hasNoTargetFor(Waiting waiting) {
-    return !pool.hasTargetBesides(waiting.request.avoidTarget());
+  private boolean hasNoTargetFor(WaitingRequest waiting) {
+    return !pool.hasTargetOtherThan(waiting.request.excludedTarget());
   }
 
-  private void admit(Waiting waiting, TargetSlots target, List<Decision> decisions) {
-    pool.take(target);
-    admitted++;
+  private void admit(WaitingRequest waiting, TargetSlots target, List<Decision> decisions) {
+    pool.acquireSlot(target);
+    admittedCount++;
     offeredRate.add(1, time.nanos());
-    if (waiting.request.avoidTarget().isEmpty()) {
-      retries.firstTry();
+    if (waiting.request.excludedTarget().isEmpty()) {
+      retryBudget.recordFirstAttempt();
     }
     waiting.decided = true;
     decisions.add(new Decision(waiting, new Admission.Admitted(new HeldSlot(target))));
   }
 
-  private void refuse(Waiting waiting, ResultCode code, String detail, List<Decision> decisions) {
-    refused++;
-    offeredRate.add(REFUSED_PART, time.nanos());
+  private void refuse(
+      WaitingRequest waiting, ResultCode code, String detail, List<Decision> decisions) {
+    refusedCount++;
+    offeredRate.add(REFUSED_DEMAND_WEIGHT, time.nanos());
     waiting.decided = true;
     Result.NotRun result = new Result.NotRun(code, retryAfter(code), detail);
     decisions.add(new Decision(waiting, new Admission.Refused(result)));
@@ -300,13 +306,13 @@
     if (code == ResultCode.STOPPING) {
       return Duration.ofMillis(1);
     }
-    return comeBack(code == ResultCode.SHIFT_CAP);
+    return timeUntilSlot(code == ResultCode.SHIFT_CAP);
   }
 
   @Override
-  public Duration comeBack() {
+  public Duration retryAfter() {
     synchronized (lock) {
-      return comeBack(false);
+      return timeUntilSlot(false);
     }
   }
 
@@ -314,16 +320,16 @@
    * When one more request would find a slot: after those that wait, and not before a cap, a pause
    * or the wait for a taken-over target ends.
    */
-  private Duration comeBack(boolean capped) {
+  private Duration timeUntilSlot(boolean capped) {
     long now = time.nanos();
     double perSecond = pool.ceilingPerSecond(now);
-    long wait = perSecond > 0 ? (long) (SECOND * (queue.size() + 1) / perSecond) : 0;
+    long wait = perSecond > 0 ? (long) (NANOS_PER_SECOND * (queue.size() + 1) / perSecond) : 0;
     if (capped) {
-      wait = Math.max(wait, pool.capGivesWayNanos(now) - now);
+      wait = Math.max(wait, pool.nextAdmissionNanos(now) - now);
     } else if (pool.usableSlots(now) == 0) {
       wait = Math.max(wait, pool.nextChangeNanos(now) - now);
     }
-    return Duration.ofNanos(Math.max(SHORTEST_HINT_NANOS, wait));
+    return Duration.ofNanos(Math.max(MIN_RETRY_AFTER_NANOS, wait));
   }
 
   /**
@@ -332,72 +338,73 @@
    * <p>Once no target takes a request that may go to any, none takes those behind it: each slot
    * that comes free would otherwise cost a look at all targets for each request that waits.
    */
-  private void pump(List<Decision> decisions) {
+  private void processQueue(List<Decision> decisions) {
     long now = time.nanos();
     TargetPool.Choice none = null;
-    Iterator<Waiting> oldestFirst = queue.iterator();
+    Iterator<WaitingRequest> oldestFirst = queue.iterator();
     while (oldestFirst.hasNext()) {
-      Waiting waiting = oldestFirst.next();
-      if (waiting.giveUpAt - now <= 0) {
-        leaveQueue(oldestFirst);
+      WaitingRequest waiting = oldestFirst.next();
+      if (waiting.waitDeadlineNanos - now <= 0) {
+        removeFromQueue(oldestFirst);
         ResultCode code = waiting.capped ? ResultCode.SHIFT_CAP : ResultCode.QUEUE_DEADLINE;
         refuse(waiting, code, "no slot came free in time", decisions);
         continue;
       }
       if (hasNoTargetFor(waiting)) {
-        leaveQueue(oldestFirst);
+        removeFromQueue(oldestFirst);
         refuse(waiting, ResultCode.NO_TARGET, "no target held here may take it", decisions);
         continue;
       }
-      String avoid = waiting.request.avoidTarget();
-      TargetPool.Choice choice = none == null ? pool.choose(avoid, now) : none;
-      waiting.capped = choice.capped();
+      String avoid = waiting.request.excludedTarget();
+      TargetPool.Choice choice = none == null ? pool.selectTarget(avoid, now) : none;
+      waiting.capped = choice.isCapped();
       if (choice.target() != null) {
-        leaveQueue(oldestFirst);
+        removeFromQueue(oldestFirst);
         admit(waiting, choice.target(), decisions);
       } else if (avoid.isEmpty()) {
         none = choice;
       }
     }
-    scheduleWake();
+    scheduleQueueCheck();
   }
 
-  private void leaveQueue(Iterator<Waiting> position) {
+  private void removeFromQueue(Iterator<WaitingRequest> position) {
     position.remove();
-    budget.giveBack();
+    queueBudget.release();
   }
 
   /** Sees to it that waits end in time and that a cap or pause that gives way is noticed. */
-  private void scheduleWake() {
-    if (wakeScheduled || queue.isEmpty()) {
+  private void scheduleQueueCheck() {
+    if (queueCheckScheduled || queue.isEmpty()) {
       return;
     }
     long now = time.nanos();
     long earliest = pool.nextChangeNanos(now) - now;
-    for (Waiting waiting : queue) {
-      earliest = Math.min(earliest, waiting.giveUpAt - now);
+    for (WaitingRequest waiting : queue) {
+      earliest = Math.min(earliest, waiting.waitDeadlineNanos - now);
     }
-    wakeScheduled = true;
-    scheduler.runAfter(Duration.ofNanos(Math.max(SHORTEST_WAKE_NANOS, earliest)), this::wake);
+    queueCheckScheduled = true;
+    scheduler.runAfter(
+        Duration.ofNanos(Math.max(MIN_WAKE_DELAY_NANOS, earliest)), this::checkQueue);
   }
 
-  private void wake() {
+  private void checkQueue() {
     List<Decision> decisions = new ArrayList<>();
     synchronized (lock) {
-      wakeScheduled = false;
-      pump(decisions);
+      queueCheckScheduled = false;
+      processQueue(decisions);
     }
     deliver(decisions);
   }
 
-  private boolean cancel(Waiting waiting) {
+  private boolean cancel(WaitingRequest waiting) {
     synchronized (lock) {
       if (waiting.decided) {
         return false;
       }
       waiting.decided = true;
       if (queue.remove(waiting)) {
-        budget.giveBack();
+        queueBudget.release();
       }
       return true;
     }
@@ -406,20 +413,20 @@
   private void release(TargetSlots target, Admission.Completion completion) {
     List<Decision> decisions = new ArrayList<>();
     synchronized (lock) {
-      pool.giveBack(target, completion, time.nanos());
-      pump(decisions);
+      pool.releaseSlot(target, completion, time.nanos());
+      processQueue(decisions);
     }
     deliver(decisions);
   }
 
   private void deliver(List<Decision> decisions) {
     for (Decision decision : decisions) {
-      record(decision);
-      decision.waiting.whenDecided.accept(decision.admission);
+      recordEvent(decision);
+      decision.waiting.onDecision.accept(decision.admission);
     }
   }
 
-  private void record(Decision decision) {
+  private void recordEvent(Decision decision) {
     String request = decision.waiting.request.requestId();
     if (decision.admission instanceof Admission.Admitted yes) {
       events.record(EventKind.ADMITTED, request, customer, yes.slot().target().target(), 0, "");
@@ -437,14 +444,14 @@
   }
 
   /** Slots in use, those of targets no longer held included. */
-  public int busy() {
+  public int busySlots() {
     synchronized (lock) {
-      return pool.busy();
+      return pool.busySlots();
     }
   }
 
   /** Requests in flight on {@code target} through this gate. */
-  public int busy(String target) {
+  public int inFlight(String target) {
     synchronized (lock) {
       TargetSlots known = pool.target(target);
       return known == null ? 0 : known.inFlight();
@@ -452,7 +459,7 @@
   }
 
   /** Requests waiting. */
-  public int queued() {
+  public int queuedCount() {
     synchronized (lock) {
       return queue.size();
     }
@@ -468,28 +475,28 @@
   /** True while this gate holds a target that is not leaving, paused or not. */
   public boolean holdsTargets() {
     synchronized (lock) {
-      return pool.heldTargets() > 0;
+      return pool.heldTargetCount() > 0;
     }
   }
 
   /** Slots that may be used now. */
-  public int slots() {
+  public int usableSlots() {
     synchronized (lock) {
       return pool.usableSlots(time.nanos());
     }
   }
 
   /** All numbers of one moment. */
-  public GateNumbers numbers() {
+  public GateStats stats() {
     synchronized (lock) {
       long now = time.nanos();
-      return new GateNumbers(
+      return new GateStats(
           pool.usableSlots(now),
-          pool.busy(),
+          pool.busySlots(),
           queue.size(),
-          offered,
-          admitted,
-          refused,
+          offeredCount,
+          admittedCount,
+          refusedCount,
           offeredRate.perSecond(now),
           pool.admittedPerSecond(now),
           pool.ceilingPerSecond(now));
@@ -502,8 +509,8 @@
     List<Decision> decisions = new ArrayList<>();
     synchronized (lock) {
       closed = true;
-      for (Waiting waiting : queue) {
-        budget.giveBack();
+      for (WaitingRequest waiting : queue) {
+        queueBudget.release();
         refuse(waiting, ResultCode.STOPPING, "this entry VM is stopping", decisions);
       }
       queue.clear();
@@ -511,21 +518,21 @@
     deliver(decisions);
   }
 
-  private static final class Waiting {
+  private static final class WaitingRequest {
     private final AdmissionRequest request;
-    private final Consumer<Admission> whenDecided;
-    private final long giveUpAt;
+    private final Consumer<Admission> onDecision;
+    private final long waitDeadlineNanos;
     private boolean capped;
     private boolean decided;
 
-    Waiting(AdmissionRequest request, Consumer<Admission> whenDecided, long giveUpAt) {
+    WaitingRequest(AdmissionRequest request, Consumer<Admission> whenDecided, long giveUpAt) {
       this.request = request;
-      this.whenDecided = whenDecided;
-      this.giveUpAt = giveUpAt;
+      this.onDecision = whenDecided;
+      this.waitDeadlineNanos = giveUpAt;
     }
   }
 
-  private record Decision(Waiting waiting, Admission admission) {}
+  private record Decision(WaitingRequest waiting, Admission admission) {}
 
   private final class HeldSlot implements Admission.Slot {
     private final TargetSlots owner;
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/SmoothedRate.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/SmoothedRate.java
@@ -8,34 +8,34 @@
  * <p>Not safe for use by several threads.
  */
 final class SmoothedRate {
-  private static final long SECOND = Duration.ofSeconds(1).toNanos();
+  private static final long NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
   private static final double SMOOTHING = 0.6;
-  private static final int MOST_ROLLS = 20;
+  private static final int MAX_ELAPSED_SECONDS = 20;
 
-  private long secondStart;
-  private double inSecond;
+  private long secondStartNanos;
+  private double eventsThisSecond;
   private double perSecond;
 
   SmoothedRate(long nowNanos) {
-    this.secondStart = nowNanos;
+    this.secondStartNanos = nowNanos;
   }
 
   void add(double events, long nowNanos) {
-    rollTo(nowNanos);
-    inSecond += events;
+    advanceTo(nowNanos);
+    eventsThisSecond += events;
   }
 
   double perSecond(long nowNanos) {
-    rollTo(nowNanos);
+    advanceTo(nowNanos);
     return perSecond;
   }
 
-  private void rollTo(long nowNanos) {
-    long seconds = (nowNanos - secondStart) / SECOND;
-    for (long i = 0; i < Math.min(seconds, MOST_ROLLS); i++) {
-      perSecond += SMOOTHING * (inSecond - perSecond);
-      inSecond = 0;
+  private void advanceTo(long nowNanos) {
+    long seconds = (nowNanos - secondStartNanos) / NANOS_PER_SECOND;
+    for (long i = 0; i < Math.min(seconds, MAX_ELAPSED_SECONDS); i++) {
+      perSecond += SMOOTHING * (eventsThisSecond - perSecond);
+      eventsThisSecond = 0;
     }
-    secondStart += Math.max(0, seconds) * SECOND;
+    secondStartNanos += Math.max(0, seconds) * NANOS_PER_SECOND;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/TargetPool.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/TargetPool.java
@@ -24,13 +24,13 @@
   private final Map<String, TargetSlots> targets = new HashMap<>();
 
   /** Lost targets whose growth still counts here, because nobody else may know of it. */
-  private final List<TargetSlots> lost = new ArrayList<>();
+  private final List<TargetSlots> formerTargets = new ArrayList<>();
 
   private final HoldingGuard guard;
   private Contract.Service service;
   private int gateAllowance;
   private int gatePaceLimit;
-  private int gateInPart;
+  private int gateIntervalCount;
   private RateHistory stepClock;
 
   TargetPool(Contract.Service service, HoldingGuard guard, long nowNanos) {
@@ -40,13 +40,13 @@
   }
 
   /** Why no target could be chosen, or which was. */
-  record Choice(@Nullable TargetSlots target, boolean capped) {}
+  record Choice(@Nullable TargetSlots target, boolean isCapped) {}
 
   Contract.Service service() {
     return service;
   }
 
-  void service(Contract.Service newService, long nowNanos) {
+  void updateService(Contract.Service newService, long nowNanos) {
     boolean sameWindows =
         newService.regionShiftCap().window().equals(service.regionShiftCap().window())
             && newService.targetShiftCap().window().equals(service.targetShiftCap().window());
@@ -54,9 +54,9 @@
     if (!sameWindows) {
       stepClock = RateHistory.create(newService.regionShiftCap().window(), nowNanos);
       targets.values().forEach(target -> target.resample(newService, nowNanos));
-      lost.forEach(target -> target.resample(newService, nowNanos));
+      formerTargets.forEach(target -> target.resample(newService, nowNanos));
     }
-    recount(nowNanos);
+    updateAllowances(nowNanos);
   }
 
   /**
@@ -65,45 +65,45 @@
    * @param takenOver those that another entry VM held until now: they get work one window later,
    *     since the other may have made them grow a moment ago, or as soon as their history is known
    */
-  void hold(List<Holding> holdings, Set<String> takenOver, long nowNanos) {
+  void updateHoldings(List<Holding> holdings, Set<String> takenOver, long nowNanos) {
     Set<String> named = new HashSet<>();
     for (Holding holding : holdings) {
       named.add(holding.target());
-      holdOne(holding, takenOver.contains(holding.target()), nowNanos);
+      updateHolding(holding, takenOver.contains(holding.target()), nowNanos);
     }
     for (TargetSlots target : List.copyOf(targets.values())) {
       if (!named.contains(target.holding().target())) {
-        target.loseHold(nowNanos);
+        target.markReleased(nowNanos);
       }
     }
-    recount(nowNanos);
+    updateAllowances(nowNanos);
   }
 
-  private void holdOne(Holding holding, boolean takenOver, long nowNanos) {
+  private void updateHolding(Holding holding, boolean takenOver, long nowNanos) {
     TargetSlots known = targets.get(holding.target());
     boolean sameIncarnation =
         known != null && known.holding().targetIncarnation() == holding.targetIncarnation();
     if (known != null && sameIncarnation && (known.isHeld() || !takenOver)) {
-      known.update(holding);
+      known.updateHolding(holding);
       return;
     }
     if (known != null) {
-      known.loseHold(nowNanos);
-      lost.add(known);
+      known.markReleased(nowNanos);
+      formerTargets.add(known);
     }
-    long workFrom = takenOver ? nowNanos + takeOverWaitNanos() : nowNanos;
+    long workFrom = takenOver ? nowNanos + takeoverWaitNanos() : nowNanos;
     targets.put(
         holding.target(),
         new TargetSlots(holding, service, nowNanos, workFrom, sameIncarnation ? known : null));
   }
 
   /** How long what another gate let through may still count in either cap's window. */
-  private long takeOverWaitNanos() {
+  private long takeoverWaitNanos() {
     long windowNanos =
         Math.max(
             service.regionShiftCap().window().toNanos(),
             service.targetShiftCap().window().toNanos());
-    return windowNanos + windowNanos / RateHistory.STEPS;
+    return windowNanos + windowNanos / RateHistory.STEPS_PER_WINDOW;
   }
 
   @Nullable TargetSlots target(String name) {
@@ -118,30 +118,30 @@
    * what is left of it, whatever the new gate does. Targets lost before count with what they have
    * grown: their new gates may not have been told of it.
    */
-  @Nullable TargetHistory handOver(String name, long nowNanos, long nowMillis) {
+  @Nullable TargetHistory exportHistory(String name, long nowNanos, long nowMillis) {
     TargetSlots target = targets.get(name);
-    if (target == null || target.isHeld() || target.wasHandedOver()) {
+    if (target == null || target.isHeld() || target.isHistoryExported()) {
       return null;
     }
-    target.markHandedOver();
-    if (target.awaitsWindow(nowNanos)) {
+    target.markHistoryExported();
+    if (target.isWaitingAfterTakeover(nowNanos)) {
       // The next gate would else begin a whole wait of its own, one for each VM that joins.
-      long leftNanos = target.workFromNanos() - nowNanos;
+      long leftNanos = target.workAllowedFromNanos() - nowNanos;
       return TargetHistory.stillWaiting(
           name,
           target.holding().targetIncarnation(),
           nowMillis,
-          target.mayRun(nowNanos),
+          target.maxInFlight(nowNanos),
           Math.floorDiv(leftNanos, NANOS_PER_MILLI) + 1);
     }
-    recount(nowNanos);
-    int othersGrowth = RateHistory.worst(growthsBesides(target), 0);
-    boolean released = target.hasGainPart(nowNanos) && othersGrowth <= gainUnits(nowNanos);
+    updateAllowances(nowNanos);
+    int othersGrowth = RateHistory.maxGrowth(totalGrowthsExcept(target), 0);
+    boolean released = target.isGainAvailable(nowNanos) && othersGrowth <= gateGainLimit(nowNanos);
     return new TargetHistory(
         name,
         target.holding().targetIncarnation(),
         nowMillis,
-        target.mayRun(nowNanos),
+        target.maxInFlight(nowNanos),
         target.history().steps(),
         target.regionHistory().steps(),
         released,
@@ -149,23 +149,23 @@
   }
 
   /** Takes what the gate before counted of a target held here now. */
-  boolean learn(TargetHistory told, long nowNanos, long nowMillis) {
+  boolean importHistory(TargetHistory told, long nowNanos, long nowMillis) {
     TargetSlots target = targets.get(told.target());
     if (target == null || target.holding().targetIncarnation() != told.targetIncarnation()) {
       return false;
     }
-    recount(nowNanos);
+    updateAllowances(nowNanos);
     long agoNanos = Math.max(0, nowMillis - told.takenAtMillis()) * 1_000_000;
     int stepsAgo = (int) Math.min(10_000, agoNanos / target.history().stepNanos());
     int regionStepsAgo = (int) Math.min(10_000, agoNanos / target.regionHistory().stepNanos());
-    boolean taken = target.learn(told, stepsAgo, regionStepsAgo, nowNanos);
-    recount(nowNanos);
+    boolean taken = target.importHistory(told, stepsAgo, regionStepsAgo, nowNanos);
+    updateAllowances(nowNanos);
     return taken;
   }
 
-  boolean hasTargetBesides(String avoid) {
+  boolean hasTargetOtherThan(String avoid) {
     for (TargetSlots target : targets.values()) {
-      if (target.takesWork() && !target.holding().target().equals(avoid)) {
+      if (target.acceptsWork() && !target.holding().target().equals(avoid)) {
         return true;
       }
     }
@@ -174,15 +174,15 @@
 
   List<Holding> held() {
     return targets.values().stream()
-        .filter(TargetSlots::takesWork)
+        .filter(TargetSlots::acceptsWork)
         .map(TargetSlots::holding)
         .toList();
   }
 
-  int heldTargets() {
+  int heldTargetCount() {
     int held = 0;
     for (TargetSlots target : targets.values()) {
-      held += target.takesWork() ? 1 : 0;
+      held += target.acceptsWork() ? 1 : 0;
     }
     return held;
   }
@@ -195,21 +195,21 @@
     return slots;
   }
 
-  int busy() {
+  int busySlots() {
     int busy = 0;
     for (TargetSlots target : targets.values()) {
       busy += target.ownInFlight();
     }
-    for (TargetSlots target : lost) {
+    for (TargetSlots target : formerTargets) {
       busy += target.ownInFlight();
     }
     return busy;
   }
 
   /** The target with the largest free part of its slots that its cap lets grow. */
-  Choice choose(String avoid, long nowNanos) {
-    rollTo(nowNanos);
-    boolean gateCapped = gateAllowance <= 0 || gateInPart >= gatePaceLimit;
+  Choice selectTarget(String avoid, long nowNanos) {
+    advanceTo(nowNanos);
+    boolean gateCapped = gateAllowance <= 0 || gateIntervalCount >= gatePaceLimit;
     boolean capped = false;
     TargetSlots best = null;
     for (TargetSlots target : targets.values()) {
@@ -231,16 +231,17 @@
     return (double) target.freeSlots(nowNanos) / target.usableSlots(nowNanos);
   }
 
-  private int targetUnits(TargetSlots target) {
+  private int targetGainLimit(TargetSlots target) {
     Contract.ShiftCap cap = service.targetShiftCap();
-    return Math.max(1, (int) (cap.gainFraction() * capacity(target) * seconds(cap.window())));
+    return Math.max(
+        1, (int) (cap.gainFraction() * capacityPerSecond(target) * seconds(cap.window())));
   }
 
   /**
    * What this gate may use of the target. Where the zone no longer confirms this entry VM another
    * may have taken over the other half, and with it the other half of the gain.
    */
-  private double capacity(TargetSlots target) {
+  private double capacityPerSecond(TargetSlots target) {
     return guard.slots(target.holding()) * 1000.0 / service.meanServiceMillis();
   }
 
@@ -248,17 +249,17 @@
     return window.toNanos() / 1e9;
   }
 
-  void take(TargetSlots target) {
-    target.take();
+  void acquireSlot(TargetSlots target) {
+    target.acquire();
     gateAllowance--;
-    gateInPart++;
+    gateIntervalCount++;
   }
 
-  void giveBack(TargetSlots target, Admission.Completion completion, long nowNanos) {
-    target.giveBack();
-    target.experience().learn(completion, target.holding().slots(), nowNanos);
+  void releaseSlot(TargetSlots target, Admission.Completion completion, long nowNanos) {
+    target.release();
+    target.health().recordCompletion(completion, target.holding().slots(), nowNanos);
     if (completion == Admission.Completion.LEAVING) {
-      target.markLeaving();
+      target.markDraining();
     }
   }
 
@@ -266,11 +267,11 @@
    * Requests by which this gate may grow its window: its share of the region's gain, that of the
    * targets it holds; at least one, or a slow service never starts.
    */
-  int gainUnits(long nowNanos) {
+  int gateGainLimit(long nowNanos) {
     Contract.ShiftCap cap = service.regionShiftCap();
     double sharedCapacity = 0;
     for (TargetSlots target : targets.values()) {
-      sharedCapacity += target.sharesGain(nowNanos) ? capacity(target) : 0;
+      sharedCapacity += target.contributesGain(nowNanos) ? capacityPerSecond(target) : 0;
     }
     if (sharedCapacity == 0) {
       return 0;
@@ -280,21 +281,21 @@
 
   /** Most requests a second that caps and slots allow now. */
   double ceilingPerSecond(long nowNanos) {
-    rollTo(nowNanos);
+    advanceTo(nowNanos);
     double bySlots = usableSlots(nowNanos) * 1000.0 / service.meanServiceMillis();
-    int windowLimit = gainUnits(nowNanos);
+    int windowLimit = gateGainLimit(nowNanos);
     for (TargetSlots target : targets.values()) {
-      windowLimit += target.takesWork() ? target.regionHistory().before() : 0;
+      windowLimit += target.acceptsWork() ? target.regionHistory().previousWindowCount() : 0;
     }
     return Math.min(bySlots, windowLimit / seconds(service.regionShiftCap().window()));
   }
 
   /** Requests a second over the last whole window. */
   double admittedPerSecond(long nowNanos) {
-    rollTo(nowNanos);
+    advanceTo(nowNanos);
     int recent = 0;
     for (TargetSlots target : targets.values()) {
-      recent += target.regionHistory().recent();
+      recent += target.regionHistory().windowCount();
     }
     return recent / seconds(service.regionShiftCap().window());
   }
@@ -303,11 +304,11 @@
   long nextChangeNanos(long nowNanos) {
     long next = stepClock.nextStepNanos();
     for (TargetSlots target : targets.values()) {
-      if (target.experience().isPaused(nowNanos)) {
-        next = Math.min(next, target.experience().pausedUntilNanos());
+      if (target.health().isEjected(nowNanos)) {
+        next = Math.min(next, target.health().ejectedUntilNanos());
       }
-      if (target.awaitsWindow(nowNanos)) {
-        next = Math.min(next, target.workFromNanos());
+      if (target.isWaitingAfterTakeover(nowNanos)) {
+        next = Math.min(next, target.workAllowedFromNanos());
       }
       next = Math.min(next, target.nextStepNanos());
     }
@@ -315,59 +316,61 @@
   }
 
   /** Monotonic time at which the caps let one more request in, if no other takes its place. */
-  long capGivesWayNanos(long nowNanos) {
-    rollTo(nowNanos);
-    int units = gainUnits(nowNanos);
-    int steps = RateHistory.stepsUntilRoom(growths(), units);
+  long nextAdmissionNanos(long nowNanos) {
+    advanceTo(nowNanos);
+    int units = gateGainLimit(nowNanos);
+    int steps = RateHistory.stepsUntilAdmission(totalGrowths(), units);
     long gate = stepClock.nextStepNanos() + (steps - 1) * stepClock.stepNanos();
     long earliestTarget = Long.MAX_VALUE;
     for (TargetSlots target : targets.values()) {
-      if (target.takesWork()) {
+      if (target.acceptsWork()) {
         long freeAt =
-            target.isCapped() ? target.history().givesWayNanos(targetUnits(target)) : nowNanos;
-        earliestTarget = Math.min(earliestTarget, Math.max(freeAt, target.workFromNanos()));
+            target.isCapped()
+                ? target.history().nextAdmissionNanos(targetGainLimit(target))
+                : nowNanos;
+        earliestTarget = Math.min(earliestTarget, Math.max(freeAt, target.workAllowedFromNanos()));
       }
     }
     return earliestTarget == Long.MAX_VALUE ? gate : Math.max(gate, earliestTarget);
   }
 
   /** Monotonic time before which no target held here may get work, in the past where one may. */
-  long workFromNanos(long nowNanos) {
+  long earliestWorkNanos(long nowNanos) {
     long earliest = Long.MAX_VALUE;
     for (TargetSlots target : targets.values()) {
-      if (target.takesWork()) {
-        earliest = Math.min(earliest, target.workFromNanos());
+      if (target.acceptsWork()) {
+        earliest = Math.min(earliest, target.workAllowedFromNanos());
       }
     }
     return earliest == Long.MAX_VALUE ? nowNanos : earliest;
   }
 
-  private void rollTo(long nowNanos) {
-    boolean newStep = stepClock.rollTo(nowNanos);
+  private void advanceTo(long nowNanos) {
+    boolean newStep = stepClock.advanceTo(nowNanos);
     for (TargetSlots target : targets.values()) {
-      newStep |= target.rollTo(nowNanos);
+      newStep |= target.advanceTo(nowNanos);
     }
     if (newStep) {
-      recount(nowNanos);
+      updateAllowances(nowNanos);
     }
   }
 
-  private void recount(long nowNanos) {
-    stepClock.rollTo(nowNanos);
-    targets.values().forEach(target -> target.rollTo(nowNanos));
-    lost.forEach(target -> target.rollTo(nowNanos));
-    forgetLost(nowNanos);
+  private void updateAllowances(long nowNanos) {
+    stepClock.advanceTo(nowNanos);
+    targets.values().forEach(target -> target.advanceTo(nowNanos));
+    formerTargets.forEach(target -> target.advanceTo(nowNanos));
+    removeExpired(nowNanos);
     int before = 0;
     int windowAgo = 0;
-    gateInPart = 0;
+    gateIntervalCount = 0;
     for (TargetSlots target : targets.values()) {
-      before += target.regionHistory().before();
-      windowAgo += target.regionHistory().windowAgo();
-      gateInPart += target.regionHistory().inPart();
-      target.recap(targetUnits(target));
+      before += target.regionHistory().previousWindowCount();
+      windowAgo += target.regionHistory().intervalCountOneWindowAgo();
+      gateIntervalCount += target.regionHistory().intervalCount();
+      target.updateAllowance(targetGainLimit(target));
     }
-    gateAllowance = gainUnits(nowNanos) - RateHistory.worst(growths(), 0);
-    gatePaceLimit = RateHistory.paceLimit(before, windowAgo, gainUnits(nowNanos));
+    gateAllowance = gateGainLimit(nowNanos) - RateHistory.maxGrowth(totalGrowths(), 0);
+    gatePaceLimit = RateHistory.paceLimit(before, windowAgo, gateGainLimit(nowNanos));
   }
 
   /**
@@ -376,23 +379,23 @@
    * <p>A target no longer held counts only where it has grown: whoever holds it now may not know of
    * that growth, and the base that it would bring if it had shrunk went with it.
    */
-  private int[] growths() {
-    return growthsBesides(null);
+  private int[] totalGrowths() {
+    return totalGrowthsExcept(null);
   }
 
-  private int[] growthsBesides(@Nullable TargetSlots leftOut) {
-    int[] sums = new int[2 * RateHistory.STEPS];
+  private int[] totalGrowthsExcept(@Nullable TargetSlots leftOut) {
+    int[] sums = new int[2 * RateHistory.STEPS_PER_WINDOW];
     for (TargetSlots target : targets.values()) {
       if (target != leftOut) {
         addGrowths(target, target.isHeld() ? Integer.MIN_VALUE : 0, sums);
       }
     }
-    lost.forEach(target -> addGrowths(target, 0, sums));
+    formerTargets.forEach(target -> addGrowths(target, 0, sums));
     return sums;
   }
 
   private static void addGrowths(TargetSlots target, int least, int[] sums) {
-    int[] own = target.regionHistory().growths();
+    int[] own = target.regionHistory().projectedGrowths();
     for (int ahead = 0; ahead < sums.length; ahead++) {
       sums[ahead] += Math.max(least, own[ahead]);
     }
@@ -404,21 +407,21 @@
    * <p>A target that moves without having had work is kept until its new gate can be told so, for a
    * window at most; otherwise that gate would wait a window for a history that never comes.
    */
-  private void forgetLost(long nowNanos) {
-    long toldUntil = nowNanos - takeOverWaitNanos();
+  private void removeExpired(long nowNanos) {
+    long toldUntil = nowNanos - takeoverWaitNanos();
     targets
         .values()
         .removeIf(
             target ->
                 !target.isHeld()
-                    && isSpent(target)
-                    && (target.wasHandedOver() || target.lostNanos() - toldUntil < 0));
-    lost.removeIf(TargetPool::isSpent);
+                    && isExpired(target)
+                    && (target.isHistoryExported() || target.releasedNanos() - toldUntil < 0));
+    formerTargets.removeIf(TargetPool::isExpired);
   }
 
-  private static boolean isSpent(TargetSlots target) {
+  private static boolean isExpired(TargetSlots target) {
     return target.ownInFlight() == 0
-        && target.regionHistory().recent() == 0
-        && target.regionHistory().before() == 0;
+        && target.regionHistory().windowCount() == 0
+        && target.regionHistory().previousWindowCount() == 0;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/TargetSlots.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/TargetSlots.java
@@ -12,28 +12,28 @@
  * <p>Not safe for use by several threads; the gate's lock guards it.
  */
 final class TargetSlots {
-  private static final long REPORT_LIFE_NANOS = Duration.ofSeconds(2).toNanos();
+  private static final long MAX_REPORT_AGE_NANOS = Duration.ofSeconds(2).toNanos();
 
-  private final TargetExperience experience;
+  private final TargetHealth health;
   private RateHistory history;
   private RateHistory regionHistory;
-  private final boolean coldStartHere;
-  private long workFromNanos;
-  private long gainFromNanos;
+  private final boolean startedCold;
+  private long workAllowedFromNanos;
+  private long gainAvailableFromNanos;
   private Holding holding;
-  private final @Nullable TargetSlots earlier;
+  private final @Nullable TargetSlots previousHold;
   private boolean held = true;
-  private boolean leaving;
-  private boolean handedOver;
-  private long lostNanos;
+  private boolean draining;
+  private boolean historyExported;
+  private long releasedNanos;
   private int inFlight;
   private int allowance;
   private int paceLimit;
-  private int toldBusy;
-  private long toldAtNanos;
-  private int foreignBusy;
+  private int previousGateInFlight;
+  private long historyImportedNanos;
+  private int otherBusySlots;
   private int reportedSlots = Integer.MAX_VALUE;
-  private long reportTakenNanos;
+  private long lastReportNanos;
 
   /**
    * @param workFromNanos from when on the target may get work and add to the gate's gain
@@ -45,15 +45,15 @@
       long nowNanos,
       long workFromNanos,
       @Nullable TargetSlots earlier) {
-    this.earlier = earlier;
+    this.previousHold = earlier;
     this.holding = holding;
-    this.leaving = holding.leaving();
-    this.experience = TargetExperience.ofColdTarget(service);
+    this.draining = holding.leaving();
+    this.health = TargetHealth.ofColdTarget(service);
     this.history = RateHistory.create(service.targetShiftCap().window(), nowNanos);
     this.regionHistory = RateHistory.create(service.regionShiftCap().window(), nowNanos);
-    this.coldStartHere = workFromNanos - nowNanos <= 0;
-    this.workFromNanos = workFromNanos;
-    this.gainFromNanos = workFromNanos;
+    this.startedCold = workFromNanos - nowNanos <= 0;
+    this.workAllowedFromNanos = workFromNanos;
+    this.gainAvailableFromNanos = workFromNanos;
   }
 
   Holding holding() {
@@ -67,7 +67,7 @@
 
   /** Requests in flight from this gate, those of an earlier hold of the target included. */
   int inFlight() {
-    return inFlight + (earlier == null ? 0 : earlier.inFlight());
+    return inFlight + (previousHold == null ? 0 : previousHold.inFlight());
   }
 
   /** Admissions in steps of the target's own window. */
@@ -85,9 +85,9 @@
   }
 
   /** Moves the counts on to {@code nowNanos}; true where a step of either window has begun. */
-  boolean rollTo(long nowNanos) {
-    boolean newStep = history.rollTo(nowNanos);
-    boolean newRegionStep = regionHistory.rollTo(nowNanos);
+  boolean advanceTo(long nowNanos) {
+    boolean newStep = history.advanceTo(nowNanos);
+    boolean newRegionStep = regionHistory.advanceTo(nowNanos);
     return newStep || newRegionStep;
   }
 
@@ -98,17 +98,19 @@
   }
 
   /** Works out what this step still allows where the target's window may grow by {@code units}. */
-  void recap(int units) {
-    allowance = units - history.worstGrowth();
-    paceLimit = RateHistory.paceLimit(history.before(), history.windowAgo(), units);
+  void updateAllowance(int units) {
+    allowance = units - history.maxProjectedGrowth();
+    paceLimit =
+        RateHistory.paceLimit(
+            history.previousWindowCount(), history.intervalCountOneWindowAgo(), units);
   }
 
   boolean isCapped() {
-    return allowance <= 0 || history.inPart() >= paceLimit;
+    return allowance <= 0 || history.intervalCount() >= paceLimit;
   }
 
-  TargetExperience experience() {
-    return experience;
+  TargetHealth health() {
+    return health;
   }
 
   boolean isHeld() {
@@ -120,104 +122,104 @@
    * the take-over can no longer be in use elsewhere, and as long as the target is held. While it
    * leaves, its work goes to the gate's other targets, and its part of the gain has to go with it.
    */
-  boolean sharesGain(long nowNanos) {
-    return held && hasGainPart(nowNanos);
+  boolean contributesGain(long nowNanos) {
+    return held && isGainAvailable(nowNanos);
   }
 
-  boolean hasGainPart(long nowNanos) {
-    return nowNanos - gainFromNanos >= 0;
+  boolean isGainAvailable(long nowNanos) {
+    return nowNanos - gainAvailableFromNanos >= 0;
   }
 
   /** True while the gate that had the target may still be the cause of growth at the target. */
-  boolean awaitsWindow(long nowNanos) {
-    return nowNanos - workFromNanos < 0;
+  boolean isWaitingAfterTakeover(long nowNanos) {
+    return nowNanos - workAllowedFromNanos < 0;
   }
 
   /** When the wait for the window of the gate before is over. */
-  long workFromNanos() {
-    return workFromNanos;
+  long workAllowedFromNanos() {
+    return workAllowedFromNanos;
   }
 
   /** Takes what the gate before counted; only a target that still waits for it accepts it. */
-  boolean learn(TargetHistory told, int stepsAgo, int regionStepsAgo, long nowNanos) {
-    if (coldStartHere || !awaitsWindow(nowNanos)) {
+  boolean importHistory(TargetHistory told, int stepsAgo, int regionStepsAgo, long nowNanos) {
+    if (startedCold || !isWaitingAfterTakeover(nowNanos)) {
       return false;
     }
     if (told.waitMillis() > 0) {
       long until = nowNanos + TimeUnit.MILLISECONDS.toNanos(told.waitMillis());
-      workFromNanos = Math.min(workFromNanos, until);
-      gainFromNanos = Math.min(gainFromNanos, until);
+      workAllowedFromNanos = Math.min(workAllowedFromNanos, until);
+      gainAvailableFromNanos = Math.min(gainAvailableFromNanos, until);
       return true;
     }
-    history.addPast(told.targetSteps(), stepsAgo);
-    workFromNanos = nowNanos;
-    experience.trustWarmTarget(holding.slots());
-    toldBusy = told.inFlight();
-    toldAtNanos = nowNanos;
+    history.addSteps(told.targetSteps(), stepsAgo);
+    workAllowedFromNanos = nowNanos;
+    health.skipSlowStart(holding.slots());
+    previousGateInFlight = told.inFlight();
+    historyImportedNanos = nowNanos;
     if (told.gainReleased()) {
-      regionHistory.addPast(told.regionSteps(), regionStepsAgo);
-      gainFromNanos = nowNanos;
+      regionHistory.addSteps(told.regionSteps(), regionStepsAgo);
+      gainAvailableFromNanos = nowNanos;
     }
     return true;
   }
 
   /** Takes a newer holding of the same incarnation; leaving is never undone. */
-  void update(Holding newer) {
+  void updateHolding(Holding newer) {
     holding = newer;
     held = true;
-    leaving |= newer.leaving();
+    draining |= newer.leaving();
   }
 
-  void markHandedOver() {
-    handedOver = true;
+  void markHistoryExported() {
+    historyExported = true;
   }
 
-  boolean wasHandedOver() {
-    return handedOver;
+  boolean isHistoryExported() {
+    return historyExported;
   }
 
-  void loseHold(long nowNanos) {
+  void markReleased(long nowNanos) {
     if (held) {
       held = false;
-      lostNanos = nowNanos;
+      releasedNanos = nowNanos;
     }
   }
 
   /** When another gate, or none, got the target; only where it is no longer held. */
-  long lostNanos() {
-    return lostNanos;
+  long releasedNanos() {
+    return releasedNanos;
   }
 
-  void markLeaving() {
-    leaving = true;
+  void markDraining() {
+    draining = true;
   }
 
-  boolean isLeaving() {
-    return leaving;
+  boolean isDraining() {
+    return draining;
   }
 
-  boolean takesWork() {
-    return held && !leaving;
+  boolean acceptsWork() {
+    return held && !draining;
   }
 
   /** Slots that may be used by view, report and experience together. */
   int usableSlots(long nowNanos) {
-    if (!takesWork() || awaitsWindow(nowNanos)) {
+    if (!acceptsWork() || isWaitingAfterTakeover(nowNanos)) {
       return 0;
     }
     int allowed =
-        Math.min(reportedAllowance(nowNanos), experience.limit(holding.slots(), nowNanos));
-    return Math.max(0, Math.min(allowed, holding.slots() - toldBusy(nowNanos)));
+        Math.min(reportedSlotLimit(nowNanos), health.concurrencyLimit(holding.slots(), nowNanos));
+    return Math.max(0, Math.min(allowed, holding.slots() - previousGateInFlight(nowNanos)));
   }
 
   /** Requests of the gate before that may still run, until a report is newer than its word. */
-  private int toldBusy(long nowNanos) {
-    return nowNanos - toldAtNanos > REPORT_LIFE_NANOS ? 0 : toldBusy;
+  private int previousGateInFlight(long nowNanos) {
+    return nowNanos - historyImportedNanos > MAX_REPORT_AGE_NANOS ? 0 : previousGateInFlight;
   }
 
   /** Requests that may run on the target by way of this gate or the one before. */
-  int mayRun(long nowNanos) {
-    return inFlight() + toldBusy(nowNanos);
+  int maxInFlight(long nowNanos) {
+    return inFlight() + previousGateInFlight(nowNanos);
   }
 
   /**
@@ -226,20 +228,20 @@
    * <p>Reports lag and mislead, so one alone never takes the last slot: a target that reported
    * "full" for ever would otherwise get no work and so could never show that it is well.
    */
-  private int reportedAllowance(long nowNanos) {
-    if (nowNanos - reportTakenNanos > REPORT_LIFE_NANOS) {
+  private int reportedSlotLimit(long nowNanos) {
+    if (nowNanos - lastReportNanos > MAX_REPORT_AGE_NANOS) {
       return holding.slots();
     }
-    return Math.max(1, Math.min(holding.slots(), reportedSlots) - foreignBusy);
+    return Math.max(1, Math.min(holding.slots(), reportedSlots) - otherBusySlots);
   }
 
   /** Takes the target's report; busy slots beyond those in flight here belong to somebody else. */
-  void report(int busy, int slots, long takenNanos) {
-    foreignBusy = Math.max(0, busy - inFlight());
+  void onLoadReport(int busy, int slots, long takenNanos) {
+    otherBusySlots = Math.max(0, busy - inFlight());
     reportedSlots = slots;
-    reportTakenNanos = takenNanos;
-    if (takenNanos - toldAtNanos > 0) {
-      toldBusy = 0;
+    lastReportNanos = takenNanos;
+    if (takenNanos - historyImportedNanos > 0) {
+      previousGateInFlight = 0;
     }
   }
 
@@ -247,14 +249,14 @@
     return Math.max(0, usableSlots(nowNanos) - inFlight());
   }
 
-  void take() {
+  void acquire() {
     inFlight++;
     allowance--;
-    history.add();
-    regionHistory.add();
+    history.recordAdmission();
+    regionHistory.recordAdmission();
   }
 
-  void giveBack() {
+  void release() {
     inFlight--;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/Placement.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/Placement.java
@@ -270,7 +270,8 @@
   }
 
   private boolean admitsColdRequest(TargetState target, @Nullable ServiceRule service, long now) {
-    return service != null && coldLimiter.permits(target.facts(), service.coldPerSecond(), now);
+    return service != null
+        && coldLimiter.permits(target.facts(), service.maxColdRequestsPerSecond(), now);
   }
 
   private RequestContext requestContext(
@@ -278,7 +279,9 @@
     RouteRule route = order.route();
     return new RequestContext(
         order,
-        route.byObject() ? PreferredTargets.of(order.object(), usable) : PreferredTargets.none(),
+        route.hasObjectAffinity()
+            ? PreferredTargets.of(order.object(), usable)
+            : PreferredTargets.none(),
         CrossRegionCostFactor.of(order.object()),
         ownRegionCostMillis(order, usable, now),
         runTimes.estimateMillis(order.service(), route, true),
@@ -287,7 +290,7 @@
 
   /** What a run in this VM's region costs besides: nothing for the objects that it keeps. */
   private double ownRegionCostMillis(PlacementRequest order, List<TargetState> usable, long now) {
-    if (!order.route().byObject() || isRetainedInOwnRegion(order, now)) {
+    if (!order.route().hasObjectAffinity() || isRetainedInOwnRegion(order, now)) {
       return 0;
     }
     double nearest = Double.MAX_VALUE;
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaCoordinator.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaCoordinator.java
@@ -25,87 +25,88 @@
   static final long REACTION_MILLIS = 600;
 
   /** Without a refusal for this long, and with room, VMs go back to reporting. */
-  private static final long LIFT_MILLIS = 2_000;
+  private static final long MIN_QUIET_MILLIS = 2_000;
 
   /** Share of the quota's window below which VMs go back to reporting. */
-  private static final double LIFT_SHARE = 0.8;
+  private static final double RESUME_REPORTING_FRACTION = 0.8;
 
   /** Tokens of a VM that has not reported for so long have run out there or count as used. */
-  private static final long HELD_MILLIS = 2_000;
+  private static final long MAX_HELD_TOKENS_AGE_MILLIS = 2_000;
 
   private static final double MILLIS_PER_SECOND = 1_000;
 
   private static final class Reporter {
-    int number;
-    int total;
-    int recent;
-    int held;
-    long at;
+    int lastReportNumber;
+    int totalAdmitted;
+    int admittedInWindow;
+    int heldTokens;
+    long lastReportMillis;
   }
 
-  private final QuotaBounds bounds;
-  private final long countedSince;
+  private final QuotaTolerance tolerance;
+  private final long countedSinceMillis;
   private final Map<String, Reporter> reporters = new HashMap<>();
-  private final SlidingCount window;
-  private final SlidingCount lately;
-  private int held;
+  private final SlidingWindowCounter windowCount;
+  private final SlidingWindowCounter lastSecondCount;
+  private int heldTokens;
   private Quota quota;
-  private boolean limited;
-  private long refusedAt;
-  private long nextFreeAt;
+  private boolean tokensRequired;
+  private long lastRefusalMillis;
+  private long nextRetryMillis;
 
   /**
    * A coordinator that has no report yet.
    *
    * @param countedSince since when its VM knows what ran
    */
-  QuotaCoordinator(QuotaBounds bounds, Quota quota, long countedSince) {
-    this.bounds = bounds;
-    this.countedSince = countedSince;
+  QuotaCoordinator(QuotaTolerance bounds, Quota quota, long countedSince) {
+    this.tolerance = bounds;
+    this.countedSinceMillis = countedSince;
     this.quota = quota;
-    this.window = new SlidingCount(bounds.windowMillis());
-    this.lately = new SlidingCount((long) MILLIS_PER_SECOND);
-    this.limited = bounds.areExact();
+    this.windowCount = new SlidingWindowCounter(bounds.windowMillis());
+    this.lastSecondCount = new SlidingWindowCounter((long) MILLIS_PER_SECOND);
+    this.tokensRequired = bounds.isExact();
   }
 
   /** Puts a changed quota in force. */
-  void quota(Quota newer) {
+  void updateQuota(Quota newer) {
     quota = newer;
   }
 
   /** True while VMs need tokens. */
-  boolean isLimited() {
-    return limited;
+  boolean requiresTokens() {
+    return tokensRequired;
   }
 
   /** Takes a VM's report in and answers it. */
-  TokenGrant report(String vm, UsageReport report, long now) {
-    record(vm, report, now);
-    double used = used(now);
-    updateLimited(used, now);
-    if (!limited) {
-      return new TokenGrant(report.workspace(), report.number(), false, report.wanted(), 0);
+  TokenGrant answerReport(String vm, UsageReport report, long now) {
+    recordReport(vm, report, now);
+    double used = usedRequests(now);
+    updateTokensRequired(used, now);
+    if (!tokensRequired) {
+      return new TokenGrant(
+          report.workspace(), report.reportNumber(), false, report.wantedTokens(), 0);
     }
-    double room = bounds.served(quota) - used;
-    int tokens = (int) Math.max(0, Math.min(report.wanted(), Math.floor(room)));
-    hold(reporters.get(vm), report.held() + tokens);
+    double room = tolerance.admissionCeiling(quota) - used;
+    int tokens = (int) Math.max(0, Math.min(report.wantedTokens(), Math.floor(room)));
+    setHeldTokens(reporters.get(vm), report.heldTokens() + tokens);
     long retry = 0;
-    if (tokens < report.wanted()) {
-      retry = retryMillis(report.wanted() - tokens, now);
+    if (tokens < report.wantedTokens()) {
+      retry = retryAfterMillis(report.wantedTokens() - tokens, now);
     }
-    return new TokenGrant(report.workspace(), report.number(), true, tokens, retry);
+    return new TokenGrant(report.workspace(), report.reportNumber(), true, tokens, retry);
   }
 
-  private void record(String vm, UsageReport report, long now) {
+  private void recordReport(String vm, UsageReport report, long now) {
     Reporter known = reporters.computeIfAbsent(vm, name -> new Reporter());
-    int ran = ran(known, report);
-    window.add(ran, now);
-    lately.add(ran, now);
-    hold(known, report.held());
-    known.number = report.number();
-    known.total = report.total();
-    known.recent = report.recent();
-    known.at = now;
+    int ran = admittedSinceLastReport(known, report);
+    windowCount.add(ran, now);
+    lastSecondCount.add(ran, now);
+    setHeldTokens(known, report.heldTokens());
+    known.lastReportNumber = report.reportNumber();
+    known.totalAdmitted = report.totalAdmitted();
+    known.admittedInWindow = report.admittedInWindow();
+    known.lastReportMillis = now;
   }
 
   /**
@@ -113,14 +114,17 @@
    * time, or that has started again, all of the last window count; and never more than these, since
    * a VM may have reported to another coordinator meanwhile.
    */
-  private static int ran(Reporter known, UsageReport report) {
-    boolean continues = known.number > 0 && report.number() > known.number;
-    return continues ? Math.min(report.total() - known.total, report.recent()) : report.recent();
+  private static int admittedSinceLastReport(Reporter known, UsageReport report) {
+    boolean continues =
+        known.lastReportNumber > 0 && report.reportNumber() > known.lastReportNumber;
+    return continues
+        ? Math.min(report.totalAdmitted() - known.totalAdmitted, report.admittedInWindow())
+        : report.admittedInWindow();
   }
 
-  private void hold(Reporter reporter, int tokens) {
-    held += tokens - reporter.held;
-    reporter.held = tokens;
+  private void setHeldTokens(Reporter reporter, int tokens) {
+    heldTokens += tokens - reporter.heldTokens;
+    reporter.heldTokens = tokens;
   }
 
   /**
@@ -128,9 +132,12 @@
    * nobody knows what ran before: of the part of the window before this VM's start the whole quota
    * counts as used.
    */
-  private double used(long now) {
-    double unknown = Math.max(0, 1 - (double) (now - countedSince) / bounds.windowMillis());
-    return Math.max(window.count(now), reported()) + held + unknown * bounds.allowed(quota);
+  private double usedRequests(long now) {
+    double unknown =
+        Math.max(0, 1 - (double) (now - countedSinceMillis) / tolerance.windowMillis());
+    return Math.max(windowCount.count(now), reportedRequests())
+        + heldTokens
+        + unknown * tolerance.allowedRequests(quota);
   }
 
   /**
@@ -138,50 +145,53 @@
    * window has requests: one that falls silent is cut off, and may be let run as much by another
    * coordinator on its side of the cut.
    */
-  private int reported() {
+  private int reportedRequests() {
     int sum = 0;
-    if (limited) {
+    if (tokensRequired) {
       for (Reporter known : reporters.values()) {
-        sum += known.recent;
+        sum += known.admittedInWindow;
       }
     }
     return sum;
   }
 
-  private void updateLimited(double used, long now) {
-    double unseen = lately.count(now) * REACTION_MILLIS / MILLIS_PER_SECOND;
-    if (!limited) {
-      limited = used + unseen > bounds.served(quota);
-      if (limited) {
-        refusedAt = now;
-        nextFreeAt = now;
+  private void updateTokensRequired(double used, long now) {
+    double unseen = lastSecondCount.count(now) * REACTION_MILLIS / MILLIS_PER_SECOND;
+    if (!tokensRequired) {
+      tokensRequired = used + unseen > tolerance.admissionCeiling(quota);
+      if (tokensRequired) {
+        lastRefusalMillis = now;
+        nextRetryMillis = now;
       }
       return;
     }
-    if (bounds.areExact()) {
+    if (tolerance.isExact()) {
       return;
     }
-    boolean quiet = now - refusedAt > LIFT_MILLIS;
-    limited = !(quiet && used + unseen < LIFT_SHARE * bounds.allowed(quota));
+    boolean quiet = now - lastRefusalMillis > MIN_QUIET_MILLIS;
+    tokensRequired =
+        !(quiet && used + unseen < RESUME_REPORTING_FRACTION * tolerance.allowedRequests(quota));
   }
 
   /** Refused requests may come back one after the other, at the quota's rate. */
-  private long retryMillis(int refused, long now) {
-    refusedAt = now;
+  private long retryAfterMillis(int refused, long now) {
+    lastRefusalMillis = now;
     double each = MILLIS_PER_SECOND / quota.ratePerSecond();
-    nextFreeAt = Math.max(nextFreeAt, now) + (long) Math.ceil(refused * each);
-    nextFreeAt = Math.min(nextFreeAt, now + bounds.windowMillis());
-    return nextFreeAt - now;
+    nextRetryMillis = Math.max(nextRetryMillis, now) + (long) Math.ceil(refused * each);
+    nextRetryMillis = Math.min(nextRetryMillis, now + tolerance.windowMillis());
+    return nextRetryMillis - now;
   }
 
   /** Forgets tokens that have run out, and VMs that have not reported for two windows. */
-  void sweep(long now) {
+  void removeStale(long now) {
     for (Reporter known : reporters.values()) {
-      if (known.held > 0 && now - known.at > HELD_MILLIS) {
-        hold(known, 0);
+      if (known.heldTokens > 0 && now - known.lastReportMillis > MAX_HELD_TOKENS_AGE_MILLIS) {
+        setHeldTokens(known, 0);
       }
     }
-    reporters.values().removeIf(known -> now - known.at > 2 * bounds.windowMillis());
+    reporters
+        .values()
+        .removeIf(known -> now - known.lastReportMillis > 2 * tolerance.windowMillis());
   }
 
   /** True where no VM has reported lately, so that nothing is known that a new one would not. */
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaDecision.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaDecision.java
@@ -8,10 +8,10 @@
   /**
    * The workspace has used its quota.
    *
-   * @param retryMillis when there is room again
+   * @param retryAfterMillis when there is room again
    * @param detail what it was decided by, for the log
    */
-  record Refused(long retryMillis, String detail) implements QuotaDecision {}
+  record Refused(long retryAfterMillis, String detail) implements QuotaDecision {}
 
   /** Its coordinator is asked; the decision comes later. */
   record Pending() implements QuotaDecision {}
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/Quotas.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/Quotas.java
@@ -35,22 +35,22 @@
   public static final long TICK_MILLIS = 100;
 
   /** A path to another region and back, and a VM that is busy for a moment. */
-  private static final long ANSWER_MILLIS = 250;
+  private static final long ANSWER_TIMEOUT_MILLIS = 250;
 
   /** Reports without an answer before another coordinator is asked: datagrams may be lost. */
-  private static final int TRIES = 3;
+  private static final int MAX_REPORT_ATTEMPTS = 3;
 
   /** VMs that are asked one after the other before a VM goes on alone. */
-  private static final int COORDINATORS = 3;
+  private static final int MAX_COORDINATORS = 3;
 
   /** A coordinator that did not answer is asked again after this time. */
-  private static final long SUSPECT_MILLIS = 3_000;
+  private static final long COORDINATOR_RETRY_MILLIS = 3_000;
 
   /** Notices are repeated, since a datagram may be lost and VMs may start. */
-  private static final long NOTICE_MILLIS = 1_000;
+  private static final long NOTICE_INTERVAL_MILLIS = 1_000;
 
   /** The first notice is repeated after this time. */
-  private static final long SECOND_NOTICE_MILLIS = 200;
+  private static final long FIRST_NOTICE_REPEAT_MILLIS = 200;
 
   /** What the table needs of its surroundings. */
   public interface Peers {
@@ -58,7 +58,7 @@
     void send(String vm, QuotaMessage message);
 
     /** Calls {@link Quotas#tick} after {@link #TICK_MILLIS}. */
-    void wake();
+    void scheduleTick();
 
     /** No VM is reached, and nothing is looked at later. */
     static Peers none() {
@@ -67,57 +67,57 @@
         public void send(String vm, QuotaMessage message) {}
 
         @Override
-        public void wake() {}
+        public void scheduleTick() {}
       };
     }
   }
 
-  private static final class Counted {
+  private static final class MeteredWorkspace {
     final Workspace workspace;
     final WorkspaceMeter meter;
-    List<String> order = List.of();
-    int rank;
-    int tries;
-    long rankUntil;
+    List<String> coordinatorOrder = List.of();
+    int coordinatorIndex;
+    int failedAttempts;
+    long fallbackUntilMillis;
 
-    Counted(Workspace workspace, WorkspaceMeter meter) {
+    MeteredWorkspace(Workspace workspace, WorkspaceMeter meter) {
       this.workspace = workspace;
       this.meter = meter;
     }
   }
 
-  private static final class Coordinated {
+  private static final class CoordinatedWorkspace {
     final QuotaCoordinator coordinator;
-    long nextNoticeAt = Long.MIN_VALUE;
-    boolean noticed;
+    long nextNoticeMillis = Long.MIN_VALUE;
+    boolean noticeSent;
 
-    Coordinated(QuotaCoordinator coordinator) {
+    CoordinatedWorkspace(QuotaCoordinator coordinator) {
       this.coordinator = coordinator;
     }
   }
 
   private final String self;
-  private final long contactMillis;
+  private final long discoveryMillis;
   private Peers peers;
-  private final long startedAt;
-  private final Map<String, Counted> counted = new HashMap<>();
-  private final Map<String, Coordinated> coordinated = new LinkedHashMap<>();
-  private final Set<Counted> active = new LinkedHashSet<>();
+  private final long startedMillis;
+  private final Map<String, MeteredWorkspace> metered = new HashMap<>();
+  private final Map<String, CoordinatedWorkspace> coordinated = new LinkedHashMap<>();
+  private final Set<MeteredWorkspace> active = new LinkedHashSet<>();
   private Map<String, Workspace> workspaces = Map.of();
-  private List<String> live;
-  private QuotaBounds bounds;
-  private boolean awake;
-  private boolean everAnswered;
-  private long countedSince;
+  private List<String> liveVms;
+  private QuotaTolerance tolerance;
+  private boolean tickScheduled;
+  private boolean hasBeenAnswered;
+  private long countedSinceMillis;
 
-  private Quotas(String self, QuotaBounds bounds, long contactMillis, Peers peers, long now) {
+  private Quotas(String self, QuotaTolerance bounds, long contactMillis, Peers peers, long now) {
     this.self = self;
-    this.bounds = bounds;
-    this.contactMillis = contactMillis;
+    this.tolerance = bounds;
+    this.discoveryMillis = contactMillis;
     this.peers = peers;
-    this.startedAt = now;
-    this.countedSince = now;
-    this.live = List.of(self);
+    this.startedMillis = now;
+    this.countedSinceMillis = now;
+    this.liveVms = List.of(self);
   }
 
   /**
@@ -127,40 +127,40 @@
    * @param contactMillis time in which a VM that has started is known to all others
    */
   public static Quotas of(
-      String self, QuotaBounds bounds, long contactMillis, Peers peers, long now) {
+      String self, QuotaTolerance bounds, long contactMillis, Peers peers, long now) {
     return new Quotas(self, bounds, contactMillis, peers, now);
   }
 
   /** Keeps the quotas together with these VMs from now on. */
-  public void exchangeWith(Peers others) {
+  public void connectPeers(Peers others) {
     peers = others;
-    awake = false;
-    wake();
+    tickScheduled = false;
+    scheduleTick();
   }
 
   /** The whole system starts for the first time: nothing has run before. */
-  public void nothingRanBefore() {
-    countedSince = startedAt - bounds.windowMillis();
+  public void assumeNoPriorUse() {
+    countedSinceMillis = startedMillis - tolerance.windowMillis();
   }
 
   /** Puts newer bounds in force for workspaces that are counted from now on. */
-  public void bounds(QuotaBounds newer) {
-    bounds = newer;
+  public void updateTolerance(QuotaTolerance newer) {
+    tolerance = newer;
   }
 
   /** Follows the list of live VMs. */
-  public void live(Collection<String> names) {
-    live = List.copyOf(names);
-    counted.values().forEach(known -> known.order = List.of());
+  public void updateLiveVms(Collection<String> names) {
+    liveVms = List.copyOf(names);
+    metered.values().forEach(known -> known.coordinatorOrder = List.of());
   }
 
   /** Puts the workspaces of newer rules in force; what they have used counts on. */
-  public void workspaces(Map<String, Workspace> newer) {
+  public void updateWorkspaces(Map<String, Workspace> newer) {
     workspaces = newer;
-    counted.keySet().removeIf(name -> !newer.containsKey(name));
+    metered.keySet().removeIf(name -> !newer.containsKey(name));
     active.removeIf(known -> !newer.containsKey(known.workspace.name()));
     coordinated.keySet().removeIf(name -> !newer.containsKey(name));
-    coordinated.forEach((name, known) -> known.coordinator.quota(quota(name)));
+    coordinated.forEach((name, known) -> known.coordinator.updateQuota(quota(name)));
   }
 
   private Quota quota(String workspace) {
@@ -169,7 +169,8 @@
   }
 
   /**
-   * Decides whether a request may run. It counts from the decision on; see {@link #giveBack}.
+   * Decides whether a request may run. It counts from the decision on; see {@link
+   * #cancelAdmission}.
    *
    * @param later called with the decision where it is {@link QuotaDecision.Pending} at first
    */
@@ -178,76 +179,77 @@
     if (!quota.isLimited()) {
       return new QuotaDecision.Granted();
     }
-    Counted known = counted(workspace);
+    MeteredWorkspace known = meteredWorkspace(workspace);
     QuotaDecision decision = known.meter.admit(quota, now);
     if (decision instanceof QuotaDecision.Pending) {
-      known.meter.await(later, now);
+      known.meter.enqueue(later, now);
     }
     reportIfDue(known, now);
-    activate(known, now);
+    trackIfActive(known, now);
     return decision;
   }
 
   /** A request that was admitted is sent once more, having maybe run before. */
-  public void sentAgain(Workspace workspace, long now) {
-    adjust(workspace, 1, now);
+  public void recordResend(Workspace workspace, long now) {
+    adjustCount(workspace, 1, now);
   }
 
   /** A request that was admitted has not run and will not. */
-  public void giveBack(Workspace workspace, long now) {
-    adjust(workspace, -1, now);
+  public void cancelAdmission(Workspace workspace, long now) {
+    adjustCount(workspace, -1, now);
   }
 
-  private void adjust(Workspace workspace, int requests, long now) {
+  private void adjustCount(Workspace workspace, int requests, long now) {
     if (quota(workspace.name()).isLimited()) {
-      Counted known = counted(workspace);
-      known.meter.adjust(requests, now);
-      activate(known, now);
+      MeteredWorkspace known = meteredWorkspace(workspace);
+      known.meter.adjustCount(requests, now);
+      trackIfActive(known, now);
     }
   }
 
-  private Counted counted(Workspace workspace) {
-    return counted.computeIfAbsent(
-        workspace.name(), name -> new Counted(workspace, new WorkspaceMeter(name, bounds)));
+  private MeteredWorkspace meteredWorkspace(Workspace workspace) {
+    return metered.computeIfAbsent(
+        workspace.name(),
+        name -> new MeteredWorkspace(workspace, new WorkspaceMeter(name, tolerance)));
   }
 
-  private void activate(Counted known, long now) {
+  private void trackIfActive(MeteredWorkspace known, long now) {
     if (known.meter.isActive(now)) {
       active.add(known);
     }
-    wake();
+    scheduleTick();
   }
 
-  private void wake() {
-    if (!awake && (!active.isEmpty() || !coordinated.isEmpty())) {
-      awake = true;
-      peers.wake();
+  private void scheduleTick() {
+    if (!tickScheduled && (!active.isEmpty() || !coordinated.isEmpty())) {
+      tickScheduled = true;
+      peers.scheduleTick();
     }
   }
 
   /** Looks at what is open: sends reports that are due, goes to other coordinators, notices. */
   public void tick(long now) {
-    awake = false;
-    for (Counted known : new ArrayList<>(active)) {
-      lookAt(known, now);
+    tickScheduled = false;
+    for (MeteredWorkspace known : new ArrayList<>(active)) {
+      checkReport(known, now);
     }
     active.removeIf(known -> !known.meter.isActive(now));
-    for (Map.Entry<String, Coordinated> known : coordinated.entrySet()) {
-      known.getValue().coordinator.sweep(now);
-      notice(known.getKey(), known.getValue(), now);
+    for (Map.Entry<String, CoordinatedWorkspace> known : coordinated.entrySet()) {
+      known.getValue().coordinator.removeStale(now);
+      sendNotice(known.getKey(), known.getValue(), now);
     }
     coordinated.values().removeIf(known -> known.coordinator.isIdle());
-    wake();
+    scheduleTick();
   }
 
-  private void lookAt(Counted known, long now) {
-    long since = known.meter.unansweredSince();
-    if (since >= 0 && now - since >= ANSWER_MILLIS) {
-      known.meter.unanswered(now);
-      known.tries++;
-      if (known.tries >= TRIES) {
-        known.tries = 0;
-        goOn(known, now);
+  private void checkReport(MeteredWorkspace known, long now) {
+    long since = known.meter.awaitingAnswerSince();
+    if (since >= 0 && now - since >= ANSWER_TIMEOUT_MILLIS) {
+      known.meter.onReportTimeout(now);
+      known.failedAttempts++;
+      if (known.failedAttempts >= MAX_REPORT_ATTEMPTS) {
+        known.failedAttempts = 0;
+        tryNextCoordinator(known, now);
       }
     }
     known.meter.decideOverdue(now);
@@ -255,42 +257,42 @@
   }
 
   /** Goes to the next coordinator in order; behind the last one, on without any for a while. */
-  private void goOn(Counted known, long now) {
-    int last = order(known).size() - 1;
-    known.rankUntil = now + SUSPECT_MILLIS;
-    if (known.rank < last) {
-      known.rank++;
+  private void tryNextCoordinator(MeteredWorkspace known, long now) {
+    int last = coordinatorOrder(known).size() - 1;
+    known.fallbackUntilMillis = now + COORDINATOR_RETRY_MILLIS;
+    if (known.coordinatorIndex < last) {
+      known.coordinatorIndex++;
       return;
     }
-    known.rank = 0;
+    known.coordinatorIndex = 0;
     // The others do not know a VM that has just started, and pass its reports over.
-    if (everAnswered || now - startedAt >= contactMillis) {
-      known.meter.alone(quota(known.workspace.name()), now);
+    if (hasBeenAnswered || now - startedMillis >= discoveryMillis) {
+      known.meter.enterIsolation(quota(known.workspace.name()), now);
     }
   }
 
-  private List<String> order(Counted known) {
-    if (known.order.isEmpty()) {
-      List<String> all = Rendezvous.order(known.workspace.name(), live);
-      known.order = List.copyOf(all.subList(0, Math.min(COORDINATORS, all.size())));
+  private List<String> coordinatorOrder(MeteredWorkspace known) {
+    if (known.coordinatorOrder.isEmpty()) {
+      List<String> all = Rendezvous.order(known.workspace.name(), liveVms);
+      known.coordinatorOrder = List.copyOf(all.subList(0, Math.min(MAX_COORDINATORS, all.size())));
     }
-    return known.order;
+    return known.coordinatorOrder;
   }
 
-  private void reportIfDue(Counted known, long now) {
+  private void reportIfDue(MeteredWorkspace known, long now) {
     if (!known.meter.isReportDue(now)) {
       return;
     }
-    if (known.rank > 0 && now >= known.rankUntil) {
-      known.rank = 0;
+    if (known.coordinatorIndex > 0 && now >= known.fallbackUntilMillis) {
+      known.coordinatorIndex = 0;
     }
-    List<String> order = order(known);
-    String coordinator = order.get(Math.min(known.rank, order.size() - 1));
-    UsageReport report = known.meter.report(now);
+    List<String> order = coordinatorOrder(known);
+    String coordinator = order.get(Math.min(known.coordinatorIndex, order.size() - 1));
+    UsageReport report = known.meter.createReport(now);
     if (coordinator.equals(self)) {
-      TokenGrant answer = answer(self, report, now);
+      TokenGrant answer = answerReport(self, report, now);
       if (answer != null) {
-        granted(known, answer, now);
+        applyGrant(known, answer, now);
       }
       return;
     }
@@ -298,68 +300,71 @@
   }
 
   /** Takes a message of the VM of that name. */
-  public void received(String from, QuotaMessage message, long now) {
+  public void onMessage(String from, QuotaMessage message, long now) {
     if (message instanceof UsageReport report) {
-      TokenGrant answer = answer(from, report, now);
+      TokenGrant answer = answerReport(from, report, now);
       if (answer != null) {
         peers.send(from, answer);
       }
-      wake();
+      scheduleTick();
       return;
     }
     if (message instanceof TokenGrant grant) {
       Workspace workspace = workspaces.get(grant.workspace());
       if (workspace != null) {
-        everAnswered = true;
-        Counted known = counted(workspace);
-        granted(known, grant, now);
-        activate(known, now);
+        hasBeenAnswered = true;
+        MeteredWorkspace known = meteredWorkspace(workspace);
+        applyGrant(known, grant, now);
+        trackIfActive(known, now);
       }
     }
   }
 
-  private static void granted(Counted known, TokenGrant grant, long now) {
-    if (grant.number() != TokenGrant.NOTICE) {
-      known.tries = 0;
+  private static void applyGrant(MeteredWorkspace known, TokenGrant grant, long now) {
+    if (grant.reportNumber() != TokenGrant.NOTICE) {
+      known.failedAttempts = 0;
     }
-    known.meter.granted(grant, known.rank == 0, now);
+    known.meter.applyGrant(grant, known.coordinatorIndex == 0, now);
   }
 
   /** Answers a report; null where the workspace is not known here, or has no quota any more. */
-  private @Nullable TokenGrant answer(String from, UsageReport report, long now) {
+  private @Nullable TokenGrant answerReport(String from, UsageReport report, long now) {
     Quota quota = quota(report.workspace());
     if (!quota.isLimited()) {
       return null;
     }
-    Coordinated known =
+    CoordinatedWorkspace known =
         coordinated.computeIfAbsent(
             report.workspace(),
-            name -> new Coordinated(new QuotaCoordinator(bounds, quota, countedSince)));
-    TokenGrant answer = known.coordinator.report(from, report, now);
-    notice(report.workspace(), known, now);
+            name ->
+                new CoordinatedWorkspace(
+                    new QuotaCoordinator(tolerance, quota, countedSinceMillis)));
+    TokenGrant answer = known.coordinator.answerReport(from, report, now);
+    sendNotice(report.workspace(), known, now);
     return answer;
   }
 
-  private void notice(String workspace, Coordinated known, long now) {
-    if (!known.coordinator.isLimited()) {
-      known.noticed = false;
-      known.nextNoticeAt = Long.MIN_VALUE;
+  private void sendNotice(String workspace, CoordinatedWorkspace known, long now) {
+    if (!known.coordinator.requiresTokens()) {
+      known.noticeSent = false;
+      known.nextNoticeMillis = Long.MIN_VALUE;
       return;
     }
-    if (bounds.areExact() || now < known.nextNoticeAt) {
+    if (tolerance.isExact() || now < known.nextNoticeMillis) {
       return;
     }
-    known.nextNoticeAt = now + (known.noticed ? NOTICE_MILLIS : SECOND_NOTICE_MILLIS);
-    known.noticed = true;
+    known.nextNoticeMillis =
+        now + (known.noticeSent ? NOTICE_INTERVAL_MILLIS : FIRST_NOTICE_REPEAT_MILLIS);
+    known.noticeSent = true;
     TokenGrant notice = new TokenGrant(workspace, TokenGrant.NOTICE, true, 0, 0);
-    for (String vm : live) {
+    for (String vm : liveVms) {
       if (!vm.equals(self)) {
         peers.send(vm, notice);
       }
     }
     Workspace own = workspaces.get(workspace);
     if (own != null) {
-      granted(counted(own), notice, now);
+      applyGrant(meteredWorkspace(own), notice, now);
     }
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/routing/ApiKeys.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/routing/ApiKeys.java
@@ -43,7 +43,7 @@
   }
 
   /** The workspace that holds {@code key}. */
-  public Optional<Workspace> workspace(String key) {
+  public Optional<Workspace> workspaceOf(String key) {
     return Optional.ofNullable(byKey.get(key));
   }
 
@@ -75,12 +75,12 @@
         throw new IllegalArgumentException("two workspaces are named " + workspace.name());
       }
       for (String key : keys) {
-        hold(workspace, key);
+        addKey(workspace, key);
       }
       return this;
     }
 
-    private void hold(Workspace workspace, String key) {
+    private void addKey(Workspace workspace, String key) {
       if (key.isEmpty()) {
         throw new IllegalArgumentException("a key of workspace " + workspace.name() + " is empty");
       }
--- a/sageladder-core/src/main/java/org/sageladder/core/routing/RouteRule.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/routing/RouteRule.java
@@ -14,8 +14,8 @@
  * @param latencyGoalMillis time within which an answer is worth its full credit
  * @param priority rank; 0 is the highest
  * @param services services among which the requests are divided, with weights
- * @param mostTargets most targets to which one request may be sent
- * @param byObject true where a target that has handled the object recently is faster
+ * @param maxTargets most targets to which one request may be sent
+ * @param hasObjectAffinity true where a target that has handled the object recently is faster
  * @param regions regions in which requests may run; empty means all
  * @param anonymous true where requests need no API key
  */
@@ -28,8 +28,8 @@
     long latencyGoalMillis,
     int priority,
     List<ServiceShare> services,
-    int mostTargets,
-    boolean byObject,
+    int maxTargets,
+    boolean hasObjectAffinity,
     Set<String> regions,
     boolean anonymous) {
   /** Copies the collections, so that the rule cannot change. */
@@ -44,7 +44,7 @@
   }
 
   /** The same route, to other services. */
-  public RouteRule to(List<ServiceShare> others) {
+  public RouteRule withServices(List<ServiceShare> others) {
     return new RouteRule(
         name,
         host,
@@ -54,8 +54,8 @@
         latencyGoalMillis,
         priority,
         others,
-        mostTargets,
-        byObject,
+        maxTargets,
+        hasObjectAffinity,
         regions,
         anonymous);
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/routing/RoutingRules.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/routing/RoutingRules.java
@@ -94,7 +94,7 @@
   }
 
   /** Longest time that any service's targets stay cold; 0 without services. */
-  public long longestColdMillis() {
+  public long maxColdMillis() {
     return services.values().stream().mapToLong(ServiceRule::coldMillis).max().orElse(0);
   }
 
--- a/sageladder-core/src/main/java/org/sageladder/core/routing/WeightedTurns.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/routing/SmoothWeightedRoundRobin.java
@@ -12,14 +12,14 @@
  * the sum. After n requests each service is within one request of its exact part, which chance
  * would only reach to within the square root of n. Not safe for use by several threads.
  */
-public final class WeightedTurns {
+public final class SmoothWeightedRoundRobin {
   private final Map<String, Long> credit = new HashMap<>();
 
-  private WeightedTurns() {}
+  private SmoothWeightedRoundRobin() {}
 
   /** Turns that begin with the service of the highest weight. */
-  public static WeightedTurns create() {
-    return new WeightedTurns();
+  public static SmoothWeightedRoundRobin create() {
+    return new SmoothWeightedRoundRobin();
   }
 
   /** The service whose turn it is. {@code services} must not be empty. */
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/Gates.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/Gates.java
@@ -34,7 +34,7 @@
     time.advance(Duration.ofNanos(end - time.nanos()));
   }
 
-  AdmissionRequest within(Duration deadline) {
+  AdmissionRequest requestWithin(Duration deadline) {
     return new AdmissionRequest("r", time.nanos() + deadline.toNanos(), "", "");
   }
 
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/LinkShareTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/LinkRateLimiterTest.java
@@ -8,22 +8,22 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.contract.RequestClass;
 
-class LinkShareTest {
+class LinkRateLimiterTest {
   private static final long MILLI = Duration.ofMillis(1).toNanos();
 
-  private final LinkShare share = LinkShare.of(100, 0);
+  private final LinkRateLimiter share = LinkRateLimiter.of(100, 0);
 
   @Test
-  void criticalRequestsPassALinkThatOthersKeepFull() {
+  void criticalRequestsPassASaturatedLink() {
     // Overnight pulls and a rush of browsing fill a link far beyond its limit; then a lot closes
     // and bids come from the same region. They must not queue behind what can wait.
     int critical = 0;
     int others = 0;
     for (int milli = 0; milli < 10_000; milli++) {
-      others += share.take(RequestClass.BACKGROUND, milli * MILLI) ? 1 : 0;
-      others += share.take(RequestClass.INTERACTIVE, milli * MILLI) ? 1 : 0;
+      others += share.tryAcquire(RequestClass.BACKGROUND, milli * MILLI) ? 1 : 0;
+      others += share.tryAcquire(RequestClass.INTERACTIVE, milli * MILLI) ? 1 : 0;
       boolean bid = milli >= 5_000 && milli % 20 == 0;
-      critical += bid && share.take(RequestClass.CRITICAL, milli * MILLI) ? 1 : 0;
+      critical += bid && share.tryAcquire(RequestClass.CRITICAL, milli * MILLI) ? 1 : 0;
     }
     assertEquals(250, critical, "50 a second fit into a limit of 100");
     assertTrue(critical + others <= 1_100, "passed " + (critical + others));
@@ -31,30 +31,30 @@
   }
 
   @Test
-  void backgroundYieldsToInteractiveWork() {
+  void backgroundYieldsToInteractive() {
     int background = 0;
     for (int milli = 0; milli < 10_000; milli++) {
       boolean late = milli >= 2_000;
-      boolean passed = share.take(RequestClass.BACKGROUND, milli * MILLI);
+      boolean passed = share.tryAcquire(RequestClass.BACKGROUND, milli * MILLI);
       background += late && passed ? 1 : 0;
-      share.take(RequestClass.INTERACTIVE, milli * MILLI);
+      share.tryAcquire(RequestClass.INTERACTIVE, milli * MILLI);
     }
     assertEquals(0, background);
   }
 
   @Test
-  void hintIsWhenTheNextOnePasses() {
-    while (share.take(RequestClass.INTERACTIVE, 0)) {
-      assertEquals(Duration.ZERO, share.comeBack(RequestClass.CRITICAL, 0));
+  void retryAfterIsWhenTheNextRequestIsAdmitted() {
+    while (share.tryAcquire(RequestClass.INTERACTIVE, 0)) {
+      assertEquals(Duration.ZERO, share.retryAfter(RequestClass.CRITICAL, 0));
     }
-    long hint = share.comeBack(RequestClass.INTERACTIVE, 0).toNanos();
-    assertFalse(share.take(RequestClass.INTERACTIVE, hint - MILLI));
-    assertTrue(share.take(RequestClass.INTERACTIVE, hint + MILLI));
+    long hint = share.retryAfter(RequestClass.INTERACTIVE, 0).toNanos();
+    assertFalse(share.tryAcquire(RequestClass.INTERACTIVE, hint - MILLI));
+    assertTrue(share.tryAcquire(RequestClass.INTERACTIVE, hint + MILLI));
   }
 
   @Test
-  void closedLinkLetsNothingThrough() {
-    LinkShare closed = LinkShare.of(0, 0);
-    assertFalse(closed.take(RequestClass.CRITICAL, Duration.ofHours(1).toNanos()));
+  void zeroRateAdmitsNothing() {
+    LinkRateLimiter closed = LinkRateLimiter.of(0, 0);
+    assertFalse(closed.tryAcquire(RequestClass.CRITICAL, Duration.ofHours(1).toNanos()));
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/RateHistoryTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/RateHistoryTest.java
@@ -7,38 +7,43 @@
 import org.junit.jupiter.api.Test;
 
 class RateHistoryTest {
-  private static final int UNITS = 40;
+  private static final int GAIN_LIMIT = 40;
   private static final int WINDOWS = 6;
-  private static final long STEP = Duration.ofSeconds(1).toNanos();
+  private static final long STEP_NANOS = Duration.ofSeconds(1).toNanos();
 
   @Test
-  void placeUnderFullDemandUsesItsWholeGainInEachWindow() {
+  void wholeGainIsUsedInEachWindowUnderFullDemand() {
     // A service starts cold under more demand than its cap lets in. It uses the gain of a window
     // in the first eight steps; the pace of the next window once began at that of the one before,
     // so each window lost a part of its gain and the climb to full load took longer than the cap.
-    RateHistory history = RateHistory.create(Duration.ofNanos(STEP * RateHistory.STEPS), 0);
+    RateHistory history =
+        RateHistory.create(Duration.ofNanos(STEP_NANOS * RateHistory.STEPS_PER_WINDOW), 0);
     for (int window = 1; window <= WINDOWS; window++) {
-      for (int step = 0; step < RateHistory.STEPS; step++) {
-        history.rollTo(((long) (window - 1) * RateHistory.STEPS + step) * STEP);
+      for (int step = 0; step < RateHistory.STEPS_PER_WINDOW; step++) {
+        history.advanceTo(((long) (window - 1) * RateHistory.STEPS_PER_WINDOW + step) * STEP_NANOS);
         fillStep(history);
         assertTrue(
-            history.recent() - history.before() <= UNITS, "window " + window + " step " + step);
+            history.windowCount() - history.previousWindowCount() <= GAIN_LIMIT,
+            "window " + window + " step " + step);
       }
-      assertEquals(window * UNITS, history.recent(), "requests of window " + window);
+      assertEquals(window * GAIN_LIMIT, history.windowCount(), "requests of window " + window);
     }
   }
 
   @Test
-  void noStepTakesAWholeWindowsGain() {
-    RateHistory history = RateHistory.create(Duration.ofNanos(STEP * RateHistory.STEPS), 0);
+  void oneStepCannotUseAWholeWindowsGain() {
+    RateHistory history =
+        RateHistory.create(Duration.ofNanos(STEP_NANOS * RateHistory.STEPS_PER_WINDOW), 0);
     fillStep(history);
-    assertEquals(UNITS / 8, history.inPart());
+    assertEquals(GAIN_LIMIT / 8, history.intervalCount());
   }
 
   private static void fillStep(RateHistory history) {
-    int limit = RateHistory.paceLimit(history.before(), history.windowAgo(), UNITS);
-    while (history.worstGrowth() < UNITS && history.inPart() < limit) {
-      history.add();
+    int limit =
+        RateHistory.paceLimit(
+            history.previousWindowCount(), history.intervalCountOneWindowAgo(), GAIN_LIMIT);
+    while (history.maxProjectedGrowth() < GAIN_LIMIT && history.intervalCount() < limit) {
+      history.recordAdmission();
     }
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/RetryBudgetTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/RetryBudgetTest.java
@@ -8,38 +8,38 @@
 
 class RetryBudgetTest {
   @Test
-  void stormOfFailuresIsNotMultiplied() {
+  void retriesDoNotMultiplyAnOverload() {
     // All targets fail, and each of 1000 requests wants three retries. Without a bound the targets
     // would see 4000 requests at the very moment they can carry least.
     RetryBudget budget = RetryBudget.of(0.1);
     int sent = 0;
     for (int i = 0; i < 1000; i++) {
-      budget.firstTry();
+      budget.recordFirstAttempt();
       sent++;
-      for (int retry = 0; retry < 3 && budget.takeRetry(); retry++) {
+      for (int retry = 0; retry < 3 && budget.tryAcquireRetry(); retry++) {
         sent++;
       }
     }
     assertTrue(sent <= 1101, "sent " + sent);
-    assertEquals(1000, budget.numbers().firstTries());
-    assertTrue(budget.numbers().retries() >= 99);
+    assertEquals(1000, budget.counts().firstAttempts());
+    assertTrue(budget.counts().retries() >= 99);
   }
 
   @Test
-  void quietTimeDoesNotPayForAStorm() {
+  void savedRetriesAreBounded() {
     RetryBudget budget = RetryBudget.of(1);
     for (int i = 0; i < 10_000; i++) {
-      budget.firstTry();
+      budget.recordFirstAttempt();
     }
     int retries = 0;
-    while (budget.takeRetry()) {
+    while (budget.tryAcquireRetry()) {
       retries++;
     }
-    assertEquals(RetryBudget.MOST_SAVED, retries);
+    assertEquals(RetryBudget.MAX_SAVED_RETRIES, retries);
   }
 
   @Test
-  void fractionOutsideZeroToOneIsRefusedWithAnExample() {
+  void fractionOutsideZeroToOneIsRejected() {
     assertThrows(IllegalArgumentException.class, () -> RetryBudget.of(1.5));
     assertThrows(IllegalArgumentException.class, () -> RetryBudget.of(Double.NaN));
   }
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/ServiceGateTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/ServiceGateTest.java
@@ -24,61 +24,61 @@
   private final List<Admission> decisions = new ArrayList<>();
 
   @Test
-  void slotsOfATargetAreNeverExceededAndWaitsAreBounded() {
+  void slotLimitAndQueueLimitHold() {
     // A caller burst of 20 meets one target of 3 slots: were the gate to count wrongly, the target
     // would run more than its slots and shed work that had already been told it was admitted.
     holdWarm(1, 3);
     for (int i = 0; i < 20; i++) {
-      gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
+      gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     }
-    assertEquals(3, gate.busy());
-    assertEquals(4, gate.queued());
+    assertEquals(3, gate.busySlots());
+    assertEquals(4, gate.queuedCount());
     assertEquals(13, refusals(ResultCode.QUEUE_FULL));
   }
 
   @Test
-  void waitingRequestGetsTheSlotThatComesFree() {
-    gate.holdings(Gates.holdings(1, 1));
-    gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
-    gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
+  void waitingRequestGetsTheFreedSlot() {
+    gate.updateHoldings(Gates.holdings(1, 1));
+    gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
+    gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     assertEquals(1, decisions.size());
     slot(0).release(Admission.Completion.ANSWERED);
     assertEquals(2, decisions.size());
-    assertEquals(1, gate.busy());
+    assertEquals(1, gate.busySlots());
     slot(0).release(Admission.Completion.ANSWERED);
-    assertEquals(1, gate.busy(), "a second release of one slot must not free another");
+    assertEquals(1, gate.busySlots(), "a second release of one slot must not free another");
   }
 
   @Test
-  void waitEndsAtItsDeadlineWithATrueRefusal() {
-    gate.holdings(Gates.holdings(1, 1));
-    gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
-    gate.request(gates.within(Duration.ofMillis(200)), decisions::add);
+  void waitEndsAtItsDeadlineWithARefusal() {
+    gate.updateHoldings(Gates.holdings(1, 1));
+    gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
+    gate.request(gates.requestWithin(Duration.ofMillis(200)), decisions::add);
     gates.advance(Duration.ofMillis(199));
     assertEquals(1, decisions.size());
     gates.advance(Duration.ofMillis(2));
     assertEquals(1, refusals(ResultCode.QUEUE_DEADLINE));
     slot(0).release(Admission.Completion.ANSWERED);
-    assertEquals(0, gate.busy(), "a refused request must not get a slot afterwards");
+    assertEquals(0, gate.busySlots(), "a refused request must not get a slot afterwards");
   }
 
   @Test
-  void leavingTargetGetsNoNewWorkAndKeepsWhatItHas() {
+  void drainingTargetGetsNoNewWorkAndKeepsRequestsInFlight() {
     // The platform announces a stop while two requests run: the list still names the target later
     // on, and a gate that believed it again would send work to a VM about to end.
     holdWarm(1, 3);
-    gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
-    gate.targetLoad("t0", 1, 3, true, gates.time.nanos());
-    gate.holdings(Gates.holdings(1, 3));
-    gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
+    gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
+    gate.onLoadReport("t0", 1, 3, true, gates.time.nanos());
+    gate.updateHoldings(Gates.holdings(1, 3));
+    gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     assertEquals(1, refusals(ResultCode.NO_TARGET));
-    assertEquals(1, gate.busy());
+    assertEquals(1, gate.busySlots());
     slot(0).release(Admission.Completion.ANSWERED);
-    assertEquals(0, gate.busy());
+    assertEquals(0, gate.busySlots());
   }
 
   @Test
-  void callerThatComesBackWhenToldFindsTheCapOpen() {
+  void retryAfterIsWhenTheCapAllowsTheRequest() {
     // A cold service has used its gain for this window. Callers were told to come back after what
     // the queue takes, a few milliseconds, and so asked hundreds of times in vain until the cap
     // gave way seconds later.
@@ -90,7 +90,7 @@
             gates.time,
             gates,
             EventSink.none());
-    capped.holdings(Gates.holdings(1, 3));
+    capped.updateHoldings(Gates.holdings(1, 3));
     Duration hint = fillUntilCapped(capped);
     assertTrue(hint.compareTo(Duration.ofSeconds(1)) > 0, "the cap opens seconds later: " + hint);
     gates.advance(hint.minusMillis(1_001));
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void leavingTargetsPartOfTheGainGoesToItsNeighbours() {
+  void gainOfDrainingTargetGoesToOtherTargets() {
     // An operator drains a target while bids surge. All bids of the gate go to its other target,
     // which had only its own part of the region's gain: dealers waited a second each and were
     // refused, though the region used two thirds of what its contract allows.
@@ -114,8 +114,8 @@
             gates.time,
             gates,
             EventSink.none());
-    surging.holdings(List.of(Gates.holding("t0", 4), Gates.holding("t1", 4)));
-    surging.targetLoad("t0", 0, 4, true, gates.time.nanos());
+    surging.updateHoldings(List.of(Gates.holding("t0", 4), Gates.holding("t1", 4)));
+    surging.onLoadReport("t0", 0, 4, true, gates.time.nanos());
     int admitted = 0;
     for (int tenth = 0; tenth < 100; tenth++) {
       while (askOnce(surging) == ResultCode.OK) {
@@ -138,9 +138,9 @@
             gates.time,
             gates,
             EventSink.none(),
-            WaitBudget.of(10),
+            QueueBudget.of(10),
             holding -> holding.slots() / 2);
-    cutOff.holdings(Gates.holdings(1, 4));
+    cutOff.updateHoldings(Gates.holdings(1, 4));
     int admitted = 0;
     for (int second = 0; second < 10; second++) {
       while (askOnce(cutOff) == ResultCode.OK) {
@@ -152,23 +152,23 @@
   }
 
   @Test
-  void requestThatCannotOutlastATakeOverIsToldSoAtOnce() {
+  void requestThatCannotOutlastATakeoverIsRefusedAtOnce() {
     // A target has moved here and may get no work for a window. Requests were let wait for their
     // whole queue time, though it was certain from the start that none would be served.
-    gate.holdings(Gates.holdings(1, 3), Set.of("t0"));
-    gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
+    gate.updateHoldings(Gates.holdings(1, 3), Set.of("t0"));
+    gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     assertEquals(1, refusals(ResultCode.SHIFT_CAP));
     Admission.Refused refused = (Admission.Refused) decisions.get(0);
     gates.advance(refused.result().retryAfter());
-    gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
-    assertEquals(1, gate.busy());
+    gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
+    assertEquals(1, gate.busySlots());
   }
 
   /** Uses up what the caps let in, with an answer after each; the hint of the refusal at last. */
   private Duration fillUntilCapped(ServiceGate capped) {
     for (int second = 0; second < 10; second++) {
       while (askOnce(capped) == ResultCode.OK) {
-        assertEquals(0, capped.busy());
+        assertEquals(0, capped.busySlots());
       }
       Admission.Refused refused = (Admission.Refused) decisions.get(decisions.size() - 1);
       if (refused.result().retryAfter().compareTo(Duration.ofSeconds(1)) > 0) {
@@ -196,94 +196,95 @@
 
   @Test
   void retryDoesNotGoToTheTargetThatFailed() {
-    gate.holdings(Gates.holdings(1, 3));
+    gate.updateHoldings(Gates.holdings(1, 3));
     AdmissionRequest retry =
         new AdmissionRequest("r", gates.time.nanos() + 1_000_000_000L, "t0", "");
     gate.request(retry, decisions::add);
     assertEquals(1, refusals(ResultCode.NO_TARGET), "waiting for the one target is no use");
-    gate.holdings(Gates.holdings(2, 3));
+    gate.updateHoldings(Gates.holdings(2, 3));
     gate.request(retry, decisions::add);
     assertEquals("t1", slot(1).target().target());
   }
 
   @Test
   void targetLostWhileWorkRunsStillCountsWhenItComesBack() {
-    gate.holdings(Gates.holdings(1, 1));
-    gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
-    gate.holdings(List.of());
-    gate.holdings(Gates.holdings(1, 1));
-    gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
-    assertEquals(1, gate.busy("t0"), "the slot in use was forgotten");
-    assertEquals(1, gate.queued());
+    gate.updateHoldings(Gates.holdings(1, 1));
+    gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
+    gate.updateHoldings(List.of());
+    gate.updateHoldings(Gates.holdings(1, 1));
+    gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
+    assertEquals(1, gate.inFlight("t0"), "the slot in use was forgotten");
+    assertEquals(1, gate.queuedCount());
   }
 
   @Test
   void closedGateRefusesWaitsAndNewWork() {
-    gate.holdings(Gates.holdings(1, 1));
-    gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
-    gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
+    gate.updateHoldings(Gates.holdings(1, 1));
+    gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
+    gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     gate.close();
-    gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
+    gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     assertEquals(2, refusals(ResultCode.STOPPING));
-    assertEquals(1, gate.busy());
+    assertEquals(1, gate.busySlots());
   }
 
   @Test
   void cancelledWaitIsNeverAnswered() {
-    gate.holdings(Gates.holdings(1, 1));
-    gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
-    Gate.Cancellable wait = gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
+    gate.updateHoldings(Gates.holdings(1, 1));
+    gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
+    Gate.Cancellable wait =
+        gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     assertTrue(wait.cancel());
     slot(0).release(Admission.Completion.ANSWERED);
     gates.advance(Duration.ofSeconds(6));
     assertEquals(1, decisions.size());
-    assertEquals(0, gate.busy());
+    assertEquals(0, gate.busySlots());
     assertFalse(wait.cancel());
   }
 
   @Test
   void coldTargetStartsWithOneSlotAndGainsOneWithEachAnswer() {
-    gate.holdings(Gates.holdings(1, 3));
-    assertEquals(1, gate.slots());
-    gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
+    gate.updateHoldings(Gates.holdings(1, 3));
+    assertEquals(1, gate.usableSlots());
+    gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     slot(0).release(Admission.Completion.ANSWERED);
-    assertEquals(2, gate.slots());
+    assertEquals(2, gate.usableSlots());
   }
 
   @Test
-  void refusalsOutweighAReportThatSaysIdle() {
+  void refusalsOverrideAReportOfIdle() {
     // The target's load endpoint answers "idle" from a cache while the target sheds all work. A
     // gate that believed the report would send it request after request, each refused.
     holdWarm(1, 3);
-    gate.targetLoad("t0", 0, 3, false, gates.time.nanos());
+    gate.onLoadReport("t0", 0, 3, false, gates.time.nanos());
     int sent = decisions.size();
     for (int i = 0; i < 50; i++) {
-      gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
+      gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
       releaseLast(Admission.Completion.REFUSED);
       gates.advance(Duration.ofMillis(20));
-      gate.targetLoad("t0", 0, 3, false, gates.time.nanos());
+      gate.onLoadReport("t0", 0, 3, false, gates.time.nanos());
     }
     assertTrue(admissions() - sent <= 5, "sent to a shedding target: " + (admissions() - sent));
   }
 
   @Test
-  void reportOfFullNeverTakesTheLastSlot() {
+  void reportOfFullLeavesOneSlot() {
     // A target reports all slots busy for ever although it is idle. Were the report believed whole,
     // the target would get nothing, and nothing would ever show that the report is wrong.
     holdWarm(1, 3);
-    gate.targetLoad("t0", 3, 3, false, gates.time.nanos());
-    assertEquals(1, gate.slots());
+    gate.onLoadReport("t0", 3, 3, false, gates.time.nanos());
+    assertEquals(1, gate.usableSlots());
     gates.advance(Duration.ofSeconds(3));
-    assertEquals(3, gate.slots(), "an old report must lose its weight");
+    assertEquals(3, gate.usableSlots(), "an old report must lose its weight");
   }
 
   @Test
-  void targetThatCutsAnswersIsProbedAndNotFed() {
+  void targetThatCutsAnswersIsOnlyProbed() {
     holdWarm(2, 3);
     int sent = decisions.size();
     int toBroken = 0;
     for (int i = 0; i < 100; i++) {
-      gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
+      gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
       boolean broken = last().target().target().equals("t0");
       toBroken += broken ? 1 : 0;
       releaseLast(broken ? Admission.Completion.LOST : Admission.Completion.ANSWERED);
@@ -294,27 +295,27 @@
   }
 
   @Test
-  void backgroundWaitsAreShedBeforeCriticalOnes() {
+  void backgroundRequestsAreShedBeforeCriticalOnes() {
     // One entry VM carries overnight pulls and bids. The pulls fill its waiting places; a bid that
     // came next would be turned away for work that could as well run hours later.
-    WaitBudget budget = WaitBudget.of(4);
+    QueueBudget budget = QueueBudget.of(4);
     ServiceGate pulls = gateOf(RequestClass.BACKGROUND, budget);
     ServiceGate bids = gateOf(RequestClass.CRITICAL, budget);
     for (ServiceGate each : List.of(pulls, bids)) {
-      each.holdings(Gates.holdings(1, 1));
+      each.updateHoldings(Gates.holdings(1, 1));
       for (int i = 0; i < 4; i++) {
-        each.request(gates.within(Duration.ofSeconds(5)), decisions::add);
+        each.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
       }
     }
-    assertEquals(2, pulls.queued());
+    assertEquals(2, pulls.queuedCount());
     assertEquals(1, refusals(ResultCode.BACKGROUND_SHED));
-    assertEquals(2, bids.queued());
+    assertEquals(2, bids.queuedCount());
     bids.close();
     pulls.close();
-    assertEquals(0, budget.waiting(), "places of refused waits must come back");
+    assertEquals(0, budget.waitingCount(), "places of refused waits must come back");
   }
 
-  private ServiceGate gateOf(RequestClass requestClass, WaitBudget budget) {
+  private ServiceGate gateOf(RequestClass requestClass, QueueBudget budget) {
     return ServiceGate.create(
         "c",
         Gates.service(requestClass),
@@ -327,15 +328,15 @@
 
   /** Holds targets that have answered often enough to be given all their slots. */
   private void holdWarm(int targets, int slots) {
-    gate.holdings(Gates.holdings(targets, slots));
+    gate.updateHoldings(Gates.holdings(targets, slots));
     for (int i = 0; i < targets * slots; i++) {
-      gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
+      gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
       releaseLast(Admission.Completion.ANSWERED);
     }
-    if (gate.slots() < targets * slots) {
+    if (gate.usableSlots() < targets * slots) {
       warmTheRest(targets, slots);
     }
-    assertEquals(targets * slots, gate.slots());
+    assertEquals(targets * slots, gate.usableSlots());
     decisions.clear();
   }
 
@@ -343,7 +344,7 @@
     for (int round = 0; round < slots; round++) {
       List<Admission.Slot> taken = new ArrayList<>();
       for (int i = 0; i < targets * slots; i++) {
-        gate.request(gates.within(Duration.ofSeconds(5)), decisions::add);
+        gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
       }
       for (Admission decision : List.copyOf(decisions)) {
         if (decision instanceof Admission.Admitted yes) {
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/ShiftCapProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/ShiftCapProperties.java
@@ -22,7 +22,7 @@
 /** The caps on shifts, checked by a counter that is slow and plainly right. */
 class ShiftCapProperties {
   /** Parts of a window in which demand is steady, and parts of such a part. */
-  private static final int PARTS = 10;
+  private static final int TICKS_PER_STEP = 10;
 
   private static final int TARGETS = 4;
   private static final int SLOTS = 3;
@@ -32,7 +32,7 @@
   private final Map<String, List<Long>> admissions = new HashMap<>();
   private final Map<String, String> lastHolder = new HashMap<>();
   private final Map<String, Integer> inFlight = new HashMap<>();
-  private Random messages = new Random(0);
+  private Random deliveryRandom = new Random(0);
 
   /**
    * A region of two gates meets random demand, slow and fast, while targets move between the gates,
@@ -41,7 +41,7 @@
    * gain that the contract allows.
    */
   @Property(tries = 60, seed = "20461")
-  void noWindowOutgrowsTheWindowBefore(
+  void windowGrowthStaysWithinCap(
       @ForAll long seed,
       @ForAll @DoubleRange(min = 0.1, max = 0.5) double gain,
       @ForAll @IntRange(min = 1, max = 10) int windowSeconds) {
@@ -51,7 +51,7 @@
 
   private void runRegion(long seed, double gain, int windowSeconds) {
     Random random = new Random(seed);
-    messages = new Random(seed + 1);
+    deliveryRandom = new Random(seed + 1);
     Contract.ShiftCap cap = new Contract.ShiftCap(gain, Duration.ofSeconds(windowSeconds));
     Contract.ShiftCap targetCap =
         new Contract.ShiftCap(2 * gain, Duration.ofSeconds(windowSeconds));
@@ -59,7 +59,7 @@
     ServiceGate[] region = {gate(service), gate(service)};
     String[] holderOf = new String[TARGETS];
     moveTargets(region, holderOf, random);
-    int steps = 60 * PARTS;
+    int steps = 60 * TICKS_PER_STEP;
     double perStep = 1;
     for (int step = 0; step < steps; step++) {
       if (random.nextInt(40) == 0) {
@@ -71,7 +71,7 @@
       if (random.nextInt(150) == 0) {
         restart(region, holderOf, random.nextInt(2), service);
       }
-      demand(region, perStep, random, windowSeconds);
+      sendRequests(region, perStep, random, windowSeconds);
     }
     double targetGain = 2 * gain * TARGET_CAPACITY * windowSeconds;
     for (Map.Entry<String, List<Long>> target : admissions.entrySet()) {
@@ -93,17 +93,17 @@
         holderOf[i] = String.valueOf(random.nextInt(2));
       }
     }
-    tell(region, holderOf, -1);
+    updateHoldings(region, holderOf, -1);
   }
 
   private void restart(
       ServiceGate[] region, String[] holderOf, int which, Contract.Service service) {
     region[which].close();
     region[which] = gate(service);
-    tell(region, holderOf, which);
+    updateHoldings(region, holderOf, which);
   }
 
-  private void tell(ServiceGate[] region, String[] holderOf, int restarted) {
+  private void updateHoldings(ServiceGate[] region, String[] holderOf, int restarted) {
     for (int gate = 0; gate < region.length; gate++) {
       List<Holding> held = new ArrayList<>();
       Set<String> takenOver = new TreeSet<>();
@@ -117,39 +117,42 @@
           takenOver.add("t" + i);
         }
       }
-      region[gate].holdings(held, takenOver);
+      region[gate].updateHoldings(held, takenOver);
     }
     for (int i = 0; i < TARGETS; i++) {
       String previous = lastHolder.put("t" + i, holderOf[i]);
       if (previous != null && !previous.equals(holderOf[i])) {
-        tellHistory(region[Integer.parseInt(previous)], region[Integer.parseInt(holderOf[i])], i);
+        transferHistory(
+            region[Integer.parseInt(previous)], region[Integer.parseInt(holderOf[i])], i);
       }
     }
   }
 
-  private void tellHistory(ServiceGate from, ServiceGate to, int target) {
-    int copies = messages.nextInt(3);
-    from.handOver("t" + target)
+  private void transferHistory(ServiceGate from, ServiceGate to, int target) {
+    int copies = deliveryRandom.nextInt(3);
+    from.exportHistory("t" + target)
         .ifPresent(
             history -> {
               for (int i = 0; i < copies; i++) {
-                to.learn(history);
+                to.importHistory(history);
               }
             });
   }
 
-  private void demand(ServiceGate[] region, double perStep, Random random, int windowSeconds) {
+  private void sendRequests(
+      ServiceGate[] region, double perStep, Random random, int windowSeconds) {
     Duration tick = Duration.ofMillis(10L * windowSeconds);
-    for (int i = 0; i < PARTS; i++) {
-      int arrivals = (int) (perStep / PARTS + random.nextDouble());
+    for (int i = 0; i < TICKS_PER_STEP; i++) {
+      int arrivals = (int) (perStep / TICKS_PER_STEP + random.nextDouble());
       for (int n = 0; n < arrivals; n++) {
-        region[random.nextInt(2)].request(gates.within(Duration.ofMillis(500)), this::count);
+        region[random.nextInt(2)].request(
+            gates.requestWithin(Duration.ofMillis(500)), this::recordAdmission);
       }
       gates.advance(tick);
     }
   }
 
-  private void count(Admission admission) {
+  private void recordAdmission(Admission admission) {
     if (admission instanceof Admission.Admitted yes) {
       admissions
           .computeIfAbsent(yes.slot().target().target(), name -> new ArrayList<>())
@@ -157,30 +160,30 @@
       String target = yes.slot().target().target();
       int running = inFlight.merge(target, 1, Integer::sum);
       assertTrue(running <= SLOTS, target + " runs " + running + " requests");
-      gates.runAfter(Duration.ofMillis(100), () -> answer(yes.slot()));
+      gates.runAfter(Duration.ofMillis(100), () -> complete(yes.slot()));
     }
   }
 
-  private void answer(Admission.Slot slot) {
+  private void complete(Admission.Slot slot) {
     inFlight.merge(slot.target().target(), -1, Integer::sum);
     slot.release(Admission.Completion.ANSWERED);
   }
 
   /** Counts every window that ends with a step, and the one before it. */
   private static void assertCap(List<Long> times, int gain, int windowSeconds, String place) {
-    long stepNanos = windowSeconds * 1_000_000_000L / RateHistory.STEPS;
+    long stepNanos = windowSeconds * 1_000_000_000L / RateHistory.STEPS_PER_WINDOW;
     Map<Long, Integer> perStep = new HashMap<>();
     long lastStep = 0;
     for (long time : times) {
       perStep.merge(time / stepNanos, 1, Integer::sum);
       lastStep = Math.max(lastStep, time / stepNanos);
     }
-    for (long end = 0; end <= lastStep + RateHistory.STEPS; end++) {
+    for (long end = 0; end <= lastStep + RateHistory.STEPS_PER_WINDOW; end++) {
       int window = 0;
       int before = 0;
-      for (int back = 0; back < RateHistory.STEPS; back++) {
+      for (int back = 0; back < RateHistory.STEPS_PER_WINDOW; back++) {
         window += perStep.getOrDefault(end - back, 0);
-        before += perStep.getOrDefault(end - back - RateHistory.STEPS, 0);
+        before += perStep.getOrDefault(end - back - RateHistory.STEPS_PER_WINDOW, 0);
       }
       assertTrue(
           window <= before + gain,
--- a/sageladder-core/src/test/java/org/sageladder/core/quota/QuotaModel.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/quota/QuotaModel.java
@@ -13,41 +13,41 @@
 
 /** Entry VMs in three regions that keep one workspace's quota together, on virtual time. */
 final class QuotaModel {
-  static final QuotaBounds BOUNDS = new QuotaBounds(5_000, 0.1, 20);
+  static final QuotaTolerance BOUNDS = new QuotaTolerance(5_000, 0.1, 20);
 
-  private static final long BETWEEN_REGIONS_MILLIS = 55;
+  private static final long CROSS_REGION_MILLIS = 55;
   private static final int REGIONS = 3;
 
   /** Decides at one VM: the ways that are compared. */
   @FunctionalInterface
-  interface Way {
-    void ask(int vm, long now, java.util.function.Consumer<QuotaDecision> then);
+  interface Admitter {
+    void admit(int vm, long now, java.util.function.Consumer<QuotaDecision> then);
   }
 
-  private record Event(long at, long order, Runnable task) {}
+  private record Event(long atMillis, long order, Runnable task) {}
 
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
-          java.util.Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+          java.util.Comparator.comparingLong(Event::atMillis).thenComparingLong(Event::order));
   private final List<Quotas> vms = new ArrayList<>();
-  private final Set<Integer> cut = new HashSet<>();
+  private final Set<Integer> disconnected = new HashSet<>();
   private final Random random;
-  private final double lost;
-  private final QuotaBounds bounds;
+  private final double lossProbability;
+  private final QuotaTolerance bounds;
   private Workspace workspace;
   private long now;
-  private long orders;
-  private boolean down;
+  private long nextOrder;
+  private boolean allDown;
   private int vmCount;
-  long messages;
+  long messageCount;
   final List<Long> offered = new ArrayList<>();
   final List<Long> admitted = new ArrayList<>();
-  long waitedMillis;
+  long totalWaitMillis;
 
-  QuotaModel(int vmCount, QuotaBounds bounds, Quota quota, double lost, long seed) {
+  QuotaModel(int vmCount, QuotaTolerance bounds, Quota quota, double lost, long seed) {
     this.vmCount = vmCount;
     this.random = new Random(seed);
-    this.lost = lost;
+    this.lossProbability = lost;
     this.bounds = bounds;
     this.workspace = new Workspace("choir", OptionalInt.empty(), quota, Set.of());
     List<String> names = new ArrayList<>();
@@ -57,68 +57,68 @@
     for (int vm = 0; vm < vmCount; vm++) {
       vms.add(Quotas.of("e-" + vm, bounds, 4_000, peersOf(vm), 0));
     }
-    vms.forEach(each -> each.live(names));
-    quota(quota);
+    vms.forEach(each -> each.updateLiveVms(names));
+    updateQuota(quota);
   }
 
-  void quota(Quota quota) {
+  void updateQuota(Quota quota) {
     workspace = new Workspace("choir", OptionalInt.empty(), quota, Set.of());
-    vms.forEach(each -> each.workspaces(Map.of("choir", workspace)));
+    vms.forEach(each -> each.updateWorkspaces(Map.of("choir", workspace)));
   }
 
   private Quotas.Peers peersOf(int vm) {
     return new Quotas.Peers() {
       @Override
       public void send(String to, QuotaMessage message) {
-        messages++;
+        messageCount++;
         int other = Integer.parseInt(to.substring(2));
-        if (random.nextDouble() < lost) {
+        if (random.nextDouble() < lossProbability) {
           return;
         }
-        long way = vm % REGIONS == other % REGIONS ? 1 : BETWEEN_REGIONS_MILLIS;
-        at(
+        long way = vm % REGIONS == other % REGIONS ? 1 : CROSS_REGION_MILLIS;
+        schedule(
             now + way,
             () -> {
-              if (!cut.contains(vm) && !cut.contains(other)) {
-                vms.get(other).received("e-" + vm, message, now);
+              if (!disconnected.contains(vm) && !disconnected.contains(other)) {
+                vms.get(other).onMessage("e-" + vm, message, now);
               }
             });
       }
 
       @Override
-      public void wake() {
-        at(now + Quotas.TICK_MILLIS, () -> vms.get(vm).tick(now));
+      public void scheduleTick() {
+        schedule(now + Quotas.TICK_MILLIS, () -> vms.get(vm).tick(now));
       }
     };
   }
 
-  void at(long time, Runnable task) {
-    events.add(new Event(time, orders++, task));
+  void schedule(long time, Runnable task) {
+    events.add(new Event(time, nextOrder++, task));
   }
 
   /** Cuts a VM off from all others; its callers still reach it. */
-  void cut(int vm) {
-    cut.add(vm);
+  void disconnect(int vm) {
+    disconnected.add(vm);
   }
 
   /** Kills all VMs at once; they start again, and know nothing, after {@code millis}. */
-  void killAll(long millis) {
+  void restartAll(long millis) {
     List<String> names = new ArrayList<>();
     for (int vm = 0; vm < vmCount; vm++) {
       names.add("e-" + vm);
-      cut.add(vm);
+      disconnected.add(vm);
     }
-    down = true;
-    at(
+    allDown = true;
+    schedule(
         now + millis,
         () -> {
-          down = false;
-          cut.clear();
+          allDown = false;
+          disconnected.clear();
           for (int vm = 0; vm < vmCount; vm++) {
             vms.set(vm, Quotas.of("e-" + vm, bounds, 4_000, peersOf(vm), now));
-            vms.get(vm).live(names);
+            vms.get(vm).updateLiveVms(names);
           }
-          quota(workspace.quota());
+          updateQuota(workspace.quota());
         });
   }
 
@@ -133,7 +133,7 @@
   }
 
   /** Together, as the product does it. */
-  Way together() {
+  Admitter coordinated() {
     return (vm, time, then) -> {
       QuotaDecision decision = vms.get(vm).admit(workspace, time, then);
       if (!(decision instanceof QuotaDecision.Pending)) {
@@ -143,7 +143,7 @@
   }
 
   /** Each VM with an equal part of the quota, without talk. */
-  Way equalParts() {
+  Admitter equalShares() {
     double[] level = new double[vmCount];
     long[] at = new long[vmCount];
     double rate = workspace.quota().ratePerSecond() / vmCount;
@@ -160,7 +160,7 @@
   }
 
   /** Sends requests by chance, {@code perSecond} on the mean, at VMs drawn anew for each. */
-  void offer(Way way, double perSecond, long from, long until) {
+  void offer(Admitter way, double perSecond, long from, long until) {
     double next = from;
     while (true) {
       next += -Math.log(1 - random.nextDouble()) * 1_000 / perSecond;
@@ -169,20 +169,20 @@
       }
       long time = (long) next;
       int vm = random.nextInt(vmCount);
-      at(time, () -> request(way, vm, time));
+      schedule(time, () -> request(way, vm, time));
     }
   }
 
-  private void request(Way way, int vm, long asked) {
-    if (down) {
+  private void request(Admitter way, int vm, long asked) {
+    if (allDown) {
       return;
     }
     offered.add(asked);
-    way.ask(
+    way.admit(
         vm,
         asked,
         decision -> {
-          waitedMillis += now - asked;
+          totalWaitMillis += now - asked;
           if (decision instanceof QuotaDecision.Granted) {
             admitted.add(now);
           }
@@ -190,15 +190,15 @@
   }
 
   void run(long until) {
-    while (!events.isEmpty() && events.peek().at() <= until) {
+    while (!events.isEmpty() && events.peek().atMillis() <= until) {
       Event next = events.remove();
-      now = Math.max(now, next.at());
+      now = Math.max(now, next.atMillis());
       next.task().run();
     }
   }
 
   /** Most admitted in any window that begins with one of them. */
-  int mostInWindow() {
+  int maxAdmittedInWindow() {
     List<Long> times = new ArrayList<>(admitted);
     times.sort(Long::compare);
     int most = 0;
@@ -213,7 +213,7 @@
   }
 
   /** Requests that one token bucket, asked at once by all, would have let run. */
-  int owed() {
+  int tokenBucketAdmissions() {
     double level = workspace.quota().capacity();
     long at = 0;
     int owed = 0;
@@ -231,7 +231,7 @@
     return owed;
   }
 
-  long most() {
-    return (long) BOUNDS.most(workspace.quota());
+  long maxRequestsInWindow() {
+    return (long) BOUNDS.maxRequests(workspace.quota());
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/result/ResultCodesTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/result/ResultCodesTest.java
@@ -21,7 +21,7 @@
   // "unknown" and the bid is doubled. The cause would be a table that was not changed with the
   // code.
   @Test
-  void manualAndCodeSayTheSameOfEachNumber() throws IOException {
+  void documentedTableMatchesEnum() throws IOException {
     List<String> documented =
         Files.readAllLines(Path.of("..", "docs", "RESULT-CODES.md")).stream()
             .map(ROW::matcher)
--- a/sageladder-core/src/test/java/org/sageladder/core/routing/ApiKeysTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/routing/ApiKeysTest.java
@@ -24,9 +24,9 @@
             .add(workspace("museum"), List.of("k3"))
             .build();
     assertTrue(keys.areRequired());
-    assertEquals("choir", keys.workspace("k2").orElseThrow().name());
-    assertEquals("museum", keys.workspace("k3").orElseThrow().name());
-    assertTrue(keys.workspace("K3").isEmpty());
+    assertEquals("choir", keys.workspaceOf("k2").orElseThrow().name());
+    assertEquals("museum", keys.workspaceOf("k3").orElseThrow().name());
+    assertTrue(keys.workspaceOf("K3").isEmpty());
   }
 
   @Test
@@ -36,7 +36,7 @@
 
   /** Guards against a key that two workspaces hold: whose request it opens would be chance. */
   @Test
-  void sharedKeyIsRefusedAndNotQuoted() {
+  void sharedKeyIsRejectedWithoutQuotingIt() {
     ApiKeys.Builder keys = ApiKeys.builder().add(workspace("choir"), List.of("secret"));
     IllegalArgumentException refused =
         assertThrows(
@@ -45,13 +45,13 @@
   }
 
   @Test
-  void noTextShowsAKey() {
+  void toStringShowsNoKey() {
     ApiKeys keys = ApiKeys.builder().add(workspace("choir"), List.of("secret")).build();
     assertFalse((keys + " " + keys.workspaces()).contains("secret"));
   }
 
   @Test
-  void negativeQuotaIsRefused() {
+  void invalidQuotaIsRejected() {
     assertThrows(IllegalArgumentException.class, () -> new Quota(-1, 0));
     assertThrows(IllegalArgumentException.class, () -> new Quota(1, Double.NaN));
   }
--- a/sageladder-core/src/test/java/org/sageladder/core/routing/RoutingRulesTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/routing/RoutingRulesTest.java
@@ -44,14 +44,14 @@
    * prefixes end with a slash, so that neither /lotsmore nor /lots belongs to /lots/.
    */
   @Test
-  void halfPrefixIsNoMatch() {
+  void partialPathSegmentDoesNotMatch() {
     assertTrue(RULES.match("a", "/lotsmore/7").isEmpty());
     assertTrue(RULES.match("a", "/lots").isEmpty());
     assertTrue(RULES.match("c", "/lots/7").isEmpty());
   }
 
   @Test
-  void longestColdTimeIsOverAllServices() {
-    assertEquals(3_000, RULES.longestColdMillis());
+  void maxColdTimeCoversAllServices() {
+    assertEquals(3_000, RULES.maxColdMillis());
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/routing/WeightedTurnsProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/routing/SmoothWeightedRoundRobinProperties.java
@@ -12,14 +12,14 @@
 import net.jqwik.api.constraints.Size;
 
 /** The parts of a split. */
-class WeightedTurnsProperties {
+class SmoothWeightedRoundRobinProperties {
   /**
    * An operator who sends a tenth of the requests to a new service would see another part in each
    * short time if chance decided: the parts have to hold over any run of requests, not in the long
    * run.
    */
   @Property(seed = "4711", tries = 200)
-  void eachPartIsExactToOneRequest(
+  void eachShareIsExactWithinOneRequestPerService(
       @ForAll @Size(min = 2, max = 4) List<@IntRange(min = 1, max = 100) Integer> weights,
       @ForAll @IntRange(min = 1, max = 300) int requests) {
     List<ServiceShare> shares = new ArrayList<>();
@@ -28,7 +28,7 @@
       shares.add(new ServiceShare("s" + i, weights.get(i)));
       sum += weights.get(i);
     }
-    WeightedTurns turns = WeightedTurns.create();
+    SmoothWeightedRoundRobin turns = SmoothWeightedRoundRobin.create();
     Map<String, Integer> got = new HashMap<>();
     for (int i = 0; i < requests; i++) {
       got.merge(turns.next(shares), 1, Integer::sum);
--- a/sageladder-entry/src/main/java/org/sageladder/entry/EntryDaemon.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/EntryDaemon.java
@@ -17,9 +17,9 @@
 import org.sageladder.core.event.EventBuffer;
 import org.sageladder.core.event.EventKind;
 import org.sageladder.core.event.EventSink;
+import org.sageladder.core.limits.QueueBudget;
 import org.sageladder.core.limits.Scheduler;
 import org.sageladder.core.limits.ServiceGate;
-import org.sageladder.core.limits.WaitBudget;
 import org.sageladder.core.membership.HoldingGuard;
 import org.sageladder.core.membership.Member;
 import org.sageladder.core.permit.PermitHome;
@@ -228,7 +228,7 @@
       EventSink events) {
     // Each request that waits holds a caller's connection. Without a common bound background work
     // could hold them all, and a bid would find no connection to come in by.
-    WaitBudget waits = WaitBudget.of(settings.callerLimits().connections());
+    QueueBudget waits = QueueBudget.of(settings.callerLimits().connections());
     return GateTable.create(
         settings.vm(),
         settings.zone(),
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/GateTable.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/GateTable.java
@@ -10,7 +10,7 @@
 import java.util.function.Function;
 import org.jspecify.annotations.Nullable;
 import org.sageladder.core.contract.Contract;
-import org.sageladder.core.limits.GateNumbers;
+import org.sageladder.core.limits.GateStats;
 import org.sageladder.core.limits.ServiceGate;
 import org.sageladder.core.limits.TargetHistory;
 import org.sageladder.core.membership.ClusterState;
@@ -104,8 +104,8 @@
     }
     for (Contract.Service service : contract.services()) {
       ServiceGate gate = gates.computeIfAbsent(service.name(), name -> maker.apply(service));
-      gate.contract(service);
-      gate.holdings(held.getOrDefault(service.name(), List.of()), takenOver);
+      gate.updateService(service);
+      gate.updateHoldings(held.getOrDefault(service.name(), List.of()), takenOver);
     }
     learnTold();
     if (view != null) {
@@ -135,7 +135,7 @@
 
   private boolean isTaken(Told each) {
     return each.view() > formerHolders.lastElsewhere(each.history().target())
-        && gates.values().stream().anyMatch(gate -> gate.learn(each.history()));
+        && gates.values().stream().anyMatch(gate -> gate.importHistory(each.history()));
   }
 
   /** Tells the holders of targets that this entry VM held before what its gates counted. */
@@ -150,7 +150,7 @@
           .findFirst()
           .ifPresent(
               member ->
-                  gate.handOver(holding.target())
+                  gate.exportHistory(holding.target())
                       .ifPresent(history -> sender.send(member, view.number(), history)));
     }
   }
@@ -170,19 +170,19 @@
   public List<ZoneSummary> summaries() {
     long now = time.wallMillis();
     return gates.entrySet().stream()
-        .map(entry -> summary(entry.getKey(), entry.getValue().numbers(), now))
+        .map(entry -> summary(entry.getKey(), entry.getValue().stats(), now))
         .toList();
   }
 
-  private ZoneSummary summary(String service, GateNumbers numbers, long nowMillis) {
+  private ZoneSummary summary(String service, GateStats numbers, long nowMillis) {
     return new ZoneSummary(
         zone,
         customer,
         service,
         nowMillis,
-        numbers.slots(),
-        numbers.busy(),
-        numbers.queued(),
+        numbers.usableSlots(),
+        numbers.busySlots(),
+        numbers.queuedCount(),
         numbers.admittedPerSecond(),
         numbers.ceilingPerSecond(),
         numbers.offeredPerSecond());
@@ -197,7 +197,7 @@
     List<TargetReport> reports = new ArrayList<>();
     for (Holding holding : zoneHoldings) {
       ServiceGate gate = gates.get(holding.service());
-      int inFlight = gate == null ? 0 : gate.busy(holding.target());
+      int inFlight = gate == null ? 0 : gate.inFlight(holding.target());
       if (inFlight > 0) {
         reports.add(new TargetReport(holding.target(), 0, false, inFlight, false));
       }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/GuardedGate.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/GuardedGate.java
@@ -45,15 +45,15 @@
   }
 
   @Override
-  public boolean takeRetry() {
-    return gate.takeRetry();
+  public boolean tryAcquireRetry() {
+    return gate.tryAcquireRetry();
   }
 
   /** Not before the zone may confirm this VM again, whatever the gate has free. */
   @Override
-  public Duration comeBack() {
+  public Duration retryAfter() {
     Duration confirmed = MembershipSettings.standard().heartbeat();
-    Duration free = gate.comeBack();
+    Duration free = gate.retryAfter();
     return free.compareTo(confirmed) < 0 ? confirmed : free;
   }
 
@@ -70,7 +70,7 @@
     return new Admission.Refused(
         new Result.NotRun(
             ResultCode.GATE_MOVED,
-            comeBack(),
+            retryAfter(),
             "this entry VM may use "
                 + allowed
                 + " of the "
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/LinkTable.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/LinkTable.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.sageladder.core.contract.Contract;
 import org.sageladder.core.contract.RequestClass;
-import org.sageladder.core.limits.LinkShare;
+import org.sageladder.core.limits.LinkRateLimiter;
 import org.sageladder.core.membership.Holding;
 import org.sageladder.core.membership.ZoneView;
 import org.sageladder.core.result.Result;
@@ -26,7 +26,7 @@
   private final String vm;
   private final String zone;
   private final TimeSource time;
-  private final Map<String, LinkShare> shares = new ConcurrentHashMap<>();
+  private final Map<String, LinkRateLimiter> shares = new ConcurrentHashMap<>();
   private volatile String region = "";
 
   LinkTable(String vm, String zone, TimeSource time) {
@@ -47,8 +47,8 @@
       if (limit.to().equals(region)) {
         double share = part * limit.requestsPerSecond();
         shares
-            .computeIfAbsent(limit.from(), from -> LinkShare.of(share, now))
-            .perSecond(share, now);
+            .computeIfAbsent(limit.from(), from -> LinkRateLimiter.of(share, now))
+            .updateRate(share, now);
       }
     }
     shares.keySet().removeIf(from -> !isLimited(contract, from));
@@ -76,12 +76,12 @@
    *     not known, and then no limit applies
    */
   public Optional<Result.NotRun> refusal(String from, RequestClass requestClass) {
-    LinkShare share = from.equals(region) ? null : shares.get(from);
+    LinkRateLimiter share = from.equals(region) ? null : shares.get(from);
     long now = time.nanos();
-    if (share == null || share.take(requestClass, now)) {
+    if (share == null || share.tryAcquire(requestClass, now)) {
       return Optional.empty();
     }
-    Duration hint = share.comeBack(requestClass, now);
+    Duration hint = share.retryAfter(requestClass, now);
     return Optional.of(
         new Result.NotRun(
             ResultCode.LINK_LIMIT,
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/LoadPoller.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/LoadPoller.java
@@ -109,7 +109,7 @@
             != target.targetIncarnation()) {
           return;
         }
-        gate.targetLoad(
+        gate.onLoadReport(
             target.target(),
             load.path("busy").asInt(),
             load.path("slots").asInt(target.slots()),
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/OperatorPort.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/OperatorPort.java
@@ -102,7 +102,8 @@
               ResultCode.UNKNOWN_ROUTE,
               "path '"
                   + path
-                  + "' is not /v1/metrics, /v1/state, /v1/events?after=N, /v1/explain?contract=C&service=S&block=N or POST /v1/drain"));
+                  + "' is not /v1/metrics, /v1/state, /v1/events?after=N,"
+                  + " /v1/explain?contract=C&service=S&block=N or POST /v1/drain"));
     }
   }
 
@@ -153,9 +154,9 @@
         .forEach(
             (service, gate) ->
                 held.putObject(service)
-                    .put("slots", gate.slots())
-                    .put("busy", gate.busy())
-                    .put("queued", gate.queued()));
+                    .put("slots", gate.usableSlots())
+                    .put("busy", gate.busySlots())
+                    .put("queued", gate.queuedCount()));
     return json;
   }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestRouter.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestRouter.java
@@ -222,7 +222,7 @@
         flow.refuse(full.get());
         return;
       }
-      flow.through(GuardedGate.of(gate, gate::busy, control.guard()));
+      flow.through(GuardedGate.of(gate, gate::inFlight, control.guard()));
       return;
     }
     Member holder = head.forwardedBy().isEmpty() ? holderElsewhere(head.service()) : null;
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/TargetLeg.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/TargetLeg.java
@@ -74,7 +74,7 @@
     }
     flow.record(EventKind.FAILED, slot.target().target(), String.valueOf(cause));
     flow.markLostTry();
-    if (flow.service().repeatable() && flow.mayTryAgain(true) && gate.takeRetry()) {
+    if (flow.service().repeatable() && flow.mayTryAgain(true) && gate.tryAcquireRetry()) {
       flow.waitAgain();
       retry(() -> flow.admit(gate, slot.target().target()));
       return;
@@ -84,7 +84,7 @@
 
   private void refusedByTarget(String why, boolean sent) {
     flow.record(EventKind.RETRIED, slot.target().target(), why);
-    if (flow.mayTryAgain(sent) && gate.takeRetry()) {
+    if (flow.mayTryAgain(sent) && gate.tryAcquireRetry()) {
       flow.waitAgain();
       retry(() -> flow.admit(gate, slot.target().target()));
     } else {
--- a/sageladder-forward/src/main/java/org/sageladder/forward/CallerConnection.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/CallerConnection.java
@@ -56,8 +56,8 @@
     CallerLimits limits = forwarder.callerLimits();
     HttpDecoderConfig config =
         new HttpDecoderConfig()
-            .setMaxInitialLineLength(limits.headBytes())
-            .setMaxHeaderSize(limits.headBytes())
+            .setMaxInitialLineLength(limits.maxHeadBytes())
+            .setMaxHeaderSize(limits.maxHeadBytes())
             .setMaxChunkSize(MOST_CHUNK_BYTES);
     pipeline.addLast(
         new ChannelInboundHandlerAdapter() {
@@ -269,12 +269,12 @@
     if (closing) {
       return;
     }
-    if (headSince != 0 && now - headSince > limits.headMillis()) {
+    if (headSince != 0 && now - headSince > limits.headTimeoutMillis()) {
       refuseAndClose(ResultCode.HEAD_TOO_SLOW);
       return;
     }
     boolean quiet = exchanges.isEmpty() && headSince == 0;
-    if (quiet && now - quietSince > limits.idleMillis()) {
+    if (quiet && now - quietSince > limits.idleTimeoutMillis()) {
       breakOff();
     }
   }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Exchange.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Exchange.java
@@ -157,7 +157,7 @@
       refuse(ResultCode.NO_CONTRACT_IN_FORCE, NO_RULES_RETRY_MILLIS, "no configuration known yet");
       return;
     }
-    if (HttpUtil.getContentLength(head, 0L) > rules.limits().bodyBytes()) {
+    if (HttpUtil.getContentLength(head, 0L) > rules.limits().maxBodyBytes()) {
       refuseUnread(ResultCode.BODY_TOO_LARGE);
       return;
     }
@@ -224,7 +224,7 @@
       return;
     }
     body.add(bytes);
-    if (body.total() > forwarder.callerLimits().bodyBytes()) {
+    if (body.total() > forwarder.callerLimits().maxBodyBytes()) {
       stopAttempt();
       refuseUnread(ResultCode.BODY_TOO_LARGE);
       return;
@@ -333,7 +333,7 @@
     }
     if (decision instanceof QuotaDecision.Refused refused) {
       forwarder.metrics().count("quota_refused");
-      end(ResultCode.QUOTA_EXCEEDED, refused.retryMillis(), refused.detail());
+      end(ResultCode.QUOTA_EXCEEDED, refused.retryAfterMillis(), refused.detail());
       return;
     }
     place();
@@ -392,7 +392,7 @@
 
   private boolean mayTryAnother() {
     return body.isRepeatable()
-        && sends < route().mostTargets()
+        && sends < route().maxTargets()
         && unreached < MOST_UNREACHED
         && millisLeft() > LEAST_FOR_ANOTHER_MILLIS
         && forwarder.retries().tryAcquire(service, forwarder.loop().now());
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Forwarder.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Forwarder.java
@@ -27,12 +27,12 @@
 import org.sageladder.core.placing.TargetIncarnation;
 import org.sageladder.core.placing.TargetTable;
 import org.sageladder.core.quarantine.CrashReport;
-import org.sageladder.core.quota.QuotaBounds;
+import org.sageladder.core.quota.QuotaTolerance;
 import org.sageladder.core.quota.Quotas;
 import org.sageladder.core.routing.CallerLimits;
 import org.sageladder.core.routing.RouteRule;
 import org.sageladder.core.routing.RoutingRules;
-import org.sageladder.core.routing.WeightedTurns;
+import org.sageladder.core.routing.SmoothWeightedRoundRobin;
 
 /**
  * Takes callers' requests on one port and carries each to a target and its answer back.
@@ -64,7 +64,7 @@
   private final Placement placement;
   private final TargetConnections connections;
   private final CrashWatch crashes;
-  private final Map<String, WeightedTurns> turns = new HashMap<>();
+  private final Map<String, SmoothWeightedRoundRobin> turns = new HashMap<>();
   private final Set<CallerConnection> callers = new LinkedHashSet<>();
   private final Set<Attempt> attempts = new LinkedHashSet<>();
   private final Random random;
@@ -102,7 +102,7 @@
       double retryExtra,
       long retryWindowMillis,
       double mostShift,
-      QuotaBounds quotas,
+      QuotaTolerance quotas,
       long contactMillis,
       boolean firstStart) {}
 
@@ -134,7 +134,7 @@
             Quotas.Peers.none(),
             loop.now());
     if (identity.firstStart()) {
-      quotas.nothingRanBefore();
+      quotas.assumeNoPriorUse();
     }
   }
 
@@ -187,7 +187,7 @@
     Set<String> routes = newer.routeNames();
     runTimes.retainRoutes(routes);
     turns.keySet().retainAll(routes);
-    quotas.workspaces(newer.keys().workspaces());
+    quotas.updateWorkspaces(newer.keys().workspaces());
     return true;
   }
 
@@ -221,7 +221,7 @@
     cold.updateLimits(newer.coldOver(), newer.coldSlack());
     retries.updateLimits(newer.retryRatio(), newer.retryExtra(), newer.retryWindowMillis());
     shift.updateLimit(newer.mostShift());
-    quotas.bounds(newer.quotas());
+    quotas.updateTolerance(newer.quotas());
   }
 
   /** Tells which entry VMs are live, and how many were seen at once. */
@@ -232,7 +232,7 @@
     Map<String, Integer> others = new HashMap<>();
     live.forEach(vm -> others.put(vm.region(), Math.max(0, near - 1)));
     targets.updatePeerCounts(others);
-    quotas.live(live.stream().map(ColdTargetLimiter.EntryVmLocation::name).toList());
+    quotas.updateLiveVms(live.stream().map(ColdTargetLimiter.EntryVmLocation::name).toList());
   }
 
   /** Forgets a start of a target that is gone: its connections and its counts. */
@@ -351,7 +351,7 @@
 
   String turn(RouteRule route) {
     return turns
-        .computeIfAbsent(route.name(), name -> WeightedTurns.create())
+        .computeIfAbsent(route.name(), name -> SmoothWeightedRoundRobin.create())
         .next(route.services());
   }
 
--- a/sageladder-forward/src/main/java/org/sageladder/forward/QuotaClaim.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/QuotaClaim.java
@@ -42,7 +42,7 @@
     long now = forwarder.loop().now();
     if (state == State.SPENT) {
       // Its caller waits for an answer to what was admitted before.
-      forwarder.quotas().sentAgain(of, now);
+      forwarder.quotas().recordResend(of, now);
       state = State.ADMITTED;
       return new QuotaDecision.Granted();
     }
@@ -85,7 +85,7 @@
     Workspace of = workspace;
     if (state == State.ADMITTED && of != null) {
       state = State.NONE;
-      forwarder.quotas().giveBack(of, forwarder.loop().now());
+      forwarder.quotas().cancelAdmission(of, forwarder.loop().now());
     }
   }
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Sender.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Sender.java
@@ -28,7 +28,7 @@
     String key = dialect.apiKey(head);
     return key == null
         ? new Unknown()
-        : keys.workspace(key).<Sender>map(Holder::new).orElseGet(Unknown::new);
+        : keys.workspaceOf(key).<Sender>map(Holder::new).orElseGet(Unknown::new);
   }
 
   /** The workspace, or null where there is none. */
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryControl.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryControl.java
@@ -269,7 +269,7 @@
 
   private long coldMillis() {
     RoutingRules rules = forwarder.rules();
-    return rules == null ? COLD_MILLIS : Math.max(COLD_MILLIS, rules.longestColdMillis());
+    return rules == null ? COLD_MILLIS : Math.max(COLD_MILLIS, rules.maxColdMillis());
   }
 
   @Override
--- a/sageladder-forward/src/main/java/org/sageladder/forward/peer/PeerExchange.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/peer/PeerExchange.java
@@ -95,7 +95,7 @@
   }
 
   @Override
-  public void wake() {
+  public void scheduleTick() {
     var unused = loop.after(Quotas.TICK_MILLIS, () -> forwarder.quotas().tick(loop.now()));
   }
 
@@ -106,7 +106,7 @@
       return;
     }
     try {
-      forwarder.quotas().received(from, QuotaCodec.decode(bytes), loop.now());
+      forwarder.quotas().onMessage(from, QuotaCodec.decode(bytes), loop.now());
     } catch (QuotaCodec.MalformedException e) {
       metrics.count("peer_messages_malformed");
     }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/peer/QuotaCodec.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/peer/QuotaCodec.java
@@ -41,13 +41,15 @@
       if (message instanceof UsageReport report) {
         out.put(USAGE_REPORT);
         putName(out, report.workspace());
-        out.putInt(report.number()).putInt(report.total()).putInt(report.recent());
-        out.putInt(report.wanted()).putInt(report.held());
+        out.putInt(report.reportNumber())
+            .putInt(report.totalAdmitted())
+            .putInt(report.admittedInWindow());
+        out.putInt(report.wantedTokens()).putInt(report.heldTokens());
       } else if (message instanceof TokenGrant grant) {
         out.put(TOKEN_GRANT);
         putName(out, grant.workspace());
-        out.putInt(grant.number()).put((byte) (grant.limited() ? 1 : 0));
-        out.putInt(grant.tokens()).putLong(grant.retryMillis());
+        out.putInt(grant.reportNumber()).put((byte) (grant.tokensRequired() ? 1 : 0));
+        out.putInt(grant.tokens()).putLong(grant.retryAfterMillis());
       }
     } catch (BufferOverflowException e) {
       throw new MalformedException("the message is longer than " + MOST_BYTES + " bytes");
--- a/sageladder-forward/src/test/java/org/sageladder/forward/ForwardingBed.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ForwardingBed.java
@@ -14,7 +14,7 @@
 import org.sageladder.core.placing.ColdTargetLimiter.EntryVmLocation;
 import org.sageladder.core.placing.TargetFacts;
 import org.sageladder.core.placing.TargetIncarnation;
-import org.sageladder.core.quota.QuotaBounds;
+import org.sageladder.core.quota.QuotaTolerance;
 import org.sageladder.core.routing.ApiKeys;
 import org.sageladder.core.routing.CallerLimits;
 import org.sageladder.core.routing.RouteRule;
@@ -33,7 +33,7 @@
           loop,
           new PlainDialect(),
           new Forwarder.Identity(
-              "e-1", "z", "r", 1, 1.5, 5, 1, 100, 10_000, 1, QuotaBounds.exact(), 3_000, true),
+              "e-1", "z", "r", 1, 1.5, 5, 1, 100, 10_000, 1, QuotaTolerance.exact(), 3_000, true),
           EventSink.none(),
           metrics);
   private final List<ScriptedTarget> targets = new ArrayList<>();
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Deployment.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Deployment.java
@@ -377,8 +377,8 @@
         route.latencyGoalMillis(),
         route.priority(),
         route.services(),
-        route.mostTargets(),
-        route.byObject(),
+        route.maxTargets(),
+        route.hasObjectAffinity(),
         regions,
         route.anonymous());
   }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/BudgetRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/BudgetRules.java
@@ -101,7 +101,7 @@
         .runs()
         .forEach(
             (id, runs) -> {
-              int most = day.ledger().asked(id).map(asked -> asked.route().mostTargets()).orElse(1);
+              int most = day.ledger().asked(id).map(asked -> asked.route().maxTargets()).orElse(1);
               long targets = runs.stream().map(Ledger.Run::target).distinct().count();
               if (targets > most) {
                 broken.add(id + " ran at " + targets + " targets");
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/OperatorTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/OperatorTroubles.java
@@ -109,7 +109,7 @@
             ADDED_GOAL_MILLIS,
             like.priority(),
             like.services(),
-            like.mostTargets(),
+            like.maxTargets(),
             true,
             like.regions(),
             like.anonymous());
@@ -133,12 +133,14 @@
   }
 
   private static RouteRule moved(RouteRule route) {
-    return route.name().equals("bid") ? route.to(List.of(new ServiceShare("archive", 1))) : route;
+    return route.name().equals("bid")
+        ? route.withServices(List.of(new ServiceShare("archive", 1)))
+        : route;
   }
 
   private static RouteRule split(RouteRule route) {
     List<ServiceShare> halves =
         List.of(new ServiceShare("ledger", 1), new ServiceShare("archive", 1));
-    return route.name().equals("bid") ? route.to(halves) : route;
+    return route.name().equals("bid") ? route.withServices(halves) : route;
   }
 }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/PlatformTexts.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/PlatformTexts.java
@@ -58,9 +58,9 @@
     for (ServiceRule service : services) {
       ObjectNode spec = resource(resources, "services", service.name());
       spec.put("health_path", "/health");
-      spec.put("max_connections", service.mostConnections());
+      spec.put("max_connections", service.maxConnections());
       spec.put("cold_start", service.coldMillis() + "ms");
-      spec.put("cold_per_s", service.coldPerSecond());
+      spec.put("cold_per_s", service.maxColdRequestsPerSecond());
     }
     workspaces.forEach(
         (workspace, keys) ->
@@ -93,8 +93,8 @@
     spec.put("kind", route.idempotent() ? "safe" : "unsafe");
     spec.put("timeout", route.timeoutMillis() + "ms");
     spec.put("target_latency", route.latencyGoalMillis() + "ms");
-    spec.put("priority", route.priority()).put("max_attempts", route.mostTargets());
-    spec.put("sticky_sessions", route.byObject());
+    spec.put("priority", route.priority()).put("max_attempts", route.maxTargets());
+    spec.put("sticky_sessions", route.hasObjectAffinity());
     ArrayNode regions = spec.putArray("allowed_regions");
     route.regions().stream().sorted().forEach(regions::add);
     if (route.services().size() == 1) {
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/DisabledCapTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/DisabledCapTest.java
@@ -84,7 +84,7 @@
     Contract.Service service = inForce.service(SEARCH).orElseThrow();
     ServiceGate gate =
         ServiceGate.create(inForce.customer(), service, time, this::runAfter, EventSink.none());
-    gate.holdings(List.of(new Holding("t", "c", SEARCH, "127.0.0.1", 1, 1, "vm", 3, false)));
+    gate.updateHoldings(List.of(new Holding("t", "c", SEARCH, "127.0.0.1", 1, 1, "vm", 3, false)));
     List<Long> at = new ArrayList<>();
     List<List<Reading>> readings = new ArrayList<>();
     for (int step = 0; step < 200; step++) {
