--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/CodeSlopes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/CodeSlopes.java
@@ -268,15 +268,15 @@
             Permit permit =
                 home.mint(TargetSize.CUSTOMER, TargetSize.SERVICE, clock[0]).orElseThrow();
             codec.open(codec.seal(permit));
-            Measure.sink = home.begin(permit, "digest", clock[0]);
+            Measure.sink = home.beginExecution(permit, "digest", clock[0]);
           }
           clock[0] += Duration.ofHours(2).toMillis();
-          home.expire(clock[0]);
+          home.dropExpired(clock[0]);
         });
   }
 
   private static double eventNanos(int count) {
-    EventBuffer buffer = EventBuffer.holding(16_384, TimeSource.system());
+    EventBuffer buffer = EventBuffer.withCapacity(16_384, TimeSource.system());
     return Measure.nanos(
         3,
         8,
@@ -291,7 +291,7 @@
   private static double eventKilobytes(int capacity) {
     return Measure.bytes(
             () -> {
-              EventBuffer buffer = EventBuffer.holding(capacity, TimeSource.system());
+              EventBuffer buffer = EventBuffer.withCapacity(capacity, TimeSource.system());
               for (int i = 0; i < capacity; i++) {
                 buffer.record(
                     EventKind.DISPATCHED, "r-" + i, TargetSize.CUSTOMER, "t-3", 0, "try " + i);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/path/PathMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/path/PathMain.java
@@ -136,13 +136,15 @@
     }
     long tickets = used();
     for (Permit permit : some) {
-      if (home.begin(permit, "bid", PERMITS / 20L) instanceof Decision.Execute execute) {
+      if (home.beginExecution(permit, "bid", PERMITS / 20L) instanceof Decision.Execute execute) {
         boolean unused =
-            execute.execution().finish(RecordedAnswer.whole(200, List.of(), new byte[200]));
+            execute
+                .execution()
+                .recordAnswer(RecordedAnswer.complete(200, List.of(), new byte[200]));
       }
     }
     long answered = used();
-    long held = home.held(PERMITS / 20L);
+    long held = home.retainedCount(PERMITS / 20L);
     return String.format(
         "permits: %d live ones take %.1f MB; answers of 200 bytes to 100,000 of them %.1f MB more",
         held, (tickets - before) / 1e6, (answered - tickets) / 1e6);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/timeline/TimelineCost.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/timeline/TimelineCost.java
@@ -28,7 +28,7 @@
   /** What the measured methods record into. */
   @State(Scope.Benchmark)
   public static class Sinks {
-    final EventBuffer buffer = EventBuffer.holding(CAPACITY, TimeSource.system());
+    final EventBuffer buffer = EventBuffer.withCapacity(CAPACITY, TimeSource.system());
     final EventSink none = EventSink.none();
     volatile int tries = 1;
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/event/EventBuffer.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/event/EventBuffer.java
@@ -26,7 +26,7 @@
   private final long startWallMicros;
 
   /** Sequence number of the next event; the first event has 1, so that 0 means "from the start". */
-  private final AtomicLong next = new AtomicLong(1);
+  private final AtomicLong nextSequence = new AtomicLong(1);
 
   private EventBuffer(int capacity, TimeSource time) {
     this.slots = new AtomicReferenceArray<>(capacity);
@@ -41,7 +41,7 @@
    *
    * @param capacity from 1 to 4,194,304
    */
-  public static EventBuffer holding(int capacity, TimeSource time) {
+  public static EventBuffer withCapacity(int capacity, TimeSource time) {
     if (capacity < 1 || capacity > 1 << 22) {
       throw new IllegalArgumentException(
           "capacity " + capacity + " is not allowed; give 1 to " + (1 << 22));
@@ -54,10 +54,10 @@
    * Events that a reader had not seen.
    *
    * @param events in the order of their sequence, which may have gaps where events were lost
-   * @param lost how many events after the one asked for had given way already
-   * @param next pass this to the next read
+   * @param lostCount how many events after the one asked for had given way already
+   * @param lastSequence pass this to the next read
    */
-  public record Batch(List<Event> events, long lost, long next) {
+  public record Batch(List<Event> events, long lostCount, long lastSequence) {
     /** Copies the list, so that the batch cannot change. */
     public Batch {
       events = List.copyOf(events);
@@ -72,7 +72,7 @@
       String subject,
       long revision,
       String detail) {
-    long sequence = next.getAndIncrement();
+    long sequence = nextSequence.getAndIncrement();
     Event event =
         new Event(sequence, wallMicros(), kind, request, contract, subject, revision, detail);
     slots.setRelease((int) sequence & mask, event);
@@ -84,9 +84,9 @@
    * <p>An event being recorded at this moment, and all after it, are left to the next read, so that
    * a reader never passes over one that appears a moment later.
    */
-  public Batch after(long sequence, int limit) {
+  public Batch readAfter(long sequence, int limit) {
     List<Event> events = new ArrayList<>();
-    long end = next.get();
+    long end = nextSequence.get();
     long first = Math.max(sequence + 1, end - slots.length());
     long lost = first - (sequence + 1);
     long position = Math.max(first, 1);
@@ -106,8 +106,8 @@
   }
 
   /** Sequence number of the latest event, 0 where there is none. */
-  public long latest() {
-    return next.get() - 1;
+  public long latestSequence() {
+    return nextSequence.get() - 1;
   }
 
   /** Most events that are kept. */
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/ServiceGate.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/ServiceGate.java
@@ -115,7 +115,7 @@
         scheduler,
         events,
         QueueBudget.of(Integer.MAX_VALUE),
-        HoldingGuard.trusting());
+        HoldingGuard.unrestricted());
   }
 
   /**
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/TargetPool.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/TargetPool.java
@@ -242,7 +242,7 @@
    * may have taken over the other half, and with it the other half of the gain.
    */
   private double capacityPerSecond(TargetSlots target) {
-    return guard.slots(target.holding()) * 1000.0 / service.meanServiceMillis();
+    return guard.usableSlots(target.holding()) * 1000.0 / service.meanServiceMillis();
   }
 
   private static double seconds(Duration window) {
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/TargetSlots.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/TargetSlots.java
@@ -47,7 +47,7 @@
       @Nullable TargetSlots earlier) {
     this.previousHold = earlier;
     this.holding = holding;
-    this.draining = holding.leaving();
+    this.draining = holding.isDraining();
     this.health = TargetHealth.ofColdTarget(service);
     this.history = RateHistory.create(service.targetShiftCap().window(), nowNanos);
     this.regionHistory = RateHistory.create(service.regionShiftCap().window(), nowNanos);
@@ -167,7 +167,7 @@
   void updateHolding(Holding newer) {
     holding = newer;
     held = true;
-    draining |= newer.leaving();
+    draining |= newer.isDraining();
   }
 
   void markHistoryExported() {
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/ConfirmationGuard.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/ConfirmationGuard.java
@@ -19,18 +19,18 @@
   private final MembershipSettings settings;
   private final TimeSource time;
   private volatile long lastTickNanos;
-  private volatile long confirmedNanos;
-  private volatile long wokeNanos;
-  private volatile boolean awaiting;
+  private volatile long lastConfirmedNanos;
+  private volatile long resumedNanos;
+  private volatile boolean awaitingConfirmation;
 
   private ConfirmationGuard(MembershipSettings settings, TimeSource time) {
     this.settings = settings;
     this.time = time;
     long now = time.nanos();
     lastTickNanos = now;
-    confirmedNanos = now - settings.confirmWindow().toNanos();
-    wokeNanos = now;
-    awaiting = true;
+    lastConfirmedNanos = now - settings.confirmationWindow().toNanos();
+    resumedNanos = now;
+    awaitingConfirmation = true;
   }
 
   /** A guard that allows nothing until the first confirmation. */
@@ -41,44 +41,46 @@
   /** The control thread is running; a long time since its last tick was a pause. */
   public void tick() {
     long now = time.nanos();
-    if (now - lastTickNanos > settings.pauseAllowance().toNanos()) {
-      wokeNanos = now;
-      awaiting = true;
+    if (now - lastTickNanos > settings.maxPause().toNanos()) {
+      resumedNanos = now;
+      awaitingConfirmation = true;
     }
     lastTickNanos = now;
   }
 
   /** The heartbeat sent at {@code sentNanos} was confirmed. */
-  public void confirmed(long sentNanos) {
-    if (sentNanos - confirmedNanos > 0) {
-      confirmedNanos = sentNanos;
+  public void onConfirmed(long sentNanos) {
+    if (sentNanos - lastConfirmedNanos > 0) {
+      lastConfirmedNanos = sentNanos;
     }
-    if (sentNanos - wokeNanos >= 0) {
-      awaiting = false;
+    if (sentNanos - resumedNanos >= 0) {
+      awaitingConfirmation = false;
     }
   }
 
   @Override
-  public int slots(Holding holding) {
+  public int usableSlots(Holding holding) {
     long now = time.nanos();
-    if (now - lastTickNanos > settings.pauseAllowance().toNanos()) {
+    if (now - lastTickNanos > settings.maxPause().toNanos()) {
       return 0;
     }
-    if (awaiting) {
-      boolean alone = now - wokeNanos > settings.confirmWindow().toNanos();
-      return alone ? keptHalf(holding.slots()) : 0;
+    if (awaitingConfirmation) {
+      boolean alone = now - resumedNanos > settings.confirmationWindow().toNanos();
+      return alone ? retainedSlots(holding.slots()) : 0;
     }
-    boolean fresh = now - confirmedNanos <= settings.confirmWindow().toNanos();
-    return fresh ? holding.slots() : keptHalf(holding.slots());
+    boolean fresh = now - lastConfirmedNanos <= settings.confirmationWindow().toNanos();
+    return fresh ? holding.slots() : retainedSlots(holding.slots());
   }
 
-  /** What an unconfirmed holder may go on using; with {@link #takenHalf} it makes up the whole. */
-  static int keptHalf(int slots) {
-    return slots - takenHalf(slots);
+  /**
+   * What an unconfirmed holder may go on using; with {@link #takeOverSlots} it makes up the whole.
+   */
+  static int retainedSlots(int slots) {
+    return slots - takeOverSlots(slots);
   }
 
   /** What another member may use of a silent holder's slots. */
-  static int takenHalf(int slots) {
+  static int takeOverSlots(int slots) {
     return slots / 2;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/Heartbeat.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/Heartbeat.java
@@ -8,7 +8,7 @@
  * @param sentNanos sender's monotonic clock; the answer echoes it, nobody else reads it
  * @param viewNumber zone view that the sender acts on: it dispatches only by this view
  * @param contractRevision revision in force at the sender, 0 for none
- * @param reports targets that the sender holds or still has requests in flight at
+ * @param targetReports targets that the sender holds or still has requests in flight at
  * @param summaries what the sender's own gates did, one for each service
  */
 public record Heartbeat(
@@ -16,11 +16,11 @@
     long sentNanos,
     long viewNumber,
     long contractRevision,
-    List<TargetReport> reports,
+    List<TargetReport> targetReports,
     List<ZoneSummary> summaries) {
   /** Copies the lists. */
   public Heartbeat {
-    reports = List.copyOf(reports);
+    targetReports = List.copyOf(targetReports);
     summaries = List.copyOf(summaries);
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/Holding.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/Holding.java
@@ -6,7 +6,7 @@
  * @param holder entry VM whose gate holds the target's slots; empty while none may
  * @param slots slots the holder may use, fewer than the target has after a take-over
  * @param targetIncarnation tells a returned target from the one that left
- * @param leaving true once any sign of leaving was seen
+ * @param isDraining true once any sign of leaving was seen
  */
 public record Holding(
     String target,
@@ -17,4 +17,4 @@
     long targetIncarnation,
     String holder,
     int slots,
-    boolean leaving) {}
+    boolean isDraining) {}
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/HoldingGuard.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/HoldingGuard.java
@@ -9,10 +9,10 @@
 @FunctionalInterface
 public interface HoldingGuard {
   /** Slots that may be used now, between 0 and {@code holding.slots()}. */
-  int slots(Holding holding);
+  int usableSlots(Holding holding);
 
   /** A guard that trusts every holding, for tests of gates alone. */
-  static HoldingGuard trusting() {
+  static HoldingGuard unrestricted() {
     return Holding::slots;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/Member.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/Member.java
@@ -4,7 +4,7 @@
  * One entry VM as its zone's view names it.
  *
  * @param incarnation grows with each start of the VM; permits and slots belong to an incarnation
- * @param leaving true once it has begun a planned stop; never undone within an incarnation
+ * @param isDraining true once it has begun a planned stop; never undone within an incarnation
  */
 public record Member(
     String vm,
@@ -13,4 +13,4 @@
     String host,
     int port,
     int innerPort,
-    boolean leaving) {}
+    boolean isDraining) {}
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/MemberTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/MemberTable.java
@@ -13,8 +13,8 @@
 
 /** Who is alive in a zone, as its relay hears it. Not thread-safe. */
 final class MemberTable {
-  private static final int ABSENT_FETCHES = 2;
-  private static final int ABSENT_FETCHES_UNLISTED = 10;
+  private static final int MIN_ABSENT_FETCHES = 2;
+  private static final int MIN_ABSENT_FETCHES_IF_NEVER_LISTED = 10;
 
   private final MembershipSettings settings;
   private final TimeSource time;
@@ -23,22 +23,22 @@
 
   static final class Entry {
     private Member member;
-    private long heardNanos;
+    private long lastHeardNanos;
     private int absentFetches;
-    private boolean listed;
-    private @Nullable Heartbeat last;
+    private boolean wasListed;
+    private @Nullable Heartbeat lastHeartbeat;
 
     private Entry(Member member, long heardNanos) {
       this.member = member;
-      this.heardNanos = heardNanos;
+      this.lastHeardNanos = heardNanos;
     }
 
     Member member() {
       return member;
     }
 
-    @Nullable Heartbeat last() {
-      return last;
+    @Nullable Heartbeat lastHeartbeat() {
+      return lastHeartbeat;
     }
   }
 
@@ -49,23 +49,23 @@
   }
 
   /** Takes members over from another relay's view; each has a full silence before it counts. */
-  void seed(List<Member> members) {
+  void restore(List<Member> members) {
     for (Member member : members) {
       entries.put(member.vm(), new Entry(member, time.nanos()));
     }
   }
 
   /** Notes a VM that an earlier relay found silent, so that its end can be noticed. */
-  void seedSilent(String vm, long incarnation) {
+  void restoreSilent(String vm, long incarnation) {
     if (entries.containsKey(vm)) {
       return;
     }
     Member gone = new Member(vm, "", incarnation, "", 0, 0, false);
-    entries.put(vm, new Entry(gone, time.nanos() - 2 * settings.takeOverSilence().toNanos()));
+    entries.put(vm, new Entry(gone, time.nanos() - 2 * settings.takeOverTimeout().toNanos()));
   }
 
   /** Takes a heartbeat in; false where a later incarnation of the same VM was heard before. */
-  boolean heartbeat(Heartbeat heartbeat) {
+  boolean onHeartbeat(Heartbeat heartbeat) {
     Member sender = heartbeat.sender();
     Entry entry = entries.get(sender.vm());
     if (entry != null && entry.member.incarnation() > sender.incarnation()) {
@@ -75,9 +75,9 @@
       entry = new Entry(sender, time.nanos());
       entries.put(sender.vm(), entry);
     }
-    entry.member = entry.member.leaving() ? leaving(sender) : sender;
-    entry.heardNanos = time.nanos();
-    entry.last = heartbeat;
+    entry.member = entry.member.isDraining() ? asDraining(sender) : sender;
+    entry.lastHeardNanos = time.nanos();
+    entry.lastHeartbeat = heartbeat;
     return true;
   }
 
@@ -86,7 +86,7 @@
    *
    * <p>The list lags, so a missing VM that is heard stays, and one fetch without it proves nothing.
    */
-  void listed(List<ListedVm> lines) {
+  void onPlatformList(List<ListedVm> lines) {
     Set<String> names = new HashSet<>();
     for (ListedVm line : lines) {
       if (line.role() != VmRole.ENTRY) {
@@ -95,12 +95,12 @@
       names.add(line.id());
       Entry entry = entries.get(line.id());
       if (entry != null && line.leaving() && line.incarnation() == entry.member.incarnation()) {
-        entry.member = leaving(entry.member);
+        entry.member = asDraining(entry.member);
       }
     }
     for (Entry entry : entries.values()) {
       boolean present = names.contains(entry.member.vm());
-      entry.listed |= present;
+      entry.wasListed |= present;
       entry.absentFetches = present ? 0 : entry.absentFetches + 1;
     }
   }
@@ -109,16 +109,16 @@
   void tick() {
     long now = time.nanos();
     long gap = now - lastTickNanos;
-    if (gap > settings.pauseAllowance().toNanos()) {
+    if (gap > settings.maxPause().toNanos()) {
       for (Entry entry : entries.values()) {
-        entry.heardNanos += gap;
+        entry.lastHeardNanos += gap;
       }
     }
     lastTickNanos = now;
   }
 
   /** Members heard lately, ordered by name. */
-  List<Member> live() {
+  List<Member> liveMembers() {
     List<Member> live = new ArrayList<>();
     for (Entry entry : entries.values()) {
       if (isLive(entry)) {
@@ -129,8 +129,8 @@
   }
 
   /** Names of members that may hold targets. */
-  List<String> eligible() {
-    return live().stream().filter(member -> !member.leaving()).map(Member::vm).toList();
+  List<String> eligibleVms() {
+    return liveMembers().stream().filter(member -> !member.isDraining()).map(Member::vm).toList();
   }
 
   boolean isLive(String vm, long incarnation) {
@@ -139,14 +139,14 @@
   }
 
   /** Whether that incarnation has surely ended: a later one was heard, or the platform ended it. */
-  boolean surelyEnded(String vm, long incarnation) {
+  boolean isKnownEnded(String vm, long incarnation) {
     Entry entry = entries.get(vm);
     if (entry == null) {
       return false;
     }
     boolean replaced = entry.member.incarnation() > incarnation;
     // The list lags: a VM never seen on it may not have been added yet.
-    int enough = entry.listed ? ABSENT_FETCHES : ABSENT_FETCHES_UNLISTED;
+    int enough = entry.wasListed ? MIN_ABSENT_FETCHES : MIN_ABSENT_FETCHES_IF_NEVER_LISTED;
     boolean gone = entry.absentFetches >= enough && !isLive(entry);
     return replaced || gone;
   }
@@ -160,11 +160,11 @@
   }
 
   /** Fraction of members not surely ended that are live, this VM included; 1 for a zone of one. */
-  double heardFraction() {
+  double liveFraction() {
     int known = 0;
     int live = 0;
     for (Entry entry : entries.values()) {
-      if (surelyEnded(entry.member.vm(), entry.member.incarnation())) {
+      if (isKnownEnded(entry.member.vm(), entry.member.incarnation())) {
         continue;
       }
       known++;
@@ -176,10 +176,10 @@
   }
 
   private boolean isLive(Entry entry) {
-    return time.nanos() - entry.heardNanos <= settings.takeOverSilence().toNanos();
+    return time.nanos() - entry.lastHeardNanos <= settings.takeOverTimeout().toNanos();
   }
 
-  private static Member leaving(Member member) {
+  private static Member asDraining(Member member) {
     return new Member(
         member.vm(),
         member.zone(),
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/MembershipSettings.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/MembershipSettings.java
@@ -10,30 +10,30 @@
  * The difference of the two must exceed {@code pauseAllowance}, the longest pause that a gate may
  * overlook between its check and its dispatch.
  *
- * @param heartbeat time between two heartbeats in a small zone
- * @param fullAfter how long a taken-over target's own load must have been watched before its new
- *     holder gets all slots
- * @param movesPerSecond holdings that may move between live members in a second, per zone
+ * @param heartbeatInterval time between two heartbeats in a small zone
+ * @param fullSlotsDelay how long a taken-over target's own load must have been watched before its
+ *     new holder gets all slots
+ * @param maxMovesPerSecond holdings that may move between live members in a second, per zone
  */
 public record MembershipSettings(
-    Duration heartbeat,
-    Duration confirmWindow,
-    Duration takeOverSilence,
-    Duration pauseAllowance,
-    Duration fullAfter,
-    double movesPerSecond) {
-  private static final Duration HEARTBEAT_PER_MEMBER = Duration.ofMillis(40);
+    Duration heartbeatInterval,
+    Duration confirmationWindow,
+    Duration takeOverTimeout,
+    Duration maxPause,
+    Duration fullSlotsDelay,
+    double maxMovesPerSecond) {
+  private static final Duration HEARTBEAT_INTERVAL_PER_MEMBER = Duration.ofMillis(40);
 
   /** Checks that no pause a gate may overlook reaches into a take-over. */
   public MembershipSettings {
-    if (confirmWindow.plus(pauseAllowance).compareTo(takeOverSilence) > 0) {
+    if (confirmationWindow.plus(maxPause).compareTo(takeOverTimeout) > 0) {
       throw new IllegalArgumentException(
           "take-over after "
-              + takeOverSilence
+              + takeOverTimeout
               + " is too early: a gate may be unconfirmed for "
-              + confirmWindow
+              + confirmationWindow
               + " and paused for "
-              + pauseAllowance
+              + maxPause
               + "; use at least their sum");
     }
   }
@@ -54,11 +54,11 @@
    * them pass its relay, but twice in a confirm window at least, so that one late answer costs no
    * slots.
    */
-  public Duration heartbeat(int members) {
-    Duration bySize = HEARTBEAT_PER_MEMBER.multipliedBy(members);
-    Duration longest = confirmWindow.multipliedBy(2).dividedBy(5);
-    if (bySize.compareTo(heartbeat) <= 0) {
-      return heartbeat;
+  public Duration heartbeatInterval(int memberCount) {
+    Duration bySize = HEARTBEAT_INTERVAL_PER_MEMBER.multipliedBy(memberCount);
+    Duration longest = confirmationWindow.multipliedBy(2).dividedBy(5);
+    if (bySize.compareTo(heartbeatInterval) <= 0) {
+      return heartbeatInterval;
     }
     return bySize.compareTo(longest) < 0 ? bySize : longest;
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/RelayedView.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/RelayedView.java
@@ -20,11 +20,15 @@
    * <p>Without it a new relay could not tell slots that are free from slots that a silent member,
    * no longer in the view, goes on using.
    *
-   * @param holder the former holder
+   * @param formerHolder the former holder
    * @param incarnation the former holder's
-   * @param viewNumber view that told it to stop
-   * @param silent true where it was not heard and keeps half; false where it hands over
+   * @param releaseViewNumber view that told it to stop
+   * @param isSilent true where it was not heard and keeps half; false where it hands over
    */
   public record Withheld(
-      String target, String holder, long incarnation, long viewNumber, boolean silent) {}
+      String target,
+      String formerHolder,
+      long incarnation,
+      long releaseViewNumber,
+      boolean isSilent) {}
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/Rendezvous.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/Rendezvous.java
@@ -19,20 +19,20 @@
 
   /** The candidate for {@code subject}, or empty where there are no candidates. */
   public static Optional<String> choose(String subject, Collection<String> candidates) {
-    return candidates.stream().max(byWeight(subject));
+    return candidates.stream().max(byHash(subject));
   }
 
   /** All candidates, best first. */
-  public static List<String> order(String subject, Collection<String> candidates) {
-    return candidates.stream().sorted(byWeight(subject).reversed()).toList();
+  public static List<String> rank(String subject, Collection<String> candidates) {
+    return candidates.stream().sorted(byHash(subject).reversed()).toList();
   }
 
-  private static Comparator<String> byWeight(String subject) {
-    return Comparator.<String>comparingLong(candidate -> weight(subject, candidate))
+  private static Comparator<String> byHash(String subject) {
+    return Comparator.<String>comparingLong(candidate -> hash(subject, candidate))
         .thenComparing(Comparator.naturalOrder());
   }
 
-  private static long weight(String subject, String candidate) {
+  private static long hash(String subject, String candidate) {
     return HASHER.hashCharsToLong(subject + '\n' + candidate);
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/ViewMaker.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/ZoneViewBuilder.java
@@ -22,27 +22,27 @@
  *
  * <p>Not thread-safe.
  */
-public final class ViewMaker {
+public final class ZoneViewBuilder {
   private static final int COUNTER_BITS = 20;
-  private static final long BETWEEN_VIEWS_NANOS = Duration.ofMillis(100).toNanos();
+  private static final long MIN_VIEW_INTERVAL_NANOS = Duration.ofMillis(100).toNanos();
 
   private final TimeSource time;
   private final String zone;
   private final String relay;
   private final ToIntFunction<String> totalSlots;
   private final MemberTable members;
-  private final HoldingPlan plan;
-  private ZoneView last;
+  private final HoldingPlanner planner;
+  private ZoneView lastView;
   private List<RelayedView.Withheld> lastWithheld = List.of();
-  private boolean made;
-  private long madeNanos;
+  private boolean hasView;
+  private long lastViewNanos;
 
-  private ViewMaker(
+  private ZoneViewBuilder(
       MembershipSettings settings,
       TimeSource time,
       String zone,
       String relay,
-      long fencing,
+      long fencingToken,
       Optional<RelayedView> previous,
       ToIntFunction<String> totalSlots) {
     this.time = time;
@@ -50,14 +50,14 @@
     this.relay = relay;
     this.totalSlots = totalSlots;
     this.members = new MemberTable(settings, time);
-    this.plan = new HoldingPlan(settings, time, members);
+    this.planner = new HoldingPlanner(settings, time, members);
     long lastNumber = previous.map(last -> last.view().number()).orElse(0L);
-    long first = Math.max(fencing << COUNTER_BITS, lastNumber + 1);
-    this.last = new ZoneView(zone, first - 1, List.of(), List.of());
+    long first = Math.max(fencingToken << COUNTER_BITS, lastNumber + 1);
+    this.lastView = new ZoneView(zone, first - 1, List.of(), List.of());
     previous.ifPresent(
         view -> {
-          members.seed(view.view().members());
-          plan.seed(view);
+          members.restore(view.view().members());
+          planner.restore(view);
         });
   }
 
@@ -65,46 +65,46 @@
    * A maker that goes on from {@code previous}.
    *
    * @param relay this entry VM
-   * @param fencing the relay's fencing revision; views of a later relay have higher numbers
+   * @param fencingToken the relay's fencing revision; views of a later relay have higher numbers
    * @param totalSlots slots of one target of a service by the contract in force, 0 where unknown
    */
-  public static ViewMaker of(
+  public static ZoneViewBuilder of(
       MembershipSettings settings,
       TimeSource time,
       String zone,
       String relay,
-      long fencing,
+      long fencingToken,
       Optional<RelayedView> previous,
       ToIntFunction<String> totalSlots) {
-    return new ViewMaker(settings, time, zone, relay, fencing, previous, totalSlots);
+    return new ZoneViewBuilder(settings, time, zone, relay, fencingToken, previous, totalSlots);
   }
 
   /** The fencing revision in a view's number. */
-  public static long fencingOf(long viewNumber) {
+  public static long fencingTokenOf(long viewNumber) {
     return viewNumber >> COUNTER_BITS;
   }
 
   /** Takes a heartbeat in and says what to answer. */
-  public HeartbeatAnswer heartbeat(Heartbeat heartbeat) {
-    boolean current = members.heartbeat(heartbeat);
+  public HeartbeatAnswer onHeartbeat(Heartbeat heartbeat) {
+    boolean current = members.onHeartbeat(heartbeat);
     if (current) {
-      plan.reported(heartbeat.reports());
+      planner.onTargetReports(heartbeat.targetReports());
     }
     MemberTable.Entry entry = members.entry(heartbeat.sender().vm());
     long known = entry == null ? 0 : entry.member().incarnation();
-    boolean confirmed = current && made && heartbeat.viewNumber() >= last.number();
-    return new HeartbeatAnswer(heartbeat.sentNanos(), last.number(), true, confirmed, known);
+    boolean confirmed = current && hasView && heartbeat.viewNumber() >= lastView.number();
+    return new HeartbeatAnswer(heartbeat.sentNanos(), lastView.number(), true, confirmed, known);
   }
 
   /** Takes in a fetch of the platform's list. */
-  public void listed(List<ListedVm> lines) {
-    members.listed(lines);
-    plan.listed(zone, lines);
+  public void onPlatformList(List<ListedVm> listings) {
+    members.onPlatformList(listings);
+    planner.onPlatformList(zone, listings);
   }
 
   /** Sets which of the zone's targets another zone may be using half the slots of. */
-  public void lent(Predicate<String> usedElsewhere) {
-    plan.lent(usedElsewhere);
+  public void setLentTargets(Predicate<String> isLent) {
+    planner.setLentTargets(isLent);
   }
 
   /**
@@ -112,62 +112,63 @@
    *
    * <p>May be told again and again, and is told to each next relay.
    */
-  public void takeOver(String homeZone, List<Holding> holdings) {
-    plan.takeOver(homeZone, holdings);
+  public void takeOver(String owningZone, List<Holding> holdings) {
+    planner.takeOver(owningZone, holdings);
   }
 
   /** Makes members stop using the targets of {@code homeZone}, whose entry VMs are back. */
-  public void giveBack(String homeZone) {
-    plan.giveBack(homeZone);
+  public void giveBack(String owningZone) {
+    planner.giveBack(owningZone);
   }
 
   /** Whether members hold targets of {@code homeZone}, or still have requests in flight there. */
-  public boolean holdsFor(String homeZone) {
-    return plan.holdsFor(homeZone);
+  public boolean holdsTargetsOf(String owningZone) {
+    return planner.holdsTargetsOf(owningZone);
   }
 
   /** A new view where something changed since the last one. */
   public Optional<RelayedView> tick() {
     members.tick();
-    if (made && time.nanos() - madeNanos < BETWEEN_VIEWS_NANOS) {
+    if (hasView && time.nanos() - lastViewNanos < MIN_VIEW_INTERVAL_NANOS) {
       return Optional.empty();
     }
-    long number = last.number() + 1;
-    ZoneView next = new ZoneView(zone, number, members.live(), plan.holdings(number, totalSlots));
-    List<RelayedView.Withheld> withheld = plan.withheld();
+    long number = lastView.number() + 1;
+    ZoneView next =
+        new ZoneView(zone, number, members.liveMembers(), planner.holdings(number, totalSlots));
+    List<RelayedView.Withheld> withheld = planner.withheld();
     boolean same =
-        made
-            && next.members().equals(last.members())
-            && next.holdings().equals(last.holdings())
+        hasView
+            && next.members().equals(lastView.members())
+            && next.holdings().equals(lastView.holdings())
             && withheld.equals(lastWithheld);
     if (same) {
       return Optional.empty();
     }
     lastWithheld = withheld;
-    made = true;
-    madeNanos = time.nanos();
-    last = next;
+    hasView = true;
+    lastViewNanos = time.nanos();
+    lastView = next;
     return Optional.of(new RelayedView(next, relay, withheld));
   }
 
   /** Whether the counter in the view number is used up, so that the duty must be claimed anew. */
-  public boolean exhausted() {
-    return (last.number() & ((1L << COUNTER_BITS) - 1)) == (1L << COUNTER_BITS) - 2;
+  public boolean isCounterExhausted() {
+    return (lastView.number() & ((1L << COUNTER_BITS) - 1)) == (1L << COUNTER_BITS) - 2;
   }
 
   /** Fraction of the zone's members that are heard, 0 to 1. */
-  public double heardFraction() {
-    return members.heardFraction();
+  public double liveFraction() {
+    return members.liveFraction();
   }
 
   /** What the zone's gates did lately, added up for each service. */
   public List<ZoneSummary> summaries() {
     Map<String, ZoneSummary> sums = new TreeMap<>();
     for (MemberTable.Entry entry : members.liveEntries()) {
-      Heartbeat heartbeat = entry.last();
+      Heartbeat heartbeat = entry.lastHeartbeat();
       if (heartbeat != null) {
         for (ZoneSummary summary : heartbeat.summaries()) {
-          sums.merge(summary.service(), inZone(summary), ViewMaker::add);
+          sums.merge(summary.service(), withZone(summary), ZoneViewBuilder::add);
         }
       }
     }
@@ -178,13 +179,13 @@
   public Map<String, Long> revisionsInForce() {
     Map<String, Long> revisions = new TreeMap<>();
     for (MemberTable.Entry entry : members.liveEntries()) {
-      Heartbeat heartbeat = entry.last();
+      Heartbeat heartbeat = entry.lastHeartbeat();
       revisions.put(entry.member().vm(), heartbeat == null ? 0 : heartbeat.contractRevision());
     }
     return revisions;
   }
 
-  private ZoneSummary inZone(ZoneSummary summary) {
+  private ZoneSummary withZone(ZoneSummary summary) {
     return new ZoneSummary(
         zone,
         summary.customer(),
--- a/sageladder-core/src/main/java/org/sageladder/core/message/ConnectionHeaders.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/message/HopByHopHeaders.java
@@ -12,8 +12,8 @@
  * headers.contains("Keep-Alive"); // true: always; also true for names that Connection lists
  * }</pre>
  */
-public final class ConnectionHeaders {
-  private static final Set<String> ALWAYS =
+public final class HopByHopHeaders {
+  private static final Set<String> STANDARD =
       Set.of(
           "connection",
           "keep-alive",
@@ -26,10 +26,10 @@
           "upgrade",
           "expect");
 
-  private final Set<String> named;
+  private final Set<String> listed;
 
-  private ConnectionHeaders(Set<String> named) {
-    this.named = named;
+  private HopByHopHeaders(Set<String> listed) {
+    this.listed = listed;
   }
 
   /**
@@ -37,19 +37,19 @@
    *
    * @param connectionValues the values of its {@code Connection} headers, each a list of names
    */
-  public static ConnectionHeaders naming(Iterable<String> connectionValues) {
+  public static HopByHopHeaders of(Iterable<String> connectionValues) {
     Set<String> named = new HashSet<>();
     for (String value : connectionValues) {
       for (String name : value.split(",", -1)) {
         named.add(name.strip().toLowerCase(Locale.ROOT));
       }
     }
-    return new ConnectionHeaders(named);
+    return new HopByHopHeaders(named);
   }
 
   /** True where the header of that name, in any case, is not passed on. */
   public boolean contains(String header) {
     String name = header.toLowerCase(Locale.ROOT);
-    return ALWAYS.contains(name) || named.contains(name);
+    return STANDARD.contains(name) || listed.contains(name);
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/Execution.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/Execution.java
@@ -11,12 +11,12 @@
   Permit permit();
 
   /**
-   * The target ran the request and answered. May follow {@link #unknown}: an answer that came late
-   * is still the true one.
+   * The target ran the request and answered. May follow {@link #recordUnknown}: an answer that came
+   * late is still the true one.
    *
    * @return false where the execution had ended in another way and the answer was not recorded
    */
-  boolean finish(RecordedAnswer answer);
+  boolean recordAnswer(RecordedAnswer answer);
 
   /**
    * No target ran the request. Closes the permit for good, so that a copy of the request that is
@@ -24,12 +24,12 @@
    *
    * @return false where the execution had already ended
    */
-  boolean notRun();
+  boolean recordNotRun();
 
   /**
    * The request may have run.
    *
    * @return false where the execution had already ended
    */
-  boolean unknown();
+  boolean recordUnknown();
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/HandOver.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/HandOver.java
@@ -28,16 +28,17 @@
   /**
    * States of consecutive sequences.
    *
-   * @param first sequence of the first state
-   * @param endMillis expiry of the last permit
+   * @param firstSequence sequence of the first state
+   * @param lastExpiryMillis expiry of the last permit
    * @param states one of the five states each; none is running
-   * @param digests digest of the request that used the permit, 0 where unused
+   * @param requestDigests digest of the request that used the permit, 0 where unused
    */
   @SuppressWarnings("ArrayRecordComponent")
-  public record SegmentState(long first, long endMillis, byte[] states, long[] digests) {}
+  public record SegmentState(
+      long firstSequence, long lastExpiryMillis, byte[] states, long[] requestDigests) {}
 
   /** Permits whose state is handed over. */
-  public long permits() {
+  public long permitCount() {
     return segments.stream().mapToLong(segment -> segment.states().length).sum();
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/HandOverCodec.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/HandOverCodec.java
@@ -20,7 +20,7 @@
  */
 public final class HandOverCodec {
   private static final int VERSION = 1;
-  private static final int MOST_PERMITS_IN_SEGMENT = 1 << 16;
+  private static final int MAX_PERMITS_PER_SEGMENT = 1 << 16;
 
   private HandOverCodec() {}
 
@@ -70,7 +70,7 @@
       for (int left = in.readInt(); left > 0; left--) {
         answers.put(in.readLong(), readAnswer(in));
       }
-      requireEnd(in);
+      requireEndOfStream(in);
       return new HandOver(vm, incarnation, nextSequence, segments, answers);
     }
   }
@@ -79,7 +79,7 @@
    * Reads to the end of the compressed bytes, where their checksum stands. Without this, bytes that
    * were cut behind the last answer pass unchecked: reading them asks for no more than its length.
    */
-  private static void requireEnd(DataInputStream in) throws IOException {
+  private static void requireEndOfStream(DataInputStream in) throws IOException {
     if (in.read() >= 0) {
       throw new IOException("bytes follow the hand-over's last answer");
     }
@@ -87,11 +87,11 @@
 
   private static void write(DataOutputStream out, HandOver.SegmentState segment)
       throws IOException {
-    out.writeLong(segment.first());
-    out.writeLong(segment.endMillis());
+    out.writeLong(segment.firstSequence());
+    out.writeLong(segment.lastExpiryMillis());
     out.writeInt(segment.states().length);
     out.write(segment.states());
-    for (long digest : segment.digests()) {
+    for (long digest : segment.requestDigests()) {
       out.writeLong(digest);
     }
   }
@@ -100,7 +100,7 @@
     long first = in.readLong();
     long endMillis = in.readLong();
     int count = in.readInt();
-    if (count < 0 || count > MOST_PERMITS_IN_SEGMENT) {
+    if (count < 0 || count > MAX_PERMITS_PER_SEGMENT) {
       throw new IOException("a segment of " + count + " permits; at most 65536 are possible");
     }
     byte[] states = new byte[count];
@@ -114,7 +114,7 @@
 
   private static void write(DataOutputStream out, RecordedAnswer answer) throws IOException {
     out.writeShort(answer.status());
-    out.writeBoolean(answer.bodyKept());
+    out.writeBoolean(answer.kept());
     out.writeShort(answer.headers().size());
     for (RecordedAnswer.Header header : answer.headers()) {
       out.writeUTF(header.name());
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/KeyRing.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/KeyRing.java
@@ -16,7 +16,7 @@
  * @param keys at least one; the first signs
  */
 public record KeyRing(List<Key> keys) {
-  private static final int SHORTEST_SECRET = 16;
+  private static final int MIN_SECRET_BYTES = 16;
 
   /** Copies the list and refuses an empty one or two keys of one id. */
   public KeyRing {
@@ -61,7 +61,7 @@
 
     /** A secret of at least 16 bytes. */
     public static Secret of(byte[] bytes) {
-      if (bytes.length < SHORTEST_SECRET) {
+      if (bytes.length < MIN_SECRET_BYTES) {
         throw new IllegalArgumentException(
             "a secret of " + bytes.length + " bytes is too short; give 16 bytes or more");
       }
@@ -80,7 +80,7 @@
   }
 
   /** The key that seals new permits. */
-  public Key signing() {
+  public Key signingKey() {
     return keys.get(0);
   }
 
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/OpenedPermit.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/OpenedPermit.java
@@ -11,7 +11,7 @@
    * <p>Its home made it and knows the key, so pass it on there; refusing it here could call a
    * request not run that runs elsewhere.
    */
-  record UnknownKey(Permit claimed, String keyId) implements OpenedPermit {}
+  record UnknownKey(Permit unverifiedPermit, String keyId) implements OpenedPermit {}
 
   /** Not a permit, or altered on its way. */
   record Invalid(String reason) implements OpenedPermit {}
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/PermitCodec.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/PermitCodec.java
@@ -31,31 +31,31 @@
 public final class PermitCodec {
   private static final int VERSION = 1;
   private static final int MAC_BYTES = 16;
-  private static final int LONGEST_TEXT = 1024;
+  private static final int MAX_TEXT_LENGTH = 1024;
   private static final String ALGORITHM = "HmacSHA256";
   private static final Base64.Encoder ENCODER = Base64.getUrlEncoder().withoutPadding();
 
-  private final Supplier<KeyRing> rings;
+  private final Supplier<KeyRing> ringSource;
 
-  private PermitCodec(Supplier<KeyRing> rings) {
-    this.rings = rings;
+  private PermitCodec(Supplier<KeyRing> ringSource) {
+    this.ringSource = ringSource;
   }
 
   /** A codec that asks {@code rings} for the keys of the moment at each call. */
-  public static PermitCodec of(Supplier<KeyRing> rings) {
-    return new PermitCodec(rings);
+  public static PermitCodec of(Supplier<KeyRing> ringSource) {
+    return new PermitCodec(ringSource);
   }
 
   /** The text form, sealed with the ring's signing key. */
   public String seal(Permit permit) {
-    KeyRing.Key key = rings.get().signing();
+    KeyRing.Key key = ringSource.get().signingKey();
     String payload = ENCODER.encodeToString(encode(permit));
     return key.id() + "." + payload + "." + ENCODER.encodeToString(mac(key, payload));
   }
 
   /** Reads a permit's text and checks its MAC. */
   public OpenedPermit open(String text) {
-    if (text.length() > LONGEST_TEXT) {
+    if (text.length() > MAX_TEXT_LENGTH) {
       return invalid("it has " + text.length() + " characters, a permit has at most 1024");
     }
     String[] parts = text.split("\\.", -1);
@@ -70,7 +70,7 @@
     } catch (IllegalArgumentException | IOException e) {
       return invalid("'" + text + "' cannot be read: " + e.getMessage());
     }
-    Optional<KeyRing.Key> key = rings.get().key(parts[0]);
+    Optional<KeyRing.Key> key = ringSource.get().key(parts[0]);
     if (key.isEmpty()) {
       return new OpenedPermit.UnknownKey(permit, parts[0]);
     }
@@ -88,14 +88,14 @@
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(96);
     try (DataOutputStream out = new DataOutputStream(bytes)) {
       out.writeByte(VERSION);
-      out.writeUTF(permit.home());
+      out.writeUTF(permit.issuer());
       out.writeLong(permit.incarnation());
       out.writeLong(permit.sequence());
       out.writeLong(permit.expiryMillis());
       out.writeUTF(permit.customer());
       out.writeUTF(permit.service());
-      out.writeUTF(permit.boundTo());
-      out.writeUTF(permit.homeAddress());
+      out.writeUTF(permit.binding());
+      out.writeUTF(permit.issuerAddress());
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/PermitHome.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/PermitHome.java
@@ -48,10 +48,10 @@
    * @param lifetime time from minting to expiry
    * @param segmentSpan time that one segment of states covers
    * @param retention time that states outlive the last expiry of their segment
-   * @param answerBytes most memory for recorded answers; the oldest go first
+   * @param maxAnswerBytes most memory for recorded answers; the oldest go first
    */
   public record Limits(
-      Duration lifetime, Duration segmentSpan, Duration retention, long answerBytes) {
+      Duration lifetime, Duration segmentSpan, Duration retention, long maxAnswerBytes) {
     /** Two minutes to live and one more to be asked about, 16 MiB of answers. */
     public static Limits standard() {
       return new Limits(
@@ -70,9 +70,9 @@
   /**
    * A fresh permit, or empty once this home was handed over.
    *
-   * @param boundTo digest of the idempotency key that the permit is for, or empty
+   * @param binding digest of the idempotency key that the permit is for, or empty
    */
-  public Optional<Permit> mint(String customer, String service, String boundTo, long nowMillis) {
+  public Optional<Permit> mint(String customer, String service, String binding, long nowMillis) {
     PermitTable.Minted minted = own.mint(nowMillis);
     if (minted == null) {
       return Optional.empty();
@@ -85,7 +85,7 @@
             minted.expiryMillis(),
             customer,
             service,
-            boundTo,
+            binding,
             ""));
   }
 
@@ -106,26 +106,26 @@
    * @param requestDigest digest of what must be alike in every copy, such as method, path and body
    * @param nowMillis wall clock of this VM
    */
-  public Decision begin(Permit permit, String requestDigest, long nowMillis) {
-    PermitTable table = tableOf(permit);
+  public Decision beginExecution(Permit permit, String requestDigest, long nowMillis) {
+    PermitTable table = tableFor(permit);
     if (table == null) {
       return new Decision.Foreign();
     }
-    return table.begin(permit, fold(requestDigest), nowMillis);
+    return table.beginExecution(permit, fnv1aHash(requestDigest), nowMillis);
   }
 
   /** True where this home decides on the permits of that incarnation. */
-  public boolean answersFor(String home, long homeIncarnation) {
-    return isOwn(home, homeIncarnation)
-        || adopted.containsKey(new Incarnation(home, homeIncarnation));
+  public boolean decidesFor(String issuer, long issuerIncarnation) {
+    return isOwn(issuer, issuerIncarnation)
+        || adopted.containsKey(new Incarnation(issuer, issuerIncarnation));
   }
 
   /**
    * Begins no further run of its own permits and mints no more; a copy that might have been run is
    * told "running", which asks its caller to come back when the successor decides.
    */
-  public void beginClosing() {
-    own.beginClosing();
+  public void startDraining() {
+    own.startDraining();
   }
 
   /**
@@ -143,28 +143,28 @@
   public void adopt(HandOver handOver) {
     adopted.computeIfAbsent(
         new Incarnation(handOver.vm(), handOver.incarnation()),
-        key -> PermitTable.adopted(handOver, limits));
+        key -> PermitTable.restoredFrom(handOver, limits));
   }
 
   /** Drops the states of adopted incarnations whose permits have all expired. */
-  public void expire(long nowMillis) {
-    adopted.values().removeIf(table -> table.held(nowMillis) == 0);
+  public void dropExpired(long nowMillis) {
+    adopted.values().removeIf(table -> table.retainedCount(nowMillis) == 0);
   }
 
   /** Executions that have not ended. */
-  public int running() {
-    int running = own.running();
+  public int runningCount() {
+    int running = own.runningCount();
     for (PermitTable table : adopted.values()) {
-      running += table.running();
+      running += table.runningCount();
     }
     return running;
   }
 
   /** Permits whose state is held now, adopted ones included. */
-  public long held(long nowMillis) {
-    long held = own.held(nowMillis);
+  public long retainedCount(long nowMillis) {
+    long held = own.retainedCount(nowMillis);
     for (PermitTable table : adopted.values()) {
-      held += table.held(nowMillis);
+      held += table.retainedCount(nowMillis);
     }
     return held;
   }
@@ -176,22 +176,22 @@
   }
 
   /** Executions of its own permits that have not ended. */
-  public int runningOwn() {
-    return own.running();
+  public int runningOwnCount() {
+    return own.runningCount();
   }
 
-  private @Nullable PermitTable tableOf(Permit permit) {
-    if (isOwn(permit.home(), permit.incarnation())) {
+  private @Nullable PermitTable tableFor(Permit permit) {
+    if (isOwn(permit.issuer(), permit.incarnation())) {
       return own;
     }
-    return adopted.get(new Incarnation(permit.home(), permit.incarnation()));
+    return adopted.get(new Incarnation(permit.issuer(), permit.incarnation()));
   }
 
-  private boolean isOwn(String home, long homeIncarnation) {
-    return home.equals(vm) && homeIncarnation == incarnation;
+  private boolean isOwn(String issuer, long issuerIncarnation) {
+    return issuer.equals(vm) && issuerIncarnation == incarnation;
   }
 
-  private static long fold(String requestDigest) {
+  private static long fnv1aHash(String requestDigest) {
     long hash = 0xcbf29ce484222325L;
     for (int i = 0; i < requestDigest.length(); i++) {
       hash = (hash ^ requestDigest.charAt(i)) * 0x100000001b3L;
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/PermitKeys.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/PermitKeys.java
@@ -31,20 +31,20 @@
  */
 public final class PermitKeys {
   private static final int SECRET_BYTES = 32;
-  private static final int TRIES = 3;
-  private static final int SETTLING_SHARE = 48;
+  private static final int MAX_ATTEMPTS = 3;
+  private static final int ROTATION_PERIODS_PER_PROPAGATION_DELAY = 48;
 
   private final Store store;
-  private final String key;
-  private final Duration period;
+  private final String storeKey;
+  private final Duration rotationPeriod;
   private final SecureRandom random;
   private final KeyRing.Key localKey;
   private volatile KeyRing ring;
 
-  private PermitKeys(Store store, String customer, Duration period, SecureRandom random) {
+  private PermitKeys(Store store, String customer, Duration rotationPeriod, SecureRandom random) {
     this.store = store;
-    this.key = "keys/" + customer;
-    this.period = period;
+    this.storeKey = "keys/" + customer;
+    this.rotationPeriod = rotationPeriod;
     this.random = random;
     this.localKey = newKey("L", 0);
     this.ring = KeyRing.of(List.of(localKey));
@@ -53,11 +53,12 @@
   /**
    * The keys of {@code customer}, not yet read.
    *
-   * @param period age at which the signing key is replaced; a key verifies for two periods, so the
-   *     period must be at least the lifetime of a permit
+   * @param rotationPeriod age at which the signing key is replaced; a key verifies for two periods,
+   *     so the period must be at least the lifetime of a permit
    */
-  public static PermitKeys of(Store store, String customer, Duration period, SecureRandom random) {
-    return new PermitKeys(store, customer, period, random);
+  public static PermitKeys of(
+      Store store, String customer, Duration rotationPeriod, SecureRandom random) {
+    return new PermitKeys(store, customer, rotationPeriod, random);
   }
 
   /** The keys of the moment; never blocks. */
@@ -78,24 +79,24 @@
    * @throws StoreException where the store gave no answer; the ring stays as it was
    */
   public void refresh(long nowMillis) throws StoreException {
-    for (int i = 0; i < TRIES; i++) {
-      Optional<StoredValue> stored = store.read(key);
+    for (int i = 0; i < MAX_ATTEMPTS; i++) {
+      Optional<StoredValue> stored = store.read(storeKey);
       List<KeyRing.Key> keys = stored.map(value -> parse(value.value())).orElse(List.of());
-      if (isFresh(keys, nowMillis)) {
-        ring = withLocal(inOrderOfUse(keys, nowMillis));
+      if (isCurrent(keys, nowMillis)) {
+        ring = withLocalKey(orderForSigning(keys, nowMillis));
         return;
       }
-      replace(stored.orElse(null), rotated(keys, nowMillis));
+      writeKeys(stored.orElse(null), rotated(keys, nowMillis));
     }
   }
 
-  private boolean isFresh(List<KeyRing.Key> keys, long nowMillis) {
-    return !keys.isEmpty() && nowMillis - keys.get(0).createdMillis() < period.toMillis();
+  private boolean isCurrent(List<KeyRing.Key> keys, long nowMillis) {
+    return !keys.isEmpty() && nowMillis - keys.get(0).createdMillis() < rotationPeriod.toMillis();
   }
 
-  private void replace(@Nullable StoredValue old, List<KeyRing.Key> keys) throws StoreException {
+  private void writeKeys(@Nullable StoredValue old, List<KeyRing.Key> keys) throws StoreException {
     try {
-      store.compareAndSet(key, old == null ? 0 : old.revision(), format(keys), null);
+      store.compareAndSet(storeKey, old == null ? 0 : old.revision(), format(keys), null);
     } catch (StoreException.OutcomeUnknown ignored) {
       // The write may stand although its answer was lost; the next round reads what stands.
     }
@@ -119,8 +120,8 @@
    * The key that signs first. A new key signs only once every entry VM has had time to read it:
    * what entry VMs send each other under a key not read yet would be refused.
    */
-  private List<KeyRing.Key> inOrderOfUse(List<KeyRing.Key> keys, long nowMillis) {
-    long settled = nowMillis - settling().toMillis();
+  private List<KeyRing.Key> orderForSigning(List<KeyRing.Key> keys, long nowMillis) {
+    long settled = nowMillis - propagationDelay().toMillis();
     List<KeyRing.Key> ordered = new ArrayList<>(keys);
     if (ordered.size() > 1 && ordered.get(0).createdMillis() > settled) {
       ordered.add(1, ordered.remove(0));
@@ -129,11 +130,11 @@
   }
 
   /** Time for which a new key is only verified with; refresh at least twice as often. */
-  public Duration settling() {
-    return period.dividedBy(SETTLING_SHARE);
+  public Duration propagationDelay() {
+    return rotationPeriod.dividedBy(ROTATION_PERIODS_PER_PROPAGATION_DELAY);
   }
 
-  private KeyRing withLocal(List<KeyRing.Key> keys) {
+  private KeyRing withLocalKey(List<KeyRing.Key> keys) {
     List<KeyRing.Key> all = new ArrayList<>(keys);
     all.add(localKey);
     return KeyRing.of(all);
@@ -160,11 +161,11 @@
     String text = new String(value, StandardCharsets.US_ASCII);
     return Arrays.stream(text.split("\n"))
         .filter(line -> !line.isBlank())
-        .map(PermitKeys::key)
+        .map(PermitKeys::parseKey)
         .toList();
   }
 
-  private static KeyRing.Key key(String line) {
+  private static KeyRing.Key parseKey(String line) {
     String[] parts = line.split(" ");
     if (parts.length != 3) {
       throw new IllegalStateException(
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/PermitTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/PermitTable.java
@@ -25,20 +25,20 @@
   private final Deque<Long> answerOrder = new ArrayDeque<>();
   private long answerBytes;
   private long nextSequence = 1;
-  private long latestMillis;
+  private long maxSeenMillis;
   private @Nullable String successor;
-  private boolean closing;
+  private boolean draining;
 
   PermitTable(PermitHome.Limits limits) {
     this.limits = limits;
   }
 
   /** A table that goes on where the one that was handed over ended. */
-  static PermitTable adopted(HandOver handOver, PermitHome.Limits limits) {
+  static PermitTable restoredFrom(HandOver handOver, PermitHome.Limits limits) {
     PermitTable table = new PermitTable(limits);
     synchronized (table.lock) {
       handOver.segments().forEach(state -> table.segments.addLast(Segment.of(state)));
-      handOver.answers().forEach((sequence, answer) -> table.keep(sequence, answer));
+      handOver.answers().forEach((sequence, answer) -> table.storeAnswer(sequence, answer));
       table.nextSequence = handOver.nextSequence();
     }
     return table;
@@ -47,13 +47,13 @@
   /** Sequence and expiry of a new permit, or null once the table was handed over. */
   @Nullable Minted mint(long nowMillis) {
     synchronized (lock) {
-      if (successor != null || closing) {
+      if (successor != null || draining) {
         return null;
       }
-      long now = advance(nowMillis);
+      long now = advanceClock(nowMillis);
       long expiry = now + limits.lifetime().toMillis();
       Segment last = segments.peekLast();
-      if (last == null || last.isFull() || now - last.startMillis >= spanMillis()) {
+      if (last == null || last.isFull() || now - last.startMillis >= segmentSpanMillis()) {
         last = new Segment(nextSequence, now);
         segments.addLast(last);
       }
@@ -64,13 +64,13 @@
 
   record Minted(long sequence, long expiryMillis) {}
 
-  Decision begin(Permit permit, long digest, long nowMillis) {
+  Decision beginExecution(Permit permit, long digest, long nowMillis) {
     synchronized (lock) {
       if (successor != null) {
         return new Decision.Moved(successor);
       }
-      long now = advance(nowMillis);
-      Segment segment = segmentOf(permit.sequence());
+      long now = advanceClock(nowMillis);
+      Segment segment = findSegment(permit.sequence());
       if (segment == null) {
         return new Decision.Expired();
       }
@@ -79,43 +79,44 @@
   }
 
   private Decision decide(Segment segment, Permit permit, long digest, long now) {
-    int index = segment.index(permit.sequence());
+    int index = segment.indexOf(permit.sequence());
     byte state = segment.state(index);
-    if (state != Segment.UNUSED && segment.digest(index) != digest) {
+    if (state != Segment.UNUSED && segment.requestDigest(index) != digest) {
       return new Decision.Mismatch("the permit was first used for another request");
     }
     return switch (state) {
-      case Segment.UNUSED -> start(segment, index, permit, digest, now);
+      case Segment.UNUSED -> startExecution(segment, index, permit, digest, now);
       case Segment.RUNNING -> new Decision.Running();
       case Segment.NOT_RUN -> new Decision.NotRun();
-      case Segment.RAN -> new Decision.Replay(answerOf(permit.sequence()));
+      case Segment.RAN -> new Decision.Replay(recordedAnswer(permit.sequence()));
       default -> new Decision.Unknown();
     };
   }
 
-  private Decision start(Segment segment, int index, Permit permit, long digest, long now) {
+  private Decision startExecution(
+      Segment segment, int index, Permit permit, long digest, long now) {
     if (now >= permit.expiryMillis()) {
       // The caller will be told "not run". That has to be kept as a state: the clock may jump back,
       // or a successor's clock may be behind, and a later copy would run after all.
-      segment.refuse(index, digest);
+      segment.markNotRun(index, digest);
       return new Decision.NotRun();
     }
-    if (closing) {
+    if (draining) {
       return new Decision.Running();
     }
-    segment.begin(index, digest);
-    return new Decision.Execute(new Run(permit));
+    segment.markRunning(index, digest);
+    return new Decision.Execute(new TableExecution(permit));
   }
 
-  private RecordedAnswer answerOf(long sequence) {
+  private RecordedAnswer recordedAnswer(long sequence) {
     RecordedAnswer answer = answers.get(sequence);
     return answer == null ? RecordedAnswer.notKept() : answer;
   }
 
   /** From now on mints none and begins none, so that what runs can end before the closing. */
-  void beginClosing() {
+  void startDraining() {
     synchronized (lock) {
-      closing = true;
+      draining = true;
     }
   }
 
@@ -126,29 +127,29 @@
    * <p>Two successors could both run a permit that was unused at the closing. So the first named
    * one stays the only one, also where it is not known whether it took the states over.
    */
-  @Nullable HandOver close(String vm, long incarnation, String to, long nowMillis) {
+  @Nullable HandOver close(String vm, long incarnation, String successorVm, long nowMillis) {
     synchronized (lock) {
-      if (successor != null && !successor.equals(to)) {
+      if (successor != null && !successor.equals(successorVm)) {
         return null;
       }
-      advance(nowMillis);
-      successor = to;
+      advanceClock(nowMillis);
+      successor = successorVm;
       List<HandOver.SegmentState> states = new ArrayList<>();
-      segments.forEach(segment -> states.add(segment.handedOver()));
+      segments.forEach(segment -> states.add(segment.toHandOverState()));
       Map<Long, RecordedAnswer> kept = new HashMap<>(answers);
       return new HandOver(vm, incarnation, nextSequence, states, kept);
     }
   }
 
-  int running() {
+  int runningCount() {
     synchronized (lock) {
-      return segments.stream().mapToInt(Segment::running).sum();
+      return segments.stream().mapToInt(Segment::runningCount).sum();
     }
   }
 
-  long held(long nowMillis) {
+  long retainedCount(long nowMillis) {
     synchronized (lock) {
-      advance(nowMillis);
+      advanceClock(nowMillis);
       return segments.stream().mapToLong(Segment::count).sum();
     }
   }
@@ -157,63 +158,64 @@
   @Override
   public String toString() {
     synchronized (lock) {
-      return "successor=" + successor + " latest=" + latestMillis + " segments=" + segments;
+      return "successor=" + successor + " latest=" + maxSeenMillis + " segments=" + segments;
     }
   }
 
-  private long advance(long nowMillis) {
-    latestMillis = Math.max(latestMillis, nowMillis);
+  private long advanceClock(long nowMillis) {
+    maxSeenMillis = Math.max(maxSeenMillis, nowMillis);
     long retention = limits.retention().toMillis();
-    while (!segments.isEmpty() && latestMillis >= segments.getFirst().endMillis() + retention) {
-      drop(segments.removeFirst());
+    while (!segments.isEmpty()
+        && maxSeenMillis >= segments.getFirst().lastExpiryMillis() + retention) {
+      dropSegment(segments.removeFirst());
     }
-    return latestMillis;
+    return maxSeenMillis;
   }
 
-  private void drop(Segment segment) {
+  private void dropSegment(Segment segment) {
     for (Iterator<Long> oldest = answerOrder.iterator(); oldest.hasNext(); ) {
       long sequence = oldest.next();
-      if (segment.has(sequence)) {
+      if (segment.contains(sequence)) {
         oldest.remove();
-        forget(sequence);
+        evictAnswer(sequence);
       }
     }
   }
 
-  private void keep(long sequence, RecordedAnswer answer) {
+  private void storeAnswer(long sequence, RecordedAnswer answer) {
     answers.put(sequence, answer);
     answerOrder.addLast(sequence);
-    answerBytes += answer.cost();
-    while (answerBytes > limits.answerBytes() && !answerOrder.isEmpty()) {
-      forget(answerOrder.removeFirst());
+    answerBytes += answer.memoryBytes();
+    while (answerBytes > limits.maxAnswerBytes() && !answerOrder.isEmpty()) {
+      evictAnswer(answerOrder.removeFirst());
     }
   }
 
-  private void forget(long sequence) {
+  private void evictAnswer(long sequence) {
     RecordedAnswer answer = answers.remove(sequence);
     if (answer != null) {
-      answerBytes -= answer.cost();
+      answerBytes -= answer.memoryBytes();
     }
   }
 
-  private @Nullable Segment segmentOf(long sequence) {
+  private @Nullable Segment findSegment(long sequence) {
     for (Iterator<Segment> newest = segments.descendingIterator(); newest.hasNext(); ) {
       Segment segment = newest.next();
-      if (segment.has(sequence)) {
+      if (segment.contains(sequence)) {
         return segment;
       }
     }
     return null;
   }
 
-  private long spanMillis() {
+  private long segmentSpanMillis() {
     return limits.segmentSpan().toMillis();
   }
 
-  private final class Run implements Execution {
+  private final class TableExecution implements Execution {
     private final Permit permit;
 
-    Run(Permit permit) {
+    TableExecution(Permit permit) {
       this.permit = permit;
     }
 
@@ -223,33 +225,34 @@
     }
 
     @Override
-    public boolean finish(RecordedAnswer answer) {
+    public boolean recordAnswer(RecordedAnswer answer) {
       synchronized (lock) {
-        if (!move(Segment.RUNNING, Segment.RAN) && !move(Segment.UNKNOWN, Segment.RAN)) {
+        if (!transition(Segment.RUNNING, Segment.RAN)
+            && !transition(Segment.UNKNOWN, Segment.RAN)) {
           return false;
         }
-        keep(permit.sequence(), answer);
+        storeAnswer(permit.sequence(), answer);
         return true;
       }
     }
 
     @Override
-    public boolean notRun() {
+    public boolean recordNotRun() {
       synchronized (lock) {
-        return move(Segment.RUNNING, Segment.NOT_RUN);
+        return transition(Segment.RUNNING, Segment.NOT_RUN);
       }
     }
 
     @Override
-    public boolean unknown() {
+    public boolean recordUnknown() {
       synchronized (lock) {
-        return move(Segment.RUNNING, Segment.UNKNOWN);
+        return transition(Segment.RUNNING, Segment.UNKNOWN);
       }
     }
 
-    private boolean move(byte from, byte to) {
-      Segment segment = successor == null ? segmentOf(permit.sequence()) : null;
-      return segment != null && segment.move(segment.index(permit.sequence()), from, to);
+    private boolean transition(byte from, byte to) {
+      Segment segment = successor == null ? findSegment(permit.sequence()) : null;
+      return segment != null && segment.transition(segment.indexOf(permit.sequence()), from, to);
     }
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/RecordedAnswer.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/RecordedAnswer.java
@@ -8,11 +8,11 @@
  * @param status HTTP status of the answer, 100 to 999, or 0 where the answer is not kept
  * @param headers header lines as name and value
  * @param body whole body; empty where {@code bodyKept} is false
- * @param bodyKept false where the answer is not kept; the request ran all the same
+ * @param kept false where the answer is not kept; the request ran all the same
  */
 @SuppressWarnings("ArrayRecordComponent")
-public record RecordedAnswer(int status, List<Header> headers, byte[] body, boolean bodyKept) {
-  private static final int FIXED_COST = 64;
+public record RecordedAnswer(int status, List<Header> headers, byte[] body, boolean kept) {
+  private static final int FIXED_BYTES = 64;
 
   /** Copies the list, so that the headers cannot change. */
   public RecordedAnswer {
@@ -23,7 +23,7 @@
   public record Header(String name, String value) {}
 
   /** An answer kept whole; {@code body} must not change afterwards. */
-  public static RecordedAnswer whole(int status, List<Header> headers, byte[] body) {
+  public static RecordedAnswer complete(int status, List<Header> headers, byte[] body) {
     return new RecordedAnswer(status, headers, body, true);
   }
 
@@ -33,10 +33,10 @@
   }
 
   /** Bytes of memory that the answer is reckoned to take. */
-  public int cost() {
-    int cost = FIXED_COST + body.length;
+  public int memoryBytes() {
+    int cost = FIXED_BYTES + body.length;
     for (Header header : headers) {
-      cost += FIXED_COST + header.name().length() + header.value().length();
+      cost += FIXED_BYTES + header.name().length() + header.value().length();
     }
     return cost;
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/Segment.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/Segment.java
@@ -10,106 +10,107 @@
   static final byte NOT_RUN = 3;
   static final byte UNKNOWN = 4;
 
-  private static final int SMALLEST = 64;
-  private static final int LARGEST = 1 << 16;
+  private static final int INITIAL_CAPACITY = 64;
+  private static final int MAX_PERMITS = 1 << 16;
 
   final long startMillis;
-  private final long first;
-  private long endMillis;
+  private final long firstSequence;
+  private long lastExpiryMillis;
   private int count;
-  private int running;
+  private int runningCount;
   private byte[] states;
-  private long[] digests;
+  private long[] requestDigests;
 
-  Segment(long first, long startMillis) {
-    this.first = first;
+  Segment(long firstSequence, long startMillis) {
+    this.firstSequence = firstSequence;
     this.startMillis = startMillis;
-    this.endMillis = startMillis;
-    this.states = new byte[SMALLEST];
-    this.digests = new long[SMALLEST];
+    this.lastExpiryMillis = startMillis;
+    this.states = new byte[INITIAL_CAPACITY];
+    this.requestDigests = new long[INITIAL_CAPACITY];
   }
 
   static Segment of(HandOver.SegmentState state) {
-    Segment segment = new Segment(state.first(), state.endMillis());
-    segment.endMillis = state.endMillis();
+    Segment segment = new Segment(state.firstSequence(), state.lastExpiryMillis());
+    segment.lastExpiryMillis = state.lastExpiryMillis();
     segment.count = state.states().length;
     segment.states = state.states().clone();
-    segment.digests = state.digests().clone();
+    segment.requestDigests = state.requestDigests().clone();
     return segment;
   }
 
   /** The states for a successor; what runs at the closing can only be told "unknown" there. */
-  HandOver.SegmentState handedOver() {
+  HandOver.SegmentState toHandOverState() {
     byte[] copy = Arrays.copyOf(states, count);
     for (int i = 0; i < count; i++) {
       if (copy[i] == RUNNING) {
         copy[i] = UNKNOWN;
       }
     }
-    return new HandOver.SegmentState(first, endMillis, copy, Arrays.copyOf(digests, count));
+    return new HandOver.SegmentState(
+        firstSequence, lastExpiryMillis, copy, Arrays.copyOf(requestDigests, count));
   }
 
   boolean isFull() {
-    return count == LARGEST;
+    return count == MAX_PERMITS;
   }
 
   int count() {
     return count;
   }
 
-  int running() {
-    return running;
+  int runningCount() {
+    return runningCount;
   }
 
   /** Expiry of the last permit. */
-  long endMillis() {
-    return endMillis;
+  long lastExpiryMillis() {
+    return lastExpiryMillis;
   }
 
   void add(long expiryMillis) {
     if (count == states.length) {
-      int larger = Math.min(LARGEST, count * 2);
+      int larger = Math.min(MAX_PERMITS, count * 2);
       states = Arrays.copyOf(states, larger);
-      digests = Arrays.copyOf(digests, larger);
+      requestDigests = Arrays.copyOf(requestDigests, larger);
     }
     count++;
-    endMillis = Math.max(endMillis, expiryMillis);
+    lastExpiryMillis = Math.max(lastExpiryMillis, expiryMillis);
   }
 
-  boolean has(long sequence) {
-    return sequence >= first && sequence < first + count;
+  boolean contains(long sequence) {
+    return sequence >= firstSequence && sequence < firstSequence + count;
   }
 
-  int index(long sequence) {
-    return Math.toIntExact(sequence - first);
+  int indexOf(long sequence) {
+    return Math.toIntExact(sequence - firstSequence);
   }
 
   byte state(int index) {
     return states[index];
   }
 
-  long digest(int index) {
-    return digests[index];
+  long requestDigest(int index) {
+    return requestDigests[index];
   }
 
-  void begin(int index, long digest) {
+  void markRunning(int index, long digest) {
     states[index] = RUNNING;
-    digests[index] = digest;
-    running++;
+    requestDigests[index] = digest;
+    runningCount++;
   }
 
-  void refuse(int index, long digest) {
+  void markNotRun(int index, long digest) {
     states[index] = NOT_RUN;
-    digests[index] = digest;
+    requestDigests[index] = digest;
   }
 
-  boolean move(int index, byte from, byte to) {
+  boolean transition(int index, byte from, byte to) {
     if (states[index] != from) {
       return false;
     }
     states[index] = to;
     if (from == RUNNING) {
-      running--;
+      runningCount--;
     }
     return true;
   }
@@ -120,10 +121,10 @@
     for (int i = 0; i < count; i++) {
       byState[states[i]]++;
     }
-    return first
+    return firstSequence
         + "+"
         + count
-        + (" until " + endMillis)
+        + (" until " + lastExpiryMillis)
         + (": unused " + byState[UNUSED] + ", running " + byState[RUNNING])
         + (", ran " + byState[RAN] + ", not run " + byState[NOT_RUN])
         + (", unknown " + byState[UNKNOWN]);
--- a/sageladder-core/src/main/java/org/sageladder/core/quarantine/CrashReportCodec.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quarantine/CrashReportCodec.java
@@ -11,7 +11,7 @@
 
 /** Bytes of a crash report, for the message that carries it to the other entry VMs. */
 public final class CrashReportCodec {
-  private static final int MOST_FINGERPRINTS = 1_000;
+  private static final int MAX_FINGERPRINTS = 1_000;
 
   private CrashReportCodec() {}
 
@@ -43,7 +43,7 @@
       long incarnation = in.readLong();
       long atMillis = in.readLong();
       int count = in.readInt();
-      if (count < 0 || count > MOST_FINGERPRINTS) {
+      if (count < 0 || count > MAX_FINGERPRINTS) {
         throw new IOException(
             "a crash report of " + count + " requests; at most 1000 are possible");
       }
--- a/sageladder-core/src/main/java/org/sageladder/core/quarantine/Quarantine.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quarantine/Quarantine.java
@@ -28,18 +28,19 @@
   /**
    * What bounds a quarantine.
    *
-   * @param remembered how long a crash counts
-   * @param firstHold how long the second crash holds a fingerprint back; each further one doubles
-   * @param longestHold longest hold
-   * @param together crashes within this time of each other are held against one another
-   * @param mostReports most crashes remembered; the oldest go first
+   * @param crashRetention how long a crash counts
+   * @param initialDuration how long the second crash holds a fingerprint back; each further one
+   *     doubles
+   * @param maxDuration longest hold
+   * @param correlationWindow crashes within this time of each other are held against one another
+   * @param maxReports most crashes remembered; the oldest go first
    */
   public record Limits(
-      Duration remembered,
-      Duration firstHold,
-      Duration longestHold,
-      Duration together,
-      int mostReports) {
+      Duration crashRetention,
+      Duration initialDuration,
+      Duration maxDuration,
+      Duration correlationWindow,
+      int maxReports) {
     /** Ten minutes of memory, one minute to ten minutes of hold, 1,000 crashes. */
     public static Limits standard() {
       return new Limits(
@@ -51,14 +52,14 @@
     }
   }
 
-  private record Crash(String target, long incarnation) {}
+  private record CrashId(String target, long incarnation) {}
 
   private final Limits limits;
   private final Object lock = new Object();
   // Guarded by lock: crashes by identity, in the order they were heard of.
-  private final Map<Crash, CrashReport> reports = new java.util.LinkedHashMap<>();
+  private final Map<CrashId, CrashReport> reports = new java.util.LinkedHashMap<>();
   // Replaced whole, so that the request path reads it without a lock.
-  private volatile Map<Long, Long> heldUntil = Map.of();
+  private volatile Map<Long, Long> quarantinedUntilMillis = Map.of();
 
   private Quarantine(Limits limits) {
     this.limits = limits;
@@ -76,15 +77,15 @@
    */
   public boolean add(CrashReport report) {
     synchronized (lock) {
-      Crash crash = new Crash(report.target(), report.incarnation());
+      CrashId crash = new CrashId(report.target(), report.incarnation());
       CrashReport known = reports.get(crash);
       CrashReport merged = known == null ? report : merge(known, report);
       if (merged.equals(known)) {
         return false;
       }
       reports.put(crash, merged);
-      forgetOld(report.atMillis());
-      heldUntil = decide();
+      evictOldReports(report.atMillis());
+      quarantinedUntilMillis = computeQuarantinedUntil();
       return true;
     }
   }
@@ -97,15 +98,15 @@
     return new CrashReport(one.target(), one.incarnation(), at, all);
   }
 
-  private void forgetOld(long nowMillis) {
-    long oldest = nowMillis - limits.remembered().toMillis();
+  private void evictOldReports(long nowMillis) {
+    long oldest = nowMillis - limits.crashRetention().toMillis();
     reports.values().removeIf(report -> report.atMillis() < oldest);
-    while (reports.size() > limits.mostReports()) {
+    while (reports.size() > limits.maxReports()) {
       reports.remove(reports.keySet().iterator().next());
     }
   }
 
-  private Map<Long, Long> decide() {
+  private Map<Long, Long> computeQuarantinedUntil() {
     Map<Long, List<Long>> crashTimes = new HashMap<>();
     for (CrashReport report : reports.values()) {
       for (long fingerprint : report.fingerprints()) {
@@ -117,20 +118,20 @@
     Map<Long, Long> held = new HashMap<>();
     crashTimes.forEach(
         (fingerprint, times) -> {
-          if (times.size() >= 2 && isCommon(fingerprint, times)) {
-            held.put(fingerprint, latest(times) + hold(times.size()).toMillis());
+          if (times.size() >= 2 && isInHalfOfCrashes(fingerprint, times)) {
+            held.put(fingerprint, latest(times) + quarantineDuration(times.size()).toMillis());
           }
         });
     return Map.copyOf(held);
   }
 
   /** True where at least half of the crashes about its latest ones had the fingerprint. */
-  private boolean isCommon(long fingerprint, List<Long> times) {
+  private boolean isInHalfOfCrashes(long fingerprint, List<Long> times) {
     long last = latest(times);
     int about = 0;
     int with = 0;
     for (CrashReport report : reports.values()) {
-      if (Math.abs(report.atMillis() - last) <= limits.together().toMillis()) {
+      if (Math.abs(report.atMillis() - last) <= limits.correlationWindow().toMillis()) {
         about++;
         with += report.fingerprints().contains(fingerprint) ? 1 : 0;
       }
@@ -138,12 +139,12 @@
     return with * 2 >= about;
   }
 
-  private Duration hold(int crashes) {
-    Duration hold = limits.firstHold();
-    for (int i = 2; i < crashes && hold.compareTo(limits.longestHold()) < 0; i++) {
+  private Duration quarantineDuration(int crashCount) {
+    Duration hold = limits.initialDuration();
+    for (int i = 2; i < crashCount && hold.compareTo(limits.maxDuration()) < 0; i++) {
       hold = hold.multipliedBy(2);
     }
-    return hold.compareTo(limits.longestHold()) < 0 ? hold : limits.longestHold();
+    return hold.compareTo(limits.maxDuration()) < 0 ? hold : limits.maxDuration();
   }
 
   private static long latest(List<Long> times) {
@@ -151,19 +152,19 @@
   }
 
   /** True where the request with that fingerprint must not be sent to a target. */
-  public boolean holds(long fingerprint, long nowMillis) {
-    Long until = heldUntil.get(fingerprint);
+  public boolean isQuarantined(long fingerprint, long nowMillis) {
+    Long until = quarantinedUntilMillis.get(fingerprint);
     return until != null && nowMillis < until;
   }
 
   /** True where nothing is held back, so that no fingerprint needs to be worked out. */
   public boolean isEmpty() {
-    return heldUntil.isEmpty();
+    return quarantinedUntilMillis.isEmpty();
   }
 
   /** Milliseconds until {@code fingerprint} may be tried again; 0 where it may now. */
   public long remainingMillis(long fingerprint, long nowMillis) {
-    Long until = heldUntil.get(fingerprint);
+    Long until = quarantinedUntilMillis.get(fingerprint);
     return until == null ? 0 : Math.max(0, until - nowMillis);
   }
 
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/Quotas.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/Quotas.java
@@ -273,7 +273,7 @@
 
   private List<String> coordinatorOrder(MeteredWorkspace known) {
     if (known.coordinatorOrder.isEmpty()) {
-      List<String> all = Rendezvous.order(known.workspace.name(), liveVms);
+      List<String> all = Rendezvous.rank(known.workspace.name(), liveVms);
       known.coordinatorOrder = List.copyOf(all.subList(0, Math.min(MAX_COORDINATORS, all.size())));
     }
     return known.coordinatorOrder;
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/Backoff.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/Backoff.java
@@ -11,38 +11,39 @@
  * a bound that doubles ("full jitter"), so the calls spread over the whole bound.
  */
 public final class Backoff {
-  private static final int MOST_DOUBLINGS = 10;
+  private static final int MAX_DOUBLINGS = 10;
 
-  private final Duration first;
-  private final Duration longest;
+  private final Duration initialWait;
+  private final Duration maxWait;
   private final RandomGenerator random;
-  private int failures;
+  private int failureCount;
 
-  private Backoff(Duration first, Duration longest, RandomGenerator random) {
-    this.first = first;
-    this.longest = longest;
+  private Backoff(Duration initialWait, Duration maxWait, RandomGenerator random) {
+    this.initialWait = initialWait;
+    this.maxWait = maxWait;
     this.random = random;
   }
 
   /** Waits up to {@code first} after one failure, doubling up to {@code longest}. */
-  public static Backoff of(Duration first, Duration longest, RandomGenerator random) {
-    return new Backoff(first, longest, random);
+  public static Backoff of(Duration initialWait, Duration maxWait, RandomGenerator random) {
+    return new Backoff(initialWait, maxWait, random);
   }
 
   /** Counts a failure and returns the wait before the next try. */
-  public Duration failed() {
-    long bound = Math.min(longest.toNanos(), first.toNanos() << Math.min(failures, MOST_DOUBLINGS));
-    failures++;
+  public Duration recordFailure() {
+    long bound =
+        Math.min(maxWait.toNanos(), initialWait.toNanos() << Math.min(failureCount, MAX_DOUBLINGS));
+    failureCount++;
     return Duration.ofNanos(1 + (long) (random.nextDouble() * bound));
   }
 
   /** Forgets earlier failures. */
-  public void succeeded() {
-    failures = 0;
+  public void recordSuccess() {
+    failureCount = 0;
   }
 
   /** Failures since the last success. */
-  public int failures() {
-    return failures;
+  public int failureCount() {
+    return failureCount;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/DutyCall.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/ElectionCall.java
@@ -1,16 +1,16 @@
 package org.sageladder.core.spread;
 
 /** A store call that the relay's duty wants made; one at a time. */
-public sealed interface DutyCall {
+public sealed interface ElectionCall {
   /** Reads who has the duty. */
-  record ReadOwner(String key) implements DutyCall {}
+  record ReadOwner(String key) implements ElectionCall {}
 
   /** Opens a lease. */
-  record Grant() implements DutyCall {}
+  record Grant() implements ElectionCall {}
 
   /** Takes the duty's key under {@code lease}, if nobody has it. */
   @SuppressWarnings("ArrayRecordComponent")
-  record Claim(String key, byte[] value, long lease) implements DutyCall {
+  record Claim(String key, byte[] value, long lease) implements ElectionCall {
     /** Tells the value's length only, since it is bytes. */
     @Override
     public String toString() {
@@ -19,5 +19,5 @@
   }
 
   /** Renews the lease. */
-  record Renew(long lease) implements DutyCall {}
+  record Renew(long lease) implements ElectionCall {}
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/FirstSnapshot.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/InitialSnapshot.java
@@ -14,64 +14,69 @@
  * since the first answer. A peer that is itself fresh does not count. With neither store nor peer
  * the VM never becomes ready, because any guess could be a revert.
  */
-public final class FirstSnapshot {
+public final class InitialSnapshot {
   private final TimeSource time;
-  private final Duration waitForOthers;
-  private final Set<String> asked = new HashSet<>();
-  private final Set<String> answered = new HashSet<>();
-  private boolean storeAnswered;
+  private final Duration peerWait;
+  private final Set<String> requestedPeers = new HashSet<>();
+  private final Set<String> answeredPeers = new HashSet<>();
+  private boolean hasStoreAnswered;
   private long firstAnswerNanos;
 
-  private FirstSnapshot(TimeSource time, Duration waitForOthers) {
+  private InitialSnapshot(TimeSource time, Duration peerWait) {
     this.time = time;
-    this.waitForOthers = waitForOthers;
+    this.peerWait = peerWait;
   }
 
   /** Waits {@code waitForOthers} for further peers after the first one answered. */
-  public static FirstSnapshot of(TimeSource time, Duration waitForOthers) {
-    return new FirstSnapshot(time, waitForOthers);
+  public static InitialSnapshot of(TimeSource time, Duration peerWait) {
+    return new InitialSnapshot(time, peerWait);
   }
 
   /** Notes that {@code vm} was asked for its items. */
-  public void asked(String vm) {
-    asked.add(vm);
+  public void recordRequest(String vm) {
+    requestedPeers.add(vm);
   }
 
   /** Notes that {@code vm} has sent all its items; ignored where it is not ready itself. */
-  public void peerAnswered(String vm, boolean peerReady) {
-    if (!peerReady) {
+  public void recordPeerAnswer(String vm, boolean isPeerReady) {
+    if (!isPeerReady) {
       return;
     }
-    if (answered.isEmpty()) {
+    if (answeredPeers.isEmpty()) {
       firstAnswerNanos = time.nanos();
     }
-    answered.add(vm);
+    answeredPeers.add(vm);
   }
 
   /** Notes that the store told what it holds. */
-  public void storeAnswered() {
-    storeAnswered = true;
+  public void recordStoreAnswer() {
+    hasStoreAnswered = true;
   }
 
   /** Whether the highest revision that can be known has been taken. */
-  public boolean complete() {
-    if (storeAnswered) {
+  public boolean isComplete() {
+    if (hasStoreAnswered) {
       return true;
     }
-    if (answered.isEmpty()) {
+    if (answeredPeers.isEmpty()) {
       return false;
     }
-    return answered.containsAll(asked)
-        || time.nanos() - firstAnswerNanos >= waitForOthers.toNanos();
+    return answeredPeers.containsAll(requestedPeers)
+        || time.nanos() - firstAnswerNanos >= peerWait.toNanos();
   }
 
   /** One line on what is known and what is missing, for operators. */
   public String explanation() {
-    if (complete()) {
-      return storeAnswered
+    if (isComplete()) {
+      return hasStoreAnswered
           ? "the store answered"
-          : answered.size() + " of " + asked.size() + " peers answered, the store has not";
+          : answeredPeers.size()
+              + " of "
+              + requestedPeers.size()
+              + " peers answered, the store has not";
     }
-    return "neither the store nor a ready peer has answered; asked " + asked.size() + " peers";
+    return "neither the store nor a ready peer has answered; asked "
+        + requestedPeers.size()
+        + " peers";
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/Item.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/Item.java
@@ -12,18 +12,18 @@
 @SuppressWarnings("ArrayRecordComponent")
 public record Item(ItemKey key, long version, long expiresAtMillis, byte[] payload) {
   /** Largest payload: the store's largest value and some room for its envelope. */
-  public static final int LARGEST_PAYLOAD = (1 << 20) + (1 << 14);
+  public static final int MAX_PAYLOAD_BYTES = (1 << 20) + (1 << 14);
 
-  private static final int HEAD_BYTES = 24;
+  private static final int HEADER_BYTES = 24;
 
   /** Checks version and size. */
   public Item {
     if (version < 1) {
       throw new IllegalArgumentException("version " + version + " of " + key + " is below 1");
     }
-    if (payload.length > LARGEST_PAYLOAD) {
+    if (payload.length > MAX_PAYLOAD_BYTES) {
       throw new IllegalArgumentException(
-          key + " has " + payload.length + " bytes; at most " + LARGEST_PAYLOAD + " are carried");
+          key + " has " + payload.length + " bytes; at most " + MAX_PAYLOAD_BYTES + " are carried");
     }
   }
 
@@ -47,6 +47,6 @@
 
   /** Bytes this item takes in a message, rounded up. */
   public int wireBytes() {
-    return HEAD_BYTES + key.name().length() + payload.length;
+    return HEADER_BYTES + key.name().length() + payload.length;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/ItemKind.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/ItemKind.java
@@ -11,14 +11,14 @@
   /** Load of one zone; the name is the zone. The next one replaces it, so loss is not repaired. */
   SUMMARY(false);
 
-  private final boolean repaired;
+  private final boolean isRepaired;
 
   ItemKind(boolean repaired) {
-    this.repaired = repaired;
+    this.isRepaired = repaired;
   }
 
   /** Whether a lost item must be found and fetched by comparing digests. */
-  public boolean repaired() {
-    return repaired;
+  public boolean isRepaired() {
+    return isRepaired;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/Overlay.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/Overlay.java
@@ -97,7 +97,7 @@
    *
    * @param zones all zones, reachable or not, in their natural order
    */
-  public static List<String> reportChildren(List<String> zones, String origin, String self) {
+  public static List<String> summaryChildren(List<String> zones, String origin, String self) {
     int count = zones.size();
     int start = Collections.binarySearch(zones, origin);
     int index = Collections.binarySearch(zones, self);
@@ -109,14 +109,14 @@
     int half = count / 2;
     List<String> children = new ArrayList<>();
     if (ahead <= half) {
-      for (int distance : stepsOutward(ahead, stride, half)) {
+      for (int distance : childDistances(ahead, stride, half)) {
         children.add(zones.get((start + distance) % count));
       }
     }
     int behind = Math.floorMod(-ahead, count);
     int otherHalf = count - 1 - half;
     if (behind <= otherHalf) {
-      for (int distance : stepsOutward(behind, stride, otherHalf)) {
+      for (int distance : childDistances(behind, stride, otherHalf)) {
         children.add(zones.get(Math.floorMod(start - distance, count)));
       }
     }
@@ -124,7 +124,7 @@
   }
 
   /** Distances from the origin that the zone at {@code distance} serves, at most {@code last}. */
-  private static List<Integer> stepsOutward(int distance, int stride, int last) {
+  private static List<Integer> childDistances(int distance, int stride, int last) {
     List<Integer> steps = new ArrayList<>();
     boolean onLongStep = distance % stride == 0;
     if (onLongStep && distance + stride <= last) {
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/PayloadDelta.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/PayloadDelta.java
@@ -18,26 +18,26 @@
  * delta.applyTo(older); // newer
  * }</pre>
  *
- * @param program triples of variable-length numbers (bytes to insert, bytes to copy, offset to copy
- *     from), each followed by the bytes to insert, which go before those copied
+ * @param instructions triples of variable-length numbers (bytes to insert, bytes to copy, offset to
+ *     copy from), each followed by the bytes to insert, which go before those copied
  */
 @SuppressWarnings("ArrayRecordComponent")
-public record PayloadDelta(byte[] program) {
-  private static final int BLOCK = 16;
-  private static final int LARGEST_RESULT = Item.LARGEST_PAYLOAD;
+public record PayloadDelta(byte[] instructions) {
+  private static final int BLOCK_BYTES = 16;
+  private static final int MAX_RESULT_BYTES = Item.MAX_PAYLOAD_BYTES;
 
   /** The delta that makes {@code newer} of {@code older}. */
   public static PayloadDelta between(byte[] older, byte[] newer) {
-    Map<Long, Integer> blocks = new HashMap<>(2 * older.length / BLOCK);
-    for (int at = 0; at + BLOCK <= older.length; at += BLOCK) {
-      blocks.putIfAbsent(hash(older, at), at);
+    Map<Long, Integer> blocks = new HashMap<>(2 * older.length / BLOCK_BYTES);
+    for (int at = 0; at + BLOCK_BYTES <= older.length; at += BLOCK_BYTES) {
+      blocks.putIfAbsent(blockHash(older, at), at);
     }
     ByteArrayOutputStream program = new ByteArrayOutputStream();
     int done = 0;
     int at = 0;
     int expected = 0;
-    while (at + BLOCK <= newer.length) {
-      int from = matchAt(older, newer, at, expected, blocks);
+    while (at + BLOCK_BYTES <= newer.length) {
+      int from = findMatch(older, newer, at, expected, blocks);
       if (from < 0) {
         at++;
         expected++;
@@ -49,35 +49,35 @@
           && newer[at - back - 1] == older[from - back - 1]) {
         back++;
       }
-      int length = common(older, from, newer, at);
-      step(program, newer, done, at - back, from - back, length + back);
+      int length = commonLength(older, from, newer, at);
+      writeInstruction(program, newer, done, at - back, from - back, length + back);
       at += length;
       done = at;
       expected = from + length;
     }
-    step(program, newer, done, newer.length, 0, 0);
+    writeInstruction(program, newer, done, newer.length, 0, 0);
     return new PayloadDelta(program.toByteArray());
   }
 
   /** The newer payload, or empty where {@code older} cannot be what the delta was made from. */
   public Optional<byte[]> applyTo(byte[] older) {
-    ByteBuffer in = ByteBuffer.wrap(program);
+    ByteBuffer in = ByteBuffer.wrap(instructions);
     ByteArrayOutputStream newer = new ByteArrayOutputStream(older.length);
     while (in.hasRemaining()) {
-      long insert = number(in);
-      long copy = number(in);
-      long from = number(in);
+      long insert = readVarint(in);
+      long copy = readVarint(in);
+      long from = readVarint(in);
       boolean fits =
           insert >= 0
               && insert <= in.remaining()
               && copy >= 0
               && from >= 0
               && from + copy <= older.length
-              && newer.size() + insert + copy <= LARGEST_RESULT;
+              && newer.size() + insert + copy <= MAX_RESULT_BYTES;
       if (!fits) {
         return Optional.empty();
       }
-      newer.write(program, in.position(), (int) insert);
+      newer.write(instructions, in.position(), (int) insert);
       in.position(in.position() + (int) insert);
       newer.write(older, (int) from, (int) copy);
     }
@@ -85,17 +85,17 @@
   }
 
   /** Where the older payload has the block at {@code at}; tried first where the last copy ended. */
-  private static int matchAt(
+  private static int findMatch(
       byte[] older, byte[] newer, int at, int expected, Map<Long, Integer> blocks) {
-    if (expected + BLOCK <= older.length && same(older, expected, newer, at)) {
+    if (expected + BLOCK_BYTES <= older.length && blocksEqual(older, expected, newer, at)) {
       return expected;
     }
-    Integer from = blocks.get(hash(newer, at));
-    return from != null && same(older, from, newer, at) ? from : -1;
+    Integer from = blocks.get(blockHash(newer, at));
+    return from != null && blocksEqual(older, from, newer, at) ? from : -1;
   }
 
-  private static boolean same(byte[] older, int from, byte[] newer, int at) {
-    for (int i = 0; i < BLOCK; i++) {
+  private static boolean blocksEqual(byte[] older, int from, byte[] newer, int at) {
+    for (int i = 0; i < BLOCK_BYTES; i++) {
       if (older[from + i] != newer[at + i]) {
         return false;
       }
@@ -103,7 +103,7 @@
     return true;
   }
 
-  private static int common(byte[] older, int from, byte[] newer, int at) {
+  private static int commonLength(byte[] older, int from, byte[] newer, int at) {
     int length = 0;
     while (from + length < older.length
         && at + length < newer.length
@@ -113,23 +113,23 @@
     return length;
   }
 
-  private static long hash(byte[] bytes, int at) {
-    ByteBuffer view = ByteBuffer.wrap(bytes, at, BLOCK).order(ByteOrder.LITTLE_ENDIAN);
+  private static long blockHash(byte[] bytes, int at) {
+    ByteBuffer view = ByteBuffer.wrap(bytes, at, BLOCK_BYTES).order(ByteOrder.LITTLE_ENDIAN);
     return view.getLong() * 0x9E3779B97F4A7C15L + view.getLong();
   }
 
-  private static void step(
+  private static void writeInstruction(
       ByteArrayOutputStream program, byte[] newer, int done, int until, int from, int copy) {
     if (until == done && copy == 0) {
       return;
     }
-    write(program, until - done);
-    write(program, copy);
-    write(program, from);
+    writeVarint(program, until - done);
+    writeVarint(program, copy);
+    writeVarint(program, from);
     program.write(newer, done, until - done);
   }
 
-  private static void write(ByteArrayOutputStream out, int number) {
+  private static void writeVarint(ByteArrayOutputStream out, int number) {
     int left = number;
     while (left >= 0x80) {
       out.write(left | 0x80);
@@ -139,7 +139,7 @@
   }
 
   /** The next number, or -1 where there is none. */
-  private static long number(ByteBuffer in) {
+  private static long readVarint(ByteBuffer in) {
     long number = 0;
     for (int shift = 0; shift < 35 && in.hasRemaining(); shift += 7) {
       byte next = in.get();
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/PeerMessages.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/PeerMessages.java
@@ -40,10 +40,10 @@
    *
    * @param id names what is announced within the topic; a later one with the same id replaces it
    */
-  void announce(String topic, String id, byte[] content, Duration keep);
+  void broadcast(String topic, String id, byte[] content, Duration retention);
 
   /** Names who takes the payloads of {@code topic}; a later call replaces an earlier one. */
-  void on(String topic, Receiver receiver);
+  void setReceiver(String topic, Receiver receiver);
 
   /** Messages that go nowhere, for an entry VM without peers. */
   static PeerMessages none() {
@@ -54,10 +54,10 @@
       }
 
       @Override
-      public void announce(String topic, String id, byte[] content, Duration keep) {}
+      public void broadcast(String topic, String id, byte[] content, Duration keep) {}
 
       @Override
-      public void on(String topic, Receiver receiver) {}
+      public void setReceiver(String topic, Receiver receiver) {}
     };
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/RelayDuty.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/RelayElection.java
@@ -19,7 +19,7 @@
  * store says the lease has ended, or a view with a higher fencing revision is seen. Not
  * thread-safe.
  */
-public final class RelayDuty {
+public final class RelayElection {
   /** What this entry VM is to its zone. */
   public enum State {
     /** Another entry VM is relay, or nobody is. */
@@ -39,7 +39,7 @@
     RENEW
   }
 
-  private static final Duration OTHER_HOLDS_WAIT = Duration.ofMillis(400);
+  private static final Duration RECHECK_INTERVAL = Duration.ofMillis(400);
 
   private final RelaySettings settings;
   private final TimeSource time;
@@ -49,16 +49,16 @@
   private final Backoff backoff;
   private State state = State.FOLLOWING;
   private Step step = Step.READ;
-  private boolean calling;
+  private boolean callInFlight;
   private @Nullable Long lease;
-  private long leaseAskedNanos;
-  private long validUntilNanos;
+  private long leaseRequestedNanos;
+  private long leaseValidUntilNanos;
   private long nextCallNanos;
-  private long fencing;
+  private long fencingToken;
   private boolean storeFailing;
   private long failingSinceNanos;
 
-  private RelayDuty(
+  private RelayElection(
       RelaySettings settings, TimeSource time, String key, String claim, RandomGenerator random) {
     this.settings = settings;
     this.time = time;
@@ -75,36 +75,36 @@
    * @param vm this entry VM
    * @param incarnation makes the claim unique, so that a claim whose answer was lost is recognised
    */
-  public static RelayDuty of(
+  public static RelayElection of(
       RelaySettings settings,
       TimeSource time,
       String key,
       String vm,
       long incarnation,
       RandomGenerator random) {
-    return new RelayDuty(settings, time, key, vm + '\n' + incarnation, random);
+    return new RelayElection(settings, time, key, vm + '\n' + incarnation, random);
   }
 
   /** What this entry VM is now; a valid lease lapses by itself. */
   public State state() {
-    if (state == State.HOLDING && time.nanos() - validUntilNanos >= 0) {
+    if (state == State.HOLDING && time.nanos() - leaseValidUntilNanos >= 0) {
       state = State.LAPSED;
     }
     return state;
   }
 
   /** Whether this entry VM makes the zone's views, with or without a lease. */
-  public boolean relaying() {
+  public boolean isRelay() {
     return state() != State.FOLLOWING;
   }
 
   /** The fencing revision of the duty; has meaning only while relaying. */
-  public long fencing() {
-    return fencing;
+  public long fencingToken() {
+    return fencingToken;
   }
 
   /** Whether the last store call of the duty failed. */
-  public boolean storeFailing() {
+  public boolean isStoreFailing() {
     return storeFailing;
   }
 
@@ -113,37 +113,37 @@
    *
    * @param silentNanos how long the zone's relay has been silent here
    * @param rank place of this VM among those that may follow; 0 tries first
-   * @param mayServe false while this VM leaves or has no snapshot yet
+   * @param isEligible false while this VM leaves or has no snapshot yet
    */
-  public Optional<DutyCall> next(long silentNanos, int rank, boolean mayServe) {
-    if (calling || time.nanos() - nextCallNanos < 0) {
+  public Optional<ElectionCall> nextCall(long silentNanos, int rank, boolean isEligible) {
+    if (callInFlight || time.nanos() - nextCallNanos < 0) {
       return Optional.empty();
     }
-    long patience = settings.silence().toNanos() + rank * settings.rankStep().toNanos();
-    boolean candidate = mayServe && silentNanos >= patience;
+    long patience = settings.silenceTimeout().toNanos() + rank * settings.rankDelay().toNanos();
+    boolean candidate = isEligible && silentNanos >= patience;
     if (step != Step.RENEW && state == State.FOLLOWING && !candidate) {
       step = Step.READ;
       return Optional.empty();
     }
-    calling = true;
-    return Optional.of(call());
+    callInFlight = true;
+    return Optional.of(startCall());
   }
 
-  private DutyCall call() {
+  private ElectionCall startCall() {
     Long held = lease;
     if (held == null && (step == Step.CLAIM || step == Step.RENEW)) {
       step = Step.READ;
     }
     return switch (step) {
-      case READ -> new DutyCall.ReadOwner(key);
+      case READ -> new ElectionCall.ReadOwner(key);
       case GRANT -> {
-        leaseAskedNanos = time.nanos();
-        yield new DutyCall.Grant();
+        leaseRequestedNanos = time.nanos();
+        yield new ElectionCall.Grant();
       }
-      case CLAIM -> new DutyCall.Claim(key, claim, held == null ? 0 : held);
+      case CLAIM -> new ElectionCall.Claim(key, claim, held == null ? 0 : held);
       case RENEW -> {
-        leaseAskedNanos = time.nanos();
-        yield new DutyCall.Renew(held == null ? 0 : held);
+        leaseRequestedNanos = time.nanos();
+        yield new ElectionCall.Renew(held == null ? 0 : held);
       }
     };
   }
@@ -151,40 +151,40 @@
   /**
    * Acts without a lease where relay and store have both been out of reach for long enough.
    *
-   * @param lastFencing fencing revision of the last view seen
+   * @param lastFencingToken fencing revision of the last view seen
    */
-  public boolean actIfAbandoned(long silentNanos, int rank, long lastFencing) {
-    long patience = settings.actAfter().toNanos() + rank * settings.rankStep().toNanos();
+  public boolean actWithoutLeaseIfAbandoned(long silentNanos, int rank, long lastFencingToken) {
+    long patience = settings.actingDelay().toNanos() + rank * settings.rankDelay().toNanos();
     boolean abandoned =
         state == State.FOLLOWING
             && silentNanos >= patience
             && storeFailing
-            && time.nanos() - failingSinceNanos >= settings.silence().toNanos();
+            && time.nanos() - failingSinceNanos >= settings.silenceTimeout().toNanos();
     if (abandoned) {
       state = State.ACTING;
-      fencing = lastFencing;
+      fencingToken = lastFencingToken;
     }
     return abandoned;
   }
 
   /** The owner was read. */
-  public void onOwner(Optional<StoredValue> owner) {
-    answered();
+  public void onOwnerRead(Optional<StoredValue> owner) {
+    onStoreAnswer();
     if (owner.isEmpty()) {
       step = Step.GRANT;
       return;
     }
     if (lease != null && Arrays.equals(owner.get().value(), claim)) {
-      hold(owner.get().revision());
+      becomeRelay(owner.get().revision());
       return;
     }
     stepDown();
-    waitAbout(OTHER_HOLDS_WAIT);
+    waitWithJitter(RECHECK_INTERVAL);
   }
 
   /** A lease was opened. */
   public void onGranted(long grantedLease) {
-    answered();
+    onStoreAnswer();
     if (step != Step.GRANT) {
       return;
     }
@@ -194,25 +194,25 @@
 
   /** The claim was answered. */
   public void onClaimed(WriteResult result) {
-    answered();
+    onStoreAnswer();
     if (lease != null && result instanceof WriteResult.Written written) {
-      hold(written.revision());
+      becomeRelay(written.revision());
       return;
     }
     stepDown();
-    waitAbout(OTHER_HOLDS_WAIT);
+    waitWithJitter(RECHECK_INTERVAL);
   }
 
   /** The renewal was answered. */
   public void onRenewed(boolean stillHeld) {
-    answered();
+    onStoreAnswer();
     if (lease == null || !stillHeld) {
       stepDown();
       return;
     }
     state = State.HOLDING;
-    validUntilNanos = leaseAskedNanos + settings.timeToLive().toNanos();
-    waitAbout(settings.renewEvery());
+    leaseValidUntilNanos = leaseRequestedNanos + settings.leaseTimeToLive().toNanos();
+    waitWithJitter(settings.renewInterval());
   }
 
   /**
@@ -222,7 +222,7 @@
    * answer was a success.
    */
   public void onFailure() {
-    calling = false;
+    callInFlight = false;
     if (!storeFailing) {
       storeFailing = true;
       failingSinceNanos = time.nanos();
@@ -230,12 +230,12 @@
     if (step != Step.RENEW) {
       step = Step.READ;
     }
-    nextCallNanos = time.nanos() + backoff.failed().toNanos();
+    nextCallNanos = time.nanos() + backoff.recordFailure().toNanos();
   }
 
   /** A view of this zone with a fencing revision was seen; a higher one ends this VM's duty. */
-  public void onViewSeen(long seenFencing) {
-    if (relaying() && seenFencing > fencing) {
+  public void onViewSeen(long seenFencingToken) {
+    if (isRelay() && seenFencingToken > fencingToken) {
       stepDown();
     }
   }
@@ -254,12 +254,12 @@
     return Optional.ofNullable(held);
   }
 
-  private void hold(long revision) {
+  private void becomeRelay(long revision) {
     state = State.HOLDING;
-    fencing = revision;
-    validUntilNanos = leaseAskedNanos + settings.timeToLive().toNanos();
+    fencingToken = revision;
+    leaseValidUntilNanos = leaseRequestedNanos + settings.leaseTimeToLive().toNanos();
     step = Step.RENEW;
-    waitAbout(settings.renewEvery());
+    waitWithJitter(settings.renewInterval());
   }
 
   private void stepDown() {
@@ -268,14 +268,14 @@
     lease = null;
   }
 
-  private void answered() {
-    calling = false;
+  private void onStoreAnswer() {
+    callInFlight = false;
     storeFailing = false;
-    backoff.succeeded();
+    backoff.recordSuccess();
     nextCallNanos = time.nanos();
   }
 
-  private void waitAbout(Duration wait) {
+  private void waitWithJitter(Duration wait) {
     double factor = 0.8 + 0.4 * random.nextDouble();
     nextCallNanos = time.nanos() + (long) (wait.toNanos() * factor);
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/SpreadMessage.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/SpreadMessage.java
@@ -32,7 +32,7 @@
    * @param snapshot true where the sender is fresh and wants everything, summaries too, ended by a
    *     {@link SnapshotEnd}
    */
-  record Versions(Map<ItemKey, Stamp> versions, boolean snapshot) implements SpreadMessage {
+  record Versions(Map<ItemKey, VersionStamp> versions, boolean snapshot) implements SpreadMessage {
     /** Copies the map. */
     public Versions {
       versions = Map.copyOf(versions);
@@ -45,15 +45,15 @@
    * <p>The hash tells apart two payloads under one version, which two relays that both act without
    * a lease can make.
    */
-  record Stamp(long version, int payloadHash) {}
+  record VersionStamp(long version, int payloadHash) {}
 
   /**
    * Everything that the sender has was sent before this.
    *
-   * @param ready false where the sender is itself still fetching its first snapshot, so that its
+   * @param isReady false where the sender is itself still fetching its first snapshot, so that its
    *     answer proves nothing
    */
-  record SnapshotEnd(boolean ready) implements SpreadMessage {}
+  record SnapshotEnd(boolean isReady) implements SpreadMessage {}
 
   /** Asks for whole items. */
   record Pull(List<ItemKey> keys) implements SpreadMessage {
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/Spreader.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/Spreader.java
@@ -37,18 +37,18 @@
   private final TimeSource time;
   private final RandomGenerator random;
   private final Network network;
-  private final Consumer<Item> accepted;
+  private final Consumer<Item> onAccepted;
   private final VersionedTable table;
   private final TokenBucket budget;
   private final Map<String, PeerState> peers = new HashMap<>();
-  private final Map<ItemKey, Item> previous = new HashMap<>();
+  private final Map<ItemKey, Item> previousVersions = new HashMap<>();
   private Set<String> neighbours = Set.of();
-  private Function<Item, Set<String>> reportRoute = report -> neighbours;
+  private Function<Item, Set<String>> summaryRoute = report -> neighbours;
   private List<String> repairPeers = List.of();
   private long nextRepairNanos;
   private long nextFlushNanos;
-  private long settledNanos;
-  private boolean ready;
+  private long quietUntilNanos;
+  private boolean isReady;
 
   /** Sends one message to one entry VM; may drop it. */
   @FunctionalInterface
@@ -58,8 +58,8 @@
   }
 
   private static final class PeerState {
-    private final SortedSet<ItemKey> waiting = new TreeSet<>();
-    private final Map<ItemKey, Long> known = new HashMap<>();
+    private final SortedSet<ItemKey> pending = new TreeSet<>();
+    private final Map<ItemKey, Long> knownVersions = new HashMap<>();
     private boolean owesSnapshotEnd;
   }
 
@@ -68,17 +68,17 @@
       TimeSource time,
       RandomGenerator random,
       Network network,
-      Consumer<Item> accepted) {
+      Consumer<Item> onAccepted) {
     this.settings = settings;
     this.time = time;
     this.random = random;
     this.network = network;
-    this.accepted = accepted;
-    this.table = VersionedTable.withCapacity(settings.mostItems());
+    this.onAccepted = onAccepted;
+    this.table = VersionedTable.withCapacity(settings.maxItems());
     this.budget = TokenBucket.of(time, settings.bytesPerSecond(), settings.burstBytes());
     this.nextRepairNanos = time.nanos();
     this.nextFlushNanos = time.nanos();
-    this.settledNanos = time.nanos();
+    this.quietUntilNanos = time.nanos();
   }
 
   /** A spreader with an empty table; {@code accepted} is told each item that replaced another. */
@@ -87,21 +87,21 @@
       TimeSource time,
       RandomGenerator random,
       Network network,
-      Consumer<Item> accepted) {
-    return new Spreader(settings, time, random, network, accepted);
+      Consumer<Item> onAccepted) {
+    return new Spreader(settings, time, random, network, onAccepted);
   }
 
   /**
    * Sets who is handed new items; a neighbour that was not one before gets all that it may lack.
    */
-  public void neighbours(Set<String> vms) {
+  public void setNeighbours(Set<String> vms) {
     for (String vm : vms) {
       if (!neighbours.contains(vm)) {
         network.send(vm, new SpreadMessage.DigestOffer(table.digest()));
       }
     }
     neighbours = Set.copyOf(vms);
-    peers.keySet().removeIf(vm -> !neighbours.contains(vm) && peers.get(vm).waiting.isEmpty());
+    peers.keySet().removeIf(vm -> !neighbours.contains(vm) && peers.get(vm).pending.isEmpty());
   }
 
   /**
@@ -110,18 +110,18 @@
    * <p>Summaries are most of the bytes where there are many zones. Sent over each link of a mesh,
    * each passes a relay about eight times; along a tree from its origin, three times.
    */
-  public void reportRoute(Function<Item, Set<String>> route) {
-    reportRoute = route;
+  public void setSummaryRoute(Function<Item, Set<String>> route) {
+    summaryRoute = route;
   }
 
   /** Sets whom to compare with at random. */
-  public void repairPeers(List<String> vms) {
+  public void setRepairPeers(List<String> vms) {
     repairPeers = List.copyOf(vms);
   }
 
   /** Tells peers' snapshots from now on that this process has loaded its own. */
-  public void ready(boolean nowReady) {
-    ready = nowReady;
+  public void setReady(boolean nowReady) {
+    isReady = nowReady;
   }
 
   /** What is held. */
@@ -131,19 +131,19 @@
 
   /** Takes in an item of this process's own; false where a higher version is held. */
   public boolean publish(Item item) {
-    return accept(item, null);
+    return merge(item, null);
   }
 
   /** Forgets what {@code vm} is believed to have, since messages to it may have been lost. */
-  public void linkLost(String vm) {
+  public void onLinkLost(String vm) {
     PeerState peer = peers.get(vm);
     if (peer != null) {
-      peer.known.clear();
+      peer.knownVersions.clear();
     }
   }
 
   /** A connection with {@code vm} was made: compares with it where it is a neighbour. */
-  public void linkOpened(String vm) {
+  public void onLinkOpened(String vm) {
     if (neighbours.contains(vm)) {
       network.send(vm, new SpreadMessage.DigestOffer(table.digest()));
     }
@@ -151,7 +151,7 @@
 
   /** Asks {@code vm} for everything it has. */
   public boolean requestSnapshot(String vm) {
-    return network.send(vm, new SpreadMessage.Versions(table.repairedStamps(), true));
+    return network.send(vm, new SpreadMessage.Versions(table.repairedVersionStamps(), true));
   }
 
   /** Takes in what {@code from} said. */
@@ -171,7 +171,7 @@
   public void tick() {
     table.dropExpired(time.wallMillis());
     if (time.nanos() - nextFlushNanos >= 0) {
-      nextFlushNanos = time.nanos() + settings.gather().toNanos();
+      nextFlushNanos = time.nanos() + settings.batchDelay().toNanos();
       for (String vm : new ArrayList<>(peers.keySet())) {
         flush(vm, peers.get(vm));
       }
@@ -179,7 +179,7 @@
     if (time.nanos() - nextRepairNanos >= 0) {
       nextRepairNanos =
           time.nanos() + (long) (settings.repairInterval().toNanos() * (0.5 + random.nextDouble()));
-      if (!repairPeers.isEmpty() && settled()) {
+      if (!repairPeers.isEmpty() && isQuiet()) {
         String vm = repairPeers.get(random.nextInt(repairPeers.size()));
         network.send(vm, new SpreadMessage.DigestOffer(table.digest()));
       }
@@ -187,11 +187,11 @@
   }
 
   /** Bytes that may be sent now without waiting; negative while an overdraft is paid back. */
-  public double budgetLeft() {
-    return budget.left();
+  public double availableBudgetBytes() {
+    return budget.available();
   }
 
-  private boolean accept(Item item, @Nullable String from) {
+  private boolean merge(Item item, @Nullable String from) {
     if (item.expiresAtMillis() > 0 && item.expiresAtMillis() <= time.wallMillis()) {
       return false;
     }
@@ -199,26 +199,26 @@
     if (!table.merge(item)) {
       return false;
     }
-    held.ifPresent(older -> previous.put(item.key(), older));
-    if (item.key().kind().repaired()) {
-      settledNanos = time.nanos() + settings.settle().toNanos();
+    held.ifPresent(older -> previousVersions.put(item.key(), older));
+    if (item.key().kind().isRepaired()) {
+      quietUntilNanos = time.nanos() + settings.quietPeriod().toNanos();
     }
-    accepted.accept(item);
+    onAccepted.accept(item);
     boolean summary = item.key().kind() == ItemKind.SUMMARY;
-    for (String vm : summary ? reportRoute.apply(item) : neighbours) {
+    for (String vm : summary ? summaryRoute.apply(item) : neighbours) {
       if (!vm.equals(from)) {
-        handOn(vm, item);
+        forward(vm, item);
       }
     }
     return true;
   }
 
-  private void handOn(String vm, Item item) {
+  private void forward(String vm, Item item) {
     PeerState peer = peer(vm);
-    if (peer.known.getOrDefault(item.key(), 0L) >= item.version()) {
+    if (peer.knownVersions.getOrDefault(item.key(), 0L) >= item.version()) {
       return;
     }
-    peer.waiting.add(item.key());
+    peer.pending.add(item.key());
     if (isUrgent(item.key().kind())) {
       flush(vm, peer);
     }
@@ -227,28 +227,28 @@
   private void receivePush(String from, SpreadMessage.Push push) {
     PeerState peer = peer(from);
     for (Item item : push.items()) {
-      noteKnown(peer, item.key(), item.version());
-      accept(item, from);
+      recordPeerVersion(peer, item.key(), item.version());
+      merge(item, from);
     }
     List<ItemKey> missing = new ArrayList<>();
     for (SpreadMessage.DeltaItem delta : push.deltas()) {
-      noteKnown(peer, delta.key(), delta.version());
+      recordPeerVersion(peer, delta.key(), delta.version());
       if (table.version(delta.key()) >= delta.version()) {
         continue;
       }
-      Optional<Item> whole = rebuild(delta);
+      Optional<Item> whole = applyDelta(delta);
       if (whole.isEmpty()) {
         missing.add(delta.key());
         continue;
       }
-      accept(whole.get(), from);
+      merge(whole.get(), from);
     }
     if (!missing.isEmpty()) {
       network.send(from, new SpreadMessage.Pull(missing));
     }
   }
 
-  private Optional<Item> rebuild(SpreadMessage.DeltaItem delta) {
+  private Optional<Item> applyDelta(SpreadMessage.DeltaItem delta) {
     Optional<Item> base = table.item(delta.key());
     if (base.isEmpty() || base.get().version() != delta.baseVersion()) {
       return Optional.empty();
@@ -262,8 +262,8 @@
 
   private void receiveDigest(String from, SpreadMessage.DigestOffer offer) {
     if (offer.digest() == table.digest()) {
-      noteAlike(from);
-    } else if (settled()) {
+      recordInSync(from);
+    } else if (isQuiet()) {
       sendVersions(from);
     }
   }
@@ -274,14 +274,14 @@
    * <p>Guards against sending the first change after a start whole: neighbours that each read the
    * contract from the platform's service have never told each other which version they have.
    */
-  private void noteAlike(String vm) {
+  private void recordInSync(String vm) {
     if (!neighbours.contains(vm)) {
       return;
     }
     PeerState peer = peer(vm);
     for (Item item : table.items()) {
-      if (item.key().kind().repaired()) {
-        noteKnown(peer, item.key(), item.version());
+      if (item.key().kind().isRepaired()) {
+        recordPeerVersion(peer, item.key(), item.version());
       }
     }
   }
@@ -289,8 +289,8 @@
   private void receiveVersions(String from, SpreadMessage.Versions theirs) {
     PeerState peer = peer(from);
     List<ItemKey> missing = new ArrayList<>();
-    for (Map.Entry<ItemKey, SpreadMessage.Stamp> entry : theirs.versions().entrySet()) {
-      noteKnown(peer, entry.getKey(), entry.getValue().version());
+    for (Map.Entry<ItemKey, SpreadMessage.VersionStamp> entry : theirs.versions().entrySet()) {
+      recordPeerVersion(peer, entry.getKey(), entry.getValue().version());
       if (entry.getValue().version() > table.version(entry.getKey())) {
         missing.add(entry.getKey());
       }
@@ -300,16 +300,16 @@
       network.send(from, new SpreadMessage.Pull(missing));
     }
     for (Item item : table.items()) {
-      boolean wanted = item.key().kind().repaired() || theirs.snapshot();
+      boolean wanted = item.key().kind().isRepaired() || theirs.snapshot();
       if (wanted && mayReplace(item, theirs.versions().get(item.key()))) {
-        peer.waiting.add(item.key());
+        peer.pending.add(item.key());
       }
     }
     peer.owesSnapshotEnd |= theirs.snapshot();
     flush(from, peer);
   }
 
-  private static boolean mayReplace(Item item, SpreadMessage.@Nullable Stamp theirs) {
+  private static boolean mayReplace(Item item, SpreadMessage.@Nullable VersionStamp theirs) {
     if (theirs == null || item.version() != theirs.version()) {
       return theirs == null || item.version() > theirs.version();
     }
@@ -320,8 +320,8 @@
     PeerState peer = peer(from);
     for (ItemKey key : new LinkedHashSet<>(pull.keys())) {
       if (table.version(key) > 0) {
-        peer.known.remove(key);
-        peer.waiting.add(key);
+        peer.knownVersions.remove(key);
+        peer.pending.add(key);
       }
     }
     flush(from, peer);
@@ -334,46 +334,46 @@
    * comparison differs, and what the peer lacks would be pulled whole although it is about to
    * arrive as a small difference. A real loss is still there at the next comparison.
    */
-  private boolean settled() {
-    return time.nanos() - settledNanos >= 0;
+  private boolean isQuiet() {
+    return time.nanos() - quietUntilNanos >= 0;
   }
 
   private void sendVersions(String vm) {
-    network.send(vm, new SpreadMessage.Versions(table.repairedStamps(), false));
+    network.send(vm, new SpreadMessage.Versions(table.repairedVersionStamps(), false));
   }
 
   private void flush(String vm, PeerState peer) {
-    while (!peer.waiting.isEmpty()) {
+    while (!peer.pending.isEmpty()) {
       List<Item> items = new ArrayList<>();
       List<SpreadMessage.DeltaItem> deltas = new ArrayList<>();
-      int bytes = collect(peer, items, deltas);
+      int bytes = fillPush(peer, items, deltas);
       if (bytes == 0) {
         return;
       }
       if (!network.send(vm, new SpreadMessage.Push(items, deltas))) {
-        peer.known.clear();
-        peer.waiting.clear();
+        peer.knownVersions.clear();
+        peer.pending.clear();
         return;
       }
     }
     if (peer.owesSnapshotEnd) {
       peer.owesSnapshotEnd = false;
-      network.send(vm, new SpreadMessage.SnapshotEnd(ready));
+      network.send(vm, new SpreadMessage.SnapshotEnd(isReady));
     }
   }
 
-  private int collect(PeerState peer, List<Item> items, List<SpreadMessage.DeltaItem> deltas) {
+  private int fillPush(PeerState peer, List<Item> items, List<SpreadMessage.DeltaItem> deltas) {
     int bytes = 0;
-    while (!peer.waiting.isEmpty()) {
-      ItemKey key = peer.waiting.first();
+    while (!peer.pending.isEmpty()) {
+      ItemKey key = peer.pending.first();
       Optional<Item> item = table.item(key);
       if (item.isEmpty()) {
-        peer.waiting.remove(key);
+        peer.pending.remove(key);
         continue;
       }
-      Optional<SpreadMessage.DeltaItem> delta = delta(peer, item.get());
-      int size = delta.isPresent() ? deltaBytes(delta.get()) : item.get().wireBytes();
-      if (bytes > 0 && bytes + size > settings.largestPush()) {
+      Optional<SpreadMessage.DeltaItem> delta = deltaFor(peer, item.get());
+      int size = delta.isPresent() ? deltaWireBytes(delta.get()) : item.get().wireBytes();
+      if (bytes > 0 && bytes + size > settings.maxPushBytes()) {
         break;
       }
       if (isUrgent(key.kind()) || peer.owesSnapshotEnd) {
@@ -381,23 +381,23 @@
       } else if (!budget.tryTake(size)) {
         break;
       }
-      peer.waiting.remove(key);
-      noteKnown(peer, key, item.get().version());
+      peer.pending.remove(key);
+      recordPeerVersion(peer, key, item.get().version());
       delta.ifPresentOrElse(deltas::add, () -> items.add(item.get()));
       bytes += size;
     }
     return bytes;
   }
 
-  private Optional<SpreadMessage.DeltaItem> delta(PeerState peer, Item item) {
-    Item older = previous.get(item.key());
+  private Optional<SpreadMessage.DeltaItem> deltaFor(PeerState peer, Item item) {
+    Item older = previousVersions.get(item.key());
     if (older == null
         || !isUrgent(item.key().kind())
-        || peer.known.getOrDefault(item.key(), 0L) != older.version()) {
+        || peer.knownVersions.getOrDefault(item.key(), 0L) != older.version()) {
       return Optional.empty();
     }
     PayloadDelta difference = PayloadDelta.between(older.payload(), item.payload());
-    if (difference.program().length > item.payload().length / 2) {
+    if (difference.instructions().length > item.payload().length / 2) {
       return Optional.empty();
     }
     return Optional.of(
@@ -409,8 +409,8 @@
             difference));
   }
 
-  private static int deltaBytes(SpreadMessage.DeltaItem delta) {
-    return 48 + delta.key().name().length() + delta.delta().program().length;
+  private static int deltaWireBytes(SpreadMessage.DeltaItem delta) {
+    return 48 + delta.key().name().length() + delta.delta().instructions().length;
   }
 
   private static boolean isUrgent(ItemKind kind) {
@@ -421,7 +421,7 @@
     return peers.computeIfAbsent(vm, name -> new PeerState());
   }
 
-  private static void noteKnown(PeerState peer, ItemKey key, long version) {
-    peer.known.merge(key, version, Math::max);
+  private static void recordPeerVersion(PeerState peer, ItemKey key, long version) {
+    peer.knownVersions.merge(key, version, Math::max);
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/TokenBucket.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/TokenBucket.java
@@ -10,26 +10,30 @@
  */
 public final class TokenBucket {
   private final TimeSource time;
-  private final double perSecond;
-  private final double burst;
+  private final double refillPerSecond;
+  private final double capacity;
   private double tokens;
-  private long filledAt;
+  private long refilledNanos;
 
-  private TokenBucket(TimeSource time, double perSecond, double burst) {
+  private TokenBucket(TimeSource time, double refillPerSecond, double capacity) {
     this.time = time;
-    this.perSecond = perSecond;
-    this.burst = burst;
-    this.tokens = burst;
-    this.filledAt = time.nanos();
+    this.refillPerSecond = refillPerSecond;
+    this.capacity = capacity;
+    this.tokens = capacity;
+    this.refilledNanos = time.nanos();
   }
 
   /** A full bucket of {@code burst} tokens that gains {@code perSecond}. */
-  public static TokenBucket of(TimeSource time, double perSecond, double burst) {
-    if (!(perSecond > 0) || !(burst > 0)) {
+  public static TokenBucket of(TimeSource time, double refillPerSecond, double capacity) {
+    if (!(refillPerSecond > 0) || !(capacity > 0)) {
       throw new IllegalArgumentException(
-          "a budget of " + perSecond + " a second with a burst of " + burst + " lets nothing pass");
+          "a budget of "
+              + refillPerSecond
+              + " a second with a burst of "
+              + capacity
+              + " lets nothing pass");
     }
-    return new TokenBucket(time, perSecond, burst);
+    return new TokenBucket(time, refillPerSecond, capacity);
   }
 
   /**
@@ -52,14 +56,14 @@
   }
 
   /** Tokens left now; negative while an overdraft is paid back. */
-  public double left() {
+  public double available() {
     refill();
     return tokens;
   }
 
   private void refill() {
     long now = time.nanos();
-    tokens = Math.min(burst, tokens + perSecond * (now - filledAt) / 1e9);
-    filledAt = now;
+    tokens = Math.min(capacity, tokens + refillPerSecond * (now - refilledNanos) / 1e9);
+    refilledNanos = now;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/VersionedTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/VersionedTable.java
@@ -24,35 +24,35 @@
 public final class VersionedTable {
   private static final Hasher64 HASHER = Hashing.komihash5_0();
 
-  private final int mostItems;
+  private final int maxItems;
   private final SortedMap<ItemKey, Item> items = new TreeMap<>();
   private long digest;
   private long earliestExpiryMillis = Long.MAX_VALUE;
 
-  private VersionedTable(int mostItems) {
-    this.mostItems = mostItems;
+  private VersionedTable(int maxItems) {
+    this.maxItems = maxItems;
   }
 
   /** An empty table that refuses new keys beyond {@code mostItems}, so a peer cannot fill it. */
-  public static VersionedTable withCapacity(int mostItems) {
-    return new VersionedTable(mostItems);
+  public static VersionedTable withCapacity(int maxItems) {
+    return new VersionedTable(maxItems);
   }
 
   /** Takes {@code item} in if it replaces what is held; false where it does not. */
   public boolean merge(Item item) {
     Item held = items.get(item.key());
-    if (held == null && items.size() >= mostItems) {
+    if (held == null && items.size() >= maxItems) {
       return false;
     }
     if (held != null && !item.replaces(held)) {
       return false;
     }
     if (held != null) {
-      toggle(held);
+      toggleInDigest(held);
     }
     items.put(item.key(), item);
-    noteExpiry(item);
-    toggle(item);
+    updateEarliestExpiry(item);
+    toggleInDigest(item);
     return true;
   }
 
@@ -73,11 +73,11 @@
   }
 
   /** Versions and payload hashes of all items that are repaired, ordered by key. */
-  public Map<ItemKey, SpreadMessage.Stamp> repairedStamps() {
-    SortedMap<ItemKey, SpreadMessage.Stamp> stamps = new TreeMap<>();
+  public Map<ItemKey, SpreadMessage.VersionStamp> repairedVersionStamps() {
+    SortedMap<ItemKey, SpreadMessage.VersionStamp> stamps = new TreeMap<>();
     for (Item item : items.values()) {
-      if (item.key().kind().repaired()) {
-        stamps.put(item.key(), new SpreadMessage.Stamp(item.version(), payloadHash(item)));
+      if (item.key().kind().isRepaired()) {
+        stamps.put(item.key(), new SpreadMessage.VersionStamp(item.version(), payloadHash(item)));
       }
     }
     return Collections.unmodifiableMap(stamps);
@@ -102,23 +102,23 @@
     for (Item item : items()) {
       if (item.expiresAtMillis() > 0 && item.expiresAtMillis() <= wallMillis) {
         items.remove(item.key());
-        toggle(item);
+        toggleInDigest(item);
         dropped.add(item.key());
       } else {
-        noteExpiry(item);
+        updateEarliestExpiry(item);
       }
     }
     return dropped;
   }
 
-  private void noteExpiry(Item item) {
+  private void updateEarliestExpiry(Item item) {
     if (item.expiresAtMillis() > 0) {
       earliestExpiryMillis = Math.min(earliestExpiryMillis, item.expiresAtMillis());
     }
   }
 
-  private void toggle(Item item) {
-    if (item.key().kind().repaired()) {
+  private void toggleInDigest(Item item) {
+    if (item.key().kind().isRepaired()) {
       digest ^=
           HASHER.hashCharsToLong(
               item.key().kind().name()
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/ServiceFacts.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/ServiceFacts.java
@@ -73,7 +73,7 @@
       return holders;
     }
     for (Member member : view.members()) {
-      int slots = member.leaving() ? 0 : slotsOf(member, view, contract, service);
+      int slots = member.isDraining() ? 0 : slotsOf(member, view, contract, service);
       if (slots > 0) {
         holders.add(new Holder(member, slots));
       }
@@ -88,7 +88,7 @@
       if (holding.holder().equals(member.vm())
           && holding.service().equals(service.name())
           && holding.customer().equals(contract.customer())
-          && !holding.leaving()) {
+          && !holding.isDraining()) {
         slots += holding.slots();
       }
     }
--- a/sageladder-core/src/test/java/org/sageladder/core/event/EventBufferTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/event/EventBufferTest.java
@@ -15,32 +15,32 @@
 
   @Test
   void readerGetsEachEventOnceInOrder() {
-    EventBuffer buffer = EventBuffer.holding(8, time);
+    EventBuffer buffer = EventBuffer.withCapacity(8, time);
     record(buffer, "a");
     time.advance(Duration.ofMillis(2));
     record(buffer, "b");
 
-    EventBuffer.Batch first = buffer.after(0, 1);
-    EventBuffer.Batch second = buffer.after(first.next(), 10);
+    EventBuffer.Batch first = buffer.readAfter(0, 1);
+    EventBuffer.Batch second = buffer.readAfter(first.lastSequence(), 10);
 
     assertEquals(List.of("a"), details(first));
     assertEquals(List.of("b"), details(second));
     assertEquals(5_002_000, second.events().get(0).wallMicros());
-    assertEquals(List.of(), buffer.after(second.next(), 10).events());
+    assertEquals(List.of(), buffer.readAfter(second.lastSequence(), 10).events());
   }
 
   // Story: a reader comes back after a burst larger than the buffer and its time line would show a
   // quiet stretch where there was none. Cause: the oldest events gave way between two reads.
   @Test
   void eventsThatGaveWayAreCounted() {
-    EventBuffer buffer = EventBuffer.holding(4, time);
+    EventBuffer buffer = EventBuffer.withCapacity(4, time);
     for (int i = 1; i <= 11; i++) {
       record(buffer, String.valueOf(i));
     }
 
-    EventBuffer.Batch batch = buffer.after(2, 100);
+    EventBuffer.Batch batch = buffer.readAfter(2, 100);
 
-    assertEquals(5, batch.lost());
+    assertEquals(5, batch.lostCount());
     assertEquals(List.of("8", "9", "10", "11"), details(batch));
   }
 
@@ -48,7 +48,7 @@
   // reader that steps over a slot whose writer has its number but has not stored its event yet.
   @Test
   void underConcurrentWritersSeenAndLostAddUp() throws Exception {
-    EventBuffer buffer = EventBuffer.holding(256, time);
+    EventBuffer buffer = EventBuffer.withCapacity(256, time);
     int writers = 4;
     int each = 20_000;
     CountDownLatch done = new CountDownLatch(writers);
@@ -68,11 +68,12 @@
     long next = 0;
     while (next < (long) writers * each) {
       boolean finished = done.getCount() == 0;
-      EventBuffer.Batch batch = buffer.after(next, 64);
+      EventBuffer.Batch batch = buffer.readAfter(next, 64);
       batch.events().forEach(event -> seen.add(event.sequence()));
-      lost += batch.lost();
-      assertTrue(!finished || batch.next() > next, "a read after the last write must go on");
-      next = batch.next();
+      lost += batch.lostCount();
+      assertTrue(
+          !finished || batch.lastSequence() > next, "a read after the last write must go on");
+      next = batch.lastSequence();
     }
 
     assertEquals((long) writers * each, seen.size() + lost);
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/ServiceGateTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/ServiceGateTest.java
@@ -323,7 +323,7 @@
         gates,
         EventSink.none(),
         budget,
-        HoldingGuard.trusting());
+        HoldingGuard.unrestricted());
   }
 
   /** Holds targets that have answered often enough to be given all their slots. */
--- a/sageladder-core/src/test/java/org/sageladder/core/membership/ConfirmationGuardTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/ConfirmationGuardTest.java
@@ -16,9 +16,9 @@
 
   @Test
   void allowsNothingBeforeTheFirstConfirmation() {
-    assertEquals(0, guard.slots(THREE_SLOTS));
-    guard.confirmed(time.nanos());
-    assertEquals(3, guard.slots(THREE_SLOTS));
+    assertEquals(0, guard.usableSlots(THREE_SLOTS));
+    guard.onConfirmed(time.nanos());
+    assertEquals(3, guard.usableSlots(THREE_SLOTS));
   }
 
   // The relay no longer hears this VM and will give half of its slots away. Heartbeats leave and
@@ -27,45 +27,47 @@
   void givesUpHalfOnceUnconfirmedForTheWindow() {
     long sent = time.nanos();
     run(Duration.ofMillis(2_400));
-    guard.confirmed(sent);
-    assertEquals(3, guard.slots(THREE_SLOTS));
+    guard.onConfirmed(sent);
+    assertEquals(3, guard.usableSlots(THREE_SLOTS));
     run(Duration.ofMillis(200));
-    assertEquals(2, guard.slots(THREE_SLOTS));
-    guard.confirmed(time.nanos());
-    assertEquals(3, guard.slots(THREE_SLOTS));
+    assertEquals(2, guard.usableSlots(THREE_SLOTS));
+    guard.onConfirmed(time.nanos());
+    assertEquals(3, guard.usableSlots(THREE_SLOTS));
   }
 
   // The process is stopped for a minute and goes on unaware. Its targets were given away meanwhile.
   // A request worker may run before the control thread does, and must not dispatch.
   @Test
   void pausedVmDispatchesNothingUntilConfirmedAnew() {
-    guard.confirmed(time.nanos());
+    guard.onConfirmed(time.nanos());
     long sentBefore = time.nanos();
     time.advance(Duration.ofMinutes(1));
-    assertEquals(0, guard.slots(THREE_SLOTS), "before the control thread ran");
+    assertEquals(0, guard.usableSlots(THREE_SLOTS), "before the control thread ran");
     guard.tick();
-    assertEquals(0, guard.slots(THREE_SLOTS), "after it ran");
-    guard.confirmed(sentBefore);
-    assertEquals(0, guard.slots(THREE_SLOTS), "an answer to a heartbeat from before the pause");
-    guard.confirmed(time.nanos());
-    assertEquals(3, guard.slots(THREE_SLOTS));
+    assertEquals(0, guard.usableSlots(THREE_SLOTS), "after it ran");
+    guard.onConfirmed(sentBefore);
+    assertEquals(
+        0, guard.usableSlots(THREE_SLOTS), "an answer to a heartbeat from before the pause");
+    guard.onConfirmed(time.nanos());
+    assertEquals(3, guard.usableSlots(THREE_SLOTS));
   }
 
   // After a pause the VM finds itself cut off from its zone, while its targets still answer.
   @Test
   void pausedAndThenAloneItServesWithItsHalf() {
-    guard.confirmed(time.nanos());
+    guard.onConfirmed(time.nanos());
     time.advance(Duration.ofMinutes(1));
     run(Duration.ofMillis(2_400));
-    assertEquals(0, guard.slots(THREE_SLOTS));
+    assertEquals(0, guard.usableSlots(THREE_SLOTS));
     run(Duration.ofMillis(300));
-    assertEquals(2, guard.slots(THREE_SLOTS));
+    assertEquals(2, guard.usableSlots(THREE_SLOTS));
   }
 
   @Test
   void halvesMakeUpTheWholeAndNoMore() {
     for (int slots = 0; slots < 50; slots++) {
-      assertEquals(slots, ConfirmationGuard.keptHalf(slots) + ConfirmationGuard.takenHalf(slots));
+      assertEquals(
+          slots, ConfirmationGuard.retainedSlots(slots) + ConfirmationGuard.takeOverSlots(slots));
     }
   }
 
--- a/sageladder-core/src/test/java/org/sageladder/core/membership/RendezvousProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/RendezvousProperties.java
@@ -23,7 +23,7 @@
       if (!before.equals(lost)) {
         assertEquals(before, after);
       }
-      assertEquals(before, Rendezvous.order("target-" + t, members).get(0));
+      assertEquals(before, Rendezvous.rank("target-" + t, members).get(0));
     }
   }
 
--- a/sageladder-core/src/test/java/org/sageladder/core/membership/ViewMakerTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/ViewMakerTest.java
@@ -108,16 +108,16 @@
     ZoneFake zone = new ZoneFake(2);
     zone.leavingTargets.add("t-1");
     zone.run(Duration.ofSeconds(3));
-    assertTrue(zone.holding("t-1").leaving());
+    assertTrue(zone.holding("t-1").isDraining());
     zone.leavingTargets.remove("t-1");
     zone.run(Duration.ofSeconds(3));
-    assertTrue(zone.holding("t-1").leaving(), "same incarnation");
+    assertTrue(zone.holding("t-1").isDraining(), "same incarnation");
     zone.relay(2);
     zone.run(Duration.ofSeconds(3));
-    assertTrue(zone.holding("t-1").leaving(), "also under the next relay");
+    assertTrue(zone.holding("t-1").isDraining(), "also under the next relay");
     zone.targetIncarnations.put("t-1", 2L);
     zone.run(Duration.ofSeconds(3));
-    assertFalse(zone.holding("t-1").leaving(), "next incarnation");
+    assertFalse(zone.holding("t-1").isDraining(), "next incarnation");
   }
 
   @Test
@@ -132,7 +132,7 @@
     }
     zone.members.get("vm-0").leaving = false;
     zone.run(Duration.ofSeconds(3));
-    assertTrue(zone.view().members().get(0).leaving(), "leaving is not undone");
+    assertTrue(zone.view().members().get(0).isDraining(), "leaving is not undone");
   }
 
   // The relay itself is paused for a minute and hears nothing meanwhile. On waking, all members
@@ -156,7 +156,7 @@
     zone.relay(2);
     zone.run(Duration.ofSeconds(6));
     assertTrue(zone.view().number() > before.number());
-    assertEquals(2, ViewMaker.fencingOf(zone.view().number()));
+    assertEquals(2, ZoneViewBuilder.fencingTokenOf(zone.view().number()));
     assertEquals(before.holdings(), zone.view().holdings());
   }
 
@@ -171,7 +171,7 @@
     zone.run(Duration.ofSeconds(2));
     HeartbeatAnswer answer =
         zone.maker()
-            .heartbeat(
+            .onHeartbeat(
                 new Heartbeat(
                     old,
                     zone.time.nanos(),
@@ -179,7 +179,7 @@
                     5,
                     java.util.List.of(),
                     java.util.List.of()));
-    assertFalse(answer.confirmed());
+    assertFalse(answer.isConfirmed());
     assertEquals(old.incarnation() + 1, answer.knownIncarnation());
     assertNotEquals(old, zone.view().members().get(0));
   }
@@ -230,9 +230,9 @@
     zone.maker().giveBack("tartu-b");
     zone.run(Duration.ofSeconds(5));
     assertEquals("", zone.holding("t-b").holder());
-    assertTrue(zone.maker().holdsFor("tartu-b"));
+    assertTrue(zone.maker().holdsTargetsOf("tartu-b"));
     holder.inFlight.remove("t-b");
     zone.run(Duration.ofSeconds(1));
-    assertFalse(zone.maker().holdsFor("tartu-b"));
+    assertFalse(zone.maker().holdsTargetsOf("tartu-b"));
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/membership/ZoneFake.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/ZoneFake.java
@@ -25,7 +25,7 @@
   final Map<String, Long> targetIncarnations = new TreeMap<>();
   final Map<String, String> targetsOfOtherZones = new TreeMap<>();
   private final MembershipSettings settings = MembershipSettings.standard();
-  private ViewMaker maker;
+  private ZoneViewBuilder maker;
   private ZoneView view = new ZoneView("tartu-a", 0, List.of(), List.of());
   private final Map<String, List<String>> history = new TreeMap<>();
   private @Nullable RelayedView relayed;
@@ -67,7 +67,7 @@
       }
       return seen.holdings().stream()
           .filter(holding -> holding.target().equals(target) && holding.holder().equals(vm))
-          .mapToInt(guard::slots)
+          .mapToInt(guard::usableSlots)
           .sum();
     }
 
@@ -108,7 +108,7 @@
   /** A new relay with that fencing revision goes on from the last view. */
   void relay(long fencing) {
     maker =
-        ViewMaker.of(
+        ZoneViewBuilder.of(
             settings,
             time,
             "tartu-a",
@@ -116,10 +116,10 @@
             fencing,
             Optional.ofNullable(relayed),
             service -> SLOTS);
-    maker.listed(list());
+    maker.onPlatformList(list());
   }
 
-  ViewMaker maker() {
+  ZoneViewBuilder maker() {
     return maker;
   }
 
@@ -172,7 +172,7 @@
     steps++;
     boolean beat = steps % 10 == 0;
     if (steps % 20 == 0) {
-      maker.listed(list());
+      maker.onPlatformList(list());
     }
     Optional<RelayedView> made = maker.tick();
     made.ifPresent(this::note);
@@ -191,9 +191,9 @@
         member.seen = view;
       }
       if (beat || behind) {
-        HeartbeatAnswer answer = maker.heartbeat(member.heartbeat());
-        if (answer.confirmed()) {
-          member.guard.confirmed(answer.echoedNanos());
+        HeartbeatAnswer answer = maker.onHeartbeat(member.heartbeat());
+        if (answer.isConfirmed()) {
+          member.guard.onConfirmed(answer.echoedSentNanos());
         }
       }
     }
@@ -214,7 +214,7 @@
 
   /** Requests that were under way when a member fell silent end within the confirm window. */
   private void endOldRequests(MemberFake member) {
-    if (time.nanos() - member.heardNanos > settings.confirmWindow().toNanos()) {
+    if (time.nanos() - member.heardNanos > settings.confirmationWindow().toNanos()) {
       member.inFlight.replaceAll((target, count) -> Math.min(count, member.usable(target)));
     }
   }
--- a/sageladder-core/src/test/java/org/sageladder/core/message/ConnectionHeadersTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/message/ConnectionHeadersTest.java
@@ -13,7 +13,7 @@
    */
   @Test
   void headersThatConnectionNamesAreNotPassedOn() {
-    ConnectionHeaders headers = ConnectionHeaders.naming(List.of("close, X-Hop", "x-other"));
+    HopByHopHeaders headers = HopByHopHeaders.of(List.of("close, X-Hop", "x-other"));
     assertTrue(headers.contains("x-hop"));
     assertTrue(headers.contains("X-Other"));
     assertFalse(headers.contains("X-Third"));
@@ -21,7 +21,7 @@
 
   @Test
   void headersOfTheConnectionAreNeverPassedOn() {
-    ConnectionHeaders headers = ConnectionHeaders.naming(List.of());
+    HopByHopHeaders headers = HopByHopHeaders.of(List.of());
     assertTrue(headers.contains("Transfer-Encoding"));
     assertTrue(headers.contains("keep-alive"));
     assertFalse(headers.contains("Content-Length"));
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/HandOverCodecTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/HandOverCodecTest.java
@@ -20,7 +20,7 @@
   }
 
   private Execution start(Permit permit) {
-    return ((Decision.Execute) home.begin(permit, "digest", 1_000)).execution();
+    return ((Decision.Execute) home.beginExecution(permit, "digest", 1_000)).execution();
   }
 
   /**
@@ -34,19 +34,19 @@
     Permit running = mint();
     Permit unused = mint();
     List<RecordedAnswer.Header> headers = List.of(new RecordedAnswer.Header("ETag", "x"));
-    start(ran).finish(RecordedAnswer.whole(201, headers, new byte[] {1, 2, 3}));
-    start(refused).notRun();
+    start(ran).recordAnswer(RecordedAnswer.complete(201, headers, new byte[] {1, 2, 3}));
+    start(refused).recordNotRun();
     start(running);
     HandOver closed = home.close("b", 2_000).orElseThrow();
     successor.adopt(HandOverCodec.decode(HandOverCodec.encode(closed)));
 
-    Decision.Replay replay = (Decision.Replay) successor.begin(ran, "digest", 2_000);
+    Decision.Replay replay = (Decision.Replay) successor.beginExecution(ran, "digest", 2_000);
     assertArrayEquals(new byte[] {1, 2, 3}, replay.answer().body());
     assertEquals(headers, replay.answer().headers());
-    assertInstanceOf(Decision.NotRun.class, successor.begin(refused, "digest", 2_000));
-    assertInstanceOf(Decision.Unknown.class, successor.begin(running, "digest", 2_000));
-    assertInstanceOf(Decision.Execute.class, successor.begin(unused, "digest", 2_000));
-    assertEquals(new Decision.Moved("b"), home.begin(unused, "digest", 2_000));
+    assertInstanceOf(Decision.NotRun.class, successor.beginExecution(refused, "digest", 2_000));
+    assertInstanceOf(Decision.Unknown.class, successor.beginExecution(running, "digest", 2_000));
+    assertInstanceOf(Decision.Execute.class, successor.beginExecution(unused, "digest", 2_000));
+    assertEquals(new Decision.Moved("b"), home.beginExecution(unused, "digest", 2_000));
   }
 
   /** A hand-over cut on its way must not count as one that holds fewer permits. */
@@ -54,8 +54,8 @@
   void cutBytesAreRefused() {
     for (int i = 0; i < 500; i++) {
       start(mint())
-          .finish(
-              RecordedAnswer.whole(
+          .recordAnswer(
+              RecordedAnswer.complete(
                   200,
                   List.of(),
                   ("answer " + i).getBytes(java.nio.charset.StandardCharsets.UTF_8)));
@@ -74,7 +74,7 @@
    */
   @Test
   void bytesCutShortOfTheirChecksumAreRefused() {
-    start(mint()).finish(RecordedAnswer.whole(200, List.of(), new byte[] {1, 2, 3}));
+    start(mint()).recordAnswer(RecordedAnswer.complete(200, List.of(), new byte[] {1, 2, 3}));
     byte[] bytes = HandOverCodec.encode(home.close("b", 1_000).orElseThrow());
     for (int missing = 1; missing <= 12; missing++) {
       byte[] cut = Arrays.copyOf(bytes, bytes.length - missing);
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/PermitHomeProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/PermitHomeProperties.java
@@ -28,15 +28,18 @@
     for (int i = 0; i < ends.size(); i++) {
       Permit permit = home.mint("kannelkoda", "donations", 1_000 + i * 100L).orElseThrow();
       permits.add(permit);
-      Decision.Execute execute = (Decision.Execute) home.begin(permit, "r" + i, 1_000 + i * 100L);
+      Decision.Execute execute =
+          (Decision.Execute) home.beginExecution(permit, "r" + i, 1_000 + i * 100L);
       if (ends.get(i)) {
-        execute.execution().finish(RecordedAnswer.whole(200, List.of(), new byte[] {(byte) i}));
+        execute
+            .execution()
+            .recordAnswer(RecordedAnswer.complete(200, List.of(), new byte[] {(byte) i}));
       } else {
-        execute.execution().notRun();
+        execute.execution().recordNotRun();
       }
     }
     for (int i = 0; i < ends.size(); i++) {
-      Decision again = home.begin(permits.get(i), "r" + i, 50_000);
+      Decision again = home.beginExecution(permits.get(i), "r" + i, 50_000);
       boolean right =
           ends.get(i)
               ? again instanceof Decision.Replay replay && replay.answer().body()[0] == (byte) i
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/PermitKeysTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/PermitKeysTest.java
@@ -73,7 +73,7 @@
     first.refresh(rotation);
     assertOpens(second, sealedBy(first));
     second.refresh(rotation + 1);
-    first.refresh(rotation + first.settling().toMillis());
+    first.refresh(rotation + first.propagationDelay().toMillis());
     assertOpens(second, sealedBy(first));
   }
 
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/PermitModel.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/PermitModel.java
@@ -14,7 +14,8 @@
       new PermitHome.Limits(
           Duration.ofMillis(20), Duration.ofMillis(5), Duration.ofMillis(10), 1 << 10);
   private static final String DIGEST = "POST /donations 1";
-  private static final RecordedAnswer ANSWER = RecordedAnswer.whole(201, List.of(), new byte[] {7});
+  private static final RecordedAnswer ANSWER =
+      RecordedAnswer.complete(201, List.of(), new byte[] {7});
   private static final long START = 1_000;
   private static final long LATEST = START + 56;
 
@@ -60,7 +61,7 @@
       case TARGET_RUNS -> targetRuns();
       case TARGET_REFUSES -> targetRefuses();
       case ANSWER_COMES -> answerComes();
-      case ANSWER_IS_LOST -> !ran.isEmpty() && ran.get(0).execution().unknown();
+      case ANSWER_IS_LOST -> !ran.isEmpty() && ran.get(0).execution().recordUnknown();
       case ORPHAN_RUNS -> orphanRuns();
       case CLOSE_TO_B -> close(b, "b");
       case CLOSE_TO_C -> close(c, "c");
@@ -72,7 +73,7 @@
   }
 
   private boolean copyAt(PermitHome vm) {
-    Decision decision = vm.begin(permit, DIGEST, now);
+    Decision decision = vm.beginExecution(permit, DIGEST, now);
     if (decision instanceof Decision.Execute execute) {
       dispatched.add(new Attempt(execute.execution(), vm));
     } else if (decision instanceof Decision.NotRun) {
@@ -95,7 +96,7 @@
     if (dispatched.isEmpty()) {
       return false;
     }
-    toldNotRun |= dispatched.remove(0).execution().notRun();
+    toldNotRun |= dispatched.remove(0).execution().recordNotRun();
     return true;
   }
 
@@ -103,7 +104,7 @@
     if (ran.isEmpty()) {
       return false;
     }
-    toldRan |= ran.remove(0).execution().finish(ANSWER);
+    toldRan |= ran.remove(0).execution().recordAnswer(ANSWER);
     return true;
   }
 
@@ -172,7 +173,7 @@
     text.append(executions).append(toldNotRun).append(toldRan);
     dispatched.forEach(each -> text.append(" sent by ").append(each.vm()));
     ran.forEach(each -> text.append(" ran for ").append(each.vm()));
-    messages.forEach(each -> text.append(each.name()).append(each.state().permits()));
+    messages.forEach(each -> text.append(each.name()).append(each.state().permitCount()));
     return text.toString();
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/quarantine/QuarantineTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/quarantine/QuarantineTest.java
@@ -29,11 +29,11 @@
   @Test
   void theSecondCrashHoldsTheRequestBackAndLeavesTheOthers() {
     quarantine.add(crash(1, 0, POISON, 1L, 2L));
-    assertFalse(quarantine.holds(POISON, START + 1));
+    assertFalse(quarantine.isQuarantined(POISON, START + 1));
     quarantine.add(crash(2, 900, POISON, 3L, 4L));
-    assertTrue(quarantine.holds(POISON, START + 901));
+    assertTrue(quarantine.isQuarantined(POISON, START + 901));
     for (long innocent = 1; innocent <= 4; innocent++) {
-      assertFalse(quarantine.holds(innocent, START + 901));
+      assertFalse(quarantine.isQuarantined(innocent, START + 901));
     }
   }
 
@@ -43,7 +43,7 @@
     quarantine.add(crash(1, 0, POISON));
     quarantine.add(crash(2, 0, POISON));
     assertEquals(60_000, quarantine.remainingMillis(POISON, START));
-    assertFalse(quarantine.holds(POISON, START + 60_000));
+    assertFalse(quarantine.isQuarantined(POISON, START + 60_000));
     quarantine.add(crash(3, 61_000, POISON));
     assertEquals(120_000, quarantine.remainingMillis(POISON, START + 61_000));
   }
@@ -61,7 +61,7 @@
               ? crash(target, target * 100L, search, 100L + target)
               : crash(target, target * 100L, 100L + target, 200L + target));
     }
-    assertFalse(quarantine.holds(search, START + 1_000));
+    assertFalse(quarantine.isQuarantined(search, START + 1_000));
   }
 
   /**
@@ -95,7 +95,7 @@
     quarantine.add(crash(1, 0, POISON));
     assertTrue(quarantine.add(crash(1, 5, POISON, 7L)));
     assertFalse(quarantine.add(crash(1, 5, POISON)));
-    assertFalse(quarantine.holds(POISON, START + 10));
+    assertFalse(quarantine.isQuarantined(POISON, START + 10));
   }
 
   /** What one entry VM tells the others must arrive as it was. */
--- a/sageladder-core/src/test/java/org/sageladder/core/quota/QuotaModel.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/quota/QuotaModel.java
@@ -128,7 +128,7 @@
     for (int vm = 0; vm < vmCount; vm++) {
       names.add("e-" + vm);
     }
-    String first = org.sageladder.core.membership.Rendezvous.order("choir", names).get(0);
+    String first = org.sageladder.core.membership.Rendezvous.rank("choir", names).get(0);
     return Integer.parseInt(first.substring(2));
   }
 
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/BackoffTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/BackoffTest.java
@@ -21,7 +21,7 @@
       Backoff backoff = Backoff.of(FIRST, LONGEST, seeds.split());
       Duration at = Duration.ZERO;
       while (at.compareTo(Duration.ofMinutes(10)) < 0) {
-        at = at.plus(backoff.failed());
+        at = at.plus(backoff.recordFailure());
       }
       long after = at.minus(Duration.ofMinutes(10)).toMillis();
       callsInTenth[(int) (after / 100)]++;
@@ -35,10 +35,10 @@
   void waitIsBoundedByTheLongestAndStartsSmallAgainAfterASuccess() {
     Backoff backoff = Backoff.of(FIRST, LONGEST, new SplittableRandom(7));
     for (int i = 0; i < 100; i++) {
-      assertTrue(backoff.failed().compareTo(LONGEST) <= 0);
+      assertTrue(backoff.recordFailure().compareTo(LONGEST) <= 0);
     }
-    backoff.succeeded();
-    assertEquals(0, backoff.failures());
-    assertTrue(backoff.failed().compareTo(FIRST) <= 0);
+    backoff.recordSuccess();
+    assertEquals(0, backoff.failureCount());
+    assertTrue(backoff.recordFailure().compareTo(FIRST) <= 0);
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/FirstSnapshotTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/FirstSnapshotTest.java
@@ -9,13 +9,13 @@
 
 class FirstSnapshotTest {
   private final VirtualTime time = VirtualTime.startingAt(0);
-  private final FirstSnapshot snapshot = FirstSnapshot.of(time, Duration.ofSeconds(1));
+  private final InitialSnapshot snapshot = InitialSnapshot.of(time, Duration.ofSeconds(1));
 
   @Test
   void withNeitherStoreNorPeersItNeverCompletes() {
-    snapshot.asked("vm-2");
+    snapshot.recordRequest("vm-2");
     time.advance(Duration.ofHours(1));
-    assertFalse(snapshot.complete());
+    assertFalse(snapshot.isComplete());
     assertTrue(snapshot.explanation().contains("neither the store nor a ready peer"));
   }
 
@@ -23,10 +23,10 @@
   // empty answer counted, all would be ready with nothing and serve unknown contracts as absent.
   @Test
   void answerOfAPeerThatIsItselfFreshDoesNotCount() {
-    snapshot.asked("vm-2");
-    snapshot.peerAnswered("vm-2", false);
+    snapshot.recordRequest("vm-2");
+    snapshot.recordPeerAnswer("vm-2", false);
     time.advance(Duration.ofHours(1));
-    assertFalse(snapshot.complete());
+    assertFalse(snapshot.isComplete());
   }
 
   // Store down, peers at mixed revisions: the first to answer may be the one that lags. The VM
@@ -34,20 +34,20 @@
   // for the others it asked, but not for one that is dead.
   @Test
   void waitsForAllAskedPeersOrAShortWhile() {
-    snapshot.asked("vm-2");
-    snapshot.asked("vm-3");
-    snapshot.peerAnswered("vm-2", true);
-    assertFalse(snapshot.complete());
+    snapshot.recordRequest("vm-2");
+    snapshot.recordRequest("vm-3");
+    snapshot.recordPeerAnswer("vm-2", true);
+    assertFalse(snapshot.isComplete());
     time.advance(Duration.ofMillis(999));
-    assertFalse(snapshot.complete());
+    assertFalse(snapshot.isComplete());
     time.advance(Duration.ofMillis(1));
-    assertTrue(snapshot.complete());
+    assertTrue(snapshot.isComplete());
   }
 
   @Test
   void storesAnswerSettlesItAtOnce() {
-    snapshot.asked("vm-2");
-    snapshot.storeAnswered();
-    assertTrue(snapshot.complete());
+    snapshot.recordRequest("vm-2");
+    snapshot.recordStoreAnswer();
+    assertTrue(snapshot.isComplete());
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/OverlayProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/OverlayProperties.java
@@ -85,7 +85,7 @@
     Deque<String> open = new ArrayDeque<>(List.of(origin));
     while (!open.isEmpty()) {
       String here = open.remove();
-      for (String child : Overlay.reportChildren(zones, origin, here)) {
+      for (String child : Overlay.summaryChildren(zones, origin, here)) {
         assertTrue(Overlay.zoneNeighbours(zones, here).contains(child), here + " to " + child);
         assertEquals(1, got.merge(child, 1, Integer::sum), child);
         open.add(child);
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/RelayDutyTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/RelayDutyTest.java
@@ -18,15 +18,15 @@
   private static final long SILENT = Duration.ofHours(1).toNanos();
 
   private final VirtualTime time = VirtualTime.startingAt(1_000);
-  private final RelayDuty duty =
-      RelayDuty.of(
+  private final RelayElection duty =
+      RelayElection.of(
           RelaySettings.standard(), time, "relays/k/tartu-a", "vm-1", 7, new SplittableRandom(1));
 
   @Test
   void claimsAFreeDutyAndIsFencedByTheRevisionOfItsClaim() {
     hold(41);
-    assertEquals(RelayDuty.State.HOLDING, duty.state());
-    assertEquals(41, duty.fencing());
+    assertEquals(RelayElection.State.HOLDING, duty.state());
+    assertEquals(41, duty.fencingToken());
   }
 
   // The claim takes effect but its answer is lost. Without reading back, the VM would believe that
@@ -34,15 +34,15 @@
   @Test
   void recognisesItsOwnClaimWhoseAnswerWasLost() {
     readFreeAndGrant();
-    DutyCall.Claim claim = assertInstanceOf(DutyCall.Claim.class, next());
+    ElectionCall.Claim claim = assertInstanceOf(ElectionCall.Claim.class, next());
     duty.onFailure();
-    assertFalse(duty.relaying());
+    assertFalse(duty.isRelay());
 
-    assertInstanceOf(DutyCall.ReadOwner.class, next());
-    duty.onOwner(Optional.of(new StoredValue(claim.key(), 42, claim.value())));
+    assertInstanceOf(ElectionCall.ReadOwner.class, next());
+    duty.onOwnerRead(Optional.of(new StoredValue(claim.key(), 42, claim.value())));
 
-    assertEquals(RelayDuty.State.HOLDING, duty.state());
-    assertEquals(42, duty.fencing());
+    assertEquals(RelayElection.State.HOLDING, duty.state());
+    assertEquals(42, duty.fencingToken());
   }
 
   // A VM restarts within its old lease's time. The key still names it, but with the old
@@ -51,8 +51,9 @@
   @Test
   void doesNotTakeAnEarlierIncarnationsClaimForItsOwn() {
     next();
-    duty.onOwner(Optional.of(new StoredValue("relays/k/tartu-a", 40, "vm-1\n6".getBytes(UTF_8))));
-    assertFalse(duty.relaying());
+    duty.onOwnerRead(
+        Optional.of(new StoredValue("relays/k/tartu-a", 40, "vm-1\n6".getBytes(UTF_8))));
+    assertFalse(duty.isRelay());
   }
 
   // The relay is paused for longer than its lease. Another VM becomes relay meanwhile. On waking
@@ -62,10 +63,10 @@
   void pausedBeyondItsLeaseItIsLapsedAndStepsDownWhenTheStoreSaysSo() {
     hold(41);
     time.advance(Duration.ofSeconds(30));
-    assertEquals(RelayDuty.State.LAPSED, duty.state());
-    assertInstanceOf(DutyCall.Renew.class, next());
+    assertEquals(RelayElection.State.LAPSED, duty.state());
+    assertInstanceOf(ElectionCall.Renew.class, next());
     duty.onRenewed(false);
-    assertEquals(RelayDuty.State.FOLLOWING, duty.state());
+    assertEquals(RelayElection.State.FOLLOWING, duty.state());
   }
 
   // The store is down for long. Nobody can take the duty, so the relay must go on, or the zone
@@ -76,41 +77,45 @@
     hold(41);
     for (int i = 0; i < 600; i++) {
       time.advance(Duration.ofSeconds(1));
-      duty.next(SILENT, 0, true).ifPresent(call -> duty.onFailure());
-      assertTrue(duty.relaying());
+      duty.nextCall(SILENT, 0, true).ifPresent(call -> duty.onFailure());
+      assertTrue(duty.isRelay());
     }
-    assertEquals(RelayDuty.State.LAPSED, duty.state());
+    assertEquals(RelayElection.State.LAPSED, duty.state());
     time.advance(Duration.ofSeconds(5));
     next();
     duty.onRenewed(true);
-    assertEquals(RelayDuty.State.HOLDING, duty.state());
+    assertEquals(RelayElection.State.HOLDING, duty.state());
   }
 
   @Test
   void stepsDownWhenAViewOfALaterRelayIsSeen() {
     hold(41);
     duty.onViewSeen(41);
-    assertTrue(duty.relaying());
+    assertTrue(duty.isRelay());
     duty.onViewSeen(43);
-    assertFalse(duty.relaying());
+    assertFalse(duty.isRelay());
   }
 
   // The store is down and then the relay dies too. Without a stand-in the zone would keep the dead
   // VM's targets idle until the store is back.
   @Test
   void actsWithoutALeaseOnlyWhenRelayAndStoreAreBothOutOfReachForLong() {
-    assertFalse(duty.actIfAbandoned(SILENT, 0, 40), "the store has not failed yet");
+    assertFalse(duty.actWithoutLeaseIfAbandoned(SILENT, 0, 40), "the store has not failed yet");
     next();
     duty.onFailure();
-    assertFalse(duty.actIfAbandoned(SILENT, 0, 40), "the store has failed only just now");
+    assertFalse(
+        duty.actWithoutLeaseIfAbandoned(SILENT, 0, 40), "the store has failed only just now");
     time.advance(Duration.ofSeconds(2));
-    assertFalse(duty.actIfAbandoned(Duration.ofSeconds(2).toNanos(), 0, 40), "relay heard lately");
     assertFalse(
-        duty.actIfAbandoned(Duration.ofSeconds(4).toNanos(), 2, 40), "two others come first");
-    assertTrue(duty.actIfAbandoned(SILENT, 0, 40));
-    assertEquals(RelayDuty.State.ACTING, duty.state());
+        duty.actWithoutLeaseIfAbandoned(Duration.ofSeconds(2).toNanos(), 0, 40),
+        "relay heard lately");
+    assertFalse(
+        duty.actWithoutLeaseIfAbandoned(Duration.ofSeconds(4).toNanos(), 2, 40),
+        "two others come first");
+    assertTrue(duty.actWithoutLeaseIfAbandoned(SILENT, 0, 40));
+    assertEquals(RelayElection.State.ACTING, duty.state());
     duty.onRelayHeard();
-    assertFalse(duty.relaying());
+    assertFalse(duty.isRelay());
   }
 
   // The store comes back after ten minutes. Tries that come in step from all zones would knock it
@@ -120,7 +125,7 @@
     int tries = 0;
     for (int i = 0; i < 6_000; i++) {
       time.advance(Duration.ofMillis(100));
-      if (duty.next(SILENT, 0, true).isPresent()) {
+      if (duty.nextCall(SILENT, 0, true).isPresent()) {
         tries++;
         duty.onFailure();
       }
@@ -131,24 +136,24 @@
   @Test
   void leavingOrUnreadyVmDoesNotTryForTheDuty() {
     time.advance(Duration.ofSeconds(1));
-    assertTrue(duty.next(SILENT, 0, false).isEmpty());
+    assertTrue(duty.nextCall(SILENT, 0, false).isEmpty());
   }
 
-  private DutyCall next() {
+  private ElectionCall next() {
     time.advance(Duration.ofSeconds(1));
-    return duty.next(SILENT, 0, true).orElseThrow();
+    return duty.nextCall(SILENT, 0, true).orElseThrow();
   }
 
   private void readFreeAndGrant() {
-    assertInstanceOf(DutyCall.ReadOwner.class, next());
-    duty.onOwner(Optional.empty());
-    assertInstanceOf(DutyCall.Grant.class, next());
+    assertInstanceOf(ElectionCall.ReadOwner.class, next());
+    duty.onOwnerRead(Optional.empty());
+    assertInstanceOf(ElectionCall.Grant.class, next());
     duty.onGranted(99);
   }
 
   private void hold(long revision) {
     readFreeAndGrant();
-    assertInstanceOf(DutyCall.Claim.class, next());
+    assertInstanceOf(ElectionCall.Claim.class, next());
     duty.onClaimed(new WriteResult.Written(revision));
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/SpreaderTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/SpreaderTest.java
@@ -76,7 +76,7 @@
     assertEquals(6, version("vm-01"));
     SpreadMessage.Push push = (SpreadMessage.Push) sent.get(0);
     assertEquals(0, push.items().size());
-    assertTrue(push.deltas().get(0).delta().program().length < 20);
+    assertTrue(push.deltas().get(0).delta().instructions().length < 20);
   }
 
   // All VMs of a fleet have just started, and each relay read the contract from the store itself.
@@ -124,7 +124,7 @@
   void snapshotBringsEverythingAndSaysWhetherThePeerIsReady() {
     zone(1);
     Spreader full = spreaders.get("vm-00");
-    full.ready(true);
+    full.setReady(true);
     for (int i = 0; i < 300; i++) {
       full.publish(Item.of(ItemKind.SUMMARY, "zone-" + i, 1, new byte[2_000]));
     }
@@ -207,8 +207,8 @@
     members.forEach(this::add);
     for (String member : members) {
       Spreader spreader = spreaders.get(member);
-      spreader.neighbours(new HashSet<>(Overlay.zoneTree(members, "vm-00", member, 2)));
-      spreader.repairPeers(members.stream().filter(peer -> !peer.equals(member)).toList());
+      spreader.setNeighbours(new HashSet<>(Overlay.zoneTree(members, "vm-00", member, 2)));
+      spreader.setRepairPeers(members.stream().filter(peer -> !peer.equals(member)).toList());
     }
     deliver();
     sent.clear();
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/VersionedTableProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/VersionedTableProperties.java
@@ -77,7 +77,7 @@
   void anyProgramGivesAPayloadOrNothing(@ForAll byte[] program, @ForAll byte[] base) {
     new PayloadDelta(program)
         .applyTo(base)
-        .ifPresent(made -> assertTrue(made.length <= Item.LARGEST_PAYLOAD));
+        .ifPresent(made -> assertTrue(made.length <= Item.MAX_PAYLOAD_BYTES));
   }
 
   // Each change has a new change id at its start and the changed limit near its end. A difference
@@ -96,7 +96,7 @@
     byte[] second = ("changeId: bbbb-2\n" + text + "meanService: 21ms\n").getBytes(UTF_8);
     PayloadDelta delta = PayloadDelta.between(first, second);
     assertArrayEquals(second, delta.applyTo(first).orElseThrow());
-    assertTrue(delta.program().length < 100, delta.program().length + " bytes");
+    assertTrue(delta.instructions().length < 100, delta.instructions().length + " bytes");
   }
 
   private static byte[] join(byte[]... parts) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/EntryDaemon.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/EntryDaemon.java
@@ -118,7 +118,7 @@
   private static EntryDaemon start(EntrySettings settings, OpenParts parts)
       throws IOException, InterruptedException {
     TimeSource time = TimeSource.system();
-    EventBuffer events = EventBuffer.holding(settings.eventCapacity(), time);
+    EventBuffer events = EventBuffer.withCapacity(settings.eventCapacity(), time);
     long startedMillis = time.wallMillis();
     PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     new JvmMemoryMetrics().bindTo(metrics);
--- a/sageladder-entry/src/main/java/org/sageladder/entry/KeyRefresher.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/KeyRefresher.java
@@ -45,7 +45,7 @@
 
   /** Spread over time, so that VMs started together do not read together for ever. */
   private Duration untilNext() {
-    long most = keys.settling().toMillis() / 2;
+    long most = keys.propagationDelay().toMillis() / 2;
     return Duration.ofMillis(ThreadLocalRandom.current().nextLong(most / 2, most));
   }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlEffects.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlEffects.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import org.sageladder.core.membership.Holding;
-import org.sageladder.core.spread.DutyCall;
+import org.sageladder.core.spread.ElectionCall;
 import org.sageladder.protocol.InnerMessage;
 import org.sageladder.protocol.PeerAddress;
 
@@ -15,7 +15,7 @@
   void address(PeerAddress peer);
 
   /** Makes a store call of the relay's duty; its end is reported to the machine. */
-  void call(DutyCall call);
+  void call(ElectionCall call);
 
   /** Asks a target of a silent zone whether it works for anybody; answers come to the machine. */
   void probe(Holding target, Consumer<Boolean> answer);
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlMachine.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlMachine.java
@@ -19,14 +19,14 @@
 import org.sageladder.core.membership.HeartbeatAnswer;
 import org.sageladder.core.membership.RelayedView;
 import org.sageladder.core.membership.TargetReport;
-import org.sageladder.core.membership.ViewMaker;
 import org.sageladder.core.membership.ZoneSummary;
+import org.sageladder.core.membership.ZoneViewBuilder;
 import org.sageladder.core.platform.ListedVm;
-import org.sageladder.core.spread.FirstSnapshot;
+import org.sageladder.core.spread.InitialSnapshot;
 import org.sageladder.core.spread.Item;
 import org.sageladder.core.spread.ItemKey;
 import org.sageladder.core.spread.ItemKind;
-import org.sageladder.core.spread.RelayDuty;
+import org.sageladder.core.spread.RelayElection;
 import org.sageladder.core.spread.SpreadMessage;
 import org.sageladder.core.spread.Spreader;
 import org.sageladder.core.store.StoredValue;
@@ -55,12 +55,12 @@
   private final ControlEffects effects;
   private final EventSink events;
   private final Spreader spreader;
-  private final RelayDuty duty;
+  private final RelayElection duty;
   private final RelayRole role;
   private final KnownState known;
   private final PeerDirectory directory;
   private final ConfirmationGuard guard;
-  private final FirstSnapshot snapshot;
+  private final InitialSnapshot snapshot;
   private final Set<String> seeds = new HashSet<>();
   private final Map<String, Long> lostNanos = new HashMap<>();
   private Supplier<List<ZoneSummary>> summaries = List::of;
@@ -90,10 +90,10 @@
     this.known = new KnownState(identity, time, times);
     this.directory = new PeerDirectory(identity, random);
     this.guard = ConfirmationGuard.of(times.membership(), time);
-    this.snapshot = FirstSnapshot.of(time, times.snapshotWait());
+    this.snapshot = InitialSnapshot.of(time, times.snapshotWait());
     this.spreader = Spreader.of(times.spread(), time, random, this::sendSpread, this::accepted);
     this.duty =
-        RelayDuty.of(
+        RelayElection.of(
             times.relay(),
             time,
             "relays/" + identity.customer() + "/" + identity.zone(),
@@ -111,11 +111,11 @@
             spreader::publish,
             effects::probe,
             events);
-    spreader.reportRoute(
+    spreader.setSummaryRoute(
         report -> directory.reportRoute(report, known.views(), known.contract(), this::reach));
     long now = time.nanos();
     this.callersPort = identity.self().port();
-    this.relayHeardNanos = now - times.relay().silence().toNanos();
+    this.relayHeardNanos = now - times.relay().silenceTimeout().toNanos();
     this.nextBeatNanos = now;
     this.nextSnapshotNanos = now;
     this.nextNeighboursNanos = now;
@@ -129,7 +129,7 @@
     return guard;
   }
 
-  RelayDuty duty() {
+  RelayElection duty() {
     return duty;
   }
 
@@ -211,7 +211,7 @@
       seeds.add(vm);
     }
     lostNanos.remove(vm);
-    spreader.linkOpened(vm);
+    spreader.onLinkOpened(vm);
   }
 
   private boolean sendSpread(String vm, SpreadMessage message) {
@@ -233,7 +233,7 @@
 
   void lost(String vm) {
     lostNanos.put(vm, time.nanos());
-    spreader.linkLost(vm);
+    spreader.onLinkLost(vm);
   }
 
   /** How long the zone's relay has not been heard. */
@@ -250,7 +250,7 @@
   /** The store told the contract it holds, or that it holds none. */
   void storeAnswered(Optional<StoredValue> contract) {
     contract.ifPresent(this::storedContract);
-    snapshot.storeAnswered();
+    snapshot.recordStoreAnswer();
     becomeReady();
   }
 
@@ -272,7 +272,7 @@
 
   private void receivedSpread(String from, SpreadMessage message) {
     if (message instanceof SpreadMessage.SnapshotEnd end) {
-      snapshot.peerAnswered(from, end.ready());
+      snapshot.recordPeerAnswer(from, end.isReady());
       becomeReady();
       return;
     }
@@ -312,7 +312,7 @@
       return;
     }
     if (!view.get().relay().equals(identity.vm())) {
-      duty.onViewSeen(ViewMaker.fencingOf(item.version()));
+      duty.onViewSeen(ZoneViewBuilder.fencingTokenOf(item.version()));
       relayHeardNanos = time.nanos();
     }
     events.record(
@@ -330,7 +330,7 @@
       nextSnapshotNanos = time.nanos() + times.snapshotRetry().toNanos();
       for (String vm : directory.snapshotPeers(seeds, known.views(), SNAPSHOT_PEERS)) {
         if (spreader.requestSnapshot(vm)) {
-          snapshot.asked(vm);
+          snapshot.recordRequest(vm);
         }
       }
     }
@@ -338,12 +338,12 @@
   }
 
   private void becomeReady() {
-    if (ready || !snapshot.complete()) {
+    if (ready || !snapshot.isComplete()) {
       return;
     }
     ready = true;
     role.started();
-    spreader.ready(true);
+    spreader.setReady(true);
     if (known.view(identity.zone()).isPresent()) {
       relayHeardNanos = time.nanos();
     }
@@ -356,13 +356,13 @@
     long silence = time.nanos() - relayHeardNanos;
     // The rank counts only among those that find the relay silent, and costs a hash for each
     // member.
-    boolean quiet = silence >= times.relay().silence().toNanos();
+    boolean quiet = silence >= times.relay().silenceTimeout().toNanos();
     int rank = quiet ? directory.rank(known.views()) : 0;
     boolean mayServe = ready && !leaving && callersPort > 0;
-    duty.next(silence, rank, mayServe).ifPresent(effects::call);
+    duty.nextCall(silence, rank, mayServe).ifPresent(effects::call);
     if (mayServe) {
       long lastNumber = known.view(identity.zone()).map(view -> view.view().number()).orElse(0L);
-      duty.actIfAbandoned(silence, rank, ViewMaker.fencingOf(lastNumber));
+      duty.actWithoutLeaseIfAbandoned(silence, rank, ZoneViewBuilder.fencingTokenOf(lastNumber));
     }
   }
 
@@ -395,13 +395,13 @@
   private void refreshNeighbours() {
     nextNeighboursNanos = time.nanos() + NEIGHBOUR_REFRESH.toNanos();
     lostNanos.values().removeIf(lost -> time.nanos() - lost >= LOST_LINK_FORGOTTEN.toNanos());
-    spreader.neighbours(directory.neighbours(known.views(), role.active()));
-    spreader.repairPeers(directory.comparisonPeers(known.views()));
+    spreader.setNeighbours(directory.neighbours(known.views(), role.active()));
+    spreader.setRepairPeers(directory.comparisonPeers(known.views()));
   }
 
   private void beat() {
     int members = known.view(identity.zone()).map(view -> view.view().members().size()).orElse(0);
-    nextBeatNanos = time.nanos() + times.membership().heartbeat(members).toNanos();
+    nextBeatNanos = time.nanos() + times.membership().heartbeatInterval(members).toNanos();
     if (!ready || callersPort == 0) {
       return;
     }
@@ -447,9 +447,10 @@
     if (!fromRelay) {
       return;
     }
-    if (!answer.relaying()) {
+    if (!answer.isRelay()) {
       // It has given the duty up: no need to wait until its silence is noticed.
-      relayHeardNanos = Math.min(relayHeardNanos, time.nanos() - times.relay().silence().toNanos());
+      relayHeardNanos =
+          Math.min(relayHeardNanos, time.nanos() - times.relay().silenceTimeout().toNanos());
       return;
     }
     relayHeardNanos = time.nanos();
@@ -464,8 +465,8 @@
           answer.knownIncarnation(), identity.vm(), identity.self().incarnation());
       return;
     }
-    if (answer.confirmed()) {
-      guard.confirmed(answer.echoedNanos());
+    if (answer.isConfirmed()) {
+      guard.onConfirmed(answer.echoedSentNanos());
     }
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlPlane.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlPlane.java
@@ -42,7 +42,7 @@
 
   /** Says, before each dispatch, how many slots of a holding may be used now. */
   default HoldingGuard guard() {
-    return HoldingGuard.trusting();
+    return HoldingGuard.unrestricted();
   }
 
   /** Tells peers where callers reach this entry VM; only then does it join its zone's view. */
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/PeerDirectory.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/PeerDirectory.java
@@ -185,7 +185,7 @@
   static String speaker(RelayedView view, long version) {
     List<String> speakers =
         view.view().members().stream()
-            .filter(member -> !member.leaving())
+            .filter(member -> !member.isDraining())
             .map(Member::vm)
             .filter(vm -> !vm.equals(view.relay()))
             .limit(SPEAKERS)
@@ -214,7 +214,7 @@
       Function<String, Reach> reach,
       Set<String> route) {
     List<String> zones = List.copyOf(views.keySet());
-    for (String child : Overlay.reportChildren(zones, report.key().name(), from)) {
+    for (String child : Overlay.summaryChildren(zones, report.key().name(), from)) {
       String speaker = speaker(views.get(child), report.version());
       if (reach.apply(speaker) != Reach.LOST) {
         route.add(speaker);
@@ -267,13 +267,13 @@
       candidates.addAll(listedIn(identity.zone()));
     } else {
       for (Member member : own.view().members()) {
-        if (!member.leaving() && !member.vm().equals(own.relay())) {
+        if (!member.isDraining() && !member.vm().equals(own.relay())) {
           candidates.add(member.vm());
         }
       }
     }
     candidates.add(identity.vm());
-    return Rendezvous.order(identity.zone(), candidates).indexOf(identity.vm());
+    return Rendezvous.rank(identity.zone(), candidates).indexOf(identity.vm());
   }
 
   private List<String> zones(Map<String, RelayedView> views) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayControlPlane.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayControlPlane.java
@@ -30,7 +30,7 @@
 import org.sageladder.core.permit.KeyRing;
 import org.sageladder.core.platform.ListedVm;
 import org.sageladder.core.platform.VmList;
-import org.sageladder.core.spread.DutyCall;
+import org.sageladder.core.spread.ElectionCall;
 import org.sageladder.core.spread.PeerMessages;
 import org.sageladder.core.store.Store;
 import org.sageladder.core.store.StoredValue;
@@ -99,7 +99,8 @@
     this.store = store;
     this.customer = settings.customer();
     this.worker =
-        new StoreWorker(store, customer, settings.listPeriod(), times.relay().timeToLive(), events);
+        new StoreWorker(
+            store, customer, settings.listPeriod(), times.relay().leaseTimeToLive(), events);
     this.links =
         InnerLinks.open(
             self.host(),
@@ -329,7 +330,7 @@
     }
 
     @Override
-    public void call(DutyCall call) {
+    public void call(ElectionCall call) {
       worker.call(call, machine.duty(), new StoreResults());
     }
 
@@ -413,12 +414,12 @@
     }
 
     @Override
-    public void announce(String topic, String id, byte[] content, Duration keep) {
+    public void broadcast(String topic, String id, byte[] content, Duration keep) {
       onControl(() -> machine.announce(topic, id, content, keep));
     }
 
     @Override
-    public void on(String topic, Receiver receiver) {
+    public void setReceiver(String topic, Receiver receiver) {
       topics.on(topic, receiver);
     }
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayRole.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayRole.java
@@ -12,12 +12,12 @@
 import org.sageladder.core.membership.Heartbeat;
 import org.sageladder.core.membership.HeartbeatAnswer;
 import org.sageladder.core.membership.RelayedView;
-import org.sageladder.core.membership.ViewMaker;
+import org.sageladder.core.membership.ZoneViewBuilder;
 import org.sageladder.core.platform.ListedVm;
 import org.sageladder.core.spread.Item;
 import org.sageladder.core.spread.ItemKey;
 import org.sageladder.core.spread.ItemKind;
-import org.sageladder.core.spread.RelayDuty;
+import org.sageladder.core.spread.RelayElection;
 import org.sageladder.core.spread.VersionedTable;
 import org.sageladder.core.time.TimeSource;
 import org.sageladder.protocol.MembershipCodec;
@@ -33,11 +33,11 @@
   private final TimeSource time;
   private final KnownState known;
   private final VersionedTable table;
-  private final RelayDuty duty;
+  private final RelayElection duty;
   private final Consumer<Item> publish;
   private final EventSink events;
   private final ZoneTakeOver takeOver;
-  private @Nullable ViewMaker maker;
+  private @Nullable ZoneViewBuilder maker;
   private long makerFencing;
   private List<ListedVm> lastList = List.of();
   private long nextReportNanos;
@@ -51,7 +51,7 @@
       TimeSource time,
       KnownState known,
       VersionedTable table,
-      RelayDuty duty,
+      RelayElection duty,
       Consumer<Item> publish,
       TargetProbe probe,
       EventSink events) {
@@ -80,23 +80,23 @@
 
   void listed(List<ListedVm> lines) {
     lastList = lines.stream().filter(line -> line.customer().equals(identity.customer())).toList();
-    ViewMaker making = maker;
+    ZoneViewBuilder making = maker;
     if (making != null) {
-      making.listed(lastList);
+      making.onPlatformList(lastList);
     }
   }
 
   /** Starts or stops with the duty, and publishes what is due. */
   void tick() {
     notePause();
-    if (!duty.relaying()) {
+    if (!duty.isRelay()) {
       stop();
       return;
     }
-    if (maker == null || makerFencing != duty.fencing()) {
+    if (maker == null || makerFencing != duty.fencingToken()) {
       begin();
     }
-    ViewMaker making = maker;
+    ZoneViewBuilder making = maker;
     if (making == null) {
       return;
     }
@@ -108,17 +108,17 @@
 
   /** The answer to a heartbeat, as long as this VM is relay. */
   Optional<HeartbeatAnswer> heartbeat(Heartbeat heartbeat) {
-    ViewMaker making = maker;
+    ZoneViewBuilder making = maker;
     if (making == null) {
       return Optional.empty();
     }
-    HeartbeatAnswer answer = making.heartbeat(heartbeat);
+    HeartbeatAnswer answer = making.onHeartbeat(heartbeat);
     return Optional.of(
         new HeartbeatAnswer(
-            answer.echoedNanos(),
+            answer.echoedSentNanos(),
             answer.viewNumber(),
-            answer.relaying(),
-            answer.confirmed() && mayConfirm(making),
+            answer.isRelay(),
+            answer.isConfirmed() && mayConfirm(making),
             answer.knownIncarnation()));
   }
 
@@ -130,29 +130,29 @@
    * until a next one's view would have reached it, and needs to hear most of the zone, so that of
    * two parts of a split zone at most one is confirmed in full.
    */
-  private boolean mayConfirm(ViewMaker making) {
-    if (duty.state() == RelayDuty.State.HOLDING) {
+  private boolean mayConfirm(ZoneViewBuilder making) {
+    if (duty.state() == RelayElection.State.HOLDING) {
       return true;
     }
     boolean rested = time.nanos() - distrustUntilNanos >= 0;
-    return rested && making.heardFraction() > MAJORITY;
+    return rested && making.liveFraction() > MAJORITY;
   }
 
   private void notePause() {
     long now = time.nanos();
-    if (now - lastTickNanos > times.membership().takeOverSilence().toNanos()) {
+    if (now - lastTickNanos > times.membership().takeOverTimeout().toNanos()) {
       takeOver.away();
     }
-    if (now - lastTickNanos > times.membership().pauseAllowance().toNanos()) {
-      distrustUntilNanos = now + times.membership().takeOverSilence().toNanos();
+    if (now - lastTickNanos > times.membership().maxPause().toNanos()) {
+      distrustUntilNanos = now + times.membership().takeOverTimeout().toNanos();
     }
     lastTickNanos = now;
   }
 
   private void begin() {
-    makerFencing = duty.fencing();
+    makerFencing = duty.fencingToken();
     maker =
-        ViewMaker.of(
+        ZoneViewBuilder.of(
             times.membership(),
             time,
             identity.zone(),
@@ -161,7 +161,7 @@
             known.view(identity.zone()),
             this::slotsPerTarget);
     takeOverAgain(maker);
-    maker.listed(lastList);
+    maker.onPlatformList(lastList);
     nextReportNanos = time.nanos() + Duration.ofMillis(200).toNanos();
     nextNearReportNanos = nextReportNanos;
     events.record(
@@ -174,8 +174,8 @@
   }
 
   /** Targets of another zone that the relay before took over look like the own zone's. */
-  private void takeOverAgain(ViewMaker making) {
-    making.lent(takeOver::lent);
+  private void takeOverAgain(ZoneViewBuilder making) {
+    making.setLentTargets(takeOver::lent);
     for (String zone : known.regionMates()) {
       known
           .takeOver(zone)
@@ -211,7 +211,7 @@
    * Reports to all zones as often as the byte budget lets so many zones report, and to those of the
    * own region, on which steering leans first, each {@link ControlTimes#report}.
    */
-  private void publishReports(ViewMaker making) {
+  private void publishReports(ZoneViewBuilder making) {
     long now = time.nanos();
     if (now - nextReportNanos >= 0) {
       nextReportNanos = now + times.reportEvery(known.views().size()).toNanos();
@@ -223,7 +223,7 @@
     }
   }
 
-  private void publishReport(ViewMaker making, ItemKey key) {
+  private void publishReport(ZoneViewBuilder making, ItemKey key) {
     Map<String, Long> revisions = making.revisionsInForce();
     long lowest = revisions.values().stream().mapToLong(Long::longValue).min().orElse(0);
     List<String> lagging =
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/StoreWorker.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/StoreWorker.java
@@ -14,8 +14,8 @@
 import org.sageladder.core.event.EventSink;
 import org.sageladder.core.platform.ListedVm;
 import org.sageladder.core.spread.Backoff;
-import org.sageladder.core.spread.DutyCall;
-import org.sageladder.core.spread.RelayDuty;
+import org.sageladder.core.spread.ElectionCall;
+import org.sageladder.core.spread.RelayElection;
 import org.sageladder.core.store.Store;
 import org.sageladder.core.store.StoreException;
 import org.sageladder.core.store.StoredValue;
@@ -96,7 +96,7 @@
   }
 
   /** Makes a call of the duty. */
-  void call(DutyCall call, RelayDuty duty, Results results) {
+  void call(ElectionCall call, RelayElection duty, Results results) {
     threads.execute(() -> make(call, duty, results));
   }
 
@@ -111,7 +111,7 @@
         });
   }
 
-  private void make(DutyCall call, RelayDuty duty, Results results) {
+  private void make(ElectionCall call, RelayElection duty, Results results) {
     try {
       Runnable end = end(call, duty);
       up();
@@ -122,16 +122,16 @@
     }
   }
 
-  private Runnable end(DutyCall call, RelayDuty duty) throws StoreException {
-    if (call instanceof DutyCall.ReadOwner read) {
+  private Runnable end(ElectionCall call, RelayElection duty) throws StoreException {
+    if (call instanceof ElectionCall.ReadOwner read) {
       var owner = store.read(read.key());
-      return () -> duty.onOwner(owner);
+      return () -> duty.onOwnerRead(owner);
     }
-    if (call instanceof DutyCall.Claim claim) {
+    if (call instanceof ElectionCall.Claim claim) {
       var result = store.compareAndSet(claim.key(), 0, claim.value(), claim.lease());
       return () -> duty.onClaimed(result);
     }
-    if (call instanceof DutyCall.Renew renew) {
+    if (call instanceof ElectionCall.Renew renew) {
       boolean held = store.keepAlive(renew.lease());
       return () -> duty.onRenewed(held);
     }
@@ -149,7 +149,7 @@
         return;
       } catch (StoreException | RuntimeException e) {
         down(e);
-        rest(backoff.failed());
+        rest(backoff.recordFailure());
       }
     }
   }
@@ -172,11 +172,11 @@
         WatchBatch batch = ((Store) store).watch(contractKey, after, WATCH_WAIT);
         after = batch.nextRevision();
         up();
-        backoff.succeeded();
+        backoff.recordSuccess();
         forEachContract(batch, value -> results.onControl(() -> results.watched(value)));
       } catch (StoreException | RuntimeException e) {
         down(e);
-        rest(backoff.failed());
+        rest(backoff.recordFailure());
       }
     }
   }
@@ -198,12 +198,12 @@
       }
       try {
         List<ListedVm> lines = store.fetch();
-        backoff.succeeded();
+        backoff.recordSuccess();
         results.onControl(() -> results.listed(lines));
         restUntilNextList();
       } catch (StoreException | RuntimeException e) {
         down(e);
-        rest(backoff.failed());
+        rest(backoff.recordFailure());
       }
     }
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ViewEvents.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ViewEvents.java
@@ -56,7 +56,7 @@
     Set<String> nowLeaving = new HashSet<>();
     for (Holding holding : view.holdings()) {
       if (holding.holder().equals(vm)) {
-        (holding.leaving() ? nowLeaving : nowTargets).add(holding.target());
+        (holding.isDraining() ? nowLeaving : nowTargets).add(holding.target());
       }
     }
     record(EventKind.TARGET_HELD, nowTargets, targets, view.number());
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ZoneTakeOver.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ZoneTakeOver.java
@@ -15,8 +15,8 @@
 import org.sageladder.core.membership.Holding;
 import org.sageladder.core.membership.RelayedView;
 import org.sageladder.core.membership.Rendezvous;
-import org.sageladder.core.membership.ViewMaker;
 import org.sageladder.core.membership.ZoneView;
+import org.sageladder.core.membership.ZoneViewBuilder;
 import org.sageladder.core.spread.Item;
 import org.sageladder.core.spread.ItemKey;
 import org.sageladder.core.spread.ItemKind;
@@ -98,7 +98,7 @@
   }
 
   /** One round of the relay. */
-  void tick(ViewMaker maker) {
+  void tick(ZoneViewBuilder maker) {
     List<String> mates = known.regionMates();
     noteContact(mates);
     boolean probing = time.nanos() - nextProbeNanos >= 0;
@@ -124,7 +124,7 @@
     hadContact = contact;
   }
 
-  private void silent(String zone, List<String> mates, ViewMaker maker, boolean probing) {
+  private void silent(String zone, List<String> mates, ZoneViewBuilder maker, boolean probing) {
     Optional<RelayedView> taken = active(zone);
     if (taken.isPresent() && taken.get().relay().equals(identity.zone())) {
       maker.takeOver(zone, taken.get().view().holdings());
@@ -164,7 +164,7 @@
     Set<String> answered = new TreeSet<>();
     idle.put(zone, answered);
     for (Holding holding : homeHoldings(zone)) {
-      if (!holding.leaving()) {
+      if (!holding.isDraining()) {
         probe.ask(holding, nobody -> note(nobody, holding, answered));
       }
     }
@@ -177,7 +177,7 @@
   }
 
   /** Takes what answered to the last round of probes. */
-  private void takeIdle(String zone, ViewMaker maker) {
+  private void takeIdle(String zone, ZoneViewBuilder maker) {
     Set<String> answered = idle.getOrDefault(zone, Set.of());
     List<Holding> taken =
         homeHoldings(zone).stream().filter(holding -> answered.contains(holding.target())).toList();
@@ -202,11 +202,11 @@
     return known.view(zone).map(view -> view.view().holdings()).orElse(List.of());
   }
 
-  private void giveBack(String zone, ViewMaker maker) {
+  private void giveBack(String zone, ZoneViewBuilder maker) {
     maker.giveBack(zone);
     Optional<RelayedView> taken = active(zone);
     boolean mine = taken.isPresent() && taken.get().relay().equals(identity.zone());
-    if (mine && !maker.holdsFor(zone)) {
+    if (mine && !maker.holdsTargetsOf(zone)) {
       announce(zone, List.of());
       logger.atInfo().log("zone %s is back and has its targets' slots again", zone);
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/GuardedGate.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/GuardedGate.java
@@ -52,7 +52,7 @@
   /** Not before the zone may confirm this VM again, whatever the gate has free. */
   @Override
   public Duration retryAfter() {
-    Duration confirmed = MembershipSettings.standard().heartbeat();
+    Duration confirmed = MembershipSettings.standard().heartbeatInterval();
     Duration free = gate.retryAfter();
     return free.compareTo(confirmed) < 0 ? confirmed : free;
   }
@@ -62,7 +62,7 @@
       return admission;
     }
     Holding target = admitted.slot().target();
-    int allowed = guard.slots(target);
+    int allowed = guard.usableSlots(target);
     if (inFlight.applyAsInt(target.target()) <= allowed) {
       return admission;
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/OperatorPort.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/OperatorPort.java
@@ -179,7 +179,7 @@
           .addObject()
           .put("vm", member.vm())
           .put("incarnation", member.incarnation())
-          .put("leaving", member.leaving());
+          .put("leaving", member.isDraining());
     }
     var holdings = json.putArray("holdings");
     for (Holding holding : view.holdings()) {
@@ -188,7 +188,7 @@
           .put("target", holding.target())
           .put("holder", holding.holder())
           .put("slots", holding.slots())
-          .put("leaving", holding.leaving());
+          .put("leaving", holding.isDraining());
     }
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/quarantine/CrashWatch.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/quarantine/CrashWatch.java
@@ -90,7 +90,7 @@
       EventSink events,
       PeerMessages messages) {
     CrashWatch watch = new CrashWatch(customer, quarantine, client, timers, time, events, messages);
-    messages.on(TOPIC, (from, content) -> watch.heard(content));
+    messages.setReceiver(TOPIC, (from, content) -> watch.heard(content));
     return watch;
   }
 
@@ -146,10 +146,10 @@
         fingerprints.size() + " requests were on it");
     if (quarantine.add(report)) {
       String id = target.target() + "/" + report.incarnation();
-      messages.announce(TOPIC, id, CrashReportCodec.encode(report), KEEP);
+      messages.broadcast(TOPIC, id, CrashReportCodec.encode(report), KEEP);
     }
     for (long fingerprint : fingerprints) {
-      if (quarantine.holds(fingerprint, time.wallMillis())) {
+      if (quarantine.isQuarantined(fingerprint, time.wallMillis())) {
         events.record(
             EventKind.QUARANTINED,
             "",
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/Explanation.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/Explanation.java
@@ -130,7 +130,7 @@
       boolean concerned =
           holding.customer().equals(contract.customer())
               && holding.service().equals(service.name());
-      if (concerned && holding.leaving()) {
+      if (concerned && holding.isDraining()) {
         leaving++;
       } else if (concerned && holding.slots() > 0) {
         usable++;
