--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/PassedHeaders.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/PassedHeaders.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import org.apache.hc.core5.http.Header;
 import org.apache.hc.core5.http.HttpMessage;
-import org.sageladder.core.message.ConnectionHeaders;
+import org.sageladder.core.message.HopByHopHeaders;
 
 /** Copies the headers that belong to the message, leaving those that belong to a connection. */
 final class PassedHeaders {
@@ -28,8 +28,8 @@
    * @param ours whether headers of sageladder are copied too, as between entry VMs
    */
   static void copy(HttpMessage from, HttpMessage to, boolean ours) {
-    ConnectionHeaders left =
-        ConnectionHeaders.naming(
+    HopByHopHeaders left =
+        HopByHopHeaders.of(
             Arrays.stream(from.getHeaders("Connection")).map(Header::getValue).toList());
     for (Header header : from.getHeaders()) {
       String name = header.getName().toLowerCase(Locale.ROOT);
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/PeerRoutes.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/PeerRoutes.java
@@ -116,7 +116,7 @@
 
   private void note(Permit word) {
     successors.note(
-        word.home(), word.incarnation(), word.boundTo(), word.expiryMillis(), time.wallMillis());
+        word.issuer(), word.incarnation(), word.binding(), word.expiryMillis(), time.wallMillis());
   }
 
   private static void accepted(CallerExchange exchange) {
@@ -126,9 +126,9 @@
   private void learn(CallerExchange exchange, Permit word, byte[] bytes) {
     try {
       TargetHistory history = JSON.readValue(bytes, TargetHistory.class);
-      if (!history.target().equals(word.boundTo())) {
+      if (!history.target().equals(word.binding())) {
         throw new IOException(
-            "the history is of " + history.target() + ", its word of " + word.boundTo());
+            "the history is of " + history.target() + ", its word of " + word.binding());
       }
       gates.learn(word.sequence(), history);
       accepted(exchange);
@@ -141,12 +141,12 @@
   private void adopt(CallerExchange exchange, Permit word, byte[] bytes) {
     try {
       HandOver handOver = HandOverCodec.decode(bytes);
-      if (!handOver.vm().equals(word.home()) || handOver.incarnation() != word.incarnation()) {
-        throw new IOException("the hand-over is of " + handOver.vm() + ", not " + word.home());
+      if (!handOver.vm().equals(word.issuer()) || handOver.incarnation() != word.incarnation()) {
+        throw new IOException("the hand-over is of " + handOver.vm() + ", not " + word.issuer());
       }
       home.adopt(handOver);
       logger.atInfo().log(
-          "answers for %d permits of %s, which stops", handOver.permits(), handOver.vm());
+          "answers for %d permits of %s, which stops", handOver.permitCount(), handOver.vm());
       accepted(exchange);
     } catch (IOException e) {
       Answers.send(
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/Permits.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/Permits.java
@@ -68,7 +68,7 @@
     parts
         .events()
         .record(EventKind.PERMIT_MINTED, "", parts.customer(), service, sequence, idempotencyKey);
-    return codec.seal(minted.get().at(address));
+    return codec.seal(minted.get().withIssuerAddress(address));
   }
 
   private static String keyDigest(String idempotencyKey) {
@@ -105,7 +105,7 @@
   private void dispatched(Copy copy) throws IOException {
     OpenedPermit opened = codec.open(copy.head().dispatch());
     if (opened instanceof OpenedPermit.Valid valid
-        && valid.permit().boundTo().equals(DISPATCH_PREFIX + copy.head().id())
+        && valid.permit().binding().equals(DISPATCH_PREFIX + copy.head().id())
         && isFor(valid.permit(), copy)) {
       copy.carry().accept(RequestFlow.begin(parts, copy.exchange(), copy.head(), copy.service()));
       return;
@@ -131,7 +131,7 @@
     }
     if (opened instanceof OpenedPermit.UnknownKey unknown) {
       // Nobody vouches for the address in it, so it is passed on to a known entry VM or not at all.
-      toHome(copy, unknown.claimed().at(""));
+      toHome(copy, unknown.unverifiedPermit().withIssuerAddress(""));
       return;
     }
     Permit permit = ((OpenedPermit.Valid) opened).permit();
@@ -142,7 +142,7 @@
               ResultCode.PERMIT_INVALID, "the permit is for service '" + permit.service() + "'"));
       return;
     }
-    String bound = permit.boundTo();
+    String bound = permit.binding();
     if (!bound.isEmpty() && !bound.equals(keyDigest(copy.head().idempotencyKey()))) {
       refuse(
           copy,
@@ -153,7 +153,7 @@
                   + "'"));
       return;
     }
-    decide(copy, permit, home.begin(permit, digest(copy), parts.time().wallMillis()));
+    decide(copy, permit, home.beginExecution(permit, digest(copy), parts.time().wallMillis()));
   }
 
   private static boolean isFor(Permit permit, Copy copy) {
@@ -199,7 +199,7 @@
   }
 
   private void repeat(Copy copy, Permit permit, Decision decision) throws IOException {
-    if (decision instanceof Decision.Replay replay && replay.answer().bodyKept()) {
+    if (decision instanceof Decision.Replay replay && replay.answer().kept()) {
       discardBody(copy);
       parts.counters().result(copy.service().name(), ResultCode.OK);
       Recording.send(copy.exchange(), replay.answer());
@@ -225,13 +225,13 @@
   }
 
   private void toHome(Copy copy, Permit permit) throws IOException {
-    Optional<String> successor = successors.of(permit.home(), permit.incarnation());
+    Optional<String> successor = successors.of(permit.issuer(), permit.incarnation());
     if (!copy.head().forwardedBy().isEmpty()) {
-      homeLost(copy, permit.home());
+      homeLost(copy, permit.issuer());
       return;
     }
     if (successor.isPresent()) {
-      forward(copy, successor.get(), permit.home());
+      forward(copy, successor.get(), permit.issuer());
       return;
     }
     Optional<Member> told = homeTold(permit);
@@ -239,7 +239,7 @@
       begin(copy, told.get());
       return;
     }
-    forward(copy, permit.home(), permit.home());
+    forward(copy, permit.issuer(), permit.issuer());
   }
 
   /**
@@ -250,13 +250,13 @@
    * for long. The address is covered by the MAC and belongs to the very incarnation that decides.
    */
   private static Optional<Member> homeTold(Permit permit) {
-    int colon = permit.homeAddress().lastIndexOf(':');
+    int colon = permit.issuerAddress().lastIndexOf(':');
     if (colon < 0) {
       return Optional.empty();
     }
-    String host = permit.homeAddress().substring(0, colon);
-    int port = Integer.parseInt(permit.homeAddress().substring(colon + 1));
-    return Optional.of(new Member(permit.home(), "", permit.incarnation(), host, port, 0, false));
+    String host = permit.issuerAddress().substring(0, colon);
+    int port = Integer.parseInt(permit.issuerAddress().substring(colon + 1));
+    return Optional.of(new Member(permit.issuer(), "", permit.incarnation(), host, port, 0, false));
   }
 
   /** A home that has stopped passes on also what was passed to it: its successor ends the chain. */
@@ -350,17 +350,17 @@
 
     @Override
     public void ran(RecordedAnswer answer) {
-      ended(execution.finish(answer), "ran");
+      ended(execution.recordAnswer(answer), "ran");
     }
 
     @Override
     public void notRun() {
-      ended(execution.notRun(), "not run");
+      ended(execution.recordNotRun(), "not run");
     }
 
     @Override
     public void unknown() {
-      ended(execution.unknown(), "unknown");
+      ended(execution.recordUnknown(), "unknown");
     }
 
     private void ended(boolean first, String how) {
@@ -388,7 +388,7 @@
       Permit permit = execution.permit();
       return codec.seal(
           new Permit(
-              permit.home(),
+              permit.issuer(),
               permit.incarnation(),
               permit.sequence(),
               permit.expiryMillis(),
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/Recording.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/Recording.java
@@ -42,7 +42,7 @@
 
   /** What to keep; without {@code body} only that there was an answer. */
   RecordedAnswer end(Optional<byte[]> body) {
-    return body.map(bytes -> RecordedAnswer.whole(status, headers, bytes))
+    return body.map(bytes -> RecordedAnswer.complete(status, headers, bytes))
         .orElseGet(RecordedAnswer::notKept);
   }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestPath.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestPath.java
@@ -81,7 +81,9 @@
     Permits permits = new Permits(parts, control, codec, home, successors);
     PeerRoutes peers =
         new PeerRoutes(settings.customer(), codec, home, successors, gates, time, timers);
-    control.messages().on(PeerRoutes.SUCCESSOR_TOPIC, (from, content) -> peers.announced(content));
+    control
+        .messages()
+        .setReceiver(PeerRoutes.SUCCESSOR_TOPIC, (from, content) -> peers.announced(content));
     LookUps lookUps = LookUps.create(time);
     return new RequestPath(
         new RequestRouter(
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestRouter.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestRouter.java
@@ -32,7 +32,7 @@
   private static final JsonMapper JSON = new JsonMapper();
 
   /** Who holds which target cannot change before the next heartbeat. */
-  private static final Duration NEXT_VIEW = MembershipSettings.standard().heartbeat();
+  private static final Duration NEXT_VIEW = MembershipSettings.standard().heartbeatInterval();
 
   private final FlowParts parts;
   private final String customer;
@@ -270,7 +270,7 @@
       return null;
     }
     for (Holding holding : view.holdings()) {
-      if (!holding.service().equals(service) || holding.leaving()) {
+      if (!holding.service().equals(service) || holding.isDraining()) {
         continue;
       }
       for (Member member : view.members()) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/stop/PermitHandOver.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/stop/PermitHandOver.java
@@ -122,7 +122,7 @@
     String word = codec.seal(word(PeerRoutes.SUCCESSOR, successor.vm()));
     control
         .messages()
-        .announce(
+        .broadcast(
             PeerRoutes.SUCCESSOR_TOPIC,
             vm + "/" + home.incarnation(),
             word.getBytes(StandardCharsets.US_ASCII),
@@ -149,7 +149,7 @@
       ZoneView view = state.views().get(each);
       if (view != null) {
         view.members().stream()
-            .filter(member -> !member.leaving() && !member.vm().equals(vm))
+            .filter(member -> !member.isDraining() && !member.vm().equals(vm))
             .forEach(members::add);
       }
     }
@@ -162,7 +162,8 @@
       // The same bytes to the same VM: where only the acknowledgement was lost, nothing changes.
       if (post(successor, PeerRoutes.HAND_OVER, successor.vm(), bytes)) {
         logger.atInfo().log(
-            "handed %d permits to %s in %d bytes", state.permits(), successor.vm(), bytes.length);
+            "handed %d permits to %s in %d bytes",
+            state.permitCount(), successor.vm(), bytes.length);
         return true;
       }
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/stop/PlannedStop.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/stop/PlannedStop.java
@@ -100,12 +100,12 @@
     control.beginLeaving();
     awaitNoNewcomers();
     long noNewcomers = time.nanos();
-    home.beginClosing();
-    await(limits.runsEnd(), () -> home.runningOwn() == 0);
+    home.startDraining();
+    await(limits.runsEnd(), () -> home.runningOwnCount() == 0);
     long runsEnded = time.nanos();
     boolean handedOver = handOver.run();
     long handedOverAt = time.nanos();
-    await(limits.runsEnd(), () -> home.running() == 0);
+    await(limits.runsEnd(), () -> home.runningCount() == 0);
     awaitQuiet();
     int cut = inFlight.count();
     return new Outcome(
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlMachineTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlMachineTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.membership.Holding;
 import org.sageladder.core.membership.RelayedView;
-import org.sageladder.core.membership.ViewMaker;
 import org.sageladder.core.membership.ZoneView;
-import org.sageladder.core.spread.RelayDuty;
+import org.sageladder.core.membership.ZoneViewBuilder;
+import org.sageladder.core.spread.RelayElection;
 import org.sageladder.entry.control.MachineFakes.NodeFake;
 import org.sageladder.protocol.ZoneReport;
 
@@ -112,17 +112,17 @@
     fakes.run(Duration.ofSeconds(15));
     List<NodeFake> acting = relays("tartu-1");
     assertEquals(1, acting.size());
-    assertEquals(RelayDuty.State.ACTING, acting.get(0).machine.duty().state());
+    assertEquals(RelayElection.State.ACTING, acting.get(0).machine.duty().state());
     for (Holding holding : view(acting.get(0), "tartu-1").holdings()) {
       assertFalse(holding.holder().equals(dead.vm), "the dead VM holds " + holding.target());
     }
-    long fencing = ViewMaker.fencingOf(view(acting.get(0), "tartu-1").number());
+    long fencing = ZoneViewBuilder.fencingTokenOf(view(acting.get(0), "tartu-1").number());
     fakes.storeDown = false;
     fakes.run(Duration.ofSeconds(10));
     assertEquals(1, relays("tartu-1").size());
     NodeFake next = relays("tartu-1").get(0);
-    assertEquals(RelayDuty.State.HOLDING, next.machine.duty().state());
-    assertTrue(ViewMaker.fencingOf(view(next, "tartu-1").number()) > fencing);
+    assertEquals(RelayElection.State.HOLDING, next.machine.duty().state());
+    assertTrue(ZoneViewBuilder.fencingTokenOf(view(next, "tartu-1").number()) > fencing);
   }
 
   // The store is down for ten minutes. Lapsed leases must not cost any gate its slots.
@@ -135,7 +135,7 @@
     for (NodeFake node : fakes.nodes.values()) {
       for (Holding holding : view(node, node.zone).holdings()) {
         if (holding.holder().equals(node.vm)) {
-          assertEquals(3, node.machine.guard().slots(holding), node.vm);
+          assertEquals(3, node.machine.guard().usableSlots(holding), node.vm);
         }
       }
     }
@@ -158,7 +158,7 @@
             "tartu-1");
     old.paused = false;
     for (Holding holding : view(old, "tartu-1").holdings()) {
-      assertEquals(0, old.machine.guard().slots(holding), "before its control thread ran");
+      assertEquals(0, old.machine.guard().usableSlots(holding), "before its control thread ran");
     }
     fakes.run(Duration.ofSeconds(2));
     assertFalse(old.relaying());
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/MachineFakes.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/MachineFakes.java
@@ -20,7 +20,7 @@
 import org.sageladder.core.membership.Member;
 import org.sageladder.core.platform.ListedVm;
 import org.sageladder.core.platform.VmRole;
-import org.sageladder.core.spread.DutyCall;
+import org.sageladder.core.spread.ElectionCall;
 import org.sageladder.core.store.StoredValue;
 import org.sageladder.core.store.WriteResult;
 import org.sageladder.core.time.VirtualTime;
@@ -78,7 +78,7 @@
     }
 
     boolean relaying() {
-      return machine.duty().relaying();
+      return machine.duty().isRelay();
     }
 
     @Override
@@ -101,7 +101,7 @@
     public void address(PeerAddress peer) {}
 
     @Override
-    public void call(DutyCall call) {
+    public void call(ElectionCall call) {
       wire.add(() -> answer(this, call));
     }
 
@@ -188,20 +188,20 @@
     }
   }
 
-  private void answer(NodeFake node, DutyCall call) {
+  private void answer(NodeFake node, ElectionCall call) {
     if (node.dead || node.paused || storeDown || cutZones.contains(node.zone)) {
       node.machine.duty().onFailure();
       return;
     }
-    if (call instanceof DutyCall.ReadOwner read) {
-      node.machine.duty().onOwner(Optional.ofNullable(values.get(read.key())));
-    } else if (call instanceof DutyCall.Grant) {
+    if (call instanceof ElectionCall.ReadOwner read) {
+      node.machine.duty().onOwnerRead(Optional.ofNullable(values.get(read.key())));
+    } else if (call instanceof ElectionCall.Grant) {
       long lease = nextLease++;
       leaseEnds.put(lease, time.nanos() + Duration.ofSeconds(3).toNanos());
       node.machine.duty().onGranted(lease);
-    } else if (call instanceof DutyCall.Claim claim) {
+    } else if (call instanceof ElectionCall.Claim claim) {
       node.machine.duty().onClaimed(claim(claim));
-    } else if (call instanceof DutyCall.Renew renew) {
+    } else if (call instanceof ElectionCall.Renew renew) {
       boolean held = leaseEnds.containsKey(renew.lease());
       if (held) {
         leaseEnds.put(renew.lease(), time.nanos() + Duration.ofSeconds(3).toNanos());
@@ -210,7 +210,7 @@
     }
   }
 
-  private WriteResult claim(DutyCall.Claim claim) {
+  private WriteResult claim(ElectionCall.Claim claim) {
     StoredValue old = values.get(claim.key());
     if (old != null || !leaseEnds.containsKey(claim.lease())) {
       return new WriteResult.Conflict(old);
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ZoneTakeOverTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ZoneTakeOverTest.java
@@ -136,7 +136,7 @@
       List<Holding> holdings = view == null ? List.of() : view.view().holdings();
       for (Holding holding : holdings) {
         if (holding.target().equals(target) && holding.holder().equals(node.vm)) {
-          slots += node.machine.guard().slots(holding);
+          slots += node.machine.guard().usableSlots(holding);
         }
       }
     }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/quarantine/CrashWatchTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/quarantine/CrashWatchTest.java
@@ -75,8 +75,8 @@
     lastAsked().lost(false, new IOException("connection refused"));
     second.cut(target("t-2"), POISON);
     lastAsked().lost(false, new IOException("connection refused"));
-    assertTrue(first.quarantine().holds(POISON, time.wallMillis()));
-    assertTrue(second.quarantine().holds(POISON, time.wallMillis()));
+    assertTrue(first.quarantine().isQuarantined(POISON, time.wallMillis()));
+    assertTrue(second.quarantine().isQuarantined(POISON, time.wallMillis()));
   }
 
   /** Network trouble cuts a long export twice while its targets live on: nothing crashed. */
@@ -89,7 +89,7 @@
           .head(
               new BasicHttpResponse(200), null, BodyPipe.of(load.getBytes(StandardCharsets.UTF_8)));
     }
-    assertFalse(first.quarantine().holds(POISON, time.wallMillis()));
+    assertFalse(first.quarantine().isQuarantined(POISON, time.wallMillis()));
   }
 
   /** The target crashed and was back before it was asked: only its incarnation shows it. */
@@ -102,7 +102,7 @@
           .head(
               new BasicHttpResponse(200), null, BodyPipe.of(load.getBytes(StandardCharsets.UTF_8)));
     }
-    assertTrue(first.quarantine().holds(POISON, time.wallMillis()));
+    assertTrue(first.quarantine().isQuarantined(POISON, time.wallMillis()));
   }
 
   /** A crash cuts three connections one by one: one question, one report, all three on it. */
@@ -123,7 +123,7 @@
       first.cut(target("t-1"), POISON);
       lastAsked().lost(false, new IOException("connection refused"));
     }
-    assertTrue(first.quarantine().holds(POISON, time.wallMillis()));
+    assertTrue(first.quarantine().isQuarantined(POISON, time.wallMillis()));
   }
 
   private final class Broadcast implements PeerMessages {
@@ -133,12 +133,12 @@
     }
 
     @Override
-    public void announce(String topic, String id, byte[] content, Duration keep) {
+    public void broadcast(String topic, String id, byte[] content, Duration keep) {
       receivers.forEach(receiver -> receiver.receive("", content));
     }
 
     @Override
-    public void on(String topic, Receiver receiver) {
+    public void setReceiver(String topic, Receiver receiver) {
       receivers.add(receiver);
     }
   }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/request/PermitsTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/request/PermitsTest.java
@@ -45,7 +45,7 @@
   @Test
   void aRepeatReachesAHomeThatNoViewNames() throws IOException {
     PermitCodec codec = PermitCodec.of(() -> KeyRing.of(List.of(key("k1"))));
-    repeat(codec, codec.seal(minted().at("127.0.0.1:8442")));
+    repeat(codec, codec.seal(minted().withIssuerAddress("127.0.0.1:8442")));
     assertEquals(List.of("127.0.0.1:8442"), sentTo);
     assertEquals(List.of(), answers.headers(Headers.RESULT));
   }
@@ -56,7 +56,7 @@
   void anAddressThatNobodyVouchesForIsNotFollowed() throws IOException {
     PermitCodec strangers = PermitCodec.of(() -> KeyRing.of(List.of(key("k2"))));
     PermitCodec codec = PermitCodec.of(() -> KeyRing.of(List.of(key("k1"))));
-    repeat(codec, strangers.seal(minted().at("127.0.0.1:8442")));
+    repeat(codec, strangers.seal(minted().withIssuerAddress("127.0.0.1:8442")));
     assertEquals(List.of(), sentTo);
     assertEquals(List.of("52 HOME_LOST"), answers.headers(Headers.RESULT));
   }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/request/RequestFlowTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/request/RequestFlowTest.java
@@ -221,7 +221,7 @@
   private final class RunList implements PermitRun {
     @Override
     public void ran(RecordedAnswer answer) {
-      runs.add(answer.bodyKept() ? "ran " + answer.status() : "ran, answer not kept");
+      runs.add(answer.kept() ? "ran " + answer.status() : "ran, answer not kept");
     }
 
     @Override
--- a/sageladder-entry/src/test/java/org/sageladder/entry/stop/PlannedStopTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/stop/PlannedStopTest.java
@@ -107,8 +107,10 @@
         stop(peer(), member("entry-1", true), member("entry-2", false)).run();
     assertEquals(0, outcome.exchangesCut());
     assertTrue(outcome.handedOver());
-    assertEquals(new Decision.Moved("entry-2"), home.begin(permit, "bid", time.wallMillis()));
-    assertInstanceOf(Decision.Execute.class, successor.begin(permit, "bid", time.wallMillis()));
+    assertEquals(
+        new Decision.Moved("entry-2"), home.beginExecution(permit, "bid", time.wallMillis()));
+    assertInstanceOf(
+        Decision.Execute.class, successor.beginExecution(permit, "bid", time.wallMillis()));
   }
 
   /** All entry VMs leave together: a successor that stops next would lose the states again. */
@@ -137,6 +139,7 @@
     Member dead = new Member("entry-0", "riga-1", 1, "127.0.0.1", 99, 2, false);
     assertTrue(stop(firstIsDead, dead, member("entry-2", false)).run().handedOver());
     Permit permit = new Permit("entry-1", 1, 1, Long.MAX_VALUE, "kalnins-dauge", "bids", "", "");
-    assertEquals(new Decision.Moved("entry-2"), home.begin(permit, "bid", time.wallMillis()));
+    assertEquals(
+        new Decision.Moved("entry-2"), home.beginExecution(permit, "bid", time.wallMillis()));
   }
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/PassedOn.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/PassedOn.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.Map;
-import org.sageladder.core.message.ConnectionHeaders;
+import org.sageladder.core.message.HopByHopHeaders;
 
 /** Headers that are passed on from one connection to another. */
 final class PassedOn {
@@ -12,7 +12,7 @@
 
   /** What is passed on of {@code headers}, in the same order. */
   static HttpHeaders of(HttpHeaders headers) {
-    ConnectionHeaders left = ConnectionHeaders.naming(headers.getAll(HttpHeaderNames.CONNECTION));
+    HopByHopHeaders left = HopByHopHeaders.of(headers.getAll(HttpHeaderNames.CONNECTION));
     HttpHeaders passed =
         DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
     for (Map.Entry<String, String> header : headers) {
--- a/sageladder-platform/src/main/java/org/sageladder/platform/event/EventPage.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/event/EventPage.java
@@ -41,14 +41,14 @@
   /** What {@code buffer} holds after sequence {@code after}, at most {@code limit} events. */
   public static EventPage of(
       String process, long incarnation, String zone, EventBuffer buffer, long after, int limit) {
-    EventBuffer.Batch batch = buffer.after(after, limit);
+    EventBuffer.Batch batch = buffer.readAfter(after, limit);
     return new EventPage(
         process,
         incarnation,
         zone,
         buffer.wallMicros(),
-        batch.lost(),
-        batch.next(),
+        batch.lostCount(),
+        batch.lastSequence(),
         batch.events());
   }
 
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/Handshake.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/Handshake.java
@@ -50,7 +50,7 @@
                     .setVm(identity.vm())
                     .setCustomer(identity.customer())
                     .setIncarnation(identity.incarnation())
-                    .setKeyId(ring.signing().id())
+                    .setKeyId(ring.signingKey().id())
                     .setNonce(nonce())
                     .setExpectedVm(expectedVm)
                     .build()
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/MembershipCodec.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/MembershipCodec.java
@@ -30,10 +30,10 @@
       builder.addWithheld(
           Inner.Withheld.newBuilder()
               .setTarget(withheld.target())
-              .setHolder(withheld.holder())
+              .setHolder(withheld.formerHolder())
               .setIncarnation(withheld.incarnation())
-              .setViewNumber(withheld.viewNumber())
-              .setSilent(withheld.silent()));
+              .setViewNumber(withheld.releaseViewNumber())
+              .setSilent(withheld.isSilent()));
     }
     return builder.build().toByteArray();
   }
@@ -107,14 +107,14 @@
             .setSentNanos(heartbeat.sentNanos())
             .setViewNumber(heartbeat.viewNumber())
             .setContractRevision(heartbeat.contractRevision());
-    for (TargetReport report : heartbeat.reports()) {
+    for (TargetReport report : heartbeat.targetReports()) {
       builder.addReports(
           Inner.TargetReport.newBuilder()
               .setTarget(report.target())
               .setIncarnation(report.targetIncarnation())
-              .setLeaving(report.leaving())
+              .setLeaving(report.isDraining())
               .setInFlight(report.inFlight())
-              .setLoadAgrees(report.loadAgrees()));
+              .setLoadAgrees(report.loadMatchesInFlight()));
     }
     heartbeat.summaries().forEach(summary -> builder.addSummaries(encode(summary)));
     return builder.build();
@@ -150,7 +150,7 @@
         .setHost(member.host())
         .setPort(member.port())
         .setInnerPort(member.innerPort())
-        .setLeaving(member.leaving())
+        .setLeaving(member.isDraining())
         .build();
   }
 
@@ -175,7 +175,7 @@
         .setTargetIncarnation(holding.targetIncarnation())
         .setHolder(holding.holder())
         .setSlots(holding.slots())
-        .setLeaving(holding.leaving())
+        .setLeaving(holding.isDraining())
         .build();
   }
 
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/MessageCodec.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/MessageCodec.java
@@ -94,7 +94,7 @@
     } else if (message instanceof SpreadMessage.Versions versions) {
       envelope.setVersions(encode(versions));
     } else if (message instanceof SpreadMessage.SnapshotEnd end) {
-      envelope.setSnapshotEnd(Inner.SnapshotEnd.newBuilder().setReady(end.ready()));
+      envelope.setSnapshotEnd(Inner.SnapshotEnd.newBuilder().setReady(end.isReady()));
     } else if (message instanceof SpreadMessage.Pull pull) {
       Inner.Pull.Builder builder = Inner.Pull.newBuilder();
       pull.keys().forEach(key -> builder.addKeys(encode(key)));
@@ -119,7 +119,7 @@
               .setVersion(delta.version())
               .setBaseVersion(delta.baseVersion())
               .setPayloadHash(delta.payloadHash())
-              .setProgram(ByteString.copyFrom(delta.delta().program())));
+              .setProgram(ByteString.copyFrom(delta.delta().instructions())));
     }
     return builder.build();
   }
@@ -162,11 +162,11 @@
   }
 
   private static SpreadMessage.Versions decode(Inner.Versions versions) throws ProtocolException {
-    Map<ItemKey, SpreadMessage.Stamp> stamps = new HashMap<>();
+    Map<ItemKey, SpreadMessage.VersionStamp> stamps = new HashMap<>();
     for (Inner.Stamp stamp : versions.getStampsList()) {
       stamps.put(
           decode(stamp.getKey()),
-          new SpreadMessage.Stamp(stamp.getVersion(), stamp.getPayloadHash()));
+          new SpreadMessage.VersionStamp(stamp.getVersion(), stamp.getPayloadHash()));
     }
     return new SpreadMessage.Versions(stamps, versions.getSnapshot());
   }
@@ -209,10 +209,10 @@
 
   private static Inner.HeartbeatAnswer encode(HeartbeatAnswer answer) {
     return Inner.HeartbeatAnswer.newBuilder()
-        .setEchoedNanos(answer.echoedNanos())
+        .setEchoedNanos(answer.echoedSentNanos())
         .setViewNumber(answer.viewNumber())
-        .setRelaying(answer.relaying())
-        .setConfirmed(answer.confirmed())
+        .setRelaying(answer.isRelay())
+        .setConfirmed(answer.isConfirmed())
         .setKnownIncarnation(answer.knownIncarnation())
         .build();
   }
--- a/sageladder-protocol/src/test/java/org/sageladder/protocol/MessageCodecProperties.java
+++ b/sageladder-protocol/src/test/java/org/sageladder/protocol/MessageCodecProperties.java
@@ -114,7 +114,8 @@
     InnerMessage versions =
         new InnerMessage.Spread(
             new SpreadMessage.Versions(
-                Map.of(new ItemKey(ItemKind.VIEW, "tartu-a"), new SpreadMessage.Stamp(7, -3)),
+                Map.of(
+                    new ItemKey(ItemKind.VIEW, "tartu-a"), new SpreadMessage.VersionStamp(7, -3)),
                 true));
     assertEquals(versions, MessageCodec.decode(MessageCodec.encode(versions)));
   }
