--- a/sageladder-client/src/main/java/org/sageladder/client/BodySink.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/BodySink.java
@@ -7,7 +7,7 @@
  * Takes the body of an answer piece by piece, for recordings too large to hold.
  *
  * <p>What came in is whole only once {@link SageladderClient#send(Request, BodySink)} has returned
- * {@link Answer.Whole}. Methods are called one at a time, from the client's I/O thread.
+ * {@link Response.Whole}. Methods are called one at a time, from the client's I/O thread.
  */
 public interface BodySink {
   /** A body begins; what an earlier try brought is to be dropped. */
--- a/sageladder-client/src/main/java/org/sageladder/client/SageladderClient.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/SageladderClient.java
@@ -85,7 +85,8 @@
    *
    * @param sink gets one answer from its first byte to its last; {@link BodySink#begin} drops what
    *     came before
-   * @return {@link Answer.Whole} with status 200 or 206 only where the sink holds the whole answer
+   * @return {@link Response.Whole} with status 200 or 206 only where the sink holds the whole
+   *     answer
    * @throws IllegalArgumentException where the method is not {@code GET}
    */
   public Answer fetch(Request request, BodySink sink) {
@@ -95,8 +96,8 @@
   }
 
   /**
-   * Sends a request whose outcome was {@link Answer.Unknown} again under the same permit, so that
-   * it cannot run a second time.
+   * Sends a request whose outcome was {@link Response.Unauthenticated} again under the same permit,
+   * so that it cannot run a second time.
    *
    * @throws IllegalArgumentException where {@code permit} is empty
    */
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Attempt.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Attempt.java
@@ -21,128 +21,132 @@
    * A kept connection may be closing unseen. What may not be repeated is sent only on one that was
    * used just now, since a loss after sending could not be told from a run.
    */
-  private static final long FRESH_ENOUGH_FOR_ONCE_MILLIS = 3_000;
+  private static final long MAX_IDLE_AT_MOST_ONCE_MILLIS = 3_000;
 
   /** Clocks of two machines may differ by this much: the largest step that operators tell of. */
-  private static final long CLOCKS_APART_MILLIS = 2_000;
+  private static final long MAX_CLOCK_SKEW_MILLIS = 2_000;
 
   /** A target that could not be reached is left alone for this long, unless there is no other. */
-  private static final long AVOID_MILLIS = 1_500;
+  private static final long AVOID_UNREACHABLE_MILLIS = 1_500;
 
   /**
    * Without any byte of an answer for this long, the way to the target is checked: longer than most
    * runs, and early enough for another target.
    */
-  private static final long LEAST_UNTIL_CHECK_MILLIS = 1_000;
+  private static final long MIN_CHECK_DELAY_MILLIS = 1_000;
 
   /** And for this many times as long as was expected. */
-  private static final double CHECK_AFTER_EXPECTED = 2;
+  private static final double CHECK_DELAY_FACTOR = 2;
 
   private final Forwarder forwarder;
   private final Exchange exchange;
   private final PlacementRequest order;
-  private final Send send;
-  private final long startedAt;
-  private final long startedAtWall;
+  private final Send decision;
+  private final long startedAtMillis;
+  private final long startedAtWallMillis;
   private @Nullable TargetConnection connection;
-  private boolean over;
-  private boolean sent;
-  private @Nullable HeldAnswer answer;
-  private Loop.@Nullable Timer check;
+  private boolean isFinished;
+  private boolean isSent;
+  private @Nullable BufferedResponse response;
+  private Loop.@Nullable Timer reachabilityTimer;
 
   Attempt(Forwarder forwarder, Exchange exchange, PlacementRequest order, Send send) {
     this.forwarder = forwarder;
     this.exchange = exchange;
     this.order = order;
-    this.send = send;
-    this.startedAt = forwarder.loop().now();
-    this.startedAtWall = forwarder.loop().wallMillis();
+    this.decision = send;
+    this.startedAtMillis = forwarder.loop().nowMillis();
+    this.startedAtWallMillis = forwarder.loop().wallMillis();
   }
 
   TargetState target() {
-    return send.target();
+    return decision.target();
   }
 
   Send decision() {
-    return send;
+    return decision;
   }
 
   /** True once bytes of the request may have reached the target. */
   boolean isSent() {
-    return sent;
+    return isSent;
   }
 
-  long millis() {
-    return forwarder.loop().now() - startedAt;
+  long elapsedMillis() {
+    return forwarder.loop().nowMillis() - startedAtMillis;
   }
 
   void start(boolean once) {
     forwarder.attempts().add(this);
-    forwarder.placement().recordSent(send, startedAt);
+    forwarder.placement().recordSent(decision, startedAtMillis);
     forwarder
-        .connections()
-        .with(
+        .connectionPool()
+        .acquire(
             target().facts(),
-            once ? FRESH_ENOUGH_FOR_ONCE_MILLIS : Long.MAX_VALUE,
-            this::connected,
-            this::unreachable,
+            once ? MAX_IDLE_AT_MOST_ONCE_MILLIS : Long.MAX_VALUE,
+            this::onConnected,
+            this::onConnectFailed,
             millis -> forwarder.distances().recordConnect(target().facts().zone(), millis));
   }
 
-  private void connected(TargetConnection ready) {
-    if (over) {
-      forwarder.connections().giveBack(target().facts().incarnation(), ready);
+  private void onConnected(TargetConnection ready) {
+    if (isFinished) {
+      forwarder.connectionPool().release(target().facts().incarnation(), ready);
       return;
     }
     connection = ready;
-    sent = true;
-    ready.send(head(), exchange.requestId(), this);
+    isSent = true;
+    ready.send(forwardedHead(), exchange.requestId(), this);
     exchange.body().writeTo(ready);
-    exchange.readOn();
-    double late = CHECK_AFTER_EXPECTED * (send.expectedWaitMillis() + send.expectedRunMillis());
-    long after = Math.max(LEAST_UNTIL_CHECK_MILLIS, (long) late);
-    check = forwarder.loop().after(after, () -> checkPath(ready));
+    exchange.updateReading();
+    double late =
+        CHECK_DELAY_FACTOR * (decision.expectedWaitMillis() + decision.expectedRunMillis());
+    long after = Math.max(MIN_CHECK_DELAY_MILLIS, (long) late);
+    reachabilityTimer = forwarder.loop().schedule(after, () -> checkReachability(ready));
   }
 
-  private void checkPath(TargetConnection used) {
-    if (over || used.anyAnswerByte()) {
+  private void checkReachability(TargetConnection used) {
+    if (isFinished || used.hasResponseBytes()) {
       return;
     }
-    PathCheck.start(forwarder.loop(), target().facts(), () -> reached(used), () -> cutOff(used));
+    ReachabilityCheck.start(
+        forwarder.loop(), target().facts(), () -> onReachable(used), () -> onUnreachable(used));
   }
 
-  private void reached(TargetConnection used) {
-    if (!over) {
-      used.watch();
+  private void onReachable(TargetConnection used) {
+    if (!isFinished) {
+      used.enableKeepAlive();
     }
   }
 
-  private void cutOff(TargetConnection used) {
-    if (over || used.anyAnswerByte()) {
+  private void onUnreachable(TargetConnection used) {
+    if (isFinished || used.hasResponseBytes()) {
       return;
     }
-    target().avoidUntil(forwarder.loop().now() + AVOID_MILLIS);
-    withdraw(used, "its target is cut off");
+    target().avoidUntil(forwarder.loop().nowMillis() + AVOID_UNREACHABLE_MILLIS);
+    abandonAsLost(used, "its target is cut off");
   }
 
-  private void withdraw(TargetConnection used, String cause) {
+  private void abandonAsLost(TargetConnection used, String cause) {
     used.abandon();
     finish(true);
-    dropAnswer();
-    exchange.lost(this, cause);
+    dropResponse();
+    exchange.onLost(this, cause);
   }
 
-  private HttpRequest head() {
+  private HttpRequest forwardedHead() {
     HttpRequest from = exchange.head();
-    HttpHeaders headers = PassedOn.of(from.headers());
+    HttpHeaders headers = ForwardedHeaders.of(from.headers());
     boolean chunked = HttpUtil.isTransferEncodingChunked(from);
     if (chunked) {
       headers.remove(HttpHeaderNames.CONTENT_LENGTH);
     }
-    if (exchange.hidesKey()) {
-      forwarder.dialect().identify(headers, exchange.workspaceName());
+    if (exchange.hidesApiKey()) {
+      forwarder.dialect().replaceApiKey(headers, exchange.workspaceName());
     }
-    forwarder.dialect().address(headers, target().facts().id(), exchange.millisLeft());
+    forwarder
+        .dialect()
+        .addTargetHeaders(headers, target().facts().id(), exchange.remainingMillis());
     HttpRequest to =
         new DefaultHttpRequest(HttpVersion.HTTP_1_1, from.method(), from.uri(), headers);
     HttpUtil.setTransferEncodingChunked(to, chunked);
@@ -150,39 +154,39 @@
   }
 
   /** More of the request's body has come, or its end. */
-  void moreBody() {
+  void writeMoreBody() {
     TargetConnection known = connection;
-    if (!over && known != null) {
+    if (!isFinished && known != null) {
       exchange.body().writeTo(known);
     }
   }
 
   /** False where the target does not take more of the body for now. */
-  boolean takesBody() {
+  boolean acceptsMoreBody() {
     TargetConnection known = connection;
     return known != null && known.isWritable();
   }
 
   /** Reads on, or lets the target wait. */
-  void reading(boolean on) {
+  void setReading(boolean on) {
     TargetConnection known = connection;
-    if (!over && known != null) {
-      known.reading(on);
+    if (!isFinished && known != null) {
+      known.setReading(on);
     }
   }
 
-  private void unreachable(String cause) {
-    if (over) {
+  private void onConnectFailed(String cause) {
+    if (isFinished) {
       return;
     }
     finish(false);
-    target().avoidUntil(forwarder.loop().now() + AVOID_MILLIS);
-    exchange.notSent(this, cause);
+    target().avoidUntil(forwarder.loop().nowMillis() + AVOID_UNREACHABLE_MILLIS);
+    exchange.onNotSent(this, cause);
   }
 
   /** Gives the attempt up; the target drops the request with the connection. */
   void abandon() {
-    if (over) {
+    if (isFinished) {
       return;
     }
     finish(true);
@@ -190,21 +194,21 @@
     if (known != null) {
       known.abandon();
     }
-    dropAnswer();
+    dropResponse();
   }
 
-  private void dropAnswer() {
-    HeldAnswer held = answer;
-    answer = null;
+  private void dropResponse() {
+    BufferedResponse held = response;
+    response = null;
     if (held != null) {
       held.release();
     }
   }
 
   /** Takes the attempt out of its target's load and of those in flight. */
-  private void leave() {
-    over = true;
-    Loop.Timer known = check;
+  private void detach() {
+    isFinished = true;
+    Loop.Timer known = reachabilityTimer;
     if (known != null) {
       known.cancel();
     }
@@ -213,64 +217,64 @@
   }
 
   private void finish(boolean neutral) {
-    leave();
+    detach();
     if (!neutral) {
-      target().recordOutcome(false, forwarder.loop().now());
+      target().recordOutcome(false, forwarder.loop().nowMillis());
     }
   }
 
   @Override
-  public void head(HttpResponse head) {
-    answer = new HeldAnswer(head);
+  public void onHead(HttpResponse head) {
+    response = new BufferedResponse(head);
   }
 
   @Override
-  public void bytes(ByteBuf bytes) {
-    HeldAnswer held = answer;
-    if (over || held == null) {
+  public void onBodyBytes(ByteBuf bytes) {
+    BufferedResponse held = response;
+    if (isFinished || held == null) {
       bytes.release();
       return;
     }
-    exchange.answerBytes(this, held, bytes);
+    exchange.onResponseBytes(this, held, bytes);
   }
 
   @Override
-  public void ended() {
-    HeldAnswer held = answer;
+  public void onComplete() {
+    BufferedResponse held = response;
     TargetConnection used = connection;
-    if (over || held == null || used == null) {
+    if (isFinished || held == null || used == null) {
       return;
     }
-    answer = null;
-    long now = forwarder.loop().now();
-    LoadReport load = forwarder.dialect().load(held.headers());
+    response = null;
+    long now = forwarder.loop().nowMillis();
+    LoadReport load = forwarder.dialect().loadReport(held.headers());
     boolean notRun = forwarder.dialect().isNotRun(held.status(), held.headers());
-    leave();
+    detach();
     if (load != null) {
       target().recordReport(load, now);
     }
-    forwarder.connections().giveBack(target().facts().incarnation(), used);
+    forwarder.connectionPool().release(target().facts().incarnation(), used);
     if (notRun) {
-      refused(load, now);
+      recordRefusal(load, now);
       held.release();
-      exchange.notRun(this, forwarder.dialect().isOtherTarget(held.status()));
+      exchange.onNotRun(this, forwarder.dialect().isMisdirected(held.status()));
       return;
     }
-    if (!forwarder.dialect().isGenuine(held.status(), held.headers())) {
+    if (!forwarder.dialect().isAuthentic(held.status(), held.headers())) {
       target().recordOutcome(false, now);
       held.release();
-      exchange.lost(this, "an answer that the target did not make");
+      exchange.onLost(this, "an answer that the target did not make");
       return;
     }
     if (held.status() < 500) {
-      forwarder.placement().recordAnswer(order, send, (double) millis(), load, now);
+      forwarder.placement().recordAnswer(order, decision, (double) elapsedMillis(), load, now);
     } else {
       target().recordOutcome(false, now);
     }
-    exchange.whole(this, held);
+    exchange.onComplete(this, held);
   }
 
-  private void refused(@Nullable LoadReport load, long now) {
+  private void recordRefusal(@Nullable LoadReport load, long now) {
     if (load == null) {
       int slots = target().facts().slots();
       target().recordReport(new LoadReport(slots, slots, slots), now);
@@ -287,35 +291,39 @@
    * though its connection may stay open for seconds where the target ended behind a cut. An attempt
    * that began shortly before the new start, by clocks that may differ, may be with the new one.
    */
-  void targetStartedAgain(TargetIncarnation later) {
+  void onTargetRestarted(TargetIncarnation later) {
     boolean former = target().facts().incarnation().isBefore(later);
-    if (over || !former || startedAtWall >= later.startedAtMillis() - CLOCKS_APART_MILLIS) {
+    if (isFinished
+        || !former
+        || startedAtWallMillis >= later.startedAtMillis() - MAX_CLOCK_SKEW_MILLIS) {
       return;
     }
     TargetConnection used = connection;
     if (used == null) {
-      unreachable("its target started again");
+      onConnectFailed("its target started again");
       return;
     }
-    withdraw(used, "its target started again");
+    abandonAsLost(used, "its target started again");
   }
 
   @Override
-  public void lost(String cause) {
-    if (over) {
+  public void onLost(String cause) {
+    if (isFinished) {
       return;
     }
     finish(false);
-    dropAnswer();
+    dropResponse();
     TargetConnection used = connection;
-    if (used != null && !used.anyAnswerByte()) {
-      forwarder.crashes().lost(target().facts(), exchange.fingerprint(), exchange.runsOnce());
+    if (used != null && !used.hasResponseBytes()) {
+      forwarder
+          .crashDetector()
+          .onRequestLost(target().facts(), exchange.fingerprint(), exchange.runsAtMostOnce());
     }
-    exchange.lost(this, cause);
+    exchange.onLost(this, cause);
   }
 
   @Override
-  public void writable() {
-    exchange.readOn();
+  public void onWritable() {
+    exchange.updateReading();
   }
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/HeldBody.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/BufferedBody.java
@@ -8,67 +8,67 @@
  * The body of a request: held whole while it is small, so that it can be sent once more, and passed
  * through once it has grown too large for that.
  */
-final class HeldBody {
+final class BufferedBody {
   /**
    * A body up to this size is held; most are a few kilobytes, and a VM has some hundred at once.
    */
-  private static final int MOST_HELD_BYTES = 64 << 10;
+  private static final int MAX_BUFFERED_BYTES = 64 << 10;
 
   private final Deque<ByteBuf> parts = new ArrayDeque<>();
-  private long held;
-  private long total;
-  private boolean whole;
-  private boolean passing;
+  private long bufferedBytes;
+  private long receivedBytes;
+  private boolean isComplete;
+  private boolean isStreaming;
 
   void add(ByteBuf bytes) {
-    held += bytes.readableBytes();
-    total += bytes.readableBytes();
+    bufferedBytes += bytes.readableBytes();
+    receivedBytes += bytes.readableBytes();
     parts.addLast(bytes);
   }
 
-  void end() {
-    whole = true;
+  void complete() {
+    isComplete = true;
   }
 
   /** True once its end has come. */
-  boolean isWhole() {
-    return whole;
+  boolean isComplete() {
+    return isComplete;
   }
 
   /** Bytes that came from the caller so far. */
-  long total() {
-    return total;
+  long receivedBytes() {
+    return receivedBytes;
   }
 
   /** True where a target can be chosen: all of it is here, or it will not be held whole. */
   boolean isReady() {
-    return whole || held > MOST_HELD_BYTES;
+    return isComplete || bufferedBytes > MAX_BUFFERED_BYTES;
   }
 
   /** True where it can be sent to another target from its beginning. */
-  boolean isRepeatable() {
-    return !passing;
+  boolean isReplayable() {
+    return !isStreaming;
   }
 
   /** True where the caller may send more now. */
-  boolean takesMore() {
-    return held <= MOST_HELD_BYTES;
+  boolean acceptsMore() {
+    return bufferedBytes <= MAX_BUFFERED_BYTES;
   }
 
   /** Writes what there is; ends the request where that is all. */
   void writeTo(TargetConnection to) {
-    if (whole && !passing) {
-      parts.forEach(part -> to.body(part.retainedDuplicate()));
-      to.bodyEnd();
+    if (isComplete && !isStreaming) {
+      parts.forEach(part -> to.writeBody(part.retainedDuplicate()));
+      to.endRequest();
       return;
     }
-    passing = true;
+    isStreaming = true;
     while (!parts.isEmpty()) {
-      to.body(parts.removeFirst());
+      to.writeBody(parts.removeFirst());
     }
-    held = 0;
-    if (whole) {
-      to.bodyEnd();
+    bufferedBytes = 0;
+    if (isComplete) {
+      to.endRequest();
     }
   }
 
@@ -76,7 +76,7 @@
   void release() {
     parts.forEach(ByteBuf::release);
     parts.clear();
-    held = 0;
+    bufferedBytes = 0;
   }
 
   /** Hash of what is held, to tell requests apart that differ in their body only. */
--- a/sageladder-forward/src/main/java/org/sageladder/forward/HeldAnswer.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/BufferedResponse.java
@@ -18,12 +18,12 @@
  * <p>While it is held, an answer that breaks off can still be replaced: by another target's where
  * the request may be repeated, by an error otherwise. The caller's connection stays usable.
  */
-final class HeldAnswer {
+final class BufferedResponse {
   private final HttpResponse head;
   private final List<ByteBuf> parts = new ArrayList<>();
-  private long size;
+  private long receivedBytes;
 
-  HeldAnswer(HttpResponse head) {
+  BufferedResponse(HttpResponse head) {
     this.head = head;
   }
 
@@ -36,21 +36,21 @@
   }
 
   /** Bytes that came so far. */
-  long size() {
-    return size;
+  long receivedBytes() {
+    return receivedBytes;
   }
 
   void add(ByteBuf bytes) {
-    size += bytes.readableBytes();
+    receivedBytes += bytes.readableBytes();
     parts.add(bytes);
   }
 
   /** Writes the whole answer, with its length. */
-  void writeWhole(CallerConnection to, boolean headOnly, boolean close) {
-    HttpResponse answer = answerHead(close);
+  void writeComplete(CallerConnection to, boolean headOnly, boolean close) {
+    HttpResponse answer = responseHead(close);
     boolean bodiless = status() == 204 || status() == 304;
     if (!headOnly && !bodiless) {
-      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, size);
+      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, receivedBytes);
     }
     to.write(answer);
     writeParts(to);
@@ -58,8 +58,8 @@
   }
 
   /** Writes the head and what has come of a body that goes on. */
-  void writeBeginning(CallerConnection to, boolean close) {
-    HttpResponse answer = answerHead(close);
+  void writeFirstPart(CallerConnection to, boolean close) {
+    HttpResponse answer = responseHead(close);
     if (!HttpUtil.isContentLengthSet(answer)) {
       HttpUtil.setTransferEncodingChunked(answer, true);
     }
@@ -67,8 +67,8 @@
     writeParts(to);
   }
 
-  private HttpResponse answerHead(boolean close) {
-    HttpHeaders headers = PassedOn.of(head.headers());
+  private HttpResponse responseHead(boolean close) {
+    HttpHeaders headers = ForwardedHeaders.of(head.headers());
     if (close) {
       headers.set(HttpHeaderNames.CONNECTION, "close");
     }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/CallerConnection.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/CallerConnection.java
@@ -32,24 +32,24 @@
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
   /** Requests of one connection at once; beyond, the connection is not read until some ended. */
-  private static final int MOST_AT_ONCE = 16;
+  private static final int MAX_PIPELINED_REQUESTS = 16;
 
   /** Time for a caller to read an answer that came before its body was sent. */
   private static final long LINGER_MILLIS = 1_000;
 
-  private static final int MOST_CHUNK_BYTES = 32 << 10;
+  private static final int MAX_CHUNK_BYTES = 32 << 10;
 
   private final Forwarder forwarder;
   private final Deque<Exchange> exchanges = new ArrayDeque<>();
   private @Nullable ChannelHandlerContext context;
-  private @Nullable Exchange receiving;
-  private boolean closing;
-  private long headSince;
-  private long quietSince;
+  private @Nullable Exchange receivingExchange;
+  private boolean isClosing;
+  private long headStartedAtMillis;
+  private long idleSinceMillis;
 
   CallerConnection(Forwarder forwarder) {
     this.forwarder = forwarder;
-    this.quietSince = forwarder.loop().now();
+    this.idleSinceMillis = forwarder.loop().nowMillis();
   }
 
   void install(ChannelPipeline pipeline) {
@@ -58,12 +58,12 @@
         new HttpDecoderConfig()
             .setMaxInitialLineLength(limits.maxHeadBytes())
             .setMaxHeaderSize(limits.maxHeadBytes())
-            .setMaxChunkSize(MOST_CHUNK_BYTES);
+            .setMaxChunkSize(MAX_CHUNK_BYTES);
     pipeline.addLast(
         new ChannelInboundHandlerAdapter() {
           @Override
           public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            arrived();
+            onBytesReceived();
             ctx.fireChannelRead(bytes);
           }
         },
@@ -72,9 +72,9 @@
         this);
   }
 
-  private void arrived() {
-    if (receiving == null && headSince == 0) {
-      headSince = forwarder.loop().now();
+  private void onBytesReceived() {
+    if (receivingExchange == null && headStartedAtMillis == 0) {
+      headStartedAtMillis = forwarder.loop().nowMillis();
     }
   }
 
@@ -92,7 +92,7 @@
   }
 
   /** The caller's IP number. */
-  String callerHost() {
+  String callerAddress() {
     return context().channel().remoteAddress() instanceof InetSocketAddress address
         ? address.getAddress().getHostAddress()
         : "";
@@ -100,33 +100,33 @@
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
-    if (closing || !(message instanceof HttpObject part)) {
+    if (isClosing || !(message instanceof HttpObject part)) {
       ReferenceCountUtil.release(message);
       return;
     }
     if (part.decoderResult().isFailure()) {
       ReferenceCountUtil.release(message);
-      unreadable(part.decoderResult().cause());
+      refuseMalformed(part.decoderResult().cause());
       return;
     }
     if (part instanceof HttpRequest head) {
-      headSince = 0;
+      headStartedAtMillis = 0;
       Exchange exchange = new Exchange(forwarder, this, head);
-      receiving = exchange;
+      receivingExchange = exchange;
       exchanges.addLast(exchange);
-      exchange.begin(exchanges.peekFirst() == exchange);
+      exchange.start(exchanges.peekFirst() == exchange);
     }
     if (part instanceof HttpContent content) {
-      content(content);
+      onContent(content);
     }
-    ctx.channel().config().setAutoRead(readsOn());
+    ctx.channel().config().setAutoRead(canReadMore());
   }
 
-  private void content(HttpContent content) {
-    Exchange exchange = receiving;
+  private void onContent(HttpContent content) {
+    Exchange exchange = receivingExchange;
     boolean last = content instanceof LastHttpContent;
     if (last) {
-      receiving = null;
+      receivingExchange = null;
     }
     if (exchange == null) {
       content.release();
@@ -134,45 +134,46 @@
     }
     ByteBuf bytes = content.content();
     if (bytes.isReadable()) {
-      exchange.bodyBytes(bytes);
+      exchange.onBodyBytes(bytes);
     } else {
       content.release();
     }
     if (last) {
-      exchange.bodyEnd();
+      exchange.onBodyEnd();
     }
   }
 
-  private boolean readsOn() {
-    return exchanges.size() < MOST_AT_ONCE && (receiving == null || receiving.takesMore());
+  private boolean canReadMore() {
+    return exchanges.size() < MAX_PIPELINED_REQUESTS
+        && (receivingExchange == null || receivingExchange.acceptsMoreBody());
   }
 
   /** Looks again whether the caller may send more. */
-  void readOn() {
+  void updateReading() {
     if (context().channel().isActive()) {
-      context().channel().config().setAutoRead(readsOn());
+      context().channel().config().setAutoRead(canReadMore());
     }
   }
 
   /** Answers a request that cannot be read, behind the answers that are due before it. */
-  private void unreadable(@Nullable Throwable cause) {
+  private void refuseMalformed(@Nullable Throwable cause) {
     boolean tooLong =
         cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException;
     // Not the message: it quotes what could not be read, which may be a line with an API key.
-    forwarder.note("unreadable", cause == null ? "" : cause.getClass().getSimpleName());
+    forwarder.logCallerFailure("unreadable", cause == null ? "" : cause.getClass().getSimpleName());
     refuseAndClose(tooLong ? ResultCode.HEAD_TOO_LARGE : ResultCode.MALFORMED_REQUEST);
   }
 
   private void refuseAndClose(ResultCode code) {
-    receiving = null;
-    headSince = 0;
-    Exchange exchange = Exchange.unreadable(forwarder, this);
+    receivingExchange = null;
+    headStartedAtMillis = 0;
+    Exchange exchange = Exchange.forMalformedRequest(forwarder, this);
     exchanges.addLast(exchange);
-    exchange.refuseUnread(code);
+    exchange.refuseAndClose(code);
   }
 
   /** True where the answer of {@code exchange} may be written now. */
-  boolean isTurnOf(Exchange exchange) {
+  boolean isFirst(Exchange exchange) {
     return exchanges.peekFirst() == exchange;
   }
 
@@ -199,19 +200,19 @@
   }
 
   /** Ends the answer whose turn it is, and goes on with the next. */
-  void ended(Exchange exchange, boolean close) {
+  void onExchangeEnded(Exchange exchange, boolean close) {
     flush();
     exchanges.remove(exchange);
-    quietSince = forwarder.loop().now();
+    idleSinceMillis = forwarder.loop().nowMillis();
     if (close) {
-      closeAfterAnswers(receiving == exchange);
+      closeAfterFlush(receivingExchange == exchange);
       return;
     }
     Exchange next = exchanges.peekFirst();
     if (next != null) {
-      next.turn();
+      next.onTurn();
     }
-    readOn();
+    updateReading();
   }
 
   /**
@@ -219,25 +220,25 @@
    * are read and dropped for a while: a close with unread bytes would reset the connection, and the
    * caller would lose the answer that it has not read yet.
    */
-  private void closeAfterAnswers(boolean bodyComes) {
-    closing = true;
+  private void closeAfterFlush(boolean bodyComes) {
+    isClosing = true;
     var written = context().writeAndFlush(context().alloc().buffer(0));
     if (bodyComes && context().channel() instanceof SocketChannel socket) {
       socket.config().setAutoRead(true);
-      written.addListener(done -> endOutput(socket));
-      var unused = forwarder.loop().after(LINGER_MILLIS, () -> Sockets.close(context()));
+      written.addListener(done -> shutdownOutput(socket));
+      var unused = forwarder.loop().schedule(LINGER_MILLIS, () -> Sockets.close(context()));
       return;
     }
     written.addListener(done -> Sockets.close(context()));
   }
 
-  private static void endOutput(SocketChannel socket) {
+  private static void shutdownOutput(SocketChannel socket) {
     var unused = socket.shutdownOutput();
   }
 
   /** Breaks the connection off, so that what was sent of an answer does not look complete. */
-  void breakOff() {
-    closing = true;
+  void closeNow() {
+    isClosing = true;
     Sockets.close(context());
   }
 
@@ -245,44 +246,44 @@
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
     Exchange first = exchanges.peekFirst();
     if (first != null && ctx.channel().isWritable()) {
-      first.callerWritable();
+      first.onCallerWritable();
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    closing = true;
-    forwarder.closed(this);
+    isClosing = true;
+    forwarder.onCallerClosed(this);
     while (!exchanges.isEmpty()) {
-      exchanges.removeFirst().callerGone();
+      exchanges.removeFirst().onCallerClosed();
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    forwarder.note("caller connection failed", String.valueOf(cause.getMessage()));
+    forwarder.logCallerFailure("caller connection failed", String.valueOf(cause.getMessage()));
     Sockets.close(ctx);
   }
 
   /** Ends what takes too long: a head that does not come, a connection without requests. */
   void sweep(long now, CallerLimits limits) {
-    if (closing) {
+    if (isClosing) {
       return;
     }
-    if (headSince != 0 && now - headSince > limits.headTimeoutMillis()) {
+    if (headStartedAtMillis != 0 && now - headStartedAtMillis > limits.headTimeoutMillis()) {
       refuseAndClose(ResultCode.HEAD_TOO_SLOW);
       return;
     }
-    boolean quiet = exchanges.isEmpty() && headSince == 0;
-    if (quiet && now - quietSince > limits.idleTimeoutMillis()) {
-      breakOff();
+    boolean quiet = exchanges.isEmpty() && headStartedAtMillis == 0;
+    if (quiet && now - idleSinceMillis > limits.idleTimeoutMillis()) {
+      closeNow();
     }
   }
 
   /** Closes the connection if it has no request; true where it does. */
-  boolean closeIfQuiet() {
-    if (exchanges.isEmpty() && headSince == 0) {
-      breakOff();
+  boolean closeIfIdle() {
+    if (exchanges.isEmpty() && headStartedAtMillis == 0) {
+      closeNow();
       return true;
     }
     return false;
--- a/sageladder-forward/src/main/java/org/sageladder/forward/CrashWatch.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/CrashDetector.java
@@ -24,41 +24,41 @@
  * The other entry VMs are told of a crash where one of them might meet the request next: it was
  * suspect before, or its caller is not answered by a second target here.
  */
-final class CrashWatch {
+final class CrashDetector {
   /**
    * A target that has crashed refuses connections by now; one that only cut a connection does not.
    */
-  private static final long PROBE_AFTER_MILLIS = 60;
+  private static final long PROBE_DELAY_MILLIS = 60;
 
-  private static final int PROBE_MILLIS = 500;
+  private static final int PROBE_TIMEOUT_MILLIS = 500;
 
-  private record Lost(Set<Long> fingerprints, boolean anyOnce) {}
+  private record LostRequests(Set<Long> fingerprints, boolean hasNonIdempotent) {}
 
   private final Loop loop;
   private final EventSink log;
   private final Quarantine quarantine = Quarantine.create(Quarantine.Limits.standard());
-  private final Map<TargetIncarnation, Lost> suspects = new HashMap<>();
-  private final Set<Long> seenBefore = new HashSet<>();
-  private Consumer<CrashReport> tell = report -> {};
+  private final Map<TargetIncarnation, LostRequests> lostRequestsByTarget = new HashMap<>();
+  private final Set<Long> knownSuspects = new HashSet<>();
+  private Consumer<CrashReport> publisher = report -> {};
 
-  CrashWatch(Loop loop, EventSink log) {
+  CrashDetector(Loop loop, EventSink log) {
     this.loop = loop;
     this.log = log;
   }
 
   /** What is called with crashes that other entry VMs are to know of. */
-  void tellBy(Consumer<CrashReport> teller) {
-    tell = teller;
+  void publishTo(Consumer<CrashReport> teller) {
+    publisher = teller;
   }
 
   /** Takes a crash that another entry VM has told. */
-  void told(CrashReport report) {
-    seenBefore.addAll(report.fingerprints());
+  void onCrashReport(CrashReport report) {
+    knownSuspects.addAll(report.fingerprints());
     quarantine.add(report);
   }
 
   /** Milliseconds for which a request is held back; 0 where it is not. */
-  long heldMillis(LongSupplier fingerprint) {
+  long quarantineMillis(LongSupplier fingerprint) {
     if (quarantine.isEmpty()) {
       return 0;
     }
@@ -66,38 +66,41 @@
   }
 
   /** A request's connection ended before any byte of an answer. */
-  void lost(TargetFacts target, long fingerprint, boolean once) {
-    Lost known = suspects.get(target.incarnation());
+  void onRequestLost(TargetFacts target, long fingerprint, boolean once) {
+    LostRequests known = lostRequestsByTarget.get(target.incarnation());
     if (known == null) {
-      known = new Lost(new HashSet<>(), once);
-      var unused = loop.after(PROBE_AFTER_MILLIS, () -> probe(target));
+      known = new LostRequests(new HashSet<>(), once);
+      var unused = loop.schedule(PROBE_DELAY_MILLIS, () -> probe(target));
     }
     known.fingerprints().add(fingerprint);
-    suspects.put(target.incarnation(), new Lost(known.fingerprints(), known.anyOnce() || once));
+    lostRequestsByTarget.put(
+        target.incarnation(),
+        new LostRequests(known.fingerprints(), known.hasNonIdempotent() || once));
   }
 
   private void probe(TargetFacts target) {
-    loop.connect(target.host(), target.port(), PROBE_MILLIS, new ChannelInboundHandlerAdapter())
+    loop.connect(
+            target.host(), target.port(), PROBE_TIMEOUT_MILLIS, new ChannelInboundHandlerAdapter())
         .addListener(
             (ChannelFuture done) -> {
-              Lost lost = suspects.remove(target.incarnation());
+              LostRequests lost = lostRequestsByTarget.remove(target.incarnation());
               if (done.isSuccess()) {
                 Sockets.close(done.channel());
               } else if (lost != null) {
-                crashed(target, lost);
+                onCrash(target, lost);
               }
             });
   }
 
-  private void crashed(TargetFacts target, Lost lost) {
+  private void onCrash(TargetFacts target, LostRequests lost) {
     CrashReport report =
         new CrashReport(
             target.id(),
             target.incarnation().startedAtMillis(),
             loop.wallMillis(),
             lost.fingerprints());
-    boolean again = lost.fingerprints().stream().anyMatch(seenBefore::contains);
-    seenBefore.addAll(lost.fingerprints());
+    boolean again = lost.fingerprints().stream().anyMatch(knownSuspects::contains);
+    knownSuspects.addAll(lost.fingerprints());
     quarantine.add(report);
     log.record(
         EventKind.TARGET_CRASHED,
@@ -106,8 +109,8 @@
         target.id(),
         0,
         lost.fingerprints().size() + " requests lost, suspect before: " + again);
-    if (again || lost.anyOnce()) {
-      tell.accept(report);
+    if (again || lost.hasNonIdempotent()) {
+      publisher.accept(report);
     }
   }
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/DatagramPort.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/DatagramPort.java
@@ -7,7 +7,7 @@
   @FunctionalInterface
   interface Receiver {
     /** A datagram came from that address. */
-    void received(String host, int port, byte[] bytes);
+    void onDatagram(String host, int port, byte[] bytes);
   }
 
   /** Sends a datagram, which may be lost; an address that cannot be reached is no error. */
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Dialect.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Dialect.java
@@ -20,7 +20,7 @@
   @Nullable String objectKey(HttpHeaders request);
 
   /** True where the request bears an API key, well-formed or not. */
-  boolean bearsApiKey(HttpHeaders request);
+  boolean hasApiKey(HttpHeaders request);
 
   /** The API key, or null where there is none, more than one, or one that is malformed. */
   @Nullable String apiKey(HttpHeaders request);
@@ -30,26 +30,26 @@
    *
    * @param workspace its name, or null for a request of no workspace
    */
-  void identify(HttpHeaders request, @Nullable String workspace);
+  void replaceApiKey(HttpHeaders request, @Nullable String workspace);
 
   /** Adds to the head of a request what a target is to know: time left and who is meant. */
-  void address(HttpHeaders request, String target, long millisLeft);
+  void addTargetHeaders(HttpHeaders request, String target, long millisLeft);
 
   /** Names the request in an answer of sageladder's own. */
-  void answerTo(HttpHeaders answer, String requestId);
+  void addRequestId(HttpHeaders answer, String requestId);
 
   /** Id of the request that a target answers, or null where it does not say. */
-  @Nullable String answeredId(HttpHeaders answer);
+  @Nullable String answeredRequestId(HttpHeaders answer);
 
   /** True where the target says that it has not run the request and never will. */
   boolean isNotRun(int status, HttpHeaders answer);
 
   /** True where another target has the address of the one that was meant. */
-  boolean isOtherTarget(int status);
+  boolean isMisdirected(int status);
 
   /** True where the answer is one that a target made itself, unchanged on its way. */
-  boolean isGenuine(int status, HttpHeaders answer);
+  boolean isAuthentic(int status, HttpHeaders answer);
 
   /** The load that the target tells, or null. */
-  @Nullable LoadReport load(HttpHeaders answer);
+  @Nullable LoadReport loadReport(HttpHeaders answer);
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/OwnAnswer.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/ErrorResponse.java
@@ -14,27 +14,27 @@
  * An answer of sageladder's own, without a body.
  *
  * @param status HTTP status; mostly the code's own
- * @param retryMillis when the caller may come back, or 0 where that is not said
- * @param close true where the connection ends with it
+ * @param retryAfterMillis when the caller may come back, or 0 where that is not said
+ * @param closesConnection true where the connection ends with it
  */
-record OwnAnswer(ResultCode code, int status, long retryMillis, boolean close) {
-  private static final String RESULT = "Sageladder-Result";
+record ErrorResponse(ResultCode code, int status, long retryAfterMillis, boolean closesConnection) {
+  private static final String RESULT_HEADER = "Sageladder-Result";
 
   /** The answer to the request of that id, which may be empty. */
-  FullHttpResponse to(String requestId, Dialect dialect) {
+  FullHttpResponse toHttpResponse(String requestId, Dialect dialect) {
     FullHttpResponse answer =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.EMPTY_BUFFER);
     HttpHeaders headers = answer.headers();
     headers.set(HttpHeaderNames.CONTENT_LENGTH, 0);
-    headers.set(RESULT, code.number());
+    headers.set(RESULT_HEADER, code.number());
     if (!requestId.isEmpty()) {
-      dialect.answerTo(headers, requestId);
+      dialect.addRequestId(headers, requestId);
     }
-    if (retryMillis > 0) {
-      headers.set(HttpHeaderNames.RETRY_AFTER, BigDecimal.valueOf(retryMillis, 3).toString());
+    if (retryAfterMillis > 0) {
+      headers.set(HttpHeaderNames.RETRY_AFTER, BigDecimal.valueOf(retryAfterMillis, 3).toString());
     }
-    if (close) {
+    if (closesConnection) {
       headers.set(HttpHeaderNames.CONNECTION, "close");
     }
     return answer;
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Exchange.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Exchange.java
@@ -35,29 +35,29 @@
  * where no target can have run it.
  */
 final class Exchange {
-  /** An answer up to this size is held until it is whole; see {@link HeldAnswer}. */
-  private static final long MOST_HELD_BYTES = 256 << 10;
+  /** An answer up to this size is held until it is whole; see {@link BufferedResponse}. */
+  private static final long MAX_BUFFERED_BYTES = 256 << 10;
 
   /** Targets that could not be reached, or were another, before the request is given up. */
-  private static final int MOST_UNREACHED = 4;
+  private static final int MAX_UNREACHED_TARGETS = 4;
 
   /** Time before the caller's deadline at which it gets its answer, to reach it in time. */
-  private static final long ANSWER_MARGIN_MILLIS = 20;
+  private static final long RESPONSE_MARGIN_MILLIS = 20;
 
   /** With less time left than this a further target has no chance to answer. */
-  private static final long LEAST_FOR_ANOTHER_MILLIS = 30;
+  private static final long MIN_RETRY_BUDGET_MILLIS = 30;
 
   /** A caller waits as told up to this part of the time it has left. */
-  private static final double LONGEST_RETRY_PART = 0.33;
+  private static final double MAX_RETRY_AFTER_FRACTION = 0.33;
 
   /** Wait for a configuration: an entry VM that has started knows one within about this time. */
-  private static final long NO_RULES_RETRY_MILLIS = 500;
+  private static final long NO_RULES_RETRY_AFTER_MILLIS = 500;
 
   /** A caller refused by a leaving VM finds another one at once. */
-  private static final long STOPPING_RETRY_MILLIS = 20;
+  private static final long STOPPING_RETRY_AFTER_MILLIS = 20;
 
   /** In place of a time to come back: the same request would be refused again. */
-  private static final long NEVER = -1;
+  private static final long NO_RETRY_AFTER = -1;
 
   private static final HttpRequest NO_REQUEST =
       new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
@@ -65,41 +65,41 @@
   private final Forwarder forwarder;
   private final CallerConnection caller;
   private final HttpRequest head;
-  private final long startedAt;
-  private final HeldBody body = new HeldBody();
-  private final Set<String> tried = new HashSet<>();
+  private final long startedAtMillis;
+  private final BufferedBody body = new BufferedBody();
+  private final Set<String> triedTargetIds = new HashSet<>();
   private @Nullable RouteRule route;
   private Sender sender = new Sender.Anonymous();
-  private boolean keysRequired;
-  private final QuotaClaim claim;
-  private String id = "";
+  private boolean areKeysRequired;
+  private final QuotaClaim quotaClaim;
+  private String requestId = "";
   private String service = "";
-  private long object;
-  private long endsAt = Long.MAX_VALUE;
-  private Loop.@Nullable Timer timer;
+  private long objectHash;
+  private long deadlineMillis = Long.MAX_VALUE;
+  private Loop.@Nullable Timer deadlineTimer;
   private @Nullable Attempt attempt;
-  private int sends;
-  private int unreached;
+  private int sendCount;
+  private int unreachedCount;
   private boolean mayHaveRun;
-  private boolean waitsForTurn;
-  private boolean placed;
-  private boolean over;
-  private boolean counted;
-  private boolean passing;
-  private @Nullable Runnable answerInTurn;
-  private @Nullable HeldAnswer fallBack;
+  private boolean isWaitingForTurn;
+  private boolean isPlaced;
+  private boolean isFinished;
+  private boolean isEndRecorded;
+  private boolean isStreaming;
+  private @Nullable Runnable pendingResponse;
+  private @Nullable BufferedResponse fallbackResponse;
 
   Exchange(Forwarder forwarder, CallerConnection caller, HttpRequest head) {
     this.forwarder = forwarder;
     this.caller = caller;
     this.head = head;
-    this.startedAt = forwarder.loop().now();
-    this.claim = new QuotaClaim(forwarder);
-    forwarder.begun();
+    this.startedAtMillis = forwarder.loop().nowMillis();
+    this.quotaClaim = new QuotaClaim(forwarder);
+    forwarder.requestStarted();
   }
 
   /** An exchange for bytes that are no request; it has an answer only. */
-  static Exchange unreadable(Forwarder forwarder, CallerConnection caller) {
+  static Exchange forMalformedRequest(Forwarder forwarder, CallerConnection caller) {
     return new Exchange(forwarder, caller, NO_REQUEST);
   }
 
@@ -108,16 +108,16 @@
   }
 
   String requestId() {
-    return id;
+    return requestId;
   }
 
-  HeldBody body() {
+  BufferedBody body() {
     return body;
   }
 
   /** True where the contract has workspaces, so that the caller's key stays here. */
-  boolean hidesKey() {
-    return keysRequired;
+  boolean hidesApiKey() {
+    return areKeysRequired;
   }
 
   /** Name of the workspace whose request it is, or null where it is of none. */
@@ -127,88 +127,92 @@
   }
 
   /** True where the request must not run twice. */
-  boolean runsOnce() {
-    return !route().idempotent();
+  boolean runsAtMostOnce() {
+    return !requireRoute().idempotent();
   }
 
   /** Tells requests apart by what a target might crash at: caller, path and body. */
   long fingerprint() {
     return Hashing.komihash5_0()
         .hashCharsToLong(
-            caller.callerHost() + '\n' + head.method() + head.uri() + '\n' + body.fingerprint());
+            caller.callerAddress() + '\n' + head.method() + head.uri() + '\n' + body.fingerprint());
   }
 
   /** Time until the request must be answered. */
-  long millisLeft() {
-    return Math.max(0, endsAt - forwarder.loop().now());
+  long remainingMillis() {
+    return Math.max(0, deadlineMillis - forwarder.loop().nowMillis());
   }
 
   /** Takes the head in; {@code first} where no other request of the connection is unanswered. */
-  void begin(boolean first) {
+  void start(boolean first) {
     String named = forwarder.dialect().requestId(head.headers());
-    id = named == null ? "" : named;
-    ResultCode fault = HeadCheck.fault(head, named);
+    requestId = named == null ? "" : named;
+    ResultCode fault = RequestHeadValidator.findFault(head, named);
     if (fault != null) {
-      refuseUnread(fault);
+      refuseAndClose(fault);
       return;
     }
     RoutingRules rules = forwarder.rules();
     if (rules == null) {
-      refuse(ResultCode.NO_CONTRACT_IN_FORCE, NO_RULES_RETRY_MILLIS, "no configuration known yet");
+      refuse(
+          ResultCode.NO_CONTRACT_IN_FORCE,
+          NO_RULES_RETRY_AFTER_MILLIS,
+          "no configuration known yet");
       return;
     }
     if (HttpUtil.getContentLength(head, 0L) > rules.limits().maxBodyBytes()) {
-      refuseUnread(ResultCode.BODY_TOO_LARGE);
+      refuseAndClose(ResultCode.BODY_TOO_LARGE);
       return;
     }
-    Optional<RouteRule> match = rules.match(HeadCheck.host(head), HeadCheck.path(head));
+    Optional<RouteRule> match =
+        rules.match(RequestHeadValidator.hostName(head), RequestHeadValidator.path(head));
     if (match.isEmpty()) {
-      answerOwn(ResultCode.UNKNOWN_ROUTE, 0, "version " + rules.version());
+      respond(ResultCode.UNKNOWN_ROUTE, 0, "version " + rules.version());
       return;
     }
-    if (!identify(match.get(), rules)) {
-      refuseUnknownKey(rules);
+    if (!authenticate(match.get(), rules)) {
+      refuseUnknownApiKey(rules);
       return;
     }
-    accept(match.get(), first);
+    acceptRequest(match.get(), first);
   }
 
   /** Looks up who sends the request; false where its API key is not known. */
-  private boolean identify(RouteRule matched, RoutingRules rules) {
-    keysRequired = rules.keys().areRequired();
+  private boolean authenticate(RouteRule matched, RoutingRules rules) {
+    areKeysRequired = rules.keys().areRequired();
     sender = Sender.of(head.headers(), forwarder.dialect(), matched, rules.keys());
-    return !(sender instanceof Sender.Unknown);
+    return !(sender instanceof Sender.Unauthenticated);
   }
 
   /**
    * Refuses a key that no workspace holds by the rules in force. A caller takes 401 as final; where
    * the rules may be old, its key may be a new one, and another VM may know it.
    */
-  private void refuseUnknownKey(RoutingRules rules) {
+  private void refuseUnknownApiKey(RoutingRules rules) {
     String version = "version " + rules.version();
-    if (forwarder.mayMissRules()) {
-      end(ResultCode.RULES_OUT_OF_DATE, NO_RULES_RETRY_MILLIS, version);
+    if (forwarder.mayHaveStaleRules()) {
+      endWithoutResponse(ResultCode.RULES_OUT_OF_DATE, NO_RULES_RETRY_AFTER_MILLIS, version);
       return;
     }
-    end(ResultCode.API_KEY_UNKNOWN, NEVER, version);
+    endWithoutResponse(ResultCode.API_KEY_UNKNOWN, NO_RETRY_AFTER, version);
   }
 
-  private void accept(RouteRule matched, boolean first) {
+  private void acceptRequest(RouteRule matched, boolean first) {
     route = matched;
-    service = forwarder.turn(matched);
+    service = forwarder.nextService(matched);
     long wanted = forwarder.dialect().deadlineMillis(head.headers());
     long most = matched.timeoutMillis();
     if (wanted >= 0) {
-      most = Math.min(most, Math.max(0, wanted - ANSWER_MARGIN_MILLIS));
+      most = Math.min(most, Math.max(0, wanted - RESPONSE_MARGIN_MILLIS));
     }
-    endsAt = startedAt + most;
-    timer = forwarder.loop().after(most, this::timeUp);
+    deadlineMillis = startedAtMillis + most;
+    deadlineTimer = forwarder.loop().schedule(most, this::onDeadline);
     String key = forwarder.dialect().objectKey(head.headers());
-    String subject = key == null ? id : key;
-    object =
+    String subject = key == null ? requestId : key;
+    objectHash =
         Hashing.komihash5_0().hashCharsToLong(matched.host() + matched.prefix() + '\n' + subject);
-    forwarder.retries().recordRequest(service, startedAt);
-    waitsForTurn = !first && !matched.idempotent();
+    forwarder.retryAllowance().recordRequest(service, startedAtMillis);
+    isWaitingForTurn = !first && !matched.idempotent();
     if (HttpUtil.is100ContinueExpected(head)) {
       caller.write(
           new DefaultFullHttpResponse(
@@ -218,66 +222,66 @@
   }
 
   /** Takes bytes of the body over. */
-  void bodyBytes(ByteBuf bytes) {
-    if (over) {
+  void onBodyBytes(ByteBuf bytes) {
+    if (isFinished) {
       bytes.release();
       return;
     }
     body.add(bytes);
-    if (body.total() > forwarder.callerLimits().maxBodyBytes()) {
-      stopAttempt();
-      refuseUnread(ResultCode.BODY_TOO_LARGE);
+    if (body.receivedBytes() > forwarder.callerLimits().maxBodyBytes()) {
+      abandonAttempt();
+      refuseAndClose(ResultCode.BODY_TOO_LARGE);
       return;
     }
-    bodyMoved();
+    onBodyProgress();
   }
 
   /** The body is whole. */
-  void bodyEnd() {
-    body.end();
-    if (!over) {
-      bodyMoved();
+  void onBodyEnd() {
+    body.complete();
+    if (!isFinished) {
+      onBodyProgress();
     }
   }
 
-  private void bodyMoved() {
+  private void onBodyProgress() {
     Attempt known = attempt;
     if (known != null) {
-      known.moreBody();
+      known.writeMoreBody();
       return;
     }
-    if (!placed && !waitsForTurn && body.isReady()) {
-      place();
+    if (!isPlaced && !isWaitingForTurn && body.isReady()) {
+      placeRequest();
     }
   }
 
   /** True where the caller may send more of the body. */
-  boolean takesMore() {
+  boolean acceptsMoreBody() {
     Attempt known = attempt;
-    return known == null ? body.takesMore() : known.takesBody();
+    return known == null ? body.acceptsMore() : known.acceptsMoreBody();
   }
 
   /** Looks again whether the caller may send more. */
-  void readOn() {
-    caller.readOn();
+  void updateReading() {
+    caller.updateReading();
   }
 
   /** All requests before this one on its connection are answered. */
-  void turn() {
-    Runnable answer = answerInTurn;
+  void onTurn() {
+    Runnable answer = pendingResponse;
     if (answer != null) {
-      answerInTurn = null;
+      pendingResponse = null;
       answer.run();
       return;
     }
-    if (waitsForTurn) {
-      waitsForTurn = false;
-      bodyMoved();
+    if (isWaitingForTurn) {
+      isWaitingForTurn = false;
+      onBodyProgress();
     }
-    callerWritable();
+    onCallerWritable();
   }
 
-  private RouteRule route() {
+  private RouteRule requireRoute() {
     RouteRule known = route;
     if (known == null) {
       throw new IllegalStateException("the request has no route");
@@ -285,215 +289,220 @@
     return known;
   }
 
-  private void place() {
-    placed = true;
-    long held = forwarder.crashes().heldMillis(this::fingerprint);
+  private void placeRequest() {
+    isPlaced = true;
+    long held = forwarder.crashDetector().quarantineMillis(this::fingerprint);
     if (held > 0) {
       // 503 and not the code's own status: should the suspicion be wrong, the caller comes back.
-      answerOwn(
-          ResultCode.QUARANTINED, mayHaveRun ? 502 : 503, spread(held), "it has crashed targets");
+      respond(
+          ResultCode.QUARANTINED,
+          mayHaveRun ? 502 : 503,
+          addJitter(held),
+          "it has crashed targets");
       return;
     }
-    long now = forwarder.loop().now();
+    long now = forwarder.loop().nowMillis();
     RoutingRules rules = forwarder.rules();
     // The key may have been taken away while the request waited or was sent before.
-    if (rules != null && !identify(route(), rules)) {
-      refuseUnknownKey(rules);
+    if (rules != null && !authenticate(requireRoute(), rules)) {
+      refuseUnknownApiKey(rules);
       return;
     }
-    QuotaDecision quota = claim.ask(sender.workspaceOrNull(), this::quotaDecided);
+    QuotaDecision quota = quotaClaim.request(sender.workspaceOrNull(), this::onQuotaDecision);
     if (!(quota instanceof QuotaDecision.Granted)) {
-      quotaDecided(quota);
+      onQuotaDecision(quota);
       return;
     }
     PlacementRequest order =
-        new PlacementRequest(route(), service, object, millisLeft(), sender.workspaceOrNull());
+        new PlacementRequest(
+            requireRoute(), service, objectHash, remainingMillis(), sender.workspaceOrNull());
     ServiceRule rule = rules == null ? null : rules.service(service).orElse(null);
-    PlacementDecision decision = forwarder.placement().place(order, rule, tried, now);
+    PlacementDecision decision = forwarder.placement().place(order, rule, triedTargetIds, now);
     if (decision instanceof PlacementDecision.Send send) {
-      if (!forwarder.hasTimeFor(send.expectedWaitMillis() + send.expectedRunMillis())) {
-        end(ResultCode.STOPPING, STOPPING_RETRY_MILLIS, "no time left before the stop");
+      if (!forwarder.canFinishBeforeStop(send.expectedWaitMillis() + send.expectedRunMillis())) {
+        endWithoutResponse(
+            ResultCode.STOPPING, STOPPING_RETRY_AFTER_MILLIS, "no time left before the stop");
         return;
       }
       Attempt next = new Attempt(forwarder, this, order, send);
       attempt = next;
-      tried.add(send.target().facts().id());
-      next.start(!route().idempotent());
+      triedTargetIds.add(send.target().facts().id());
+      next.start(!requireRoute().idempotent());
       return;
     }
     PlacementDecision.Refuse refuse = (PlacementDecision.Refuse) decision;
-    String why = forwarder.requests().refusal(refuse, order.remainingMillis());
-    end(ResultCode.NO_TARGET, refuse.retryAfterMillis(), why);
+    String why = forwarder.requestLog().recordRefusal(refuse, order.remainingMillis());
+    endWithoutResponse(ResultCode.NO_TARGET, refuse.retryAfterMillis(), why);
   }
 
   /** Goes on with what the workspace's quota allows; a pending decision comes here later. */
-  private void quotaDecided(QuotaDecision decision) {
-    if (over || decision instanceof QuotaDecision.Pending) {
+  private void onQuotaDecision(QuotaDecision decision) {
+    if (isFinished || decision instanceof QuotaDecision.Pending) {
       return;
     }
     if (decision instanceof QuotaDecision.Refused refused) {
       forwarder.metrics().count("quota_refused");
-      end(ResultCode.QUOTA_EXCEEDED, refused.retryAfterMillis(), refused.detail());
+      endWithoutResponse(ResultCode.QUOTA_EXCEEDED, refused.retryAfterMillis(), refused.detail());
       return;
     }
-    place();
+    placeRequest();
   }
 
   /** No byte of the request was sent to the target of {@code failed}. */
-  void notSent(Attempt failed, String cause) {
+  void onNotSent(Attempt failed, String cause) {
     attempt = null;
-    unreached++;
-    note(EventKind.RETRIED, failed, "not reached: " + cause);
-    if (unreached < MOST_UNREACHED && millisLeft() > LEAST_FOR_ANOTHER_MILLIS) {
-      place();
+    unreachedCount++;
+    logAttempt(EventKind.RETRIED, failed, "not reached: " + cause);
+    if (unreachedCount < MAX_UNREACHED_TARGETS && remainingMillis() > MIN_RETRY_BUDGET_MILLIS) {
+      placeRequest();
       return;
     }
-    end(ResultCode.NO_TARGET, 0, "targets not reached");
+    endWithoutResponse(ResultCode.NO_TARGET, 0, "targets not reached");
   }
 
   /** The target has not run the request and will not. */
-  void notRun(Attempt refused, boolean otherTarget) {
+  void onNotRun(Attempt refused, boolean otherTarget) {
     attempt = null;
-    note(EventKind.RETRIED, refused, otherTarget ? "another target is there" : "refused");
+    logAttempt(EventKind.RETRIED, refused, otherTarget ? "another target is there" : "refused");
     if (otherTarget) {
       forwarder.targets().remove(refused.target().facts().incarnation());
-      forwarder.forget(refused.target().facts().incarnation());
-      unreached++;
+      forwarder.forgetTarget(refused.target().facts().incarnation());
+      unreachedCount++;
     } else {
-      sends++;
+      sendCount++;
     }
-    if (mayTryAnother()) {
-      place();
+    if (canTryAnotherTarget()) {
+      placeRequest();
       return;
     }
-    end(
+    endWithoutResponse(
         ResultCode.TARGET_REFUSED,
         (long) refused.decision().expectedRunMillis(),
         "refused by its target");
   }
 
   /** The target may have run the request, and there is no whole answer. */
-  void lost(Attempt failed, String cause) {
+  void onLost(Attempt failed, String cause) {
     attempt = null;
     mayHaveRun = true;
-    claim.spend();
-    sends++;
-    note(EventKind.FAILED, failed, cause);
-    if (passing) {
-      breakOff("the target's answer broke off: " + cause);
+    quotaClaim.markSpent();
+    sendCount++;
+    logAttempt(EventKind.FAILED, failed, cause);
+    if (isStreaming) {
+      abortResponse("the target's answer broke off: " + cause);
       return;
     }
-    if (route().idempotent() && mayTryAnother()) {
-      place();
+    if (requireRoute().idempotent() && canTryAnotherTarget()) {
+      placeRequest();
       return;
     }
-    end(ResultCode.TARGET_LOST, 0, cause);
+    endWithoutResponse(ResultCode.TARGET_LOST, 0, cause);
   }
 
-  private boolean mayTryAnother() {
-    return body.isRepeatable()
-        && sends < route().maxTargets()
-        && unreached < MOST_UNREACHED
-        && millisLeft() > LEAST_FOR_ANOTHER_MILLIS
-        && forwarder.retries().tryAcquire(service, forwarder.loop().now());
+  private boolean canTryAnotherTarget() {
+    return body.isReplayable()
+        && sendCount < requireRoute().maxTargets()
+        && unreachedCount < MAX_UNREACHED_TARGETS
+        && remainingMillis() > MIN_RETRY_BUDGET_MILLIS
+        && forwarder.retryAllowance().tryAcquire(service, forwarder.loop().nowMillis());
   }
 
   /** The answer is whole. */
-  void whole(Attempt done, HeldAnswer answer) {
+  void onComplete(Attempt done, BufferedResponse answer) {
     attempt = null;
-    claim.spend();
-    sends++;
-    if (passing) {
+    quotaClaim.markSpent();
+    sendCount++;
+    if (isStreaming) {
       caller.write(new DefaultLastHttpContent());
       finish(EventKind.ANSWERED, done, "status " + answer.status(), mustClose());
       return;
     }
-    if (answer.status() >= 500 && route().idempotent() && mayTryAnother()) {
-      note(EventKind.RETRIED, done, "status " + answer.status());
+    if (answer.status() >= 500 && requireRoute().idempotent() && canTryAnotherTarget()) {
+      logAttempt(EventKind.RETRIED, done, "status " + answer.status());
       mayHaveRun = true;
-      dropFallBack();
-      fallBack = answer;
-      place();
+      dropFallbackResponse();
+      fallbackResponse = answer;
+      placeRequest();
       return;
     }
     deliver(done, answer);
   }
 
-  private void deliver(@Nullable Attempt from, HeldAnswer answer) {
-    over = true;
-    cancelTimer();
-    inTurn(
+  private void deliver(@Nullable Attempt from, BufferedResponse answer) {
+    isFinished = true;
+    cancelDeadlineTimer();
+    runInTurn(
         () -> {
           boolean close = mustClose();
-          answer.writeWhole(caller, head.method().equals(HttpMethod.HEAD), close);
+          answer.writeComplete(caller, head.method().equals(HttpMethod.HEAD), close);
           finish(EventKind.ANSWERED, from, "status " + answer.status(), close);
         });
   }
 
   /** Takes bytes of an answer over. */
-  void answerBytes(Attempt from, HeldAnswer answer, ByteBuf bytes) {
-    if (passing) {
+  void onResponseBytes(Attempt from, BufferedResponse answer, ByteBuf bytes) {
+    if (isStreaming) {
       caller.write(new DefaultHttpContent(bytes));
       caller.flush();
-      from.reading(caller.isWritable());
+      from.setReading(caller.isWritable());
       return;
     }
     answer.add(bytes);
-    if (answer.size() <= MOST_HELD_BYTES) {
+    if (answer.receivedBytes() <= MAX_BUFFERED_BYTES) {
       return;
     }
-    if (!caller.isTurnOf(this)) {
-      from.reading(false);
+    if (!caller.isFirst(this)) {
+      from.setReading(false);
       return;
     }
-    passing = true;
-    answer.writeBeginning(caller, mustClose());
+    isStreaming = true;
+    answer.writeFirstPart(caller, mustClose());
     caller.flush();
-    from.reading(caller.isWritable());
+    from.setReading(caller.isWritable());
   }
 
   /** The caller takes more bytes, or it is this request's turn. */
-  void callerWritable() {
+  void onCallerWritable() {
     Attempt known = attempt;
     if (known != null) {
-      known.reading(true);
+      known.setReading(true);
     }
   }
 
-  private void timeUp() {
-    if (over) {
+  private void onDeadline() {
+    if (isFinished) {
       return;
     }
     Attempt known = attempt;
     if (known != null) {
       mayHaveRun |= known.isSent();
-      known.target().recordOutcome(false, forwarder.loop().now());
-      note(EventKind.FAILED, known, "no answer in time");
-      stopAttempt();
+      known.target().recordOutcome(false, forwarder.loop().nowMillis());
+      logAttempt(EventKind.FAILED, known, "no answer in time");
+      abandonAttempt();
     }
-    if (passing) {
-      breakOff("the time was up in the middle of the answer");
+    if (isStreaming) {
+      abortResponse("the time was up in the middle of the answer");
       return;
     }
-    end(ResultCode.TARGET_TIMEOUT, 0, "time up");
+    endWithoutResponse(ResultCode.TARGET_TIMEOUT, 0, "time up");
   }
 
-  private void stopAttempt() {
+  private void abandonAttempt() {
     Attempt known = attempt;
     attempt = null;
     if (known != null) {
       if (known.isSent()) {
-        claim.spend();
+        quotaClaim.markSpent();
       }
       known.abandon();
     }
   }
 
   /** Ends the request without an answer of a target, or with the failure that one gave before. */
-  private void end(ResultCode code, long retryMillis, String why) {
-    HeldAnswer kept = fallBack;
+  private void endWithoutResponse(ResultCode code, long retryMillis, String why) {
+    BufferedResponse kept = fallbackResponse;
     if (kept != null) {
-      fallBack = null;
+      fallbackResponse = null;
       deliver(null, kept);
       return;
     }
@@ -503,123 +512,129 @@
       return;
     }
     ResultCode unknown = code.outcome() == Outcome.NOT_RUN ? ResultCode.TARGET_LOST : code;
-    answerOwn(unknown, 0, why);
+    respond(unknown, 0, why);
   }
 
   private void refuse(ResultCode code, long retryMillis, String why) {
-    answerOwn(code, retryMillis == NEVER ? 0 : Math.max(1, spread(retryMillis)), why);
+    respond(code, retryMillis == NO_RETRY_AFTER ? 0 : Math.max(1, addJitter(retryMillis)), why);
   }
 
   /** Spreads returns over as long again, so that those refused together do not come back so. */
-  private long spread(long retryMillis) {
-    long told = Math.round(retryMillis * (0.75 + forwarder.spread()));
-    if (endsAt == Long.MAX_VALUE) {
+  private long addJitter(long retryMillis) {
+    long told = Math.round(retryMillis * (0.75 + forwarder.randomFraction()));
+    if (deadlineMillis == Long.MAX_VALUE) {
       return told;
     }
-    return Math.min(told, Math.round(millisLeft() * LONGEST_RETRY_PART));
+    return Math.min(told, Math.round(remainingMillis() * MAX_RETRY_AFTER_FRACTION));
   }
 
   /** Refuses what cannot be read as a request, and closes, since what follows cannot be either. */
-  void refuseUnread(ResultCode code) {
-    over = true;
-    cancelTimer();
-    inTurn(() -> writeOwn(new OwnAnswer(code, code.httpStatus(), 0, true), "not readable"));
+  void refuseAndClose(ResultCode code) {
+    isFinished = true;
+    cancelDeadlineTimer();
+    runInTurn(
+        () ->
+            writeErrorResponse(
+                new ErrorResponse(code, code.httpStatus(), 0, true), "not readable"));
   }
 
-  private void answerOwn(ResultCode code, long retryMillis, String why) {
-    answerOwn(code, code.httpStatus(), retryMillis, why);
+  private void respond(ResultCode code, long retryMillis, String why) {
+    respond(code, code.httpStatus(), retryMillis, why);
   }
 
-  private void answerOwn(ResultCode code, int status, long retryMillis, String why) {
-    over = true;
-    cancelTimer();
-    inTurn(() -> writeOwn(new OwnAnswer(code, status, retryMillis, mustClose()), why));
+  private void respond(ResultCode code, int status, long retryMillis, String why) {
+    isFinished = true;
+    cancelDeadlineTimer();
+    runInTurn(
+        () -> writeErrorResponse(new ErrorResponse(code, status, retryMillis, mustClose()), why));
   }
 
-  private void inTurn(Runnable answer) {
-    if (caller.isTurnOf(this)) {
+  private void runInTurn(Runnable answer) {
+    if (caller.isFirst(this)) {
       answer.run();
       return;
     }
-    answerInTurn = answer;
+    pendingResponse = answer;
   }
 
-  private void writeOwn(OwnAnswer answer, String why) {
-    caller.write(answer.to(id, forwarder.dialect()));
+  private void writeErrorResponse(ErrorResponse answer, String why) {
+    caller.write(answer.toHttpResponse(requestId, forwarder.dialect()));
     boolean notRun = answer.code().outcome() == Outcome.NOT_RUN;
     String detail = answer.code().name() + " " + why;
-    finish(notRun ? EventKind.REFUSED : EventKind.FAILED, null, detail, answer.close());
+    finish(notRun ? EventKind.REFUSED : EventKind.FAILED, null, detail, answer.closesConnection());
   }
 
   private boolean mustClose() {
     boolean leaving = forwarder.isStopping() && caller.isLast(this);
-    return leaving || !HttpUtil.isKeepAlive(head) || bodyComes();
+    return leaving || !HttpUtil.isKeepAlive(head) || isBodyIncomplete();
   }
 
   /** True where bytes of the body are still to come: what follows them cannot be found. */
-  private boolean bodyComes() {
+  private boolean isBodyIncomplete() {
     boolean hasBody =
         HttpUtil.isTransferEncodingChunked(head) || HttpUtil.getContentLength(head, 0L) > 0;
-    return hasBody && !body.isWhole();
+    return hasBody && !body.isComplete();
   }
 
-  private void breakOff(String why) {
+  private void abortResponse(String why) {
     forwarder.metrics().count("answers_broken_off");
-    ended(EventKind.FAILED, null, why);
-    caller.breakOff();
+    recordEnd(EventKind.FAILED, null, why);
+    caller.closeNow();
   }
 
   private void finish(EventKind kind, @Nullable Attempt last, String detail, boolean close) {
-    ended(kind, last, detail);
-    caller.ended(this, close);
+    recordEnd(kind, last, detail);
+    caller.onExchangeEnded(this, close);
   }
 
   /** The caller's connection is closed; whatever still runs is dropped at once. */
-  void callerGone() {
-    if (over && answerInTurn == null) {
+  void onCallerClosed() {
+    if (isFinished && pendingResponse == null) {
       return;
     }
-    stopAttempt();
-    answerInTurn = null;
-    ended(EventKind.CANCELLED, null, "the caller has gone");
+    abandonAttempt();
+    pendingResponse = null;
+    recordEnd(EventKind.CANCELLED, null, "the caller has gone");
   }
 
-  private void ended(EventKind kind, @Nullable Attempt last, String detail) {
-    over = true;
-    cancelTimer();
-    dropFallBack();
+  private void recordEnd(EventKind kind, @Nullable Attempt last, String detail) {
+    isFinished = true;
+    cancelDeadlineTimer();
+    dropFallbackResponse();
     body.release();
-    claim.release();
-    if (counted) {
+    quotaClaim.release();
+    if (isEndRecorded) {
       return;
     }
-    counted = true;
-    forwarder.done();
-    long millis = forwarder.loop().now() - startedAt;
-    forwarder.requests().end(kind, subject(), last, forwarder.rules(), millis, sends, detail);
+    isEndRecorded = true;
+    forwarder.requestEnded();
+    long millis = forwarder.loop().nowMillis() - startedAtMillis;
+    forwarder
+        .requestLog()
+        .recordEnd(kind, subject(), last, forwarder.rules(), millis, sendCount, detail);
   }
 
   private RequestLog.Subject subject() {
     String workspace = workspaceName();
     return new RequestLog.Subject(
-        id, route == null ? "" : route().name(), workspace == null ? "" : workspace);
+        requestId, route == null ? "" : requireRoute().name(), workspace == null ? "" : workspace);
   }
 
-  private void note(EventKind kind, Attempt of, String detail) {
-    forwarder.requests().attempt(kind, subject(), of, detail);
+  private void logAttempt(EventKind kind, Attempt of, String detail) {
+    forwarder.requestLog().recordAttempt(kind, subject(), of, detail);
   }
 
-  private void dropFallBack() {
-    HeldAnswer kept = fallBack;
-    fallBack = null;
+  private void dropFallbackResponse() {
+    BufferedResponse kept = fallbackResponse;
+    fallbackResponse = null;
     if (kept != null) {
       kept.release();
     }
   }
 
-  private void cancelTimer() {
-    Loop.Timer known = timer;
-    timer = null;
+  private void cancelDeadlineTimer() {
+    Loop.Timer known = deadlineTimer;
+    deadlineTimer = null;
     if (known != null) {
       known.cancel();
     }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/PassedOn.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/ForwardedHeaders.java
@@ -7,8 +7,8 @@
 import org.sageladder.core.message.HopByHopHeaders;
 
 /** Headers that are passed on from one connection to another. */
-final class PassedOn {
-  private PassedOn() {}
+final class ForwardedHeaders {
+  private ForwardedHeaders() {}
 
   /** What is passed on of {@code headers}, in the same order. */
   static HttpHeaders of(HttpHeaders headers) {
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Forwarder.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Forwarder.java
@@ -41,108 +41,111 @@
  */
 public final class Forwarder {
   /** Connections are looked at for heads and idleness that take too long. */
-  private static final long SWEEP_MILLIS = 250;
+  private static final long SWEEP_INTERVAL_MILLIS = 250;
 
   /** How much longer than expected a request may take that a leaving VM still takes. */
-  private static final double STOP_RESERVE = 2;
+  private static final double RUN_TIME_SAFETY_FACTOR = 2;
 
   /** Work moves to where there is room within some runs of a request. */
-  private static final long ROOM_CHANGED_MILLIS = 4_000;
+  private static final long SHIFT_LIMIT_LIFTED_MILLIS = 4_000;
 
   private final String region;
   private final Loop loop;
   private final Dialect dialect;
   private final EventSink log;
   private final Metrics metrics;
-  private final RequestLog requests;
+  private final RequestLog requestLog;
   private final TargetTable targets = TargetTable.create();
   private final RoundTripTimes distances;
-  private final ColdTargetLimiter cold;
-  private final ServiceRetryBudget retries;
-  private final RegionShiftLimiter shift;
+  private final ColdTargetLimiter coldAllowance;
+  private final ServiceRetryBudget retryAllowance;
+  private final RegionShiftLimiter shiftBound;
   private final RunTimes runTimes;
   private final Placement placement;
-  private final TargetConnections connections;
-  private final CrashWatch crashes;
-  private final Map<String, SmoothWeightedRoundRobin> turns = new HashMap<>();
-  private final Set<CallerConnection> callers = new LinkedHashSet<>();
+  private final TargetConnectionPool connectionPool;
+  private final CrashDetector crashDetector;
+  private final Map<String, SmoothWeightedRoundRobin> serviceRotations = new HashMap<>();
+  private final Set<CallerConnection> callerConnections = new LinkedHashSet<>();
   private final Set<Attempt> attempts = new LinkedHashSet<>();
   private final Random random;
   private @Nullable RoutingRules rules;
-  private @Nullable Channel listening;
+  private @Nullable Channel listener;
   private final Quotas quotas;
-  private BooleanSupplier mayMissRules = () -> false;
-  private boolean stopping;
-  private long leavesAt;
+  private BooleanSupplier staleRulesCheck = () -> false;
+  private boolean isStopping;
+  private long stopDeadlineMillis;
   private int inFlight;
 
   /**
    * What an entry VM is told about itself and its bounds.
    *
    * @param name its name
-   * @param zoneShare share of all zones that its region has
-   * @param coldOver factor on a cold target's rate that all entry VMs may reach together
-   * @param coldSlack requests beyond that in a second
+   * @param zoneFraction share of all zones that its region has
+   * @param coldRateFactor factor on a cold target's rate that all entry VMs may reach together
+   * @param coldSlackPerSecond requests beyond that in a second
    * @param retryRatio second sends allowed for each request, all entry VMs together
-   * @param retryExtra second sends allowed besides in a window
+   * @param extraRetriesPerWindow second sends allowed besides in a window
    * @param retryWindowMillis length of the window
-   * @param mostShift part of a region's requests that may change region within two seconds
-   * @param quotas how exactly quotas of workspaces are kept
-   * @param contactMillis time in which a VM that has started is known to all others
-   * @param firstStart true where the whole system starts for the first time
+   * @param maxShiftFraction part of a region's requests that may change region within two seconds
+   * @param quotaBounds how exactly quotas of workspaces are kept
+   * @param discoveryMillis time in which a VM that has started is known to all others
+   * @param isFirstStart true where the whole system starts for the first time
    */
-  public record Identity(
+  public record Options(
       String name,
       String zone,
       String region,
-      double zoneShare,
-      double coldOver,
-      int coldSlack,
+      double zoneFraction,
+      double coldRateFactor,
+      int coldSlackPerSecond,
       double retryRatio,
-      double retryExtra,
+      double extraRetriesPerWindow,
       long retryWindowMillis,
-      double mostShift,
-      QuotaTolerance quotas,
-      long contactMillis,
-      boolean firstStart) {}
+      double maxShiftFraction,
+      QuotaTolerance quotaBounds,
+      long discoveryMillis,
+      boolean isFirstStart) {}
 
-  private Forwarder(Loop loop, Dialect dialect, Identity identity, EventSink log, Metrics metrics) {
+  private Forwarder(Loop loop, Dialect dialect, Options identity, EventSink log, Metrics metrics) {
     this.region = identity.region();
     this.loop = loop;
     this.dialect = dialect;
     this.log = log;
     this.metrics = metrics;
-    this.requests = new RequestLog(log, metrics);
+    this.requestLog = new RequestLog(log, metrics);
     this.distances = RoundTripTimes.from(identity.zone(), identity.region());
-    this.cold = ColdTargetLimiter.of(identity.name(), identity.coldOver(), identity.coldSlack());
-    this.retries =
+    this.coldAllowance =
+        ColdTargetLimiter.of(
+            identity.name(), identity.coldRateFactor(), identity.coldSlackPerSecond());
+    this.retryAllowance =
         ServiceRetryBudget.of(
-            identity.retryRatio(), identity.retryExtra(), identity.retryWindowMillis());
-    this.shift = RegionShiftLimiter.of(identity.mostShift());
-    this.runTimes = RunTimes.create(shift::settleMillis);
+            identity.retryRatio(), identity.extraRetriesPerWindow(), identity.retryWindowMillis());
+    this.shiftBound = RegionShiftLimiter.of(identity.maxShiftFraction());
+    this.runTimes = RunTimes.create(shiftBound::settleMillis);
     this.placement =
-        Placement.among(targets, distances, runTimes, cold, shift, PlacementWeights.standard());
-    placement.updateZoneShare(identity.zoneShare());
-    this.connections = new TargetConnections(loop, dialect);
-    this.crashes = new CrashWatch(loop, log);
+        Placement.among(
+            targets, distances, runTimes, coldAllowance, shiftBound, PlacementWeights.standard());
+    placement.updateZoneShare(identity.zoneFraction());
+    this.connectionPool = new TargetConnectionPool(loop, dialect);
+    this.crashDetector = new CrashDetector(loop, log);
     this.random = new Random(identity.name().hashCode());
     this.quotas =
         Quotas.of(
             identity.name(),
-            identity.quotas(),
-            identity.contactMillis(),
+            identity.quotaBounds(),
+            identity.discoveryMillis(),
             Quotas.Peers.none(),
-            loop.now());
-    if (identity.firstStart()) {
+            loop.nowMillis());
+    if (identity.isFirstStart()) {
       quotas.assumeNoPriorUse();
     }
   }
 
   /** A forwarder that knows no configuration and no target, and listens on no port yet. */
   public static Forwarder create(
-      Loop loop, Dialect dialect, Identity identity, EventSink log, Metrics metrics) {
+      Loop loop, Dialect dialect, Options identity, EventSink log, Metrics metrics) {
     Forwarder forwarder = new Forwarder(loop, dialect, identity, log, metrics);
-    loop.each(SWEEP_MILLIS, forwarder::sweep);
+    loop.scheduleAtFixedRate(SWEEP_INTERVAL_MILLIS, forwarder::sweep);
     return forwarder;
   }
 
@@ -153,7 +156,7 @@
           @Override
           protected void initChannel(Channel channel) {
             CallerConnection connection = new CallerConnection(Forwarder.this);
-            callers.add(connection);
+            callerConnections.add(connection);
             connection.install(channel.pipeline());
           }
         };
@@ -164,21 +167,21 @@
                 failed.accept(done.cause());
                 return;
               }
-              listening = done.channel();
+              listener = done.channel();
               opened.run();
             });
   }
 
   /** Port that is open, or empty. */
   public Optional<Integer> port() {
-    Channel open = listening;
+    Channel open = listener;
     return open == null
         ? Optional.empty()
         : Optional.of(((InetSocketAddress) open.localAddress()).getPort());
   }
 
   /** Puts newer rules in force; older ones than those in force have no effect. */
-  public boolean follow(RoutingRules newer) {
+  public boolean applyRules(RoutingRules newer) {
     RoutingRules known = rules;
     if (known != null && newer.version() <= known.version()) {
       return false;
@@ -186,7 +189,7 @@
     rules = newer;
     Set<String> routes = newer.routeNames();
     runTimes.retainRoutes(routes);
-    turns.keySet().retainAll(routes);
+    serviceRotations.keySet().retainAll(routes);
     quotas.updateWorkspaces(newer.keys().workspaces());
     return true;
   }
@@ -197,13 +200,13 @@
   }
 
   /** Asks {@code source} from now on whether newer rules than those in force may exist unseen. */
-  public void mayMissRules(BooleanSupplier source) {
-    mayMissRules = source;
+  public void setStaleRulesCheck(BooleanSupplier source) {
+    staleRulesCheck = source;
   }
 
   /** True where this VM is out of contact with the store. */
-  boolean mayMissRules() {
-    return mayMissRules.getAsBoolean();
+  boolean mayHaveStaleRules() {
+    return staleRulesCheck.getAsBoolean();
   }
 
   /** The rules in force, or null before the first were seen. */
@@ -217,17 +220,18 @@
   }
 
   /** Puts newer bounds in force; name, zone and region are those of the start. */
-  public void bounds(Identity newer) {
-    cold.updateLimits(newer.coldOver(), newer.coldSlack());
-    retries.updateLimits(newer.retryRatio(), newer.retryExtra(), newer.retryWindowMillis());
-    shift.updateLimit(newer.mostShift());
-    quotas.updateTolerance(newer.quotas());
+  public void updateLimits(Options newer) {
+    coldAllowance.updateLimits(newer.coldRateFactor(), newer.coldSlackPerSecond());
+    retryAllowance.updateLimits(
+        newer.retryRatio(), newer.extraRetriesPerWindow(), newer.retryWindowMillis());
+    shiftBound.updateLimit(newer.maxShiftFraction());
+    quotas.updateTolerance(newer.quotaBounds());
   }
 
   /** Tells which entry VMs are live, and how many were seen at once. */
-  public void entries(List<ColdTargetLimiter.EntryVmLocation> live) {
-    cold.updateEntryVms(live, loop.now());
-    retries.updateEntryVmCount(live.size());
+  public void updateEntries(List<ColdTargetLimiter.EntryVmLocation> live) {
+    coldAllowance.updateEntryVms(live, loop.nowMillis());
+    retryAllowance.updateEntryVmCount(live.size());
     int near = (int) live.stream().filter(vm -> vm.region().equals(region)).count();
     Map<String, Integer> others = new HashMap<>();
     live.forEach(vm -> others.put(vm.region(), Math.max(0, near - 1)));
@@ -236,9 +240,9 @@
   }
 
   /** Forgets a start of a target that is gone: its connections and its counts. */
-  public void forget(TargetIncarnation target) {
-    connections.forget(target);
-    cold.removeTarget(target.id());
+  public void forgetTarget(TargetIncarnation target) {
+    connectionPool.closeIdle(target);
+    coldAllowance.removeTarget(target.id());
   }
 
   /**
@@ -246,13 +250,13 @@
    * are closed and requests in flight there end; the count of what it got while cold goes on, since
    * a bound that is kept too strictly for a second harms nobody.
    */
-  public TargetTable.Change put(TargetFacts facts) {
+  public TargetTable.Change updateTarget(TargetFacts facts) {
     Optional<TargetIncarnation> former =
         targets.find(facts.id()).map(known -> known.facts().incarnation());
-    TargetTable.Change change = targets.put(facts, loop.now());
+    TargetTable.Change change = targets.put(facts, loop.nowMillis());
     if (change == TargetTable.Change.STARTED_AGAIN) {
-      connections.forget(former.orElseThrow());
-      List.copyOf(attempts).forEach(attempt -> attempt.targetStartedAgain(facts.incarnation()));
+      connectionPool.closeIdle(former.orElseThrow());
+      List.copyOf(attempts).forEach(attempt -> attempt.onTargetRestarted(facts.incarnation()));
     }
     return change;
   }
@@ -261,18 +265,18 @@
    * Lifts the bound on shifts for a while: zones were emptied or targets went, so that regions have
    * other room than before.
    */
-  public void roomChanged() {
-    shift.suspendUntil(loop.now() + ROOM_CHANGED_MILLIS);
+  public void onCapacityChange() {
+    shiftBound.suspendUntil(loop.nowMillis() + SHIFT_LIMIT_LIFTED_MILLIS);
   }
 
   /** Takes a target's crash that another entry VM has told. */
-  public void crashTold(CrashReport report) {
-    crashes.told(report);
+  public void onCrashReport(CrashReport report) {
+    crashDetector.onCrashReport(report);
   }
 
   /** Calls {@code teller} with the crashes that other entry VMs are to know of. */
-  public void tellCrashesBy(Consumer<CrashReport> teller) {
-    crashes.tellBy(teller);
+  public void publishCrashesTo(Consumer<CrashReport> teller) {
+    crashDetector.publishTo(teller);
   }
 
   /** Requests that have no whole answer yet. */
@@ -284,45 +288,45 @@
    * From now on each answer closes its connection, so that callers look up again, and a request
    * that would hardly end within {@code millis} is refused.
    */
-  public void leave(long millis) {
-    stopping = true;
-    leavesAt = loop.now() + millis;
+  public void beginShutdown(long millis) {
+    isStopping = true;
+    stopDeadlineMillis = loop.nowMillis() + millis;
   }
 
   /**
    * True where a request expected to take {@code millis} can be taken. A stop cuts off what still
    * waits at a target when its time is over; a run takes up to twice as long as expected.
    */
-  boolean hasTimeFor(double millis) {
-    return !stopping || loop.now() + STOP_RESERVE * millis < leavesAt;
+  boolean canFinishBeforeStop(double millis) {
+    return !isStopping || loop.nowMillis() + RUN_TIME_SAFETY_FACTOR * millis < stopDeadlineMillis;
   }
 
   /** Takes no new connections and closes those without a request. */
   public void stopListening() {
-    Channel open = listening;
+    Channel open = listener;
     if (open != null) {
       Sockets.close(open);
     }
-    List.copyOf(callers).forEach(CallerConnection::closeIfQuiet);
+    List.copyOf(callerConnections).forEach(CallerConnection::closeIfIdle);
   }
 
   /**
    * Withdraws all requests in flight: the process ends, and its kernel would go on sending them.
    */
-  public void withdrawAll() {
+  public void abandonAll() {
     List.copyOf(attempts).forEach(Attempt::abandon);
   }
 
   private void sweep() {
-    long now = loop.now();
+    long now = loop.nowMillis();
     CallerLimits limits = callerLimits();
-    List.copyOf(callers).forEach(connection -> connection.sweep(now, limits));
-    targets.removeDue(now).forEach(this::removed);
-    connections.sweep();
+    List.copyOf(callerConnections).forEach(connection -> connection.sweep(now, limits));
+    targets.removeDue(now).forEach(this::onTargetRemoved);
+    connectionPool.sweep();
   }
 
-  private void removed(TargetIncarnation target) {
-    forget(target);
+  private void onTargetRemoved(TargetIncarnation target) {
+    forgetTarget(target);
     log.record(
         EventKind.TARGET_GIVEN_UP,
         "",
@@ -332,15 +336,15 @@
         "not in the platform's list any more");
   }
 
-  void closed(CallerConnection connection) {
-    callers.remove(connection);
+  void onCallerClosed(CallerConnection connection) {
+    callerConnections.remove(connection);
   }
 
-  void begun() {
+  void requestStarted() {
     inFlight++;
   }
 
-  void done() {
+  void requestEnded() {
     inFlight--;
   }
 
@@ -349,22 +353,22 @@
     return known == null ? CallerLimits.standard() : known.limits();
   }
 
-  String turn(RouteRule route) {
-    return turns
+  String nextService(RouteRule route) {
+    return serviceRotations
         .computeIfAbsent(route.name(), name -> SmoothWeightedRoundRobin.create())
         .next(route.services());
   }
 
-  void note(String what, String detail) {
+  void logCallerFailure(String what, String detail) {
     log.record(EventKind.FAILED, "", "", "caller", 0, what + ": " + detail);
   }
 
   boolean isStopping() {
-    return stopping;
+    return isStopping;
   }
 
-  CrashWatch crashes() {
-    return crashes;
+  CrashDetector crashDetector() {
+    return crashDetector;
   }
 
   Loop loop() {
@@ -375,8 +379,8 @@
     return dialect;
   }
 
-  RequestLog requests() {
-    return requests;
+  RequestLog requestLog() {
+    return requestLog;
   }
 
   /** Counters and times of this entry VM. */
@@ -388,8 +392,8 @@
     return placement;
   }
 
-  ServiceRetryBudget retries() {
-    return retries;
+  ServiceRetryBudget retryAllowance() {
+    return retryAllowance;
   }
 
   RoundTripTimes distances() {
@@ -401,12 +405,12 @@
     return attempts;
   }
 
-  TargetConnections connections() {
-    return connections;
+  TargetConnectionPool connectionPool() {
+    return connectionPool;
   }
 
   /** A number from 0 to 1 that spreads what would else happen at once. */
-  double spread() {
+  double randomFraction() {
     return random.nextDouble();
   }
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/LineLog.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/JsonLineLog.java
@@ -20,44 +20,44 @@
  * that has stopped cannot hold up requests. Lines that find the queue full are counted, and the
  * count is logged once there is room.
  */
-public final class LineLog implements EventSink, AutoCloseable {
+public final class JsonLineLog implements EventSink, AutoCloseable {
   /** About ten seconds of a VM's requests; 200 bytes each, so under a megabyte. */
-  private static final int MOST_WAITING = 4_096;
+  private static final int MAX_QUEUED_LINES = 4_096;
 
   /** Each wake-up costs processor time; a fifth of a second is soon enough to read along. */
-  private static final long PAUSE_MILLIS = 200;
+  private static final long WRITE_INTERVAL_MILLIS = 200;
 
   /**
    * Characters written at once: a pipe takes 4,096 bytes whole or not at all, and a reader that
    * takes less of a larger piece leaves lines cut off in their middle.
    */
-  private static final int MOST_AT_ONCE = 4_000;
+  private static final int MAX_WRITE_CHARS = 4_000;
 
   private final String vm;
   private final TimeSource time;
   private final OutputStream out;
-  private final ArrayBlockingQueue<String> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
-  private final AtomicLong leftOut = new AtomicLong();
-  private volatile boolean open = true;
-  private final Thread writer;
+  private final ArrayBlockingQueue<String> queuedLines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+  private final AtomicLong droppedLineCount = new AtomicLong();
+  private volatile boolean isOpen = true;
+  private final Thread writerThread;
 
-  private LineLog(String vm, TimeSource time, OutputStream out) {
+  private JsonLineLog(String vm, TimeSource time, OutputStream out) {
     this.vm = vm;
     this.time = time;
     this.out = out;
-    this.writer = new Thread(this::write, "log");
-    writer.setDaemon(true);
+    this.writerThread = new Thread(this::runWriter, "log");
+    writerThread.setDaemon(true);
   }
 
   /** A log of the VM of that name on standard output. */
-  public static LineLog standardOutput(String vm, TimeSource time) {
+  public static JsonLineLog standardOutput(String vm, TimeSource time) {
     return to(new FileOutputStream(FileDescriptor.out), vm, time);
   }
 
   /** A log that writes to {@code out}. */
-  public static LineLog to(OutputStream out, String vm, TimeSource time) {
-    LineLog log = new LineLog(vm, time, out);
-    log.writer.start();
+  public static JsonLineLog to(OutputStream out, String vm, TimeSource time) {
+    JsonLineLog log = new JsonLineLog(vm, time, out);
+    log.writerThread.start();
     return log;
   }
 
@@ -71,22 +71,22 @@
       String detail) {
     StringBuilder line = new StringBuilder(160);
     line.append("{\"at\":").append(time.wallMillis());
-    field(line, "vm", vm);
-    field(line, "kind", kind.name());
-    field(line, "request", request);
-    field(line, "contract", contract);
-    field(line, "subject", subject);
+    appendField(line, "vm", vm);
+    appendField(line, "kind", kind.name());
+    appendField(line, "request", request);
+    appendField(line, "contract", contract);
+    appendField(line, "subject", subject);
     if (revision != 0) {
       line.append(",\"revision\":").append(revision);
     }
-    field(line, "detail", detail);
+    appendField(line, "detail", detail);
     line.append("}\n");
-    if (!waiting.offer(line.toString())) {
-      leftOut.incrementAndGet();
+    if (!queuedLines.offer(line.toString())) {
+      droppedLineCount.incrementAndGet();
     }
   }
 
-  private static void field(StringBuilder line, String name, String value) {
+  private static void appendField(StringBuilder line, String name, String value) {
     if (value.isEmpty()) {
       return;
     }
@@ -105,48 +105,48 @@
   }
 
   /** Lines that were left out because too many waited, since the start. */
-  public long leftOut() {
-    return leftOut.get();
+  public long droppedLineCount() {
+    return droppedLineCount.get();
   }
 
-  private void write() {
+  private void runWriter() {
     long told = 0;
     try {
-      while (open || !waiting.isEmpty()) {
-        drain();
-        if (leftOut.get() > told) {
-          told = leftOut.get();
+      while (isOpen || !queuedLines.isEmpty()) {
+        writeQueuedLines();
+        if (droppedLineCount.get() > told) {
+          told = droppedLineCount.get();
           out.write(
               ("{\"vm\":\"" + vm + "\",\"leftOut\":" + told + "}\n")
                   .getBytes(StandardCharsets.UTF_8));
         }
-        if (open) {
-          Thread.sleep(PAUSE_MILLIS);
+        if (isOpen) {
+          Thread.sleep(WRITE_INTERVAL_MILLIS);
         }
       }
     } catch (IOException e) {
       // Nobody reads the log any more, and there is no other place to say so; the lines that follow
       // are counted as left out, which the metrics show.
-      open = false;
+      isOpen = false;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void drain() throws IOException {
+  private void writeQueuedLines() throws IOException {
     StringBuilder lines = new StringBuilder();
-    String line = waiting.poll();
+    String line = queuedLines.poll();
     while (line != null) {
-      if (lines.length() + line.length() > MOST_AT_ONCE) {
-        write(lines);
+      if (lines.length() + line.length() > MAX_WRITE_CHARS) {
+        writeAndClear(lines);
       }
       lines.append(line);
-      line = waiting.poll();
+      line = queuedLines.poll();
     }
-    write(lines);
+    writeAndClear(lines);
   }
 
-  private void write(StringBuilder lines) throws IOException {
+  private void writeAndClear(StringBuilder lines) throws IOException {
     if (lines.length() > 0) {
       out.write(lines.toString().getBytes(StandardCharsets.UTF_8));
       lines.setLength(0);
@@ -156,12 +156,12 @@
   /** Writes what waits and ends; leaves it where the reader of standard output has stopped. */
   @Override
   public void close() {
-    open = false;
-    writer.interrupt();
+    isOpen = false;
+    writerThread.interrupt();
     try {
-      writer.join(PAUSE_MILLIS);
-      if (!writer.isAlive()) {
-        drain();
+      writerThread.join(WRITE_INTERVAL_MILLIS);
+      if (!writerThread.isAlive()) {
+        writeQueuedLines();
       }
     } catch (IOException ignored) {
       // Standard output is closed; there is nowhere to write the rest.
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Loop.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Loop.java
@@ -21,19 +21,19 @@
 public final class Loop implements AutoCloseable {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  private final EventLoop thread;
+  private final EventLoop eventLoop;
   private final TimeSource time;
   private final Transport transport;
-  private final Executor turns;
-  private final Runnable end;
+  private final Executor taskExecutor;
+  private final Runnable onClose;
 
   private Loop(
       EventLoop thread, TimeSource time, Transport transport, Executor turns, Runnable end) {
-    this.thread = thread;
+    this.eventLoop = thread;
     this.time = time;
     this.transport = transport;
-    this.turns = turns;
-    this.end = end;
+    this.taskExecutor = turns;
+    this.onClose = end;
   }
 
   /** Starts a thread with this machine's clocks and sockets. */
@@ -63,22 +63,22 @@
   }
 
   /** What Netty's bootstraps take. */
-  public EventLoop thread() {
-    return thread;
+  public EventLoop eventLoop() {
+    return eventLoop;
   }
 
   /** Where buffers come from. */
-  public ByteBufAllocator buffers() {
+  public ByteBufAllocator allocator() {
     return UnpooledByteBufAllocator.DEFAULT;
   }
 
   /** Milliseconds of the steady clock. */
-  public long now() {
+  public long nowMillis() {
     return time.nanos() / NANOS_PER_MILLI;
   }
 
   /** Nanoseconds of the steady clock. */
-  public long nanos() {
+  public long nowNanos() {
     return time.nanos();
   }
 
@@ -104,24 +104,25 @@
   }
 
   /** Runs {@code task} on the thread, soon. */
-  public void run(Runnable task) {
-    thread.execute(() -> turns.execute(task));
+  public void execute(Runnable task) {
+    eventLoop.execute(() -> taskExecutor.execute(task));
   }
 
   /** Runs {@code task} on the thread after {@code millis}. */
-  public Timer after(long millis, Runnable task) {
+  public Timer schedule(long millis, Runnable task) {
     var future =
-        thread.schedule(() -> turns.execute(task), Math.max(0, millis), TimeUnit.MILLISECONDS);
+        eventLoop.schedule(
+            () -> taskExecutor.execute(task), Math.max(0, millis), TimeUnit.MILLISECONDS);
     return () -> {
       var unused = future.cancel(false);
     };
   }
 
   /** Runs {@code task} on the thread each {@code millis}, from then on. */
-  public void each(long millis, Runnable task) {
+  public void scheduleAtFixedRate(long millis, Runnable task) {
     var unused =
-        thread.scheduleAtFixedRate(
-            () -> turns.execute(task), millis, millis, TimeUnit.MILLISECONDS);
+        eventLoop.scheduleAtFixedRate(
+            () -> taskExecutor.execute(task), millis, millis, TimeUnit.MILLISECONDS);
   }
 
   /** A task that waits for its time. */
@@ -133,6 +134,6 @@
 
   @Override
   public void close() {
-    end.run();
+    onClose.run();
   }
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Metrics.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Metrics.java
@@ -11,12 +11,12 @@
  * is priced; the text has the same format.
  */
 public final class Metrics {
-  private static final long LONGEST_MILLIS = 120_000;
-  private static final int DIGITS = 2;
+  private static final long MAX_MILLIS = 120_000;
+  private static final int SIGNIFICANT_DIGITS = 2;
   private static final double[] QUANTILES = {0.5, 0.9, 0.99};
 
   private final Map<String, Long> counters = new TreeMap<>();
-  private final Map<String, Histogram> times = new TreeMap<>();
+  private final Map<String, Histogram> histograms = new TreeMap<>();
 
   /** Counts one event of that name; names are of the form {@code word_word}. */
   public void count(String name) {
@@ -24,15 +24,15 @@
   }
 
   /** Sets a number that is not counted but read. */
-  public void set(String name, long value) {
+  public void setGauge(String name, long value) {
     counters.put(name, value);
   }
 
   /** Takes one time, in milliseconds. */
-  public void time(String name, long millis) {
-    times
-        .computeIfAbsent(name, key -> new Histogram(LONGEST_MILLIS, DIGITS))
-        .recordValue(Math.max(0, Math.min(LONGEST_MILLIS, millis)));
+  public void recordMillis(String name, long millis) {
+    histograms
+        .computeIfAbsent(name, key -> new Histogram(MAX_MILLIS, SIGNIFICANT_DIGITS))
+        .recordValue(Math.max(0, Math.min(MAX_MILLIS, millis)));
   }
 
   /** All of them, one a line. */
@@ -41,7 +41,7 @@
     counters.forEach(
         (name, value) ->
             text.append("sageladder_").append(name).append(' ').append(value).append('\n'));
-    times.forEach(
+    histograms.forEach(
         (name, histogram) -> {
           for (double quantile : QUANTILES) {
             text.append("sageladder_").append(name).append("_millis{quantile=\"").append(quantile);
--- a/sageladder-forward/src/main/java/org/sageladder/forward/QuotaClaim.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/QuotaClaim.java
@@ -35,11 +35,11 @@
    * @param of whose request it is, or null where that is nobody's
    * @param later called with the decision where it is pending, unless the claim was released before
    */
-  QuotaDecision ask(@Nullable Workspace of, Consumer<QuotaDecision> later) {
+  QuotaDecision request(@Nullable Workspace of, Consumer<QuotaDecision> later) {
     if (of == null || state == State.ADMITTED) {
       return new QuotaDecision.Granted();
     }
-    long now = forwarder.loop().now();
+    long now = forwarder.loop().nowMillis();
     if (state == State.SPENT) {
       // Its caller waits for an answer to what was admitted before.
       forwarder.quotas().recordResend(of, now);
@@ -48,28 +48,29 @@
     }
     workspace = of;
     state = State.PENDING;
-    QuotaDecision decision = forwarder.quotas().admit(of, now, decided -> decided(decided, later));
+    QuotaDecision decision =
+        forwarder.quotas().admit(of, now, decided -> onDecision(decided, later));
     if (!(decision instanceof QuotaDecision.Pending)) {
-      settle(decision);
+      recordDecision(decision);
     }
     return decision;
   }
 
-  private void settle(QuotaDecision decision) {
+  private void recordDecision(QuotaDecision decision) {
     state = decision instanceof QuotaDecision.Granted ? State.ADMITTED : State.NONE;
   }
 
-  private void decided(QuotaDecision decision, Consumer<QuotaDecision> later) {
-    settle(decision);
+  private void onDecision(QuotaDecision decision, Consumer<QuotaDecision> later) {
+    recordDecision(decision);
     if (released) {
-      giveBack();
+      refund();
       return;
     }
     later.accept(decision);
   }
 
   /** A target may have run the request. */
-  void spend() {
+  void markSpent() {
     if (state == State.ADMITTED) {
       state = State.SPENT;
     }
@@ -78,14 +79,14 @@
   /** The request has ended. */
   void release() {
     released = true;
-    giveBack();
+    refund();
   }
 
-  private void giveBack() {
+  private void refund() {
     Workspace of = workspace;
     if (state == State.ADMITTED && of != null) {
       state = State.NONE;
-      forwarder.quotas().cancelAdmission(of, forwarder.loop().now());
+      forwarder.quotas().cancelAdmission(of, forwarder.loop().nowMillis());
     }
   }
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/PathCheck.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/ReachabilityCheck.java
@@ -14,56 +14,60 @@
  *
  * <p>A second connection is tried before the target counts as cut off: one may be lost by chance.
  */
-final class PathCheck {
-  private static final int CONNECT_MILLIS = 500;
+final class ReachabilityCheck {
+  private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
   /** More than a way there and back, also between regions. */
-  private static final long SECOND_TRY_MILLIS = 250;
+  private static final long SECOND_ATTEMPT_DELAY_MILLIS = 250;
 
   private final Loop loop;
   private final TargetFacts target;
-  private final Runnable reached;
-  private final Runnable cutOff;
-  private int failed;
-  private boolean over;
+  private final Runnable onReachable;
+  private final Runnable onUnreachable;
+  private int failedCount;
+  private boolean isFinished;
 
-  private PathCheck(Loop loop, TargetFacts target, Runnable reached, Runnable cutOff) {
+  private ReachabilityCheck(Loop loop, TargetFacts target, Runnable reached, Runnable cutOff) {
     this.loop = loop;
     this.target = target;
-    this.reached = reached;
-    this.cutOff = cutOff;
+    this.onReachable = reached;
+    this.onUnreachable = cutOff;
   }
 
   /** Calls one of the two within 750 ms. */
   static void start(Loop loop, TargetFacts target, Runnable reached, Runnable cutOff) {
-    PathCheck check = new PathCheck(loop, target, reached, cutOff);
+    ReachabilityCheck check = new ReachabilityCheck(loop, target, reached, cutOff);
     check.connect();
-    var unused = loop.after(SECOND_TRY_MILLIS, check::connect);
+    var unused = loop.schedule(SECOND_ATTEMPT_DELAY_MILLIS, check::connect);
   }
 
   private void connect() {
-    if (over) {
+    if (isFinished) {
       return;
     }
-    loop.connect(target.host(), target.port(), CONNECT_MILLIS, new ChannelInboundHandlerAdapter())
-        .addListener((ChannelFuture done) -> ended(done));
+    loop.connect(
+            target.host(),
+            target.port(),
+            CONNECT_TIMEOUT_MILLIS,
+            new ChannelInboundHandlerAdapter())
+        .addListener((ChannelFuture done) -> onConnectResult(done));
   }
 
-  private void ended(ChannelFuture connecting) {
+  private void onConnectResult(ChannelFuture connecting) {
     if (connecting.isSuccess()) {
       Sockets.close(connecting.channel());
-      end(reached);
+      finish(onReachable);
       return;
     }
-    failed++;
-    if (failed == 2) {
-      end(cutOff);
+    failedCount++;
+    if (failedCount == 2) {
+      finish(onUnreachable);
     }
   }
 
-  private void end(Runnable outcome) {
-    if (!over) {
-      over = true;
+  private void finish(Runnable outcome) {
+    if (!isFinished) {
+      isFinished = true;
       outcome.run();
     }
   }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/HeadCheck.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/RequestHeadValidator.java
@@ -14,11 +14,11 @@
  * <p>A request whose length a target reads otherwise than this entry VM would smuggle a second one
  * inside its body; a request with two hosts could be routed by one and served by the other.
  */
-final class HeadCheck {
-  private HeadCheck() {}
+final class RequestHeadValidator {
+  private RequestHeadValidator() {}
 
   /** Why the head is not taken, or null where it is. */
-  static @Nullable ResultCode fault(HttpRequest head, @Nullable String requestId) {
+  static @Nullable ResultCode findFault(HttpRequest head, @Nullable String requestId) {
     HttpHeaders headers = head.headers();
     List<String> encodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
     if (encodings.size() > 1
@@ -35,7 +35,7 @@
   }
 
   /** The host that the caller named, in lower case and without port. */
-  static String host(HttpRequest head) {
+  static String hostName(HttpRequest head) {
     String host = head.headers().get(HttpHeaderNames.HOST);
     int colon = host.indexOf(':');
     String name = colon < 0 ? host : host.substring(0, colon);
--- a/sageladder-forward/src/main/java/org/sageladder/forward/RequestLog.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/RequestLog.java
@@ -25,7 +25,7 @@
    */
   record Subject(String id, String route, String workspace) {
     /** The end of a log line's text: the key itself is never logged, only whose it is. */
-    String sender() {
+    String workspaceSuffix() {
       return workspace.isEmpty() ? "" : ", workspace " + workspace;
     }
   }
@@ -36,10 +36,15 @@
   }
 
   /** One attempt ended without the request's answer. */
-  void attempt(EventKind kind, Subject of, Attempt attempt, String detail) {
-    metrics.count("tries_" + lower(kind));
+  void recordAttempt(EventKind kind, Subject of, Attempt attempt, String detail) {
+    metrics.count("tries_" + toLowerCase(kind));
     log.record(
-        kind, of.id(), of.route(), target(attempt), 0, detail + expectation(attempt) + of.sender());
+        kind,
+        of.id(),
+        of.route(),
+        targetId(attempt),
+        0,
+        detail + describeEstimate(attempt) + of.workspaceSuffix());
   }
 
   /**
@@ -48,7 +53,7 @@
    * @param last the attempt that its answer came from, or null
    * @param sends attempts that may have reached a target
    */
-  void end(
+  void recordEnd(
       EventKind kind,
       Subject of,
       @Nullable Attempt last,
@@ -56,12 +61,18 @@
       long millis,
       int sends,
       String detail) {
-    metrics.count("requests_" + lower(kind));
-    metrics.time("request", millis);
+    metrics.count("requests_" + toLowerCase(kind));
+    metrics.recordMillis("request", millis);
     String text =
-        detail + " after " + millis + " ms, sends " + sends + expectation(last) + of.sender();
+        detail
+            + " after "
+            + millis
+            + " ms, sends "
+            + sends
+            + describeEstimate(last)
+            + of.workspaceSuffix();
     long version = rules == null ? 0 : rules.version();
-    log.record(kind, of.id(), of.route(), target(last), version, text);
+    log.record(kind, of.id(), of.route(), targetId(last), version, text);
   }
 
   /**
@@ -69,8 +80,8 @@
    *
    * @param millisLeft time that the request had
    */
-  String refusal(Refuse refuse, long millisLeft) {
-    metrics.count("no_target_" + lower(refuse.reason()));
+  String recordRefusal(Refuse refuse, long millisLeft) {
+    metrics.count("no_target_" + toLowerCase(refuse.reason()));
     CandidateEstimate judged = refuse.bestCandidate();
     if (judged == null) {
       return refuse.reason().name();
@@ -96,15 +107,15 @@
         + " left,";
   }
 
-  private static String lower(Enum<?> word) {
+  private static String toLowerCase(Enum<?> word) {
     return word.name().toLowerCase(Locale.ROOT);
   }
 
-  private static String target(@Nullable Attempt attempt) {
+  private static String targetId(@Nullable Attempt attempt) {
     return attempt == null ? "" : attempt.target().facts().id();
   }
 
-  private static String expectation(@Nullable Attempt attempt) {
+  private static String describeEstimate(@Nullable Attempt attempt) {
     if (attempt == null) {
       return "";
     }
@@ -116,7 +127,7 @@
         + " + "
         + Math.round(attempt.decision().expectedRunMillis())
         + " ms, sent for "
-        + attempt.millis()
+        + attempt.elapsedMillis()
         + " ms, own there "
         + attempt.target().inFlight();
   }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Sockets.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Sockets.java
@@ -27,17 +27,18 @@
  * <p>A connection may go silent for good without a reset, and a peer behind a partition answers
  * nothing. Keep-alive probes of the kernel end such a connection after about three seconds, so that
  * what waits on it fails while its caller still waits. Connections of callers are watched so from
- * the beginning, others from {@link #watch} on.
+ * the beginning, others from {@link #enableKeepAlive} on.
  */
 public final class Sockets implements Transport {
-  private static final int PROBE_AFTER_SECONDS = 1;
-  private static final int PROBE_EACH_SECONDS = 1;
-  private static final int PROBES = 2;
+  private static final int KEEP_ALIVE_IDLE_SECONDS = 1;
+  private static final int KEEP_ALIVE_INTERVAL_SECONDS = 1;
+  private static final int KEEP_ALIVE_PROBE_COUNT = 2;
 
   /** Bytes that may wait to be written to one peer before its source is no longer read. */
-  private static final WriteBufferWaterMark WAITING = new WriteBufferWaterMark(32 << 10, 64 << 10);
+  private static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK =
+      new WriteBufferWaterMark(32 << 10, 64 << 10);
 
-  private static final int BACKLOG = 1024;
+  private static final int ACCEPT_BACKLOG = 1024;
 
   Sockets() {}
 
@@ -49,7 +50,7 @@
   }
 
   /** From now on the kernel ends the connection where its probes get no answer. */
-  public static void watch(Channel connection) {
+  public static void enableKeepAlive(Channel connection) {
     connection.config().setOption(ChannelOption.SO_KEEPALIVE, true);
   }
 
@@ -72,15 +73,17 @@
   public ChannelFuture connect(
       Loop loop, String host, int port, int connectMillis, ChannelHandler handler) {
     return new Bootstrap()
-        .group(loop.thread())
+        .group(loop.eventLoop())
         .channel(NioSocketChannel.class)
-        .option(ChannelOption.ALLOCATOR, loop.buffers())
+        .option(ChannelOption.ALLOCATOR, loop.allocator())
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING)
-        .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), PROBE_AFTER_SECONDS)
-        .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), PROBE_EACH_SECONDS)
-        .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), PROBES)
+        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_WATER_MARK)
+        .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEP_ALIVE_IDLE_SECONDS)
+        .option(
+            NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL),
+            KEEP_ALIVE_INTERVAL_SECONDS)
+        .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), KEEP_ALIVE_PROBE_COUNT)
         .handler(handler)
         .connect(host, port);
   }
@@ -88,18 +91,21 @@
   @Override
   public ChannelFuture listen(Loop loop, String host, int port, ChannelHandler handler) {
     return new ServerBootstrap()
-        .group(loop.thread())
+        .group(loop.eventLoop())
         .channel(NioServerSocketChannel.class)
-        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+        .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
-        .childOption(ChannelOption.ALLOCATOR, loop.buffers())
+        .childOption(ChannelOption.ALLOCATOR, loop.allocator())
         .childOption(ChannelOption.TCP_NODELAY, true)
         .childOption(ChannelOption.SO_KEEPALIVE, true)
-        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING)
-        .childOption(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), PROBE_AFTER_SECONDS)
+        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_WATER_MARK)
         .childOption(
-            NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), PROBE_EACH_SECONDS)
-        .childOption(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), PROBES)
+            NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEP_ALIVE_IDLE_SECONDS)
+        .childOption(
+            NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL),
+            KEEP_ALIVE_INTERVAL_SECONDS)
+        .childOption(
+            NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), KEEP_ALIVE_PROBE_COUNT)
         .childHandler(handler)
         .bind(host, port);
   }
@@ -113,10 +119,10 @@
       Consumer<Throwable> failed) {
     Channel channel =
         new Bootstrap()
-            .group(loop.thread())
+            .group(loop.eventLoop())
             .channel(NioDatagramChannel.class)
-            .option(ChannelOption.ALLOCATOR, loop.buffers())
-            .handler(reader(receiver))
+            .option(ChannelOption.ALLOCATOR, loop.allocator())
+            .handler(datagramHandler(receiver))
             .bind(host, port)
             .addListener(
                 (ChannelFuture done) -> {
@@ -134,11 +140,11 @@
     };
   }
 
-  private static ChannelHandler reader(DatagramPort.Receiver receiver) {
+  private static ChannelHandler datagramHandler(DatagramPort.Receiver receiver) {
     return new SimpleChannelInboundHandler<DatagramPacket>() {
       @Override
       protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-        receiver.received(
+        receiver.onDatagram(
             packet.sender().getAddress().getHostAddress(),
             packet.sender().getPort(),
             ByteBufUtil.getBytes(packet.content()));
--- a/sageladder-forward/src/main/java/org/sageladder/forward/TargetConnection.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/TargetConnection.java
@@ -29,64 +29,64 @@
  * which anything odd was seen is not used again.
  */
 final class TargetConnection extends ChannelInboundHandlerAdapter {
-  private static final int MOST_HEAD_BYTES = 64 << 10;
-  private static final int MOST_CHUNK_BYTES = 64 << 10;
-  private static final int MOST_PASSED_OVER = 3;
-  private static final String KEEP_ALIVE_TIMEOUT = "timeout=";
+  private static final int MAX_HEAD_BYTES = 64 << 10;
+  private static final int MAX_CHUNK_BYTES = 64 << 10;
+  private static final int MAX_DISCARDED_RESPONSES = 3;
+  private static final String KEEP_ALIVE_TIMEOUT_PARAMETER = "timeout=";
 
   /** What the request on this connection hears of it; nothing more after {@code ended} or lost. */
   interface Listener {
     /** The answer's head is there. */
-    void head(HttpResponse answer);
+    void onHead(HttpResponse answer);
 
     /** Bytes of the answer's body; the listener releases them. */
-    void bytes(ByteBuf bytes);
+    void onBodyBytes(ByteBuf bytes);
 
     /** The answer is whole. */
-    void ended();
+    void onComplete();
 
     /** The connection is lost, or what came is no answer, before the answer was whole. */
-    void lost(String cause);
+    void onLost(String cause);
 
     /** More of the request may be written. */
-    void writable();
+    void onWritable();
   }
 
   private final Dialect dialect;
-  private final long idleMillisUntilTold;
+  private final long defaultIdleMillis;
   private @Nullable ChannelHandlerContext context;
   private @Nullable Listener listener;
   private @Nullable String requestId;
-  private boolean headOnly;
-  private boolean requestWhole;
-  private boolean anyAnswerByte;
-  private boolean passingOver;
-  private int passedOver;
-  private boolean reusable = true;
-  private boolean watched;
-  private long idleMillis;
-  private long idleSince;
-  private @Nullable Runnable onIdleEnd;
+  private boolean isHeadRequest;
+  private boolean isRequestComplete;
+  private boolean hasResponseBytes;
+  private boolean isDiscarding;
+  private int discardedCount;
+  private boolean isUndamaged = true;
+  private boolean isKeepAliveEnabled;
+  private long maxIdleMillis;
+  private long idleSinceMillis;
+  private @Nullable Runnable onIdleClose;
 
   TargetConnection(Dialect dialect, long idleMillisUntilTold) {
     this.dialect = dialect;
-    this.idleMillisUntilTold = idleMillisUntilTold;
-    this.idleMillis = idleMillisUntilTold;
+    this.defaultIdleMillis = idleMillisUntilTold;
+    this.maxIdleMillis = idleMillisUntilTold;
   }
 
   /** Puts the codec and this connection into a new channel. */
   void install(ChannelPipeline pipeline) {
     HttpDecoderConfig config =
         new HttpDecoderConfig()
-            .setMaxHeaderSize(MOST_HEAD_BYTES)
-            .setMaxInitialLineLength(MOST_HEAD_BYTES)
-            .setMaxChunkSize(MOST_CHUNK_BYTES);
+            .setMaxHeaderSize(MAX_HEAD_BYTES)
+            .setMaxInitialLineLength(MAX_HEAD_BYTES)
+            .setMaxChunkSize(MAX_CHUNK_BYTES);
     pipeline.addLast(
         new HttpRequestEncoder(),
         new HttpResponseDecoder(config) {
           @Override
           protected boolean isContentAlwaysEmpty(HttpMessage message) {
-            return headOnly || super.isContentAlwaysEmpty(message);
+            return isHeadRequest || super.isContentAlwaysEmpty(message);
           }
         },
         this);
@@ -106,43 +106,43 @@
   }
 
   /** True where it has been idle for less than {@code share} of the time the target keeps it. */
-  boolean isIdleWithin(long now, double share) {
-    return context().channel().isActive() && now - idleSince < idleMillis * share;
+  boolean isIdleBelowFraction(long now, double share) {
+    return context().channel().isActive() && now - idleSinceMillis < maxIdleMillis * share;
   }
 
   /** True where it has been idle for no longer than {@code millis}. */
-  boolean isIdleSince(long now, long millis) {
-    return now - idleSince <= millis;
+  boolean isIdleAtMost(long now, long millis) {
+    return now - idleSinceMillis <= millis;
   }
 
   /** Begins a request; more of its body may follow. */
   void send(HttpRequest head, String id, Listener to) {
     listener = to;
     requestId = id;
-    headOnly = head.method().equals(HttpMethod.HEAD);
-    requestWhole = false;
-    anyAnswerByte = false;
-    passedOver = 0;
+    isHeadRequest = head.method().equals(HttpMethod.HEAD);
+    isRequestComplete = false;
+    hasResponseBytes = false;
+    discardedCount = 0;
     var unused = context().write(head);
   }
 
   /**
    * Lets the kernel end the connection where its probes get no answer, for the rest of this
-   * request. It must not watch one on which a request is sent; see {@link PathCheck}.
+   * request. It must not watch one on which a request is sent; see {@link ReachabilityCheck}.
    */
-  void watch() {
-    watched = true;
-    Sockets.watch(context().channel());
+  void enableKeepAlive() {
+    isKeepAliveEnabled = true;
+    Sockets.enableKeepAlive(context().channel());
   }
 
   /** Writes bytes of the request's body, and takes them over. */
-  void body(ByteBuf bytes) {
+  void writeBody(ByteBuf bytes) {
     var unused = context().writeAndFlush(new DefaultHttpContent(bytes));
   }
 
   /** Ends the request. */
-  void bodyEnd() {
-    requestWhole = true;
+  void endRequest() {
+    isRequestComplete = true;
     var unused = context().writeAndFlush(new DefaultLastHttpContent());
   }
 
@@ -152,20 +152,20 @@
   }
 
   /** Reads on, or leaves the target's bytes where they are. */
-  void reading(boolean on) {
+  void setReading(boolean on) {
     context().channel().config().setAutoRead(on);
   }
 
   /** True once any byte of an answer to the present request has come. */
-  boolean anyAnswerByte() {
-    return anyAnswerByte;
+  boolean hasResponseBytes() {
+    return hasResponseBytes;
   }
 
   /** Ends the connection; the target drops what it is doing for it, and gets nothing more of it. */
   void abandon() {
     boolean withdrawn = listener != null;
     listener = null;
-    reusable = false;
+    isUndamaged = false;
     if (withdrawn) {
       Sockets.abort(context().channel());
     } else {
@@ -174,82 +174,85 @@
   }
 
   /** Keeps the connection for another request, until its end is told to {@code ended}. */
-  void idle(long now, Runnable ended) {
-    idleSince = now;
-    onIdleEnd = ended;
+  void markIdle(long now, Runnable ended) {
+    idleSinceMillis = now;
+    onIdleClose = ended;
   }
 
   /** Takes the connection out of its idle state. */
-  void wake() {
-    onIdleEnd = null;
+  void markInUse() {
+    onIdleClose = null;
   }
 
   /** True where the next request may be sent on it. */
   boolean isReusable() {
-    return reusable && !watched && requestWhole && context().channel().isActive();
+    return isUndamaged
+        && !isKeepAliveEnabled
+        && isRequestComplete
+        && context().channel().isActive();
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     if (listener == null) {
       ReferenceCountUtil.release(message);
-      reusable = false;
+      isUndamaged = false;
       Sockets.close(ctx);
       return;
     }
-    anyAnswerByte = true;
+    hasResponseBytes = true;
     if (message instanceof HttpResponse answer) {
-      head(answer);
+      onHead(answer);
     }
     if (message instanceof HttpContent content) {
-      content(content);
+      onContent(content);
     }
   }
 
-  private void head(HttpResponse answer) {
+  private void onHead(HttpResponse answer) {
     if (answer.decoderResult().isFailure()) {
-      lose("bytes that are no answer: " + answer.decoderResult().cause());
+      fail("bytes that are no answer: " + answer.decoderResult().cause());
       return;
     }
     if (answer.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-      passingOver = true;
+      isDiscarding = true;
       return;
     }
-    String id = dialect.answeredId(answer.headers());
+    String id = dialect.answeredRequestId(answer.headers());
     if (id != null && !id.equals(requestId)) {
-      passingOver = true;
-      reusable = false;
-      passedOver++;
-      if (passedOver > MOST_PASSED_OVER) {
-        lose("answers to other requests");
+      isDiscarding = true;
+      isUndamaged = false;
+      discardedCount++;
+      if (discardedCount > MAX_DISCARDED_RESPONSES) {
+        fail("answers to other requests");
       }
       return;
     }
-    passingOver = false;
+    isDiscarding = false;
     if (!HttpUtil.isKeepAlive(answer)) {
-      reusable = false;
+      isUndamaged = false;
     }
     boolean framed =
         HttpUtil.isContentLengthSet(answer) || HttpUtil.isTransferEncodingChunked(answer);
-    if (!framed && !headOnly) {
-      reusable = false;
+    if (!framed && !isHeadRequest) {
+      isUndamaged = false;
     }
-    idleMillis = idleMillis(answer.headers().get("keep-alive"));
+    maxIdleMillis = parseIdleMillis(answer.headers().get("keep-alive"));
     Listener to = listener;
     if (to != null) {
-      to.head(answer);
+      to.onHead(answer);
     }
   }
 
-  private long idleMillis(@Nullable String keepAlive) {
+  private long parseIdleMillis(@Nullable String keepAlive) {
     if (keepAlive == null) {
-      return idleMillisUntilTold;
+      return defaultIdleMillis;
     }
-    int at = keepAlive.indexOf(KEEP_ALIVE_TIMEOUT);
+    int at = keepAlive.indexOf(KEEP_ALIVE_TIMEOUT_PARAMETER);
     if (at < 0) {
-      return idleMillisUntilTold;
+      return defaultIdleMillis;
     }
-    int end = at + KEEP_ALIVE_TIMEOUT.length();
+    int end = at + KEEP_ALIVE_TIMEOUT_PARAMETER.length();
     long seconds = 0;
     while (end < keepAlive.length() && Character.isDigit(keepAlive.charAt(end))) {
       seconds = Math.min(3_600, seconds * 10 + keepAlive.charAt(end) - '0');
@@ -258,38 +261,38 @@
     return seconds * 1_000;
   }
 
-  private void content(HttpContent content) {
+  private void onContent(HttpContent content) {
     Listener to = listener;
     if (to == null || content.decoderResult().isFailure()) {
       content.release();
       if (to != null) {
-        lose("a body that is no body: " + content.decoderResult().cause());
+        fail("a body that is no body: " + content.decoderResult().cause());
       }
       return;
     }
-    if (passingOver) {
+    if (isDiscarding) {
       content.release();
       if (content instanceof LastHttpContent) {
-        passingOver = false;
+        isDiscarding = false;
       }
       return;
     }
     if (content.content().isReadable()) {
-      to.bytes(content.content());
+      to.onBodyBytes(content.content());
     } else {
       content.release();
     }
     if (content instanceof LastHttpContent && listener == to) {
       listener = null;
-      to.ended();
+      to.onComplete();
     }
   }
 
-  private void lose(String cause) {
+  private void fail(String cause) {
     Listener to = listener;
     abandon();
     if (to != null) {
-      to.lost(cause);
+      to.onLost(cause);
     }
   }
 
@@ -297,23 +300,23 @@
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     // A reset ends an answer without length early; it must be lost before the decoder takes the
     // connection's end for the answer's.
-    lose(String.valueOf(cause.getMessage()));
+    fail(String.valueOf(cause.getMessage()));
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    Runnable ended = onIdleEnd;
-    onIdleEnd = null;
+    Runnable ended = onIdleClose;
+    onIdleClose = null;
     if (ended != null) {
       ended.run();
     }
-    lose("the target closed the connection");
+    fail("the target closed the connection");
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
     if (listener != null && ctx.channel().isWritable()) {
-      listener.writable();
+      listener.onWritable();
     }
   }
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/TargetConnections.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/TargetConnectionPool.java
@@ -18,27 +18,27 @@
  *
  * <p>The last one used is taken first, so that those not needed grow old and are closed.
  */
-final class TargetConnections {
+final class TargetConnectionPool {
   /**
    * A target that does not say how long it keeps idle connections is taken to keep them so long.
    */
-  private static final long IDLE_MILLIS_UNTIL_TOLD = 4_000;
+  private static final long DEFAULT_IDLE_MILLIS = 4_000;
 
   /** Part of the stated idle time after which a connection may be closing at this moment. */
-  private static final double SAFE_IDLE_SHARE = 0.7;
+  private static final double SAFE_IDLE_FRACTION = 0.7;
 
   /**
    * A connection is established within a way there and back; half a second leaves room for 110 ms
    * between regions and for one slow accept, and finds a dark target while there is time for
    * another.
    */
-  private static final int CONNECT_MILLIS = 500;
+  private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
   private final Loop loop;
   private final Dialect dialect;
-  private final Map<TargetIncarnation, Deque<TargetConnection>> idle = new HashMap<>();
+  private final Map<TargetIncarnation, Deque<TargetConnection>> idleConnections = new HashMap<>();
 
-  TargetConnections(Loop loop, Dialect dialect) {
+  TargetConnectionPool(Loop loop, Dialect dialect) {
     this.loop = loop;
     this.dialect = dialect;
   }
@@ -49,27 +49,27 @@
    * @param mostIdleMillis a kept connection that has been idle for longer is not used
    * @param established told the milliseconds that a new connection took
    */
-  void with(
+  void acquire(
       TargetFacts target,
       long mostIdleMillis,
       Consumer<TargetConnection> ready,
       Consumer<String> failed,
       DoubleConsumer established) {
-    TargetConnection kept = take(target.incarnation(), mostIdleMillis);
+    TargetConnection kept = takeIdle(target.incarnation(), mostIdleMillis);
     if (kept != null) {
       ready.accept(kept);
       return;
     }
-    TargetConnection fresh = new TargetConnection(dialect, IDLE_MILLIS_UNTIL_TOLD);
-    long from = loop.nanos();
-    loop.connect(target.host(), target.port(), CONNECT_MILLIS, initializer(fresh))
+    TargetConnection fresh = new TargetConnection(dialect, DEFAULT_IDLE_MILLIS);
+    long from = loop.nowNanos();
+    loop.connect(target.host(), target.port(), CONNECT_TIMEOUT_MILLIS, initializer(fresh))
         .addListener(
             (ChannelFuture done) -> {
               if (!done.isSuccess()) {
                 failed.accept(String.valueOf(done.cause().getMessage()));
                 return;
               }
-              established.accept((loop.nanos() - from) / 1e6);
+              established.accept((loop.nowNanos() - from) / 1e6);
               ready.accept(fresh);
             });
   }
@@ -83,13 +83,14 @@
     };
   }
 
-  private @Nullable TargetConnection take(TargetIncarnation target, long mostIdleMillis) {
-    Deque<TargetConnection> kept = idle.get(target);
-    long now = loop.now();
+  private @Nullable TargetConnection takeIdle(TargetIncarnation target, long mostIdleMillis) {
+    Deque<TargetConnection> kept = idleConnections.get(target);
+    long now = loop.nowMillis();
     while (kept != null && !kept.isEmpty()) {
       TargetConnection last = kept.removeLast();
-      last.wake();
-      if (last.isIdleWithin(now, SAFE_IDLE_SHARE) && last.isIdleSince(now, mostIdleMillis)) {
+      last.markInUse();
+      if (last.isIdleBelowFraction(now, SAFE_IDLE_FRACTION)
+          && last.isIdleAtMost(now, mostIdleMillis)) {
         return last;
       }
       last.abandon();
@@ -98,23 +99,24 @@
   }
 
   /** Takes a connection back after a whole answer; closes it where it cannot be used again. */
-  void giveBack(TargetIncarnation target, TargetConnection connection) {
+  void release(TargetIncarnation target, TargetConnection connection) {
     if (!connection.isReusable()) {
       connection.abandon();
       return;
     }
-    Deque<TargetConnection> kept = idle.computeIfAbsent(target, id -> new ArrayDeque<>());
+    Deque<TargetConnection> kept =
+        idleConnections.computeIfAbsent(target, id -> new ArrayDeque<>());
     kept.addLast(connection);
-    connection.idle(loop.now(), () -> kept.remove(connection));
+    connection.markIdle(loop.nowMillis(), () -> kept.remove(connection));
   }
 
   /** Closes the idle connections to a start of a target that is gone. */
-  void forget(TargetIncarnation target) {
-    Deque<TargetConnection> kept = idle.remove(target);
+  void closeIdle(TargetIncarnation target) {
+    Deque<TargetConnection> kept = idleConnections.remove(target);
     if (kept != null) {
       kept.forEach(
           connection -> {
-            connection.wake();
+            connection.markInUse();
             connection.abandon();
           });
     }
@@ -122,11 +124,11 @@
 
   /** Closes connections that have been idle for too long to be used. */
   void sweep() {
-    long now = loop.now();
-    for (Deque<TargetConnection> kept : idle.values()) {
-      while (!kept.isEmpty() && !kept.peekFirst().isIdleWithin(now, SAFE_IDLE_SHARE)) {
+    long now = loop.nowMillis();
+    for (Deque<TargetConnection> kept : idleConnections.values()) {
+      while (!kept.isEmpty() && !kept.peekFirst().isIdleBelowFraction(now, SAFE_IDLE_FRACTION)) {
         TargetConnection old = kept.removeFirst();
-        old.wake();
+        old.markInUse();
         old.abandon();
       }
     }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryControl.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryControl.java
@@ -29,32 +29,32 @@
    * ms) by what the news of the removal (600 ms and the way) and a request on its way to the target
    * take.
    */
-  private static final long LAPSED_MILLIS = 1_200;
+  private static final long LAPSE_GRACE_MILLIS = 1_200;
 
   /** After trouble of the store of this age, a removal may be a lapse. */
-  private static final long TROUBLE_MILLIS = 3_000;
+  private static final long RECENT_FAILURE_MILLIS = 3_000;
 
   /**
    * Part of the targets that, gone in one answer, look like a lapse also where no call had failed:
    * operators empty a zone of six at once, never half of all targets.
    */
-  private static final double LAPSE_PART = 0.5;
+  private static final double MASS_REMOVAL_FRACTION = 0.5;
 
   /** Cold time of a zone taken back where no service says its own, as operators set today. */
-  private static final long COLD_MILLIS = 3_000;
+  private static final long DEFAULT_COLD_MILLIS = 3_000;
 
   private final Loop loop;
   private final Forwarder forwarder;
-  private final LookUps lookUps;
+  private final EntryDirectory entryDirectory;
   private final EventSink log;
   private final PlatformStore store;
   private final EntryVm self;
   private final long leaseMillis;
-  private final ZoneFeed feed;
-  private final Set<String> lapsing = new HashSet<>();
-  private final SpoiltItems spoiltItems;
-  private Consumer<Collection<EntryVm>> liveListener = vms -> {};
-  private boolean entriesChanged;
+  private final ZoneChangeFeed changeFeed;
+  private final Set<String> pendingMemberRemovals = new HashSet<>();
+  private final MalformedItemLog malformedItems;
+  private Consumer<Collection<EntryVm>> liveVmListener = vms -> {};
+  private boolean isPublishScheduled;
   private @Nullable StoreFollower follower;
   private @Nullable EntryRegistration registration;
 
@@ -62,20 +62,20 @@
       Loop loop,
       PlatformStore store,
       Forwarder forwarder,
-      LookUps lookUps,
+      EntryDirectory lookUps,
       EntryVm self,
       long leaseMillis,
-      ZoneFeed feed,
+      ZoneChangeFeed feed,
       EventSink log) {
     this.loop = loop;
     this.store = store;
     this.forwarder = forwarder;
-    this.lookUps = lookUps;
+    this.entryDirectory = lookUps;
     this.self = self;
     this.leaseMillis = leaseMillis;
-    this.feed = feed;
+    this.changeFeed = feed;
     this.log = log;
-    this.spoiltItems = new SpoiltItems(log, forwarder.metrics());
+    this.malformedItems = new MalformedItemLog(log, forwarder.metrics());
   }
 
   /**
@@ -87,87 +87,87 @@
   public static EntryControl start(
       Loop loop,
       PlatformStore store,
-      PeerChanges peers,
+      PeerChangeSource peers,
       Forwarder forwarder,
-      LookUps lookUps,
+      EntryDirectory lookUps,
       EntryVm self,
       long leaseMillis,
       EventSink log) {
-    long contactEach = EntryRegistration.renewalMillis(leaseMillis);
-    ZoneFeed feed = ZoneFeed.of(loop, store, peers, self, contactEach, log);
+    long contactEach = EntryRegistration.renewalIntervalMillis(leaseMillis);
+    ZoneChangeFeed feed = ZoneChangeFeed.of(loop, store, peers, self, contactEach, log);
     EntryControl control =
         new EntryControl(loop, store, forwarder, lookUps, self, leaseMillis, feed, log);
     StoreFollower follower = StoreFollower.start(loop, store, feed, control, log);
     control.follower = follower;
-    forwarder.mayMissRules(follower::isCutOff);
+    forwarder.setStaleRulesCheck(follower::isOutOfContact);
     return control;
   }
 
   /** True where this VM asks the store itself, so that it may answer for it to others. */
   public boolean isReader() {
-    return feed.isReader();
+    return changeFeed.isReader();
   }
 
   /** Time since the store last answered this VM. */
   public long contactAgeMillis() {
-    return feed.contactAgeMillis();
+    return changeFeed.contactAgeMillis();
   }
 
   /** True where calls to the store have failed lately. */
-  public boolean hadTrouble() {
+  public boolean hadRecentFailures() {
     StoreFollower known = follower;
-    return known == null || known.troubledWithin(TROUBLE_MILLIS);
+    return known == null || known.hadFailureWithin(RECENT_FAILURE_MILLIS);
   }
 
   /** Calls {@code listener} with the live VMs, now and whenever they change. */
   public void onLiveVms(Consumer<Collection<EntryVm>> listener) {
-    liveListener = listener;
+    liveVmListener = listener;
     publishEntries();
   }
 
   /** This VM stops: it is named by no look-up any more and leaves the store. */
-  public void leave() {
-    lookUps.leave();
+  public void deregister() {
+    entryDirectory.excludeSelf();
     EntryRegistration known = registration;
     if (known != null) {
-      known.leave();
+      known.deregister();
     }
   }
 
   private void register() {
-    registration = EntryRegistration.begin(loop, store, self, leaseMillis, log, this::heard);
+    registration = EntryRegistration.start(loop, store, self, leaseMillis, log, this::onStoreCall);
   }
 
-  private void heard(boolean answered) {
+  private void onStoreCall(boolean answered) {
     StoreFollower known = follower;
     if (known != null) {
-      known.heard(answered);
+      known.onStoreCall(answered);
     }
   }
 
   @Override
-  public void changed(String key, Fact fact) {
-    if (fact instanceof Fact.Rules rules) {
-      rules(rules.rules());
-    } else if (fact instanceof Fact.Target target) {
-      target(target.target());
-    } else if (fact instanceof Fact.ZoneEmptied zone) {
+  public void onChanged(String key, ItemContent fact) {
+    if (fact instanceof ItemContent.Rules rules) {
+      applyRules(rules.rules());
+    } else if (fact instanceof ItemContent.Target target) {
+      applyTarget(target.target());
+    } else if (fact instanceof ItemContent.ZoneEvacuated zone) {
       forwarder.targets().evacuateZone(zone.zone());
-      forwarder.roomChanged();
+      forwarder.onCapacityChange();
       log.record(EventKind.VIEW_CHANGED, "", "", zone.zone(), 0, "zone is emptied");
-    } else if (fact instanceof Fact.Crash crash) {
-      forwarder.crashTold(crash.report());
-    } else if (fact instanceof Fact.Entry entry) {
-      lapsing.remove(entry.vm().name());
-      lookUps.joined(entry.vm());
+    } else if (fact instanceof ItemContent.Crash crash) {
+      forwarder.onCrashReport(crash.report());
+    } else if (fact instanceof ItemContent.Entry entry) {
+      pendingMemberRemovals.remove(entry.vm().name());
+      entryDirectory.add(entry.vm());
       log.record(EventKind.MEMBER_JOINED, "", "", entry.vm().name(), 0, entry.vm().address());
-      publishEntriesSoon();
+      schedulePublishEntries();
     }
   }
 
-  private void rules(RoutingRules rules) {
+  private void applyRules(RoutingRules rules) {
     boolean first = forwarder.rules() == null;
-    if (!forwarder.follow(rules)) {
+    if (!forwarder.applyRules(rules)) {
       log.record(
           EventKind.VIEW_CHANGED,
           "",
@@ -189,8 +189,8 @@
     }
   }
 
-  private void target(TargetFacts target) {
-    TargetTable.Change change = forwarder.put(target);
+  private void applyTarget(TargetFacts target) {
+    TargetTable.Change change = forwarder.updateTarget(target);
     EventKind kind = target.isDraining() ? EventKind.TARGET_LEAVING : EventKind.TARGET_HELD;
     log.record(
         kind,
@@ -202,11 +202,11 @@
   }
 
   @Override
-  public void removed(String key, Fact before, int atOnce) {
-    if (before instanceof Fact.Target target) {
-      long wait = mayBeLapse(atOnce) ? LAPSED_MILLIS : 0;
-      forwarder.targets().scheduleRemoval(target.target().id(), loop.now() + wait);
-      forwarder.roomChanged();
+  public void onRemoved(String key, ItemContent before, int atOnce) {
+    if (before instanceof ItemContent.Target target) {
+      long wait = mayBeLeaseLapse(atOnce) ? LAPSE_GRACE_MILLIS : 0;
+      forwarder.targets().scheduleRemoval(target.target().id(), loop.nowMillis() + wait);
+      forwarder.onCapacityChange();
       log.record(
           EventKind.TARGET_LEAVING,
           "",
@@ -214,14 +214,14 @@
           target.target().id(),
           0,
           "removed, held " + wait + " ms");
-    } else if (before instanceof Fact.ZoneEmptied zone) {
-      forwarder.targets().endEvacuation(zone.zone(), loop.now(), coldMillis());
-      forwarder.roomChanged();
+    } else if (before instanceof ItemContent.ZoneEvacuated zone) {
+      forwarder.targets().endEvacuation(zone.zone(), loop.nowMillis(), coldStartMillis());
+      forwarder.onCapacityChange();
       log.record(EventKind.VIEW_CHANGED, "", "", zone.zone(), 0, "zone is taken back");
-    } else if (before instanceof Fact.Entry entry) {
-      long wait = mayBeLapse(atOnce) ? LAPSED_MILLIS : 0;
-      lapsing.add(entry.vm().name());
-      var unused = loop.after(wait, () -> memberGone(entry.vm()));
+    } else if (before instanceof ItemContent.Entry entry) {
+      long wait = mayBeLeaseLapse(atOnce) ? LAPSE_GRACE_MILLIS : 0;
+      pendingMemberRemovals.add(entry.vm().name());
+      var unused = loop.schedule(wait, () -> onMemberLeft(entry.vm()));
     }
   }
 
@@ -231,68 +231,70 @@
    * go on. Rules that cannot be read change nothing, since an older version never comes back.
    */
   @Override
-  public void spoilt(String key, @Nullable Fact before, Fact.Unreadable item) {
-    spoiltItems.note(key, item);
-    if (before instanceof Fact.Target target) {
-      forwarder.targets().scheduleRemoval(target.target().id(), loop.now());
-    } else if (before instanceof Fact.Entry entry) {
-      lapsing.add(entry.vm().name());
-      memberGone(entry.vm());
+  public void onMalformed(String key, @Nullable ItemContent before, ItemContent.Malformed item) {
+    malformedItems.record(key, item);
+    if (before instanceof ItemContent.Target target) {
+      forwarder.targets().scheduleRemoval(target.target().id(), loop.nowMillis());
+    } else if (before instanceof ItemContent.Entry entry) {
+      pendingMemberRemovals.add(entry.vm().name());
+      onMemberLeft(entry.vm());
       if (entry.vm().name().equals(self.name())) {
-        announceAgain();
+        rewriteRegistration();
       }
     }
   }
 
-  private void announceAgain() {
+  private void rewriteRegistration() {
     EntryRegistration known = registration;
     if (known != null) {
-      known.overwritten();
+      known.onOverwritten();
     }
   }
 
   /** Entry VMs whose leases lapsed with the store's outage are back as soon as they can call it. */
-  private void memberGone(EntryVm vm) {
-    if (!lapsing.remove(vm.name())) {
+  private void onMemberLeft(EntryVm vm) {
+    if (!pendingMemberRemovals.remove(vm.name())) {
       return;
     }
     log.record(EventKind.MEMBER_LEFT, "", "", vm.name(), 0, vm.address());
-    lookUps.left(vm.name());
-    publishEntriesSoon();
+    entryDirectory.remove(vm.name());
+    schedulePublishEntries();
   }
 
-  private boolean mayBeLapse(int atOnce) {
+  private boolean mayBeLeaseLapse(int atOnce) {
     StoreFollower known = follower;
-    return atOnce > LAPSE_PART * forwarder.targets().size()
-        || (known != null && known.troubledWithin(TROUBLE_MILLIS));
+    return atOnce > MASS_REMOVAL_FRACTION * forwarder.targets().size()
+        || (known != null && known.hadFailureWithin(RECENT_FAILURE_MILLIS));
   }
 
-  private long coldMillis() {
+  private long coldStartMillis() {
     RoutingRules rules = forwarder.rules();
-    return rules == null ? COLD_MILLIS : Math.max(COLD_MILLIS, rules.maxColdMillis());
+    return rules == null
+        ? DEFAULT_COLD_MILLIS
+        : Math.max(DEFAULT_COLD_MILLIS, rules.maxColdMillis());
   }
 
   @Override
-  public void complete() {
+  public void onInitialReadComplete() {
     log.record(EventKind.STORE_UP, "", "", "store", 0, "first read is complete");
     publishEntries();
   }
 
   /** Publishes the list of VMs once for all changes that came together. */
-  private void publishEntriesSoon() {
-    if (!entriesChanged) {
-      entriesChanged = true;
-      loop.run(this::publishEntries);
+  private void schedulePublishEntries() {
+    if (!isPublishScheduled) {
+      isPublishScheduled = true;
+      loop.execute(this::publishEntries);
     }
   }
 
   private void publishEntries() {
-    entriesChanged = false;
-    Collection<EntryVm> live = lookUps.live();
+    isPublishScheduled = false;
+    Collection<EntryVm> live = entryDirectory.liveVms();
     List<EntryVmLocation> places =
         live.stream().map(vm -> new EntryVmLocation(vm.name(), vm.zone(), vm.region())).toList();
-    feed.live(live);
-    liveListener.accept(live);
-    forwarder.entries(places);
+    changeFeed.updateLiveVms(live);
+    liveVmListener.accept(live);
+    forwarder.updateEntries(places);
   }
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/LookUps.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryDirectory.java
@@ -13,44 +13,44 @@
  * <p>A caller keeps an answer for seconds and cannot reach a VM that died meanwhile, so an answer
  * names two VMs at least where there are two.
  */
-public final class LookUps {
+public final class EntryDirectory {
   /** Most VMs that an answer names. */
-  private static final int MOST = 64;
+  private static final int MAX_ADDRESSES = 64;
 
-  private static final int FEWEST = 2;
+  private static final int MIN_ADDRESSES = 2;
 
   private final EntryVm self;
-  private final Map<String, EntryVm> live = new TreeMap<>();
-  private boolean leaving;
+  private final Map<String, EntryVm> otherVms = new TreeMap<>();
+  private boolean isLeaving;
 
-  private LookUps(EntryVm self) {
+  private EntryDirectory(EntryVm self) {
     this.self = self;
   }
 
   /** Look-ups that know of {@code self} only. */
-  public static LookUps of(EntryVm self) {
-    return new LookUps(self);
+  public static EntryDirectory of(EntryVm self) {
+    return new EntryDirectory(self);
   }
 
   /** An entry VM is live. */
-  public void joined(EntryVm vm) {
-    live.put(vm.name(), vm);
+  public void add(EntryVm vm) {
+    otherVms.put(vm.name(), vm);
   }
 
   /** An entry VM is gone. */
-  public void left(String name) {
-    live.remove(name);
+  public void remove(String name) {
+    otherVms.remove(name);
   }
 
   /** This VM stops: it is named no more. */
-  public void leave() {
-    leaving = true;
+  public void excludeSelf() {
+    isLeaving = true;
   }
 
   /** The live entry VMs, this one among them unless it is leaving. */
-  public Collection<EntryVm> live() {
-    Map<String, EntryVm> all = new TreeMap<>(live);
-    if (leaving) {
+  public Collection<EntryVm> liveVms() {
+    Map<String, EntryVm> all = new TreeMap<>(otherVms);
+    if (isLeaving) {
       all.remove(self.name());
     } else {
       all.put(self.name(), self);
@@ -61,19 +61,19 @@
   /** Addresses for a caller in that zone and region; empty where no entry VM is live. */
   public List<String> addresses(String zone, String region) {
     List<EntryVm> named = new ArrayList<>();
-    addUntilEnough(named, vm -> vm.zone().equals(zone));
-    addUntilEnough(named, vm -> vm.region().equals(region));
+    addIfTooFew(named, vm -> vm.zone().equals(zone));
+    addIfTooFew(named, vm -> vm.region().equals(region));
     if (named.isEmpty()) {
-      addUntilEnough(named, vm -> true);
+      addIfTooFew(named, vm -> true);
     }
-    return named.stream().map(EntryVm::address).limit(MOST).toList();
+    return named.stream().map(EntryVm::address).limit(MAX_ADDRESSES).toList();
   }
 
-  private void addUntilEnough(List<EntryVm> named, Predicate<EntryVm> fits) {
-    if (named.size() >= FEWEST) {
+  private void addIfTooFew(List<EntryVm> named, Predicate<EntryVm> fits) {
+    if (named.size() >= MIN_ADDRESSES) {
       return;
     }
-    for (EntryVm vm : live()) {
+    for (EntryVm vm : liveVms()) {
       if (fits.test(vm) && !named.contains(vm)) {
         named.add(vm);
       }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryRegistration.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryRegistration.java
@@ -13,141 +13,152 @@
  */
 public final class EntryRegistration {
   /** Renewals in a lease's time: one may be lost without losing the lease. */
-  private static final int RENEWALS = 3;
+  private static final int RENEWALS_PER_LEASE = 3;
 
   /** Pause after a call without an answer; it is also how soon a store that is back is noticed. */
-  private static final long AGAIN_MILLIS = 500;
+  private static final long RETRY_DELAY_MILLIS = 500;
 
   private final Loop loop;
   private final PlatformStore store;
   private final EntryVm self;
   private final EventSink log;
-  private final Heard heard;
+  private final CallListener callListener;
   private final long leaseMillis;
-  private long lease;
-  private boolean leaving;
-  private boolean overwritten;
+  private long leaseId;
+  private boolean isLeaving;
+  private boolean isOverwritten;
 
   /** Told of each call whether the store answered it. */
   @FunctionalInterface
-  public interface Heard {
+  public interface CallListener {
     /** One call has ended. */
-    void of(boolean answered);
+    void onCall(boolean answered);
   }
 
   private EntryRegistration(
-      Loop loop, PlatformStore store, EntryVm self, long leaseMillis, EventSink log, Heard heard) {
+      Loop loop,
+      PlatformStore store,
+      EntryVm self,
+      long leaseMillis,
+      EventSink log,
+      CallListener heard) {
     this.loop = loop;
     this.store = store;
     this.self = self;
     this.leaseMillis = leaseMillis;
     this.log = log;
-    this.heard = heard;
+    this.callListener = heard;
   }
 
   /** Registers the VM and keeps it so; called on the loop's thread. */
-  public static EntryRegistration begin(
-      Loop loop, PlatformStore store, EntryVm self, long leaseMillis, EventSink log, Heard heard) {
+  public static EntryRegistration start(
+      Loop loop,
+      PlatformStore store,
+      EntryVm self,
+      long leaseMillis,
+      EventSink log,
+      CallListener heard) {
     EntryRegistration registration =
         new EntryRegistration(loop, store, self, leaseMillis, log, heard);
-    registration.acquire();
+    registration.acquireLease();
     return registration;
   }
 
-  private void acquire() {
-    if (leaving) {
+  private void acquireLease() {
+    if (isLeaving) {
       return;
     }
-    store.lease(
+    store.grantLease(
         leaseMillis,
         answer -> {
-          heard(answer);
-          if (answer instanceof StoreAnswer.Done<Long> done) {
-            announce(done.value());
+          notifyCallListener(answer);
+          if (answer instanceof StoreResult.Done<Long> done) {
+            writeEntry(done.value());
             return;
           }
-          again(this::acquire);
+          retryAfterDelay(this::acquireLease);
         });
   }
 
-  private void announce(long fresh) {
-    store.announce(
+  private void writeEntry(long fresh) {
+    store.writeEntry(
         self,
         fresh,
         answer -> {
-          heard(answer);
-          if (answer instanceof StoreAnswer.Done<Long>) {
-            lease = fresh;
+          notifyCallListener(answer);
+          if (answer instanceof StoreResult.Done<Long>) {
+            leaseId = fresh;
             log.record(EventKind.LEASE_GAINED, "", "", self.name(), fresh, "registered");
-            if (leaving) {
-              leave();
+            if (isLeaving) {
+              deregister();
               return;
             }
-            later(this::renew);
+            scheduleRenewal(this::renewLease);
             return;
           }
-          again(this::acquire);
+          retryAfterDelay(this::acquireLease);
         });
   }
 
   /** The VM's item was overwritten by another writer; it is written anew in place of a renewal. */
-  void overwritten() {
-    overwritten = true;
+  void onOverwritten() {
+    isOverwritten = true;
   }
 
-  private void renew() {
-    if (leaving) {
+  private void renewLease() {
+    if (isLeaving) {
       return;
     }
-    if (overwritten) {
-      overwritten = false;
-      announce(lease);
+    if (isOverwritten) {
+      isOverwritten = false;
+      writeEntry(leaseId);
       return;
     }
-    store.renew(
-        lease,
+    store.renewLease(
+        leaseId,
         answer -> {
-          heard(answer);
-          if (answer instanceof StoreAnswer.Gone<Long>) {
-            log.record(EventKind.LEASE_LOST, "", "", self.name(), lease, "the store ended it");
-            lease = 0;
-            acquire();
+          notifyCallListener(answer);
+          if (answer instanceof StoreResult.Gone<Long>) {
+            log.record(EventKind.LEASE_LOST, "", "", self.name(), leaseId, "the store ended it");
+            leaseId = 0;
+            acquireLease();
             return;
           }
-          if (answer instanceof StoreAnswer.Failed<Long>) {
-            again(this::renew);
+          if (answer instanceof StoreResult.Failed<Long>) {
+            retryAfterDelay(this::renewLease);
             return;
           }
-          later(this::renew);
+          scheduleRenewal(this::renewLease);
         });
   }
 
-  private void heard(StoreAnswer<Long> answer) {
-    heard.of(!(answer instanceof StoreAnswer.Failed<Long>));
+  private void notifyCallListener(StoreResult<Long> answer) {
+    callListener.onCall(!(answer instanceof StoreResult.Failed<Long>));
   }
 
   /** How often a lease of {@code leaseMillis} is renewed. */
-  static long renewalMillis(long leaseMillis) {
-    return leaseMillis / RENEWALS;
+  static long renewalIntervalMillis(long leaseMillis) {
+    return leaseMillis / RENEWALS_PER_LEASE;
   }
 
-  private void again(Runnable task) {
-    var unused = loop.after(AGAIN_MILLIS, task);
+  private void retryAfterDelay(Runnable task) {
+    var unused = loop.schedule(RETRY_DELAY_MILLIS, task);
   }
 
-  private void later(Runnable task) {
-    var unused = loop.after(renewalMillis(leaseMillis), task);
+  private void scheduleRenewal(Runnable task) {
+    var unused = loop.schedule(renewalIntervalMillis(leaseMillis), task);
   }
 
   /** Takes the VM out of the store, and keeps it out. */
-  public void leave() {
-    leaving = true;
-    if (lease == 0) {
+  public void deregister() {
+    isLeaving = true;
+    if (leaseId == 0) {
       return;
     }
-    store.endLease(
-        lease,
+    store.revokeLease(
+        leaseId,
         answer ->
-            log.record(EventKind.LEASE_LOST, "", "", self.name(), lease, "ended here: " + answer));
+            log.record(
+                EventKind.LEASE_LOST, "", "", self.name(), leaseId, "ended here: " + answer));
   }
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryVm.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryVm.java
@@ -5,16 +5,17 @@
  *
  * @param name its name
  * @param address host and port of its callers' port
- * @param peer host and port where it takes datagrams of other VMs, or empty where it takes none
+ * @param peerAddress host and port where it takes datagrams of other VMs, or empty where it takes
+ *     none
  */
-public record EntryVm(String name, String zone, String region, String address, String peer) {
-  /** Host of {@link #peer}. */
+public record EntryVm(String name, String zone, String region, String address, String peerAddress) {
+  /** Host of {@link #peerAddress}. */
   public String peerHost() {
-    return peer.substring(0, peer.lastIndexOf(':'));
+    return peerAddress.substring(0, peerAddress.lastIndexOf(':'));
   }
 
-  /** Port of {@link #peer}. */
+  /** Port of {@link #peerAddress}. */
   public int peerPort() {
-    return Integer.parseInt(peer.substring(peer.lastIndexOf(':') + 1));
+    return Integer.parseInt(peerAddress.substring(peerAddress.lastIndexOf(':') + 1));
   }
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/Fact.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/ItemContent.java
@@ -5,24 +5,24 @@
 import org.sageladder.core.routing.RoutingRules;
 
 /** What one item of the platform's store says. */
-public sealed interface Fact {
+public sealed interface ItemContent {
   /** The operator's configuration. */
-  record Rules(RoutingRules rules) implements Fact {}
+  record Rules(RoutingRules rules) implements ItemContent {}
 
   /** A target's entry. */
-  record Target(TargetFacts target) implements Fact {}
+  record Target(TargetFacts target) implements ItemContent {}
 
   /** Nothing more is to be sent to the targets of a zone. */
-  record ZoneEmptied(String zone) implements Fact {}
+  record ZoneEvacuated(String zone) implements ItemContent {}
 
   /** An entry VM is live. */
-  record Entry(EntryVm vm) implements Fact {}
+  record Entry(EntryVm vm) implements ItemContent {}
 
   /** A target has crashed, as another entry VM saw it. */
-  record Crash(CrashReport report) implements Fact {}
+  record Crash(CrashReport report) implements ItemContent {}
 
   /** Something that sageladder does not follow. */
-  record Other() implements Fact {}
+  record Other() implements ItemContent {}
 
   /**
    * An item that cannot be read, or that says what no target, VM or operator says: one of another
@@ -31,7 +31,7 @@
    * @param kind what the item should have been
    * @param cause what is wrong with it
    */
-  record Unreadable(Kind kind, String cause) implements Fact {}
+  record Malformed(Kind kind, String cause) implements ItemContent {}
 
   /** What an item is by its key. */
   enum Kind {
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/SpoiltItems.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/MalformedItemLog.java
@@ -8,26 +8,26 @@
 import org.sageladder.forward.Metrics;
 
 /** Counts the store's items that cannot be read, and logs the first of each kind. */
-final class SpoiltItems {
+final class MalformedItemLog {
   /** Lines for each kind of item: a writer that spoils items over and over cannot fill the log. */
-  private static final int MOST_LINES = 20;
+  private static final int MAX_LINES_PER_KIND = 20;
 
   private final EventSink log;
   private final Metrics metrics;
-  private final Map<Fact.Kind, Integer> seen = new EnumMap<>(Fact.Kind.class);
+  private final Map<ItemContent.Kind, Integer> countByKind = new EnumMap<>(ItemContent.Kind.class);
 
-  SpoiltItems(EventSink log, Metrics metrics) {
+  MalformedItemLog(EventSink log, Metrics metrics) {
     this.log = log;
     this.metrics = metrics;
   }
 
-  void note(String key, Fact.Unreadable item) {
+  void record(String key, ItemContent.Malformed item) {
     metrics.count("items_not_read_" + item.kind().name().toLowerCase(Locale.ROOT));
-    int count = seen.merge(item.kind(), 1, Integer::sum);
-    if (count > MOST_LINES) {
+    int count = countByKind.merge(item.kind(), 1, Integer::sum);
+    if (count > MAX_LINES_PER_KIND) {
       return;
     }
-    String more = count == MOST_LINES ? "; further ones of this kind are only counted" : "";
+    String more = count == MAX_LINES_PER_KIND ? "; further ones of this kind are only counted" : "";
     log.record(EventKind.FAILED, "", "", key, 0, "not read: " + item.cause() + more);
   }
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/PlatformStore.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/PlatformStore.java
@@ -16,23 +16,23 @@
    * @param afterKey last key of the page before, or null for the first
    * @param mayBeStale true where an answer some seconds old will do, at a tenth of the price
    */
-  void read(@Nullable String afterKey, boolean mayBeStale, Consumer<StoreAnswer<StorePage>> then);
+  void read(@Nullable String afterKey, boolean mayBeStale, Consumer<StoreResult<StorePage>> then);
 
   /** Waits up to {@code waitMillis} for changes after {@code revision}. */
-  void watch(long revision, long waitMillis, Consumer<StoreAnswer<StorePage>> then);
+  void watch(long revision, long waitMillis, Consumer<StoreResult<StorePage>> then);
 
   /** Begins a lease of {@code millis}; returns its number. */
-  void lease(long millis, Consumer<StoreAnswer<Long>> then);
+  void grantLease(long millis, Consumer<StoreResult<Long>> then);
 
   /** Renews a lease; {@code Gone} where it has ended. */
-  void renew(long lease, Consumer<StoreAnswer<Long>> then);
+  void renewLease(long lease, Consumer<StoreResult<Long>> then);
 
   /** Ends a lease and removes what depends on it. */
-  void endLease(long lease, Consumer<StoreAnswer<Long>> then);
+  void revokeLease(long lease, Consumer<StoreResult<Long>> then);
 
   /** Writes for all entry VMs, under a lease, that a target has crashed as {@code vm} saw it. */
-  void tellCrash(String vm, CrashReport report, long lease, Consumer<StoreAnswer<Long>> then);
+  void publishCrash(String vm, CrashReport report, long lease, Consumer<StoreResult<Long>> then);
 
   /** Writes this entry VM's own item under a lease, whatever stood there. */
-  void announce(EntryVm self, long lease, Consumer<StoreAnswer<Long>> then);
+  void writeEntry(EntryVm self, long lease, Consumer<StoreResult<Long>> then);
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/StoreFollower.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/StoreFollower.java
@@ -21,14 +21,14 @@
  */
 public final class StoreFollower {
   /** Pauses after failures: short at first, since many end at once; calls that fail are priced. */
-  private static final long FIRST_PAUSE_MILLIS = 150;
+  private static final long RETRY_DELAY_STEP_MILLIS = 150;
 
-  private static final long LONGEST_PAUSE_MILLIS = 800;
+  private static final long MAX_RETRY_DELAY_MILLIS = 800;
 
   /** Told what changes. */
   public interface Listener {
     /** An item is new or has changed. */
-    void changed(String key, Fact fact);
+    void onChanged(String key, ItemContent fact);
 
     /**
      * An item is gone.
@@ -36,43 +36,43 @@
      * @param before what it last said
      * @param atOnce how many targets went in the same answer
      */
-    void removed(String key, Fact before, int atOnce);
+    void onRemoved(String key, ItemContent before, int atOnce);
 
     /**
      * An item was overwritten by one that cannot be read.
      *
      * @param before what it last said, or null where it never could be read
      */
-    void spoilt(String key, @Nullable Fact before, Fact.Unreadable item);
+    void onMalformed(String key, @Nullable ItemContent before, ItemContent.Malformed item);
 
     /** All items were read for the first time. */
-    void complete();
+    void onInitialReadComplete();
   }
 
-  private record Known(long revision, @Nullable Fact fact) {}
+  private record KnownItem(long revision, @Nullable ItemContent content) {}
 
   private final Loop loop;
   private final PlatformStore store;
-  private final ZoneFeed feed;
+  private final ZoneChangeFeed changeFeed;
   private final Listener listener;
   private final EventSink log;
-  private final Map<String, Known> known = new HashMap<>();
-  private final Set<String> seenInRead = new HashSet<>();
+  private final Map<String, KnownItem> knownItems = new HashMap<>();
+  private final Set<String> keysInRead = new HashSet<>();
   private long revision = -1;
   private long readRevision;
-  private boolean complete;
-  private int failures;
-  private int watchNumber;
-  private boolean watching;
-  private boolean silent;
-  private boolean everTroubled;
-  private long troubledUntil;
+  private boolean isInitialReadComplete;
+  private int consecutiveFailures;
+  private int watchId;
+  private boolean isWatching;
+  private boolean isStoreSilent;
+  private boolean hasEverFailed;
+  private long lastFailureMillis;
 
   private StoreFollower(
-      Loop loop, PlatformStore store, ZoneFeed feed, Listener listener, EventSink log) {
+      Loop loop, PlatformStore store, ZoneChangeFeed feed, Listener listener, EventSink log) {
     this.loop = loop;
     this.store = store;
-    this.feed = feed;
+    this.changeFeed = feed;
     this.listener = listener;
     this.log = log;
   }
@@ -80,71 +80,72 @@
   /** Begins to follow the store directly. */
   public static StoreFollower start(
       Loop loop, PlatformStore store, Listener listener, EventSink log) {
-    return start(loop, store, ZoneFeed.direct(loop, store), listener, log);
+    return start(loop, store, ZoneChangeFeed.direct(loop, store), listener, log);
   }
 
   /** Begins to follow; changes come from {@code feed}, whole reads from {@code store}. */
   public static StoreFollower start(
-      Loop loop, PlatformStore store, ZoneFeed feed, Listener listener, EventSink log) {
+      Loop loop, PlatformStore store, ZoneChangeFeed feed, Listener listener, EventSink log) {
     StoreFollower follower = new StoreFollower(loop, store, feed, listener, log);
-    loop.run(() -> follower.read(null, true));
+    loop.execute(() -> follower.read(null, true));
     return follower;
   }
 
   /** True while calls fail, and for {@code millis} after they did. */
-  public boolean troubledWithin(long millis) {
-    return failures > 0 || (everTroubled && loop.now() - troubledUntil < millis);
+  public boolean hadFailureWithin(long millis) {
+    return consecutiveFailures > 0
+        || (hasEverFailed && loop.nowMillis() - lastFailureMillis < millis);
   }
 
   /** True while calls to the store fail or get no answer, so that changes may go unseen. */
-  public boolean isCutOff() {
-    return failures > 0 || silent;
+  public boolean isOutOfContact() {
+    return consecutiveFailures > 0 || isStoreSilent;
   }
 
   private void read(@Nullable String afterKey, boolean mayBeStale) {
     if (afterKey == null) {
-      seenInRead.clear();
+      keysInRead.clear();
       readRevision = -1;
     }
     store.read(
         afterKey,
         mayBeStale,
         answer -> {
-          if (answer instanceof StoreAnswer.Done<StorePage> done) {
-            succeeded();
+          if (answer instanceof StoreResult.Done<StorePage> done) {
+            onSuccess();
             readPage(done.value(), mayBeStale);
             return;
           }
-          failed("read", answer, () -> read(null, mayBeStale && !complete));
+          onFailure("read", answer, () -> read(null, mayBeStale && !isInitialReadComplete));
         });
   }
 
   private void readPage(StorePage page, boolean mayBeStale) {
     if (readRevision < 0) {
-      readRevision = page.asOf();
+      readRevision = page.asOfRevision();
     }
-    page.items().forEach(item -> seenInRead.add(item.key()));
+    page.items().forEach(item -> keysInRead.add(item.key()));
     apply(page.items());
-    if (page.more() && !page.items().isEmpty()) {
+    if (page.hasMore() && !page.items().isEmpty()) {
       read(page.items().get(page.items().size() - 1).key(), mayBeStale);
       return;
     }
-    removeUnseen();
+    removeMissing();
     revision = readRevision;
-    if (!complete) {
-      complete = true;
-      listener.complete();
+    if (!isInitialReadComplete) {
+      isInitialReadComplete = true;
+      listener.onInitialReadComplete();
     }
     watch();
   }
 
   /** What a whole read did not show is gone, unless it is newer than the read. */
-  private void removeUnseen() {
+  private void removeMissing() {
     List<StoreItem> gone = new ArrayList<>();
-    known.forEach(
+    knownItems.forEach(
         (key, item) -> {
           boolean older = item.revision() <= readRevision;
-          if (item.fact() != null && older && !seenInRead.contains(key)) {
+          if (item.content() != null && older && !keysInRead.contains(key)) {
             gone.add(new StoreItem(key, readRevision, null));
           }
         });
@@ -158,119 +159,127 @@
    * the VM would follow nothing until the wait is over. So the first answer after a silence begins
    * a new watch, and whatever still comes of the old one is passed over.
    */
-  public void heard(boolean answered) {
-    feed.recordContact(answered);
+  public void onStoreCall(boolean answered) {
+    changeFeed.recordStoreCall(answered);
     if (!answered) {
-      silent = true;
+      isStoreSilent = true;
       return;
     }
-    if (silent) {
-      troubled();
+    if (isStoreSilent) {
+      recordFailure();
     }
-    if (silent && watching) {
+    if (isStoreSilent && isWatching) {
       log.record(EventKind.STORE_UP, "", "", "store", revision, "answers again; watching anew");
       watch();
     }
-    silent = false;
+    isStoreSilent = false;
   }
 
   private void watch() {
-    watchNumber++;
-    int number = watchNumber;
-    watching = true;
-    feed.next(
+    watchId++;
+    int number = watchId;
+    isWatching = true;
+    changeFeed.requestChanges(
         revision,
         answer -> {
-          if (number == watchNumber) {
-            watching = false;
-            watched(answer);
+          if (number == watchId) {
+            isWatching = false;
+            onWatchResult(answer);
           }
         });
   }
 
-  private void watched(StoreAnswer<StorePage> answer) {
-    if (answer instanceof StoreAnswer.Done<StorePage> done) {
-      succeeded();
-      if (feed.hadTrouble()) {
-        troubled();
+  private void onWatchResult(StoreResult<StorePage> answer) {
+    if (answer instanceof StoreResult.Done<StorePage> done) {
+      onSuccess();
+      if (changeFeed.hadRecentFailures()) {
+        recordFailure();
       }
       StorePage page = done.value();
       apply(page.items());
-      revision = Math.max(revision, page.asOf());
-      watchAgain(feed.pauseMillis(!page.items().isEmpty()));
+      revision = Math.max(revision, page.asOfRevision());
+      scheduleWatch(changeFeed.nextDelayMillis(!page.items().isEmpty()));
       return;
     }
-    if (answer instanceof StoreAnswer.Gone<StorePage>) {
+    if (answer instanceof StoreResult.Gone<StorePage>) {
       log.record(EventKind.STORE_DOWN, "", "", "history", revision, "forgotten; reading all");
-      troubled();
+      recordFailure();
       read(null, false);
       return;
     }
-    failed("watch", answer, this::watch);
+    onFailure("watch", answer, this::watch);
   }
 
-  private void watchAgain(long pauseMillis) {
+  private void scheduleWatch(long pauseMillis) {
     if (pauseMillis == 0) {
       watch();
       return;
     }
-    int number = watchNumber;
+    int number = watchId;
     var unused =
-        loop.after(
+        loop.schedule(
             pauseMillis,
             () -> {
-              if (number == watchNumber) {
+              if (number == watchId) {
                 watch();
               }
             });
   }
 
-  private void troubled() {
-    everTroubled = true;
-    troubledUntil = loop.now();
+  private void recordFailure() {
+    hasEverFailed = true;
+    lastFailureMillis = loop.nowMillis();
   }
 
-  private void succeeded() {
-    if (failures > 0) {
-      log.record(EventKind.STORE_UP, "", "", "store", revision, "after " + failures + " failures");
-      troubled();
+  private void onSuccess() {
+    if (consecutiveFailures > 0) {
+      log.record(
+          EventKind.STORE_UP,
+          "",
+          "",
+          "store",
+          revision,
+          "after " + consecutiveFailures + " failures");
+      recordFailure();
     }
-    failures = 0;
+    consecutiveFailures = 0;
   }
 
-  private void failed(String call, StoreAnswer<?> answer, Runnable again) {
-    failures++;
-    if (failures == 1) {
+  private void onFailure(String call, StoreResult<?> answer, Runnable again) {
+    consecutiveFailures++;
+    if (consecutiveFailures == 1) {
       log.record(EventKind.STORE_DOWN, "", "", "store", revision, call + ": " + answer);
     }
-    long pause = Math.min(LONGEST_PAUSE_MILLIS, FIRST_PAUSE_MILLIS * failures);
-    var unused = loop.after(pause, again);
+    long pause = Math.min(MAX_RETRY_DELAY_MILLIS, RETRY_DELAY_STEP_MILLIS * consecutiveFailures);
+    var unused = loop.schedule(pause, again);
   }
 
-  private boolean isTargetGone(StoreItem item) {
-    Known before = known.get(item.key());
-    return item.fact() == null && before != null && before.fact() instanceof Fact.Target;
+  private boolean isTargetRemoval(StoreItem item) {
+    KnownItem before = knownItems.get(item.key());
+    return item.content() == null
+        && before != null
+        && before.content() instanceof ItemContent.Target;
   }
 
   private void apply(List<StoreItem> items) {
-    int removals = (int) items.stream().filter(this::isTargetGone).count();
+    int removals = (int) items.stream().filter(this::isTargetRemoval).count();
     for (StoreItem item : items) {
-      Known before = known.get(item.key());
+      KnownItem before = knownItems.get(item.key());
       if (before != null && before.revision() >= item.revision()) {
         continue;
       }
-      Fact fact = item.fact();
-      if (fact instanceof Fact.Unreadable unreadable) {
-        Fact last = before == null ? null : before.fact();
-        known.put(item.key(), new Known(item.revision(), last));
-        listener.spoilt(item.key(), last, unreadable);
+      ItemContent fact = item.content();
+      if (fact instanceof ItemContent.Malformed unreadable) {
+        ItemContent last = before == null ? null : before.content();
+        knownItems.put(item.key(), new KnownItem(item.revision(), last));
+        listener.onMalformed(item.key(), last, unreadable);
         continue;
       }
-      known.put(item.key(), new Known(item.revision(), fact));
+      knownItems.put(item.key(), new KnownItem(item.revision(), fact));
       if (fact != null) {
-        listener.changed(item.key(), fact);
-      } else if (before != null && before.fact() != null) {
-        listener.removed(item.key(), before.fact(), removals);
+        listener.onChanged(item.key(), fact);
+      } else if (before != null && before.content() != null) {
+        listener.onRemoved(item.key(), before.content(), removals);
       }
     }
   }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/StorePage.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/StorePage.java
@@ -5,7 +5,7 @@
 /**
  * Some items, in the order of the store.
  *
- * @param more true where a read has further pages
- * @param asOf the store's revision when it answered
+ * @param hasMore true where a read has further pages
+ * @param asOfRevision the store's revision when it answered
  */
-public record StorePage(List<StoreItem> items, boolean more, long asOf) {}
+public record StorePage(List<StoreItem> items, boolean hasMore, long asOfRevision) {}
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/StoreAnswer.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/StoreResult.java
@@ -5,13 +5,13 @@
  *
  * @param <T> what it returns
  */
-public sealed interface StoreAnswer<T> {
+public sealed interface StoreResult<T> {
   /** It was done. */
-  record Done<T>(T value) implements StoreAnswer<T> {}
+  record Done<T>(T value) implements StoreResult<T> {}
 
   /** What it asked for is not there any more: history, a lease, or the expected revision. */
-  record Gone<T>() implements StoreAnswer<T> {}
+  record Gone<T>() implements StoreResult<T> {}
 
   /** No answer, or a refusal; a change may have been made all the same. */
-  record Failed<T>(String cause) implements StoreAnswer<T> {}
+  record Failed<T>(String cause) implements StoreResult<T> {}
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/peer/PeerExchange.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/peer/PeerExchange.java
@@ -23,14 +23,14 @@
  */
 public final class PeerExchange implements Quotas.Peers {
   /** Most VMs that are remembered after they left the list. */
-  private static final int MOST_LEFT = 1_000;
+  private static final int MAX_FORMER_VMS = 1_000;
 
   private final Loop loop;
   private final Forwarder forwarder;
   private final EventSink log;
   private final Metrics metrics;
-  private final Map<String, EntryVm> byName = new HashMap<>();
-  private final Map<String, String> nameOfAddress = new LinkedHashMap<>();
+  private final Map<String, EntryVm> liveVmsByName = new HashMap<>();
+  private final Map<String, String> nameByAddress = new LinkedHashMap<>();
   private @Nullable DatagramPort port;
 
   private PeerExchange(Loop loop, Forwarder forwarder, EventSink log) {
@@ -44,24 +44,24 @@
   public static PeerExchange open(
       Loop loop, Forwarder forwarder, String host, int port, EventSink log) {
     PeerExchange exchange = new PeerExchange(loop, forwarder, log);
-    exchange.port = loop.openDatagrams(host, port, exchange::received, exchange::notOpened);
+    exchange.port = loop.openDatagrams(host, port, exchange::onDatagram, exchange::onOpenFailed);
     return exchange;
   }
 
-  private void notOpened(Throwable cause) {
+  private void onOpenFailed(Throwable cause) {
     port = null;
     log.record(EventKind.FAILED, "", "", "peers", 0, "no port for peers: " + cause.getMessage());
   }
 
   /** Follows the list of live VMs. */
-  public void live(Collection<EntryVm> vms) {
-    byName.clear();
+  public void updateLiveVms(Collection<EntryVm> vms) {
+    liveVmsByName.clear();
     for (EntryVm vm : vms) {
-      byName.put(vm.name(), vm);
-      nameOfAddress.put(vm.peer(), vm.name());
+      liveVmsByName.put(vm.name(), vm);
+      nameByAddress.put(vm.peerAddress(), vm.name());
     }
-    var oldest = nameOfAddress.entrySet().iterator();
-    for (int over = nameOfAddress.size() - vms.size() - MOST_LEFT; over > 0; over--) {
+    var oldest = nameByAddress.entrySet().iterator();
+    for (int over = nameByAddress.size() - vms.size() - MAX_FORMER_VMS; over > 0; over--) {
       oldest.next();
       oldest.remove();
     }
@@ -69,8 +69,8 @@
 
   /** True where a live VM takes datagrams on the host of that IP number. */
   public boolean isPeer(String host) {
-    for (EntryVm vm : byName.values()) {
-      if (!vm.peer().isEmpty() && vm.peerHost().equals(host)) {
+    for (EntryVm vm : liveVmsByName.values()) {
+      if (!vm.peerAddress().isEmpty() && vm.peerHost().equals(host)) {
         return true;
       }
     }
@@ -79,9 +79,9 @@
 
   @Override
   public void send(String vm, QuotaMessage message) {
-    EntryVm to = byName.get(vm);
+    EntryVm to = liveVmsByName.get(vm);
     DatagramPort open = port;
-    if (to == null || open == null || to.peer().isEmpty()) {
+    if (to == null || open == null || to.peerAddress().isEmpty()) {
       return;
     }
     try {
@@ -96,17 +96,17 @@
 
   @Override
   public void scheduleTick() {
-    var unused = loop.after(Quotas.TICK_MILLIS, () -> forwarder.quotas().tick(loop.now()));
+    var unused = loop.schedule(Quotas.TICK_MILLIS, () -> forwarder.quotas().tick(loop.nowMillis()));
   }
 
-  private void received(String host, int fromPort, byte[] bytes) {
-    String from = nameOfAddress.get(host + ':' + fromPort);
+  private void onDatagram(String host, int fromPort, byte[] bytes) {
+    String from = nameByAddress.get(host + ':' + fromPort);
     if (from == null) {
       metrics.count("peer_messages_of_strangers");
       return;
     }
     try {
-      forwarder.quotas().onMessage(from, QuotaCodec.decode(bytes), loop.now());
+      forwarder.quotas().onMessage(from, QuotaCodec.decode(bytes), loop.nowMillis());
     } catch (QuotaCodec.MalformedException e) {
       metrics.count("peer_messages_malformed");
     }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/peer/QuotaCodec.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/peer/QuotaCodec.java
@@ -21,7 +21,7 @@
   private static final byte TOKEN_GRANT = 2;
 
   /** Longest datagram that is sent or read; names of workspaces are far shorter. */
-  static final int MOST_BYTES = 512;
+  static final int MAX_DATAGRAM_BYTES = 512;
 
   private QuotaCodec() {}
 
@@ -35,7 +35,7 @@
   }
 
   static byte[] encode(QuotaMessage message) throws MalformedException {
-    ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
+    ByteBuffer out = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
     try {
       out.put(VERSION);
       if (message instanceof UsageReport report) {
@@ -52,7 +52,7 @@
         out.putInt(grant.tokens()).putLong(grant.retryAfterMillis());
       }
     } catch (BufferOverflowException e) {
-      throw new MalformedException("the message is longer than " + MOST_BYTES + " bytes");
+      throw new MalformedException("the message is longer than " + MAX_DATAGRAM_BYTES + " bytes");
     }
     return Arrays.copyOf(out.array(), out.position());
   }
@@ -69,7 +69,7 @@
       if (version != VERSION) {
         throw new MalformedException("version " + version + "; known is " + VERSION);
       }
-      QuotaMessage message = message(in);
+      QuotaMessage message = readMessage(in);
       if (in.hasRemaining()) {
         throw new MalformedException(in.remaining() + " bytes behind the message");
       }
@@ -79,16 +79,22 @@
     }
   }
 
-  private static QuotaMessage message(ByteBuffer in) throws MalformedException {
+  private static QuotaMessage readMessage(ByteBuffer in) throws MalformedException {
     byte kind = in.get();
-    String workspace = name(in);
+    String workspace = readName(in);
     if (kind == USAGE_REPORT) {
-      return new UsageReport(workspace, amount(in), amount(in), amount(in), amount(in), amount(in));
+      return new UsageReport(
+          workspace,
+          readNonNegativeInt(in),
+          readNonNegativeInt(in),
+          readNonNegativeInt(in),
+          readNonNegativeInt(in),
+          readNonNegativeInt(in));
     }
     if (kind == TOKEN_GRANT) {
-      int number = amount(in);
+      int number = readNonNegativeInt(in);
       byte limited = in.get();
-      int tokens = amount(in);
+      int tokens = readNonNegativeInt(in);
       long retryMillis = in.getLong();
       if (limited < 0 || limited > 1 || retryMillis < 0) {
         throw new MalformedException("limited " + limited + ", retry " + retryMillis);
@@ -98,7 +104,7 @@
     throw new MalformedException("kind " + kind + "; known are 1 and 2");
   }
 
-  private static String name(ByteBuffer in) throws MalformedException {
+  private static String readName(ByteBuffer in) throws MalformedException {
     int length = in.getShort();
     if (length <= 0 || length > in.remaining()) {
       throw new MalformedException("a name of " + length + " bytes");
@@ -108,7 +114,7 @@
     return new String(text, StandardCharsets.UTF_8);
   }
 
-  private static int amount(ByteBuffer in) throws MalformedException {
+  private static int readNonNegativeInt(ByteBuffer in) throws MalformedException {
     int amount = in.getInt();
     if (amount < 0) {
       throw new MalformedException("a negative number, " + amount);
--- a/sageladder-forward/src/test/java/org/sageladder/forward/WithdrawnTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/AbandonedRequestTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.placing.TargetFacts;
 import org.sageladder.core.placing.TargetIncarnation;
-import org.sageladder.forward.ForwardingBed.Caller;
+import org.sageladder.forward.ForwardingFixture.Caller;
 
 /**
  * A withdrawn request ends with a reset of its connection.
@@ -17,21 +17,21 @@
  * arrived in the emptied zone and was run. An ordinary close leaves what the target has not taken
  * with the kernel, which goes on sending it for as long as the cut lasts.
  */
-class WithdrawnTest {
+class AbandonedRequestTest {
   private static final long LATER = System.currentTimeMillis() + 3_600_000;
 
   private static void assertReset(ScriptedTarget target) throws InterruptedException {
-    String end = String.valueOf(target.ends.poll(1, TimeUnit.MINUTES));
+    String end = String.valueOf(target.connectionEnds.poll(1, TimeUnit.MINUTES));
     assertTrue(end.contains("reset"), end);
   }
 
   @Test
   void aRequestWhoseCallerHasLeft() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
-    try (ForwardingBed bed = ForwardingBed.open(silent)) {
+    try (ForwardingFixture bed = ForwardingFixture.open(silent)) {
       try (Caller caller = bed.caller()) {
-        caller.get("/safe/1", "a");
-        assertTrue(silent.first.await(1, TimeUnit.MINUTES));
+        caller.sendGet("/safe/1", "a");
+        assertTrue(silent.firstRequest.await(1, TimeUnit.MINUTES));
       }
       assertReset(silent);
     }
@@ -40,10 +40,10 @@
   @Test
   void aBidWhoseCallerHasLeft() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
-    try (ForwardingBed bed = ForwardingBed.open(silent)) {
+    try (ForwardingFixture bed = ForwardingFixture.open(silent)) {
       try (Caller caller = bed.caller()) {
-        caller.post("/once/1", "a", "bid");
-        assertTrue(silent.first.await(1, TimeUnit.MINUTES));
+        caller.sendPost("/once/1", "a", "bid");
+        assertTrue(silent.firstRequest.await(1, TimeUnit.MINUTES));
       }
       assertReset(silent);
     }
@@ -52,9 +52,9 @@
   @Test
   void aRequestWhoseTimeIsUp() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
-    try (ForwardingBed bed = ForwardingBed.open(silent);
+    try (ForwardingFixture bed = ForwardingFixture.open(silent);
         Caller caller = bed.caller()) {
-      assertEquals(504, caller.ask("/hasty/1", "a").status());
+      assertEquals(504, caller.exchange("/hasty/1", "a").status());
       assertReset(silent);
     }
   }
@@ -62,12 +62,12 @@
   @Test
   void aRequestAtATargetThatHasStartedAgain() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
-    try (ForwardingBed bed = ForwardingBed.open(silent);
+    try (ForwardingFixture bed = ForwardingFixture.open(silent);
         Caller caller = bed.caller()) {
-      bed.onLoop(() -> bed.forwarder.put(born(silent, 1)));
-      caller.post("/once/1", "a", "bid");
-      assertTrue(silent.first.await(1, TimeUnit.MINUTES));
-      bed.onLoop(() -> bed.forwarder.put(born(silent, LATER)));
+      bed.onLoop(() -> bed.forwarder.updateTarget(born(silent, 1)));
+      caller.sendPost("/once/1", "a", "bid");
+      assertTrue(silent.firstRequest.await(1, TimeUnit.MINUTES));
+      bed.onLoop(() -> bed.forwarder.updateTarget(born(silent, LATER)));
       assertReset(silent);
     }
   }
@@ -76,11 +76,11 @@
   @Test
   void aRequestThatAStopOutlives() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
-    try (ForwardingBed bed = ForwardingBed.open(silent);
+    try (ForwardingFixture bed = ForwardingFixture.open(silent);
         Caller caller = bed.caller()) {
-      caller.post("/once/1", "a", "bid");
-      assertTrue(silent.first.await(1, TimeUnit.MINUTES));
-      bed.onLoop(bed.forwarder::withdrawAll);
+      caller.sendPost("/once/1", "a", "bid");
+      assertTrue(silent.firstRequest.await(1, TimeUnit.MINUTES));
+      bed.onLoop(bed.forwarder::abandonAll);
       assertReset(silent);
     }
   }
@@ -88,13 +88,13 @@
   /** A connection without a request is closed in the ordinary way. */
   @Test
   void anIdleConnectionIsClosedInOrder() throws Exception {
-    ScriptedTarget target = ScriptedTarget.of(request -> request.answer("done"));
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    ScriptedTarget target = ScriptedTarget.of(request -> request.respond("done"));
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
-      bed.onLoop(() -> bed.forwarder.put(born(target, 1)));
-      assertEquals("done", caller.ask("/safe/1", "a").body());
-      bed.onLoop(() -> bed.forwarder.put(born(target, LATER)));
-      assertEquals("closed", target.ends.poll(1, TimeUnit.MINUTES));
+      bed.onLoop(() -> bed.forwarder.updateTarget(born(target, 1)));
+      assertEquals("done", caller.exchange("/safe/1", "a").body());
+      bed.onLoop(() -> bed.forwarder.updateTarget(born(target, LATER)));
+      assertEquals("closed", target.connectionEnds.poll(1, TimeUnit.MINUTES));
     }
   }
 
--- a/sageladder-forward/src/test/java/org/sageladder/forward/ApiKeysOnThePathTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ApiKeyForwardingTest.java
@@ -10,39 +10,39 @@
 import org.sageladder.core.routing.ApiKeys;
 import org.sageladder.core.routing.Quota;
 import org.sageladder.core.routing.Workspace;
-import org.sageladder.forward.ForwardingBed.Caller;
+import org.sageladder.forward.ForwardingFixture.Caller;
 
 /** A caller's API key: looked up here, and shown to no target. */
-class ApiKeysOnThePathTest {
+class ApiKeyForwardingTest {
   private static ApiKeys keys(String... held) {
     Workspace choir = new Workspace("choir", OptionalInt.empty(), Quota.unlimited(), Set.of());
     return ApiKeys.builder().add(choir, List.of(held)).build();
   }
 
-  private static ForwardingBed bed(ScriptedTarget target) throws Exception {
-    ForwardingBed bed = ForwardingBed.open(target);
-    bed.onLoop(() -> bed.forwarder.follow(ForwardingBed.rules(2, keys("k1", "k2"))));
+  private static ForwardingFixture bed(ScriptedTarget target) throws Exception {
+    ForwardingFixture bed = ForwardingFixture.open(target);
+    bed.onLoop(() -> bed.forwarder.applyRules(ForwardingFixture.rules(2, keys("k1", "k2"))));
     return bed;
   }
 
   private static int status(Caller caller, String path, String headers) throws Exception {
     caller.write("GET " + path + " HTTP/1.1\r\nHost: h\r\nId: a\r\n" + headers + "\r\n");
-    return caller.read().status();
+    return caller.readResponse().status();
   }
 
   private static ScriptedTarget echo() throws Exception {
-    return ScriptedTarget.of(request -> request.answer(request.path()));
+    return ScriptedTarget.of(request -> request.respond(request.path()));
   }
 
   /** Guards against a key that reaches a target: whoever runs it could act for the workspace. */
   @Test
   void targetIsToldTheWorkspaceAndNeverTheKey() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingBed bed = bed(target);
+    try (ForwardingFixture bed = bed(target);
         Caller caller = bed.caller()) {
       assertEquals(200, status(caller, "/safe/1", "key: k1\r\nWorkspace: other\r\n"));
       assertEquals(200, status(caller, "/safe/1", "KEY: k2\r\nConnection: workspace\r\n"));
-      for (ScriptedTarget.Received seen : target.received) {
+      for (ScriptedTarget.ReceivedRequest seen : target.receivedRequests) {
         assertEquals("choir", seen.header("Workspace"));
         assertEquals("", seen.header("Key"));
       }
@@ -52,13 +52,13 @@
   @Test
   void missingDoubledOrUnknownKeyIsRefusedAndTheConnectionGoesOn() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingBed bed = bed(target);
+    try (ForwardingFixture bed = bed(target);
         Caller caller = bed.caller()) {
       assertEquals(401, status(caller, "/safe/1", ""));
       assertEquals(401, status(caller, "/safe/1", "Key: k9\r\n"));
       assertEquals(401, status(caller, "/safe/1", "Key: k1\r\nKey: k2\r\n"));
       assertEquals(200, status(caller, "/safe/1", "Key: k1\r\n"));
-      assertEquals(1, target.received.size());
+      assertEquals(1, target.receivedRequests.size());
     }
   }
 
@@ -66,13 +66,13 @@
   @Test
   void anonymousRouteNeedsNoKeyButHidesWhatTheCallerClaims() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingBed bed = bed(target);
+    try (ForwardingFixture bed = bed(target);
         Caller caller = bed.caller()) {
       assertEquals(200, status(caller, "/open/1", "Workspace: choir\r\n"));
-      assertEquals("", target.received.get(0).header("Workspace"));
+      assertEquals("", target.receivedRequests.get(0).header("Workspace"));
       assertEquals(200, status(caller, "/open/1", "Key: k1\r\n"));
-      assertEquals("choir", target.received.get(1).header("Workspace"));
-      assertEquals("", target.received.get(1).header("Key"));
+      assertEquals("choir", target.receivedRequests.get(1).header("Workspace"));
+      assertEquals("", target.receivedRequests.get(1).header("Key"));
       assertEquals(401, status(caller, "/open/1", "Key: k9\r\n"));
     }
   }
@@ -81,10 +81,10 @@
   @Test
   void keyTakenAwayIsRefusedOnAKeptConnection() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingBed bed = bed(target);
+    try (ForwardingFixture bed = bed(target);
         Caller caller = bed.caller()) {
       assertEquals(200, status(caller, "/safe/1", "Key: k1\r\n"));
-      bed.onLoop(() -> bed.forwarder.follow(ForwardingBed.rules(3, keys("k2"))));
+      bed.onLoop(() -> bed.forwarder.applyRules(ForwardingFixture.rules(3, keys("k2"))));
       assertEquals(401, status(caller, "/safe/1", "Key: k1\r\n"));
       assertEquals(200, status(caller, "/safe/1", "Key: k2\r\n"));
     }
@@ -93,11 +93,12 @@
   /** Guards against a request sent again by a key that was taken away after its first sending. */
   @Test
   void keyTakenAwayIsNotSentAgain() throws Exception {
-    ForwardingBed[] opened = new ForwardingBed[1];
+    ForwardingFixture[] opened = new ForwardingFixture[1];
     ScriptedTarget.Script refuse =
         request -> {
           try {
-            opened[0].onLoop(() -> opened[0].forwarder.follow(ForwardingBed.rules(3, keys("k2"))));
+            opened[0].onLoop(
+                () -> opened[0].forwarder.applyRules(ForwardingFixture.rules(3, keys("k2"))));
           } catch (Exception e) {
             throw new IllegalStateException(e);
           }
@@ -108,13 +109,13 @@
         };
     ScriptedTarget one = ScriptedTarget.of(refuse);
     ScriptedTarget two = ScriptedTarget.of(refuse);
-    try (ForwardingBed bed = ForwardingBed.open(one, two)) {
+    try (ForwardingFixture bed = ForwardingFixture.open(one, two)) {
       opened[0] = bed;
-      bed.onLoop(() -> bed.forwarder.follow(ForwardingBed.rules(2, keys("k1"))));
+      bed.onLoop(() -> bed.forwarder.applyRules(ForwardingFixture.rules(2, keys("k1"))));
       try (Caller caller = bed.caller()) {
         assertEquals(401, status(caller, "/safe/1", "Key: k1\r\n"));
       }
-      assertEquals(1, one.received.size() + two.received.size());
+      assertEquals(1, one.receivedRequests.size() + two.receivedRequests.size());
     }
   }
 
@@ -122,11 +123,11 @@
   @Test
   void unknownKeyAtAVmOutOfContactMayComeBackElsewhere() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingBed bed = bed(target);
+    try (ForwardingFixture bed = bed(target);
         Caller caller = bed.caller()) {
-      bed.onLoop(() -> bed.forwarder.mayMissRules(() -> true));
+      bed.onLoop(() -> bed.forwarder.setStaleRulesCheck(() -> true));
       caller.write("GET /safe/1 HTTP/1.1\r\nHost: h\r\nId: a\r\nKey: k9\r\n\r\n");
-      ForwardingBed.Answer answer = caller.read();
+      ForwardingFixture.Response answer = caller.readResponse();
       assertEquals(503, answer.status());
       assertFalse(answer.header("Retry-After").isEmpty());
     }
@@ -135,10 +136,10 @@
   @Test
   void withoutWorkspacesTheHeadersAreTheTargetsOwn() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
       assertEquals(200, status(caller, "/safe/1", "Key: of the target\r\n"));
-      assertEquals("of the target", target.received.get(0).header("Key"));
+      assertEquals("of the target", target.receivedRequests.get(0).header("Key"));
     }
   }
 }
