--- a/sageladder-forward/src/test/java/org/sageladder/forward/AtMostOnceTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/AtMostOnceTest.java
@@ -6,12 +6,12 @@
 
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import org.sageladder.forward.ForwardingBed.Answer;
-import org.sageladder.forward.ForwardingBed.Caller;
+import org.sageladder.forward.ForwardingFixture.Caller;
+import org.sageladder.forward.ForwardingFixture.Response;
 
 /** Requests that must not repeat run once at most, and "not run" is true. */
 class AtMostOnceTest {
-  private static void refuse(ScriptedTarget.Received request) throws java.io.IOException {
+  private static void refuse(ScriptedTarget.ReceivedRequest request) throws java.io.IOException {
     request.write(
         "HTTP/1.1 503 Busy\r\nId: "
             + request.header("Id")
@@ -21,7 +21,7 @@
   private static int received(ScriptedTarget... targets) {
     int all = 0;
     for (ScriptedTarget target : targets) {
-      all += target.received.size();
+      all += target.receivedRequests.size();
     }
     return all;
   }
@@ -32,12 +32,12 @@
    */
   @Test
   void aLostBidIsNeitherRepeatedNorCalledNotRun() throws Exception {
-    ScriptedTarget one = ScriptedTarget.of(ScriptedTarget.Received::reset);
-    ScriptedTarget two = ScriptedTarget.of(ScriptedTarget.Received::reset);
-    try (ForwardingBed bed = ForwardingBed.open(one, two);
+    ScriptedTarget one = ScriptedTarget.of(ScriptedTarget.ReceivedRequest::reset);
+    ScriptedTarget two = ScriptedTarget.of(ScriptedTarget.ReceivedRequest::reset);
+    try (ForwardingFixture bed = ForwardingFixture.open(one, two);
         Caller caller = bed.caller()) {
-      caller.post("/once/1", "a", "bid");
-      assertEquals(502, caller.read().status());
+      caller.sendPost("/once/1", "a", "bid");
+      assertEquals(502, caller.readResponse().status());
       assertEquals(1, received(one, two));
     }
   }
@@ -48,15 +48,15 @@
   @Test
   void aRefusedBidGoesToAnotherTarget() throws Exception {
     ScriptedTarget full = ScriptedTarget.of(AtMostOnceTest::refuse);
-    ScriptedTarget free = ScriptedTarget.of(request -> request.answer(request.body()));
-    try (ForwardingBed bed = ForwardingBed.open(full, free)) {
+    ScriptedTarget free = ScriptedTarget.of(request -> request.respond(request.body()));
+    try (ForwardingFixture bed = ForwardingFixture.open(full, free)) {
       for (int i = 0; i < 4; i++) {
         try (Caller caller = bed.caller()) {
-          caller.post("/once/" + i, "id-" + i, "bid " + i);
-          assertEquals("bid " + i, caller.read().body());
+          caller.sendPost("/once/" + i, "id-" + i, "bid " + i);
+          assertEquals("bid " + i, caller.readResponse().body());
         }
       }
-      assertEquals(4, free.received.size());
+      assertEquals(4, free.receivedRequests.size());
     }
   }
 
@@ -65,10 +65,10 @@
   void aBidRefusedEverywhereIsNotRunAndToldWhenToComeBack() throws Exception {
     ScriptedTarget one = ScriptedTarget.of(AtMostOnceTest::refuse);
     ScriptedTarget two = ScriptedTarget.of(AtMostOnceTest::refuse);
-    try (ForwardingBed bed = ForwardingBed.open(one, two);
+    try (ForwardingFixture bed = ForwardingFixture.open(one, two);
         Caller caller = bed.caller()) {
-      caller.post("/once/1", "a", "bid");
-      Answer answer = caller.read();
+      caller.sendPost("/once/1", "a", "bid");
+      Response answer = caller.readResponse();
       assertEquals(503, answer.status());
       assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
       assertEquals("a", answer.header("Id"));
@@ -91,12 +91,12 @@
         };
     ScriptedTarget one = ScriptedTarget.of(script);
     ScriptedTarget two = ScriptedTarget.of(script);
-    try (ForwardingBed bed = ForwardingBed.open(one, two)) {
+    try (ForwardingFixture bed = ForwardingFixture.open(one, two)) {
       for (int i = 0; i < 6; i++) {
-        int lostBefore = one.received.size();
+        int lostBefore = one.receivedRequests.size();
         try (Caller caller = bed.caller()) {
-          int status = caller.ask("/safe/1", "id-" + i).status();
-          boolean lost = one.received.size() > lostBefore;
+          int status = caller.exchange("/safe/1", "id-" + i).status();
+          boolean lost = one.receivedRequests.size() > lostBefore;
           assertEquals(lost ? 502 : 503, status);
         }
       }
@@ -108,13 +108,13 @@
   void anAddressThatIsAnotherTargetsIsForgotten() throws Exception {
     ScriptedTarget moved =
         ScriptedTarget.of(request -> request.write("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"));
-    try (ForwardingBed bed = ForwardingBed.open(moved);
+    try (ForwardingFixture bed = ForwardingFixture.open(moved);
         Caller caller = bed.caller()) {
-      caller.post("/once/1", "a", "bid");
-      assertEquals(503, caller.read().status());
-      caller.post("/once/1", "b", "bid");
-      assertEquals(503, caller.read().status());
-      assertEquals(1, moved.received.size());
+      caller.sendPost("/once/1", "a", "bid");
+      assertEquals(503, caller.readResponse().status());
+      caller.sendPost("/once/1", "b", "bid");
+      assertEquals(503, caller.readResponse().status());
+      assertEquals(1, moved.receivedRequests.size());
     }
   }
 
@@ -122,12 +122,12 @@
   @Test
   void aCallerThatLeavesEndsItsWorkAtTheTarget() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> {});
-    try (ForwardingBed bed = ForwardingBed.open(target)) {
+    try (ForwardingFixture bed = ForwardingFixture.open(target)) {
       try (Caller caller = bed.caller()) {
-        caller.get("/safe/1", "a");
-        assertTrue(target.first.await(60, TimeUnit.SECONDS));
+        caller.sendGet("/safe/1", "a");
+        assertTrue(target.firstRequest.await(60, TimeUnit.SECONDS));
       }
-      assertEquals("Connection reset", target.ends.poll(60, TimeUnit.SECONDS));
+      assertEquals("Connection reset", target.connectionEnds.poll(60, TimeUnit.SECONDS));
     }
   }
 
@@ -135,75 +135,80 @@
   @Test
   void theRoutesTimeoutIsAnswered() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> {});
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
-      assertEquals(504, caller.ask("/hasty/1", "a").status());
-      assertEquals("Connection reset", target.ends.poll(60, TimeUnit.SECONDS));
+      assertEquals(504, caller.exchange("/hasty/1", "a").status());
+      assertEquals("Connection reset", target.connectionEnds.poll(60, TimeUnit.SECONDS));
     }
   }
 
   /** What a target is told of the time never exceeds what the caller and the route leave. */
   @Test
   void theTimeLeftIsPassedOn() throws Exception {
-    ScriptedTarget target = ScriptedTarget.of(request -> request.answer(request.header("Wait")));
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    ScriptedTarget target = ScriptedTarget.of(request -> request.respond(request.header("Wait")));
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
       caller.write("GET /safe/1 HTTP/1.1\r\nHost: h\r\nId: a\r\nWait: 5000\r\n\r\n");
-      assertTrue(Long.parseLong(caller.read().body()) <= 5_000);
-      assertTrue(Long.parseLong(caller.ask("/hasty/1", "b").body()) <= 300);
+      assertTrue(Long.parseLong(caller.readResponse().body()) <= 5_000);
+      assertTrue(Long.parseLong(caller.exchange("/hasty/1", "b").body()) <= 300);
     }
   }
 
   /** Heads that a target might read otherwise are refused before anything is sent. */
   @Test
   void headsThatCanBeReadInTwoWaysAreRefused() throws Exception {
-    ScriptedTarget target = ScriptedTarget.of(request -> request.answer("ran"));
+    ScriptedTarget target = ScriptedTarget.of(request -> request.respond("ran"));
     String[] heads = {
       "GET /safe/1 HTTP/1.1\r\nHost: h\r\nHost: g\r\nId: a\r\n\r\n",
       "GET /safe/1 HTTP/1.1\r\nId: a\r\n\r\n",
       "GET /safe/1 HTTP/1.1\r\nHost: h\r\n\r\n",
-      "POST /safe/1 HTTP/1.1\r\nHost: h\r\nId: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc",
+      "POST /safe/1 HTTP/1.1\r\n"
+          + "Host: h\r\n"
+          + "Id: a\r\n"
+          + "Content-Length: 3\r\n"
+          + "Content-Length: 4\r\n\r\n"
+          + "abc",
       "POST /safe/1 HTTP/1.1\r\nHost: h\r\nId: a\r\nTransfer-Encoding: gzip\r\n\r\n",
       "POST /safe/1 HTTP/1.1\r\nHost: h\r\nId: a\r\nContent-Length: x\r\n\r\n",
       "nonsense\r\n\r\n"
     };
-    try (ForwardingBed bed = ForwardingBed.open(target)) {
+    try (ForwardingFixture bed = ForwardingFixture.open(target)) {
       for (String head : heads) {
         try (Caller caller = bed.caller()) {
           caller.write(head);
-          assertEquals(400, caller.read().status(), head);
+          assertEquals(400, caller.readResponse().status(), head);
           assertTrue(caller.isAtEnd(), head);
         }
       }
       try (Caller caller = bed.caller()) {
         caller.write("GET /safe/" + "x".repeat(5_000) + " HTTP/1.1\r\nHost: h\r\nId: a\r\n\r\n");
-        assertEquals(431, caller.read().status());
+        assertEquals(431, caller.readResponse().status());
       }
-      assertEquals(0, target.received.size());
+      assertEquals(0, target.receivedRequests.size());
     }
   }
 
   /** 404 says that there is no such route, which only a VM that knows the routes can say. */
   @Test
   void unknownRoutesAre404OnceAConfigurationIsKnown() throws Exception {
-    try (ForwardingBed bed = ForwardingBed.unconfigured();
+    try (ForwardingFixture bed = ForwardingFixture.unconfigured();
         Caller caller = bed.caller()) {
-      Answer early = caller.ask("/none/1", "a");
+      Response early = caller.exchange("/none/1", "a");
       assertEquals(503, early.status());
       assertFalse(early.header("Retry-After").isEmpty());
-      bed.onLoop(() -> bed.forwarder.follow(ForwardingBed.rules(1)));
-      assertEquals(404, caller.ask("/none/1", "b").status());
+      bed.onLoop(() -> bed.forwarder.applyRules(ForwardingFixture.rules(1)));
+      assertEquals(404, caller.exchange("/none/1", "b").status());
     }
   }
 
   /** A configuration that comes late does not undo a newer one. */
   @Test
   void anOlderConfigurationHasNoEffect() throws Exception {
-    try (ForwardingBed bed = ForwardingBed.open()) {
+    try (ForwardingFixture bed = ForwardingFixture.open()) {
       bed.onLoop(
           () -> {
-            assertTrue(bed.forwarder.follow(ForwardingBed.rules(5)));
-            assertFalse(bed.forwarder.follow(ForwardingBed.rules(4)));
+            assertTrue(bed.forwarder.applyRules(ForwardingFixture.rules(5)));
+            assertFalse(bed.forwarder.applyRules(ForwardingFixture.rules(4)));
           });
     }
   }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/CrashWatchTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/CrashDetectorTest.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.quarantine.CrashReport;
-import org.sageladder.forward.ForwardingBed.Caller;
+import org.sageladder.forward.ForwardingFixture.Caller;
 
 /** Requests that crash their targets. */
-class CrashWatchTest {
+class CrashDetectorTest {
   /** A target that is gone, port and all, as soon as it has read a request for {@code /bad}. */
   private static ScriptedTarget fragile() throws Exception {
     ScriptedTarget[] self = new ScriptedTarget[1];
@@ -25,7 +25,7 @@
                 request.reset();
                 return;
               }
-              request.answer("fine");
+              request.respond("fine");
             });
     return self[0];
   }
@@ -37,19 +37,20 @@
   @Test
   void aRequestThatCrashedTwoTargetsReachesNoThird() throws Exception {
     ScriptedTarget[] targets = {fragile(), fragile(), fragile(), fragile()};
-    try (ForwardingBed bed = ForwardingBed.open(targets)) {
+    try (ForwardingFixture bed = ForwardingFixture.open(targets)) {
       BlockingQueue<CrashReport> told = new LinkedBlockingQueue<>();
-      bed.onLoop(() -> bed.forwarder.tellCrashesBy(told::add));
+      bed.onLoop(() -> bed.forwarder.publishCrashesTo(told::add));
       try (Caller caller = bed.caller()) {
-        assertEquals(502, caller.ask("/safe/bad", "a").status());
+        assertEquals(502, caller.exchange("/safe/bad", "a").status());
       }
       CrashReport second = told.poll(60, TimeUnit.SECONDS);
       assertTrue(second != null, "the second crash is told to the other entry VMs");
       try (Caller caller = bed.caller()) {
-        assertEquals(503, caller.ask("/safe/bad", "b").status());
-        assertEquals(200, caller.ask("/safe/good", "c").status());
+        assertEquals(503, caller.exchange("/safe/bad", "b").status());
+        assertEquals(200, caller.exchange("/safe/good", "c").status());
       }
-      long crashed = List.of(targets).stream().filter(target -> !target.received.isEmpty()).count();
+      long crashed =
+          List.of(targets).stream().filter(target -> !target.receivedRequests.isEmpty()).count();
       assertTrue(crashed <= 3, "two crashed and one served, but " + crashed + " were reached");
     }
   }
@@ -58,24 +59,25 @@
   @Test
   void crashesToldByOthersCount() throws Exception {
     ScriptedTarget target = fragile();
-    try (ForwardingBed bed = ForwardingBed.open(target)) {
+    try (ForwardingFixture bed = ForwardingFixture.open(target)) {
       BlockingQueue<CrashReport> told = new LinkedBlockingQueue<>();
-      bed.onLoop(() -> bed.forwarder.tellCrashesBy(told::add));
+      bed.onLoop(() -> bed.forwarder.publishCrashesTo(told::add));
       try (Caller caller = bed.caller()) {
-        caller.post("/once/bad", "a", "x");
-        assertEquals(502, caller.read().status());
+        caller.sendPost("/once/bad", "a", "x");
+        assertEquals(502, caller.readResponse().status());
       }
       CrashReport first = told.poll(60, TimeUnit.SECONDS);
       assertTrue(first != null, "the crash is told, since its caller may go to another entry VM");
       Set<Long> same = first.fingerprints();
       ScriptedTarget next = fragile();
       bed.add(next);
-      bed.onLoop(() -> bed.forwarder.crashTold(new CrashReport("t-9", 1, first.atMillis(), same)));
+      bed.onLoop(
+          () -> bed.forwarder.onCrashReport(new CrashReport("t-9", 1, first.atMillis(), same)));
       try (Caller caller = bed.caller()) {
-        caller.post("/once/bad", "b", "x");
-        assertEquals(503, caller.read().status());
+        caller.sendPost("/once/bad", "b", "x");
+        assertEquals(503, caller.readResponse().status());
       }
-      assertEquals(0, next.received.size());
+      assertEquals(0, next.receivedRequests.size());
     }
   }
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/ForwardingBed.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ForwardingFixture.java
@@ -23,7 +23,7 @@
 import org.sageladder.core.routing.ServiceShare;
 
 /** A forwarder on a port of its own, with scripted targets. */
-final class ForwardingBed implements AutoCloseable {
+final class ForwardingFixture implements AutoCloseable {
   static final CallerLimits LIMITS = new CallerLimits(2_048, 1 << 20, 60_000, 60_000);
 
   final Loop loop = Loop.start();
@@ -31,17 +31,17 @@
   final Forwarder forwarder =
       Forwarder.create(
           loop,
-          new PlainDialect(),
-          new Forwarder.Identity(
+          new TestDialect(),
+          new Forwarder.Options(
               "e-1", "z", "r", 1, 1.5, 5, 1, 100, 10_000, 1, QuotaTolerance.exact(), 3_000, true),
           EventSink.none(),
           metrics);
   private final List<ScriptedTarget> targets = new ArrayList<>();
   private final int port;
 
-  private ForwardingBed() throws Exception {
+  private ForwardingFixture() throws Exception {
     CompletableFuture<Integer> opened = new CompletableFuture<>();
-    loop.run(
+    loop.execute(
         () ->
             forwarder.listen(
                 "127.0.0.1",
@@ -54,9 +54,9 @@
   /**
    * A bed whose routes are {@code /safe/}, {@code /once/} and {@code /hasty/} of host {@code h}.
    */
-  static ForwardingBed open(ScriptedTarget... targets) throws Exception {
-    ForwardingBed bed = new ForwardingBed();
-    bed.onLoop(() -> bed.forwarder.follow(rules(1)));
+  static ForwardingFixture open(ScriptedTarget... targets) throws Exception {
+    ForwardingFixture bed = new ForwardingFixture();
+    bed.onLoop(() -> bed.forwarder.applyRules(rules(1)));
     for (ScriptedTarget target : targets) {
       bed.add(target);
     }
@@ -64,8 +64,8 @@
   }
 
   /** A bed that knows no configuration. */
-  static ForwardingBed unconfigured() throws Exception {
-    return new ForwardingBed();
+  static ForwardingFixture unconfigured() throws Exception {
+    return new ForwardingFixture();
   }
 
   void add(ScriptedTarget target) throws Exception {
@@ -84,14 +84,14 @@
             0);
     onLoop(
         () -> {
-          forwarder.put(facts);
-          forwarder.entries(List.of(new EntryVmLocation("e-1", "z", "r")));
+          forwarder.updateTarget(facts);
+          forwarder.updateEntries(List.of(new EntryVmLocation("e-1", "z", "r")));
         });
   }
 
   void onLoop(Runnable task) throws Exception {
     CompletableFuture<Void> done = new CompletableFuture<>();
-    loop.run(
+    loop.execute(
         () -> {
           task.run();
           done.complete(null);
@@ -158,7 +158,7 @@
   }
 
   /** An answer as a caller reads it. */
-  record Answer(int status, String head, String body) {
+  record Response(int status, String head, String body) {
     String header(String name) {
       return head.lines()
           .filter(line -> line.regionMatches(true, 0, name + ":", 0, name.length() + 1))
@@ -183,11 +183,11 @@
       socket.getOutputStream().flush();
     }
 
-    void get(String path, String id) throws IOException {
+    void sendGet(String path, String id) throws IOException {
       write("GET " + path + " HTTP/1.1\r\nHost: h\r\nId: " + id + "\r\nObject: o\r\n\r\n");
     }
 
-    void post(String path, String id, String body) throws IOException {
+    void sendPost(String path, String id, String body) throws IOException {
       write(
           "POST "
               + path
@@ -199,12 +199,12 @@
               + body);
     }
 
-    Answer ask(String path, String id) throws IOException {
-      get(path, id);
-      return read();
+    Response exchange(String path, String id) throws IOException {
+      sendGet(path, id);
+      return readResponse();
     }
 
-    Answer read() throws IOException {
+    Response readResponse() throws IOException {
       StringBuilder head = new StringBuilder();
       while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
         int read = in.read();
@@ -213,13 +213,14 @@
         }
         head.append((char) read);
       }
-      Answer bare = new Answer(Integer.parseInt(head.substring(9, 12)), head.toString(), "");
+      Response bare = new Response(Integer.parseInt(head.substring(9, 12)), head.toString(), "");
       int length = Integer.parseInt(bare.header("content-length"));
       byte[] body = in.readNBytes(length);
       if (body.length < length) {
         throw new IOException("the body ended after " + body.length + " of " + length);
       }
-      return new Answer(bare.status(), bare.head(), new String(body, StandardCharsets.ISO_8859_1));
+      return new Response(
+          bare.status(), bare.head(), new String(body, StandardCharsets.ISO_8859_1));
     }
 
     /** True where the connection ends without another byte. */
--- a/sageladder-forward/src/test/java/org/sageladder/forward/LineLogTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/JsonLineLogTest.java
@@ -14,8 +14,8 @@
 import org.sageladder.core.time.VirtualTime;
 
 /** Log lines: bounded, whole, never in the way. */
-class LineLogTest {
-  private static void lines(LineLog log, int count) {
+class JsonLineLogTest {
+  private static void lines(JsonLineLog log, int count) {
     for (int i = 0; i < count; i++) {
       log.record(EventKind.ANSWERED, "r-" + i, "route", "t-1", 7, "status 200, \"quoted\"");
     }
@@ -39,7 +39,7 @@
             pieces.add(bytes);
           }
         };
-    LineLog log = LineLog.to(out, "e-1", VirtualTime.startingAt(5));
+    JsonLineLog log = JsonLineLog.to(out, "e-1", VirtualTime.startingAt(5));
     lines(log, 300);
     log.close();
     int newLines = 0;
@@ -73,10 +73,10 @@
             read.writeBytes(bytes);
           }
         };
-    LineLog log = LineLog.to(stuck, "e-1", VirtualTime.startingAt(5));
+    JsonLineLog log = JsonLineLog.to(stuck, "e-1", VirtualTime.startingAt(5));
     lines(log, 20_000);
-    assertTrue(log.leftOut() > 0, "a queue without bound");
-    assertTrue(log.leftOut() < 20_000);
+    assertTrue(log.droppedLineCount() > 0, "a queue without bound");
+    assertTrue(log.droppedLineCount() < 20_000);
     reading.countDown();
     log.close();
   }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/QuotaOnThePathTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/QuotaForwardingTest.java
@@ -10,14 +10,14 @@
 import org.sageladder.core.routing.ApiKeys;
 import org.sageladder.core.routing.Quota;
 import org.sageladder.core.routing.Workspace;
-import org.sageladder.forward.ForwardingBed.Caller;
+import org.sageladder.forward.ForwardingFixture.Caller;
 
 /** A workspace's quota on one entry VM. */
-class QuotaOnThePathTest {
+class QuotaForwardingTest {
   /** A token in a thousand seconds: none is added while a test runs. */
   private static final Quota TWO = new Quota(0.001, 2);
 
-  private static ForwardingBed bed(ScriptedTarget... targets) throws Exception {
+  private static ForwardingFixture bed(ScriptedTarget... targets) throws Exception {
     ApiKeys keys =
         ApiKeys.builder()
             .add(new Workspace("choir", OptionalInt.empty(), TWO, Set.of()), List.of("k1"))
@@ -25,28 +25,29 @@
                 new Workspace("museum", OptionalInt.empty(), Quota.unlimited(), Set.of()),
                 List.of("k2"))
             .build();
-    ForwardingBed bed = ForwardingBed.open(targets);
-    bed.onLoop(() -> bed.forwarder.follow(ForwardingBed.rules(2, keys)));
+    ForwardingFixture bed = ForwardingFixture.open(targets);
+    bed.onLoop(() -> bed.forwarder.applyRules(ForwardingFixture.rules(2, keys)));
     return bed;
   }
 
-  private static ForwardingBed.Answer ask(Caller caller, String path, String key) throws Exception {
+  private static ForwardingFixture.Response ask(Caller caller, String path, String key)
+      throws Exception {
     caller.write("GET " + path + " HTTP/1.1\r\nHost: h\r\nId: a\r\nKey: " + key + "\r\n\r\n");
-    return caller.read();
+    return caller.readResponse();
   }
 
   @Test
   void requestBeyondTheQuotaIsRefusedAtOnceAndOthersGoOn() throws Exception {
-    ScriptedTarget target = ScriptedTarget.of(request -> request.answer("song"));
-    try (ForwardingBed bed = bed(target);
+    ScriptedTarget target = ScriptedTarget.of(request -> request.respond("song"));
+    try (ForwardingFixture bed = bed(target);
         Caller caller = bed.caller()) {
       assertEquals(200, ask(caller, "/safe/1", "k1").status());
       assertEquals(200, ask(caller, "/safe/2", "k1").status());
-      ForwardingBed.Answer refused = ask(caller, "/safe/3", "k1");
+      ForwardingFixture.Response refused = ask(caller, "/safe/3", "k1");
       assertEquals(429, refused.status());
       assertFalse(refused.header("Retry-After").isEmpty());
       assertEquals(200, ask(caller, "/safe/4", "k2").status());
-      assertEquals(3, target.received.size());
+      assertEquals(3, target.receivedRequests.size());
     }
   }
 
@@ -60,7 +61,7 @@
                     "HTTP/1.1 503 Busy\r\nId: "
                         + request.header("Id")
                         + "\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"));
-    try (ForwardingBed bed = bed(full);
+    try (ForwardingFixture bed = bed(full);
         Caller caller = bed.caller()) {
       for (int i = 0; i < 5; i++) {
         assertEquals(503, ask(caller, "/safe/" + i, "k1").status());
--- a/sageladder-forward/src/test/java/org/sageladder/forward/RequestLogTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/RequestLogTest.java
@@ -37,12 +37,12 @@
     assertEquals(
         "TOO_LATE at t-1: expected 1040 + 1500 ms by 0 runs, load 4.1 of 3 slots held 420 ms, 980"
             + " left,",
-        log.refusal(refuse, 980));
+        log.recordRefusal(refuse, 980));
     assertTrue(metrics.text().contains("sageladder_no_target_too_late 1"), metrics.text());
   }
 
   @Test
   void aRefusalWithoutATargetNamesItsReason() {
-    assertEquals("ALL_COLD", log.refusal(new Refuse(Reason.ALL_COLD, 100, null), 980));
+    assertEquals("ALL_COLD", log.recordRefusal(new Refuse(Reason.ALL_COLD, 100, null), 980));
   }
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/WholeAnswersTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ResponseIntegrityTest.java
@@ -7,11 +7,11 @@
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
-import org.sageladder.forward.ForwardingBed.Answer;
-import org.sageladder.forward.ForwardingBed.Caller;
+import org.sageladder.forward.ForwardingFixture.Caller;
+import org.sageladder.forward.ForwardingFixture.Response;
 
 /** Each caller gets the whole answer to its own request, or none that looks like it. */
-class WholeAnswersTest {
+class ResponseIntegrityTest {
   /**
    * A collector sees another lot's page: a target sent a second answer late, on a kept connection,
    * just where the next request's answer is due. The id in the answer tells them apart.
@@ -21,16 +21,16 @@
     ScriptedTarget target =
         ScriptedTarget.of(
             request -> {
-              if (request.onConnection() > 1) {
-                request.write(ScriptedTarget.whole("a", "late"));
+              if (request.indexOnConnection() > 1) {
+                request.write(ScriptedTarget.okResponse("a", "late"));
               }
-              request.answer("for " + request.header("Id"));
+              request.respond("for " + request.header("Id"));
             });
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
-      assertEquals("for a", caller.ask("/safe/1", "a").body());
-      assertEquals("for b", caller.ask("/safe/1", "b").body());
-      assertEquals("for c", caller.ask("/safe/1", "c").body());
+      assertEquals("for a", caller.exchange("/safe/1", "a").body());
+      assertEquals("for b", caller.exchange("/safe/1", "b").body());
+      assertEquals("for c", caller.exchange("/safe/1", "c").body());
     }
   }
 
@@ -48,9 +48,9 @@
               Thread.sleep(100);
               request.reset();
             });
-    try (ForwardingBed bed = ForwardingBed.open(breaking);
+    try (ForwardingFixture bed = ForwardingFixture.open(breaking);
         Caller caller = bed.caller()) {
-      assertEquals(502, caller.ask("/safe/1", "a").status());
+      assertEquals(502, caller.exchange("/safe/1", "a").status());
     }
   }
 
@@ -63,9 +63,9 @@
                   "HTTP/1.1 200 OK\r\nId: " + request.header("Id") + "\r\nSeal: s\r\n\r\nall");
               request.connection().close();
             });
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
-      Answer answer = caller.ask("/safe/1", "a");
+      Response answer = caller.exchange("/safe/1", "a");
       assertEquals(200, answer.status());
       assertEquals("all", answer.body());
     }
@@ -81,16 +81,17 @@
         request -> {
           if (broken.getCount() > 0) {
             broken.countDown();
-            request.write(ScriptedTarget.whole(request.header("Id"), "12345678").substring(0, 60));
+            request.write(
+                ScriptedTarget.okResponse(request.header("Id"), "12345678").substring(0, 60));
             request.connection().close();
             return;
           }
-          request.answer("whole");
+          request.respond("whole");
         };
-    try (ForwardingBed bed =
-            ForwardingBed.open(ScriptedTarget.of(script), ScriptedTarget.of(script));
+    try (ForwardingFixture bed =
+            ForwardingFixture.open(ScriptedTarget.of(script), ScriptedTarget.of(script));
         Caller caller = bed.caller()) {
-      assertEquals("whole", caller.ask("/safe/1", "a").body());
+      assertEquals("whole", caller.exchange("/safe/1", "a").body());
     }
   }
 
@@ -100,9 +101,9 @@
     ScriptedTarget target =
         ScriptedTarget.of(
             request -> request.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"));
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
-      assertEquals(502, caller.ask("/once/1", "a").status());
+      assertEquals(502, caller.exchange("/once/1", "a").status());
     }
   }
 
@@ -111,9 +112,9 @@
   void bytesThatAreNoAnswerAreNotPassedOn() throws Exception {
     ScriptedTarget target =
         ScriptedTarget.of(request -> request.write("\u0001\u0002 nonsense\r\n\r\n"));
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
-      assertEquals(502, caller.ask("/once/1", "a").status());
+      assertEquals(502, caller.exchange("/once/1", "a").status());
     }
   }
 
@@ -130,17 +131,17 @@
               if (request.path().endsWith("slow")) {
                 others.await();
               }
-              request.answer(request.path());
+              request.respond(request.path());
               others.countDown();
             });
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
-      caller.get("/safe/slow", "a");
-      caller.get("/safe/2", "b");
-      caller.get("/safe/3", "c");
-      assertEquals("/safe/slow", caller.read().body());
-      assertEquals("/safe/2", caller.read().body());
-      assertEquals("/safe/3", caller.read().body());
+      caller.sendGet("/safe/slow", "a");
+      caller.sendGet("/safe/2", "b");
+      caller.sendGet("/safe/3", "c");
+      assertEquals("/safe/slow", caller.readResponse().body());
+      assertEquals("/safe/2", caller.readResponse().body());
+      assertEquals("/safe/3", caller.readResponse().body());
     }
   }
 
@@ -150,19 +151,19 @@
    */
   @Test
   void anEarlyAnswerToALongBodyEndsTheConnection() throws Exception {
-    ScriptedTarget target = ScriptedTarget.early(request -> request.answer("early"));
-    try (ForwardingBed bed = ForwardingBed.open(target)) {
+    ScriptedTarget target = ScriptedTarget.respondingEarly(request -> request.respond("early"));
+    try (ForwardingFixture bed = ForwardingFixture.open(target)) {
       try (Caller caller = bed.caller()) {
         caller.write(
             "POST /once/1 HTTP/1.1\r\nHost: h\r\nId: a\r\nContent-Length: 900000\r\n\r\n"
                 + "x".repeat(200_000));
-        assertEquals("early", caller.read().body());
+        assertEquals("early", caller.readResponse().body());
         assertTrue(caller.isAtEnd(), "the rest of the body would be read as a request");
       }
       try (Caller next = bed.caller()) {
-        assertEquals("early", next.ask("/safe/1", "b").body());
+        assertEquals("early", next.exchange("/safe/1", "b").body());
       }
-      assertEquals(1, target.received.get(1).onConnection());
+      assertEquals(1, target.receivedRequests.get(1).indexOnConnection());
     }
   }
 
@@ -172,25 +173,25 @@
     ScriptedTarget target =
         ScriptedTarget.of(
             request -> {
-              String whole = ScriptedTarget.whole(request.header("Id"), "x".repeat(2_000_000));
+              String whole = ScriptedTarget.okResponse(request.header("Id"), "x".repeat(2_000_000));
               request.write(whole.substring(0, 1_000_000));
               request.connection().close();
             });
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
-      caller.get("/safe/1", "a");
-      assertThrows(IOException.class, caller::read);
+      caller.sendGet("/safe/1", "a");
+      assertThrows(IOException.class, caller::readResponse);
     }
   }
 
   @Test
   void aLargeAnswerArrivesWhole() throws Exception {
     String body = "0123456789".repeat(300_000);
-    ScriptedTarget target = ScriptedTarget.of(request -> request.answer(body));
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    ScriptedTarget target = ScriptedTarget.of(request -> request.respond(body));
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
-      assertEquals(body, caller.ask("/safe/1", "a").body());
-      assertEquals(body, caller.ask("/safe/1", "b").body());
+      assertEquals(body, caller.exchange("/safe/1", "a").body());
+      assertEquals(body, caller.exchange("/safe/1", "b").body());
     }
   }
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/ScriptedTarget.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ScriptedTarget.java
@@ -17,7 +17,7 @@
 /** A target that does with each request what the test says, byte by byte. */
 final class ScriptedTarget implements AutoCloseable {
   /** One request as it came, and the connection to answer on. */
-  record Received(String head, String body, Socket connection, int onConnection) {
+  record ReceivedRequest(String head, String body, Socket connection, int indexOnConnection) {
     String header(String name) {
       return head.lines()
           .filter(line -> line.regionMatches(true, 0, name + ":", 0, name.length() + 1))
@@ -36,8 +36,8 @@
       out.flush();
     }
 
-    void answer(String body) throws IOException {
-      write(whole(header("Id"), body));
+    void respond(String body) throws IOException {
+      write(okResponse(header("Id"), body));
     }
 
     /** Ends the connection by a reset. */
@@ -50,20 +50,20 @@
   /** What becomes of a request. */
   @FunctionalInterface
   interface Script {
-    void run(Received request) throws IOException, InterruptedException;
+    void run(ReceivedRequest request) throws IOException, InterruptedException;
   }
 
-  private final ServerSocket listening;
+  private final ServerSocket serverSocket;
   private final Script script;
   private final boolean readsBodies;
-  final List<Received> received = new CopyOnWriteArrayList<>();
-  final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
-  final CountDownLatch first = new CountDownLatch(1);
+  final List<ReceivedRequest> receivedRequests = new CopyOnWriteArrayList<>();
+  final BlockingQueue<String> connectionEnds = new LinkedBlockingQueue<>();
+  final CountDownLatch firstRequest = new CountDownLatch(1);
 
   private ScriptedTarget(Script script, boolean readsBodies) throws IOException {
     this.script = script;
     this.readsBodies = readsBodies;
-    this.listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    this.serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     start(this::accept);
   }
 
@@ -72,11 +72,11 @@
   }
 
   /** A target that answers before it has read the body. */
-  static ScriptedTarget early(Script script) throws IOException {
+  static ScriptedTarget respondingEarly(Script script) throws IOException {
     return new ScriptedTarget(script, false);
   }
 
-  static String whole(String id, String body) {
+  static String okResponse(String id, String body) {
     return "HTTP/1.1 200 OK\r\nId: "
         + id
         + "\r\nSeal: s\r\nContent-Length: "
@@ -92,13 +92,13 @@
   }
 
   int port() {
-    return listening.getLocalPort();
+    return serverSocket.getLocalPort();
   }
 
   private void accept() {
-    while (!listening.isClosed()) {
+    while (!serverSocket.isClosed()) {
       try {
-        Socket socket = listening.accept();
+        Socket socket = serverSocket.accept();
         start(() -> serve(socket));
       } catch (IOException ended) {
         return;
@@ -110,31 +110,31 @@
     try (socket) {
       InputStream in = new BufferedInputStream(socket.getInputStream());
       int count = 0;
-      String head = head(in);
+      String head = readHead(in);
       while (!head.isEmpty()) {
         count++;
-        byte[] bytes = readsBodies ? in.readNBytes(length(head)) : new byte[0];
+        byte[] bytes = readsBodies ? in.readNBytes(contentLength(head)) : new byte[0];
         String body = new String(bytes, StandardCharsets.ISO_8859_1);
-        Received request = new Received(head, body, socket, count);
-        received.add(request);
-        first.countDown();
+        ReceivedRequest request = new ReceivedRequest(head, body, socket, count);
+        receivedRequests.add(request);
+        firstRequest.countDown();
         script.run(request);
-        head = head(in);
+        head = readHead(in);
       }
-      ends.add("closed");
+      connectionEnds.add("closed");
     } catch (IOException e) {
-      ends.add(String.valueOf(e.getMessage()));
+      connectionEnds.add(String.valueOf(e.getMessage()));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static int length(String head) {
-    String found = new Received(head, "", new Socket(), 0).header("content-length");
+  private static int contentLength(String head) {
+    String found = new ReceivedRequest(head, "", new Socket(), 0).header("content-length");
     return found.isEmpty() ? 0 : Integer.parseInt(found);
   }
 
-  private static String head(InputStream in) throws IOException {
+  private static String readHead(InputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     int read = in.read();
     while (read >= 0) {
@@ -149,6 +149,6 @@
 
   @Override
   public void close() throws IOException {
-    listening.close();
+    serverSocket.close();
   }
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/LeavingTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ShutdownTest.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import org.sageladder.forward.ForwardingBed.Answer;
-import org.sageladder.forward.ForwardingBed.Caller;
+import org.sageladder.forward.ForwardingFixture.Caller;
+import org.sageladder.forward.ForwardingFixture.Response;
 
 /** An entry VM's planned stop cuts nothing off. */
-class LeavingTest {
+class ShutdownTest {
   /**
    * An auction house sends two pulls at once, then the VM is told to stop. The first answer closed
    * the connection while the second pull was at its target, and the house got nothing for it.
@@ -25,19 +25,19 @@
             request -> {
               both.countDown();
               leaving.await();
-              request.answer(request.header("Id"));
+              request.respond(request.header("Id"));
             });
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
-      caller.get("/safe/1", "a");
-      caller.get("/safe/2", "b");
+      caller.sendGet("/safe/1", "a");
+      caller.sendGet("/safe/2", "b");
       assertTrue(both.await(60, TimeUnit.SECONDS));
-      bed.onLoop(() -> bed.forwarder.leave(60_000));
+      bed.onLoop(() -> bed.forwarder.beginShutdown(60_000));
       leaving.countDown();
-      Answer first = caller.read();
+      Response first = caller.readResponse();
       assertEquals("a", first.body());
       assertEquals("", first.header("Connection"));
-      Answer second = caller.read();
+      Response second = caller.readResponse();
       assertEquals("b", second.body());
       assertEquals("close", second.header("Connection"));
       assertTrue(caller.isAtEnd());
@@ -45,7 +45,7 @@
   }
 
   /** The kernel closes the port a moment after it was told to; from then on it stays closed. */
-  private static void awaitRefused(ForwardingBed bed) throws InterruptedException {
+  private static void awaitRefused(ForwardingFixture bed) throws InterruptedException {
     try {
       while (true) {
         bed.caller().close();
@@ -63,14 +63,14 @@
    */
   @Test
   void whatCannotEndBeforeTheStopIsRefusedAtOnce() throws Exception {
-    ScriptedTarget target = ScriptedTarget.of(request -> request.answer("ran"));
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    ScriptedTarget target = ScriptedTarget.of(request -> request.respond("ran"));
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
-      bed.onLoop(() -> bed.forwarder.leave(100));
-      Answer answer = caller.ask("/safe/1", "a");
+      bed.onLoop(() -> bed.forwarder.beginShutdown(100));
+      Response answer = caller.exchange("/safe/1", "a");
       assertEquals(503, answer.status());
       assertEquals("close", answer.header("Connection"));
-      assertEquals(0, target.received.size());
+      assertEquals(0, target.receivedRequests.size());
     }
   }
 
@@ -84,20 +84,20 @@
         ScriptedTarget.of(
             request -> {
               closed.await();
-              request.answer("whole");
+              request.respond("whole");
             });
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
-      caller.get("/safe/1", "a");
-      assertTrue(target.first.await(60, TimeUnit.SECONDS));
+      caller.sendGet("/safe/1", "a");
+      assertTrue(target.firstRequest.await(60, TimeUnit.SECONDS));
       bed.onLoop(
           () -> {
-            bed.forwarder.leave(60_000);
+            bed.forwarder.beginShutdown(60_000);
             bed.forwarder.stopListening();
           });
       awaitRefused(bed);
       closed.countDown();
-      assertEquals("whole", caller.read().body());
+      assertEquals("whole", caller.readResponse().body());
     }
   }
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/StartedAgainTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/TargetRestartTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.placing.TargetFacts;
 import org.sageladder.core.placing.TargetIncarnation;
-import org.sageladder.forward.ForwardingBed.Caller;
+import org.sageladder.forward.ForwardingFixture.Caller;
 
 /** A target that starts again under its id: what was open to its former start ends with that. */
-class StartedAgainTest {
+class TargetRestartTest {
   private static final long HOUR_MILLIS = 3_600_000;
 
   private static TargetFacts facts(ScriptedTarget target, long born) {
@@ -27,8 +27,9 @@
         0);
   }
 
-  private static void put(ForwardingBed bed, ScriptedTarget target, long born) throws Exception {
-    bed.onLoop(() -> bed.forwarder.put(facts(target, born)));
+  private static void put(ForwardingFixture bed, ScriptedTarget target, long born)
+      throws Exception {
+    bed.onLoop(() -> bed.forwarder.updateTarget(facts(target, born)));
   }
 
   /**
@@ -37,15 +38,15 @@
    */
   @Test
   void connectionsToTheFormerStartAreNotUsed() throws Exception {
-    ScriptedTarget target = ScriptedTarget.of(request -> request.answer("done"));
-    try (ForwardingBed bed = ForwardingBed.open(target);
+    ScriptedTarget target = ScriptedTarget.of(request -> request.respond("done"));
+    try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
       put(bed, target, 1);
-      assertEquals("done", caller.ask("/safe/1", "a").body());
+      assertEquals("done", caller.exchange("/safe/1", "a").body());
       put(bed, target, 2);
-      assertNotNull(target.ends.poll(1, TimeUnit.MINUTES));
-      assertEquals("done", caller.ask("/safe/2", "b").body());
-      assertEquals(1, target.received.get(1).onConnection());
+      assertNotNull(target.connectionEnds.poll(1, TimeUnit.MINUTES));
+      assertEquals("done", caller.exchange("/safe/2", "b").body());
+      assertEquals(1, target.receivedRequests.get(1).indexOnConnection());
     }
   }
 
@@ -56,15 +57,15 @@
   @Test
   void aSearchInFlightAtTheFormerStartGoesToAnotherTarget() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
-    ScriptedTarget other = ScriptedTarget.of(request -> request.answer("found"));
-    try (ForwardingBed bed = ForwardingBed.open(silent);
+    ScriptedTarget other = ScriptedTarget.of(request -> request.respond("found"));
+    try (ForwardingFixture bed = ForwardingFixture.open(silent);
         Caller caller = bed.caller()) {
       put(bed, silent, 1);
-      caller.get("/safe/1", "a");
-      assertEquals(true, silent.first.await(1, TimeUnit.MINUTES));
+      caller.sendGet("/safe/1", "a");
+      assertEquals(true, silent.firstRequest.await(1, TimeUnit.MINUTES));
       bed.add(other);
       put(bed, silent, System.currentTimeMillis() + HOUR_MILLIS);
-      assertEquals("found", caller.read().body());
+      assertEquals("found", caller.readResponse().body());
     }
   }
 
@@ -75,16 +76,16 @@
   @Test
   void aBidInFlightAtTheFormerStartEndsUnknown() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
-    ScriptedTarget other = ScriptedTarget.of(request -> request.answer("won"));
-    try (ForwardingBed bed = ForwardingBed.open(silent);
+    ScriptedTarget other = ScriptedTarget.of(request -> request.respond("won"));
+    try (ForwardingFixture bed = ForwardingFixture.open(silent);
         Caller caller = bed.caller()) {
       put(bed, silent, 1);
-      caller.post("/once/1", "a", "bid");
-      assertEquals(true, silent.first.await(1, TimeUnit.MINUTES));
+      caller.sendPost("/once/1", "a", "bid");
+      assertEquals(true, silent.firstRequest.await(1, TimeUnit.MINUTES));
       bed.add(other);
       put(bed, silent, System.currentTimeMillis() + HOUR_MILLIS);
-      assertEquals(502, caller.read().status());
-      assertEquals(0, other.received.size());
+      assertEquals(502, caller.readResponse().status());
+      assertEquals(0, other.receivedRequests.size());
     }
   }
 
@@ -97,18 +98,18 @@
     ScriptedTarget slow =
         ScriptedTarget.of(
             request -> {
-              if (request.onConnection() == 1) {
+              if (request.indexOnConnection() == 1) {
                 Thread.sleep(50);
               }
-              request.answer("won");
+              request.respond("won");
             });
-    try (ForwardingBed bed = ForwardingBed.open(slow);
+    try (ForwardingFixture bed = ForwardingFixture.open(slow);
         Caller caller = bed.caller()) {
       put(bed, slow, 1);
-      caller.post("/once/1", "a", "bid");
-      assertEquals(true, slow.first.await(1, TimeUnit.MINUTES));
+      caller.sendPost("/once/1", "a", "bid");
+      assertEquals(true, slow.firstRequest.await(1, TimeUnit.MINUTES));
       put(bed, slow, System.currentTimeMillis() + 100);
-      assertEquals("won", caller.read().body());
+      assertEquals("won", caller.readResponse().body());
     }
   }
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/PlainDialect.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/TestDialect.java
@@ -5,7 +5,7 @@
 import org.sageladder.core.placing.LoadReport;
 
 /** Headers of the tests' callers and targets. */
-final class PlainDialect implements Dialect {
+final class TestDialect implements Dialect {
   @Override
   public @Nullable String requestId(HttpHeaders request) {
     return request.get("Id");
@@ -22,7 +22,7 @@
   }
 
   @Override
-  public boolean bearsApiKey(HttpHeaders request) {
+  public boolean hasApiKey(HttpHeaders request) {
     return request.contains("Key");
   }
 
@@ -32,7 +32,7 @@
   }
 
   @Override
-  public void identify(HttpHeaders request, @Nullable String workspace) {
+  public void replaceApiKey(HttpHeaders request, @Nullable String workspace) {
     request.remove("Key");
     if (workspace == null) {
       request.remove("Workspace");
@@ -42,38 +42,38 @@
   }
 
   @Override
-  public void address(HttpHeaders request, String target, long millisLeft) {
+  public void addTargetHeaders(HttpHeaders request, String target, long millisLeft) {
     request.set("Wait", millisLeft);
     request.set("For", target);
   }
 
   @Override
-  public void answerTo(HttpHeaders answer, String requestId) {
+  public void addRequestId(HttpHeaders answer, String requestId) {
     answer.set("Id", requestId);
   }
 
   @Override
-  public @Nullable String answeredId(HttpHeaders answer) {
+  public @Nullable String answeredRequestId(HttpHeaders answer) {
     return answer.get("Id");
   }
 
   @Override
   public boolean isNotRun(int status, HttpHeaders answer) {
-    return isOtherTarget(status) || answer.contains("Not-Run");
+    return isMisdirected(status) || answer.contains("Not-Run");
   }
 
   @Override
-  public boolean isOtherTarget(int status) {
+  public boolean isMisdirected(int status) {
     return status == 421;
   }
 
   @Override
-  public boolean isGenuine(int status, HttpHeaders answer) {
+  public boolean isAuthentic(int status, HttpHeaders answer) {
     return status != 200 || answer.contains("Seal");
   }
 
   @Override
-  public @Nullable LoadReport load(HttpHeaders answer) {
+  public @Nullable LoadReport loadReport(HttpHeaders answer) {
     return null;
   }
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/control/FakeStore.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/control/FakeStore.java
@@ -8,21 +8,21 @@
 abstract class FakeStore implements PlatformStore {
   @Override
   public void read(
-      @Nullable String afterKey, boolean mayBeStale, Consumer<StoreAnswer<StorePage>> then) {}
+      @Nullable String afterKey, boolean mayBeStale, Consumer<StoreResult<StorePage>> then) {}
 
   @Override
-  public void lease(long millis, Consumer<StoreAnswer<Long>> then) {}
+  public void grantLease(long millis, Consumer<StoreResult<Long>> then) {}
 
   @Override
-  public void renew(long lease, Consumer<StoreAnswer<Long>> then) {}
+  public void renewLease(long lease, Consumer<StoreResult<Long>> then) {}
 
   @Override
-  public void endLease(long lease, Consumer<StoreAnswer<Long>> then) {}
+  public void revokeLease(long lease, Consumer<StoreResult<Long>> then) {}
 
   @Override
-  public void tellCrash(
-      String vm, CrashReport report, long lease, Consumer<StoreAnswer<Long>> then) {}
+  public void publishCrash(
+      String vm, CrashReport report, long lease, Consumer<StoreResult<Long>> then) {}
 
   @Override
-  public void announce(EntryVm self, long lease, Consumer<StoreAnswer<Long>> then) {}
+  public void writeEntry(EntryVm self, long lease, Consumer<StoreResult<Long>> then) {}
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/control/StoreFollowerTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/control/StoreFollowerTest.java
@@ -20,17 +20,17 @@
 class StoreFollowerTest {
   /** A store whose watches the test answers. */
   private static final class WatchedStore extends FakeStore {
-    final LinkedBlockingQueue<Consumer<StoreAnswer<StorePage>>> watches =
+    final LinkedBlockingQueue<Consumer<StoreResult<StorePage>>> watches =
         new LinkedBlockingQueue<>();
 
     @Override
     public void read(
-        @Nullable String afterKey, boolean mayBeStale, Consumer<StoreAnswer<StorePage>> then) {
-      then.accept(new StoreAnswer.Done<>(page(10)));
+        @Nullable String afterKey, boolean mayBeStale, Consumer<StoreResult<StorePage>> then) {
+      then.accept(new StoreResult.Done<>(page(10)));
     }
 
     @Override
-    public void watch(long revision, long waitMillis, Consumer<StoreAnswer<StorePage>> then) {
+    public void watch(long revision, long waitMillis, Consumer<StoreResult<StorePage>> then) {
       watches.add(then);
     }
   }
@@ -40,22 +40,22 @@
     final List<String> emptied = new ArrayList<>();
 
     @Override
-    public void changed(String key, Fact fact) {
-      if (fact instanceof Fact.ZoneEmptied zone) {
+    public void onChanged(String key, ItemContent fact) {
+      if (fact instanceof ItemContent.ZoneEvacuated zone) {
         emptied.add(zone.zone());
       }
     }
 
     @Override
-    public void removed(String key, Fact before, int atOnce) {
+    public void onRemoved(String key, ItemContent before, int atOnce) {
       emptied.remove(key);
     }
 
     @Override
-    public void spoilt(String key, @Nullable Fact before, Fact.Unreadable item) {}
+    public void onMalformed(String key, @Nullable ItemContent before, ItemContent.Malformed item) {}
 
     @Override
-    public void complete() {}
+    public void onInitialReadComplete() {}
   }
 
   private final Loop loop = Loop.start();
@@ -68,11 +68,11 @@
   }
 
   private static StoreItem emptied(String zone, long revision) {
-    return new StoreItem(zone, revision, new Fact.ZoneEmptied(zone));
+    return new StoreItem(zone, revision, new ItemContent.ZoneEvacuated(zone));
   }
 
-  private Consumer<StoreAnswer<StorePage>> nextWatch() throws InterruptedException {
-    Consumer<StoreAnswer<StorePage>> watch = store.watches.poll(60, TimeUnit.SECONDS);
+  private Consumer<StoreResult<StorePage>> nextWatch() throws InterruptedException {
+    Consumer<StoreResult<StorePage>> watch = store.watches.poll(60, TimeUnit.SECONDS);
     if (watch == null) {
       throw new AssertionError("no watch was begun");
     }
@@ -81,7 +81,7 @@
 
   private void onLoop(Runnable task) throws Exception {
     CompletableFuture<Void> done = new CompletableFuture<>();
-    loop.run(
+    loop.execute(
         () -> {
           try {
             task.run();
@@ -105,24 +105,24 @@
    */
   @Test
   void aWatchThatASilentStoreForgotIsBegunAnew() throws Exception {
-    Consumer<StoreAnswer<StorePage>> forgotten = nextWatch();
-    onLoop(() -> follower.heard(false));
-    onLoop(() -> follower.heard(true));
-    Consumer<StoreAnswer<StorePage>> fresh = nextWatch();
-    onLoop(() -> fresh.accept(new StoreAnswer.Done<>(page(12, emptied("z-1", 12)))));
+    Consumer<StoreResult<StorePage>> forgotten = nextWatch();
+    onLoop(() -> follower.onStoreCall(false));
+    onLoop(() -> follower.onStoreCall(true));
+    Consumer<StoreResult<StorePage>> fresh = nextWatch();
+    onLoop(() -> fresh.accept(new StoreResult.Done<>(page(12, emptied("z-1", 12)))));
     assertEquals(List.of("z-1"), zones.emptied);
-    onLoop(() -> forgotten.accept(new StoreAnswer.Done<>(page(11, emptied("z-0", 11)))));
+    onLoop(() -> forgotten.accept(new StoreResult.Done<>(page(11, emptied("z-0", 11)))));
     assertEquals(List.of("z-1"), zones.emptied);
   }
 
   /** Calls that are answered in calm times begin no watch: each costs. */
   @Test
   void calmRenewalsBeginNoWatch() throws Exception {
-    Consumer<StoreAnswer<StorePage>> waiting = nextWatch();
-    onLoop(() -> follower.heard(true));
-    onLoop(() -> follower.heard(true));
+    Consumer<StoreResult<StorePage>> waiting = nextWatch();
+    onLoop(() -> follower.onStoreCall(true));
+    onLoop(() -> follower.onStoreCall(true));
     assertEquals(0, store.watches.size());
-    onLoop(() -> waiting.accept(new StoreAnswer.Done<>(page(11, emptied("z-1", 11)))));
+    onLoop(() -> waiting.accept(new StoreResult.Done<>(page(11, emptied("z-1", 11)))));
     assertEquals(List.of("z-1"), zones.emptied);
   }
 
@@ -134,20 +134,20 @@
   @Test
   void aStoreThatWasNeverInTroubleIsNotTakenForOneThatWas() throws Exception {
     nextWatch();
-    onLoop(() -> assertFalse(follower.troubledWithin(3_000)));
-    onLoop(() -> follower.heard(false));
-    onLoop(() -> follower.heard(true));
-    onLoop(() -> assertTrue(follower.troubledWithin(60_000)));
+    onLoop(() -> assertFalse(follower.hadFailureWithin(3_000)));
+    onLoop(() -> follower.onStoreCall(false));
+    onLoop(() -> follower.onStoreCall(true));
+    onLoop(() -> assertTrue(follower.hadFailureWithin(60_000)));
   }
 
   /** A repeated or older change does not undo a newer one. */
   @Test
   void anOlderRevisionOfAnItemHasNoEffect() throws Exception {
-    Consumer<StoreAnswer<StorePage>> first = nextWatch();
+    Consumer<StoreResult<StorePage>> first = nextWatch();
     onLoop(
         () ->
             first.accept(
-                new StoreAnswer.Done<>(
+                new StoreResult.Done<>(
                     page(14, emptied("z-1", 14), new StoreItem("z-1", 13, null)))));
     assertEquals(List.of("z-1"), zones.emptied);
   }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/control/ZoneFeedTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/control/ZoneChangeFeedTest.java
@@ -14,7 +14,7 @@
 import org.sageladder.forward.Loop;
 
 /** Whom a VM asks for the store's changes. */
-class ZoneFeedTest {
+class ZoneChangeFeedTest {
   private static final long CONTACT_EACH = 1_300;
 
   /** A store that answers each watch at once. */
@@ -22,28 +22,28 @@
     int watches;
 
     @Override
-    public void watch(long revision, long waitMillis, Consumer<StoreAnswer<StorePage>> then) {
+    public void watch(long revision, long waitMillis, Consumer<StoreResult<StorePage>> then) {
       watches++;
-      then.accept(new StoreAnswer.Done<>(new StorePage(List.of(), false, revision)));
+      then.accept(new StoreResult.Done<>(new StorePage(List.of(), false, revision)));
     }
   }
 
   private final Loop loop = Loop.start();
   private final AnsweringStore store = new AnsweringStore();
   private final List<String> asked = new ArrayList<>();
-  private StoreAnswer<PeerChanges.Changes> peerAnswer = changes(10, false);
+  private StoreResult<PeerChangeSource.Changes> peerAnswer = changes(10, false);
 
-  private static StoreAnswer<PeerChanges.Changes> changes(long age, boolean troubled) {
-    return new StoreAnswer.Done<>(
-        new PeerChanges.Changes(new StorePage(List.of(), false, 7), age, troubled));
+  private static StoreResult<PeerChangeSource.Changes> changes(long age, boolean troubled) {
+    return new StoreResult.Done<>(
+        new PeerChangeSource.Changes(new StorePage(List.of(), false, 7), age, troubled));
   }
 
   private static EntryVm vm(String name, String zone) {
     return new EntryVm(name, zone, "r", "10.0.0.1:1", "10.0.0.1:2");
   }
 
-  private ZoneFeed feed(String self) {
-    return ZoneFeed.of(
+  private ZoneChangeFeed feed(String self) {
+    return ZoneChangeFeed.of(
         loop,
         store,
         (from, revision, millis, then) -> {
@@ -64,9 +64,9 @@
     return vms;
   }
 
-  private void next(ZoneFeed feed) throws Exception {
+  private void next(ZoneChangeFeed feed) throws Exception {
     CompletableFuture<Void> done = new CompletableFuture<>();
-    loop.run(() -> feed.next(7, answer -> done.complete(null)));
+    loop.execute(() -> feed.requestChanges(7, answer -> done.complete(null)));
     done.get();
   }
 
@@ -79,8 +79,8 @@
   @Test
   void oneVmOfAZoneAsksTheStoreForAll() throws Exception {
     for (int i = 0; i < 10; i++) {
-      ZoneFeed feed = feed("e-" + i);
-      feed.live(zone(10));
+      ZoneChangeFeed feed = feed("e-" + i);
+      feed.updateLiveVms(zone(10));
       next(feed);
     }
     assertEquals(1, store.watches);
@@ -89,32 +89,32 @@
 
   @Test
   void fewVmsAskTheStoreThemselves() throws Exception {
-    ZoneFeed feed = feed("e-0");
-    feed.live(zone(2));
+    ZoneChangeFeed feed = feed("e-0");
+    feed.updateLiveVms(zone(2));
     next(feed);
     assertEquals(1, store.watches);
     assertTrue(feed.isReader());
   }
 
-  private ZoneFeed follower() {
-    ZoneFeed first = feed("e-0");
+  private ZoneChangeFeed follower() {
+    ZoneChangeFeed first = feed("e-0");
     List<EntryVm> vms = zone(9);
-    first.live(vms);
+    first.updateLiveVms(vms);
     // A VM that is not of the list is never its zone's reader.
-    ZoneFeed feed = feed("e-none");
-    feed.live(vms);
+    ZoneChangeFeed feed = feed("e-none");
+    feed.updateLiveVms(vms);
     return feed;
   }
 
   /** Guards against a VM that stays blind behind a reader that is silent or cut off. */
   @Test
   void readerThatFailsOrIsOutOfContactIsPassedOver() throws Exception {
-    for (StoreAnswer<PeerChanges.Changes> bad :
-        List.<StoreAnswer<PeerChanges.Changes>>of(
-            new StoreAnswer.Failed<>("no answer"),
-            new StoreAnswer.Gone<>(),
+    for (StoreResult<PeerChangeSource.Changes> bad :
+        List.<StoreResult<PeerChangeSource.Changes>>of(
+            new StoreResult.Failed<>("no answer"),
+            new StoreResult.Gone<>(),
             changes(CONTACT_EACH + 501, false))) {
-      ZoneFeed feed = follower();
+      ZoneChangeFeed feed = follower();
       int before = store.watches;
       peerAnswer = bad;
       next(feed);
@@ -130,12 +130,12 @@
   /** Guards against lapsed entries that followers would take for targets that left. */
   @Test
   void troubleOfTheReaderIsToldToItsFollowers() throws Exception {
-    ZoneFeed feed = follower();
+    ZoneChangeFeed feed = follower();
     next(feed);
-    assertFalse(feed.hadTrouble());
+    assertFalse(feed.hadRecentFailures());
     peerAnswer = changes(10, true);
     next(feed);
-    assertTrue(feed.hadTrouble());
+    assertTrue(feed.hadRecentFailures());
     assertFalse(feed.isReader());
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetParts.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetParts.java
@@ -36,7 +36,7 @@
     this.storeHost =
         network.host("10.200.1.7", "store", deployment.regionOfZone().getOrDefault(firstZone, ""));
     Loop storeLoop = network.loopOf(storeHost);
-    this.store = new StoreModel(storeLoop::now, StoreModel.PAGE);
+    this.store = new StoreModel(storeLoop::nowMillis, StoreModel.PAGE);
     this.storePort =
         StorePort.open(storeLoop, storeHost.ip(), STORE_PORT, store, ServerPort.Opened.ignored());
   }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetTarget.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetTarget.java
@@ -92,8 +92,8 @@
     registered = true;
     written = "";
     heardAt = parts.now();
-    own.run(this::report);
-    own.each(HEARTBEAT_MILLIS, this::report);
+    own.execute(this::report);
+    own.scheduleAtFixedRate(HEARTBEAT_MILLIS, this::report);
     watchOver(id);
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedNetwork.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedNetwork.java
@@ -264,7 +264,7 @@
         () -> {
           DatagramPort.Receiver receiver = receivers.get(to);
           if (receiver != null && target.isPowered() && passes(from, target)) {
-            receiver.received(own.ip(), own.port(), bytes);
+            receiver.onDatagram(own.ip(), own.port(), bytes);
           }
         });
   }
@@ -285,11 +285,11 @@
     public ChannelFuture connect(
         Loop from, String to, int port, int connectMillis, ChannelHandler handler) {
       return new Bootstrap()
-          .group(from.thread())
+          .group(from.eventLoop())
           .channelFactory(() -> new SimulatedChannel(null, SimulatedNetwork.this, host))
           // Netty's table of resolvers is static and would keep each loop, and with it a whole day.
           .disableResolver()
-          .option(ChannelOption.ALLOCATOR, from.buffers())
+          .option(ChannelOption.ALLOCATOR, from.allocator())
           .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis)
           .handler(handler)
           .connect(new SimulatedAddress(to, port));
@@ -298,9 +298,9 @@
     @Override
     public ChannelFuture listen(Loop on, String ip, int port, ChannelHandler handler) {
       return new ServerBootstrap()
-          .group(on.thread())
+          .group(on.eventLoop())
           .channelFactory(() -> new SimulatedPort(SimulatedNetwork.this, host))
-          .childOption(ChannelOption.ALLOCATOR, on.buffers())
+          .childOption(ChannelOption.ALLOCATOR, on.allocator())
           .childHandler(handler)
           .bind(new SimulatedAddress(ip, port));
     }
@@ -313,7 +313,7 @@
       receivers.put(
           own,
           (fromIp, fromPort, bytes) ->
-              process.execute(() -> receiver.received(fromIp, fromPort, bytes)));
+              process.execute(() -> receiver.onDatagram(fromIp, fromPort, bytes)));
       return (toHost, toPort, bytes) ->
           sendDatagram(host, own, new SimulatedAddress(toHost, toPort), bytes);
     }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallersStandIn.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallersStandIn.java
@@ -69,14 +69,14 @@
 
     Request(CallerKind kind, String object, String body, int retries) {
       this.kind = kind;
-      this.askedAt = loop.now();
+      this.askedAt = loop.nowMillis();
       this.object = object;
       this.body = body;
       this.retries = retries;
     }
 
     long left() {
-      return askedAt + kind.deadlineMillis() - loop.now();
+      return askedAt + kind.deadlineMillis() - loop.nowMillis();
     }
   }
 
@@ -164,7 +164,7 @@
     double mean = 1_000 / (kind.perSecond() * share * pace);
     long wait = Math.round(-Math.log(1 - random.nextDouble()) * mean);
     var unused =
-        loop.after(
+        loop.schedule(
             wait,
             () -> {
               if (open) {
@@ -186,13 +186,13 @@
     String body = kind.idempotent() ? "" : "body of " + object + ' ' + "x".repeat(200);
     Request request = new Request(kind, object, body, 1);
     if (random.nextDouble() < leaveShare) {
-      var unused = loop.after(leaveAfterMillis, () -> end(request, 0));
+      var unused = loop.schedule(leaveAfterMillis, () -> end(request, 0));
     }
     return request;
   }
 
   private void begin(Request request) {
-    request.end = loop.after(request.left(), () -> end(request, 0));
+    request.end = loop.schedule(request.left(), () -> end(request, 0));
     attempt(request);
   }
 
@@ -200,7 +200,7 @@
     if (request.over) {
       return;
     }
-    if (loop.now() < addressesUntil && !addresses.isEmpty()) {
+    if (loop.nowMillis() < addressesUntil && !addresses.isEmpty()) {
       connect(request);
       return;
     }
@@ -225,7 +225,7 @@
             lookUp(request, tries + 1);
           }
         };
-    var unused = loop.after(LOOK_UP_MILLIS, next);
+    var unused = loop.schedule(LOOK_UP_MILLIS, next);
     CallerConnection.open(
         loop,
         host(at),
@@ -257,7 +257,7 @@
       List<String> named = new ArrayList<>();
       body.path("addresses").forEach(address -> named.add(address.asText()));
       addresses = named;
-      addressesUntil = loop.now() + PlatformTexts.millis(body.path("ttl").asText("1s"));
+      addressesUntil = loop.nowMillis() + PlatformTexts.millis(body.path("ttl").asText("1s"));
       kept.keySet().retainAll(named);
       return !named.isEmpty();
     } catch (JsonProcessingException e) {
@@ -332,7 +332,7 @@
             request.body,
             place.region(),
             host(address),
-            loop.now(),
+            loop.nowMillis(),
             request.left()));
     connection.send(
         request.kind.idempotent() ? "GET" : "POST",
@@ -349,7 +349,7 @@
       String id,
       CallerConnection.Reply reply) {
     if (reply instanceof CallerConnection.Reply.Broken) {
-      ledger.answered(new Ledger.Answered(id, 0, "", false, null, loop.now()));
+      ledger.answered(new Ledger.Answered(id, 0, "", false, null, loop.nowMillis()));
       request.failedAt.add(address);
       again(request, LEAST_WAIT_MILLIS, 0);
       return;
@@ -363,7 +363,7 @@
             whole.body(),
             headers.contains("Server-Seal"),
             headers.get("Request-Id"),
-            loop.now()));
+            loop.nowMillis()));
     if (request.kind.habit() != CallerKind.Habit.FRESH && connection.isUsable()) {
       kept.computeIfAbsent(address, key -> new ArrayDeque<>()).addLast(connection);
     } else if (request.kind.habit() == CallerKind.Habit.FRESH) {
@@ -386,7 +386,7 @@
     }
     request.retries--;
     long wait = Math.min(waitMillis, Math.round(request.left() * LONGEST_WAIT_PART));
-    var unused = loop.after(wait, () -> attempt(request));
+    var unused = loop.schedule(wait, () -> attempt(request));
   }
 
   private void end(Request request, int status) {
@@ -401,12 +401,16 @@
     CallerConnection connection = request.connection;
     String id = request.id;
     if (connection != null && id != null && ledger.answer(id).isEmpty()) {
-      ledger.callerLeft(id, loop.now());
+      ledger.callerLeft(id, loop.nowMillis());
       connection.leave();
     }
     ended.accept(
         new Ended(
-            request.kind, request.askedAt, status, loop.now() - request.askedAt, place.zone()));
+            request.kind,
+            request.askedAt,
+            status,
+            loop.nowMillis() - request.askedAt,
+            place.zone()));
   }
 
   private static String host(String address) {
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/StorePort.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/StorePort.java
@@ -50,7 +50,7 @@
       Loop loop, String host, int port, StoreModel model, ServerPort.Opened opened) {
     StorePort store = new StorePort(loop, model);
     ServerPort.open(loop, host, port, (request, answer) -> store.handle(request, answer), opened);
-    loop.each(TICK_MILLIS, store::tick);
+    loop.scheduleAtFixedRate(TICK_MILLIS, store::tick);
     return store;
   }
 
@@ -106,7 +106,7 @@
       }
       case LATE_WRITES -> {
         if (write) {
-          var unused = loop.after(LATE_MILLIS, () -> done(query, body));
+          var unused = loop.schedule(LATE_MILLIS, () -> done(query, body));
           exchange.keepSilent();
         } else {
           serve(exchange, query, body, ANSWER_MILLIS);
@@ -139,7 +139,7 @@
   private void answer(ServerPort.Exchange exchange, Reply reply, long millis) {
     byte[] text = reply.body().toString().getBytes(StandardCharsets.UTF_8);
     var unused =
-        loop.after(
+        loop.schedule(
             millis,
             () ->
                 exchange.answer(reply.status(), Map.of("Content-Type", "application/json"), text));
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreStandIn.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreStandIn.java
@@ -21,7 +21,7 @@
   private static final int PAGE = 3;
 
   private final Loop loop = Loop.start();
-  private final StoreModel model = new StoreModel(loop::now, PAGE);
+  private final StoreModel model = new StoreModel(loop::nowMillis, PAGE);
   private final StorePort port;
   private final CompletableFuture<Integer> opened = new CompletableFuture<>();
 
@@ -85,7 +85,7 @@
 
   private <T> T ask(Supplier<T> question) {
     CompletableFuture<T> answer = new CompletableFuture<>();
-    loop.run(() -> answer.complete(question.get()));
+    loop.execute(() -> answer.complete(question.get()));
     return answer.join();
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/TargetStandIn.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/TargetStandIn.java
@@ -97,8 +97,8 @@
     this.ledger = ledger;
     this.random = new Random(seed ^ facts.id().hashCode());
     this.crash = crash;
-    this.coldUntil = loop.now() + facts.remainingColdMillis();
-    this.coldKnownAt = loop.now();
+    this.coldUntil = loop.nowMillis() + facts.remainingColdMillis();
+    this.coldKnownAt = loop.nowMillis();
   }
 
   /**
@@ -128,7 +128,7 @@
   /** What it says of itself now. */
   public TargetFacts facts() {
     TargetFacts now = leaving ? facts.asDraining() : facts;
-    return now.coldFor(Math.max(0, coldUntil - loop.now()));
+    return now.coldFor(Math.max(0, coldUntil - loop.nowMillis()));
   }
 
   /** Runs take that many times as long from now on. */
@@ -145,20 +145,20 @@
   /** Forgets all objects and is slow for a while, as after a start. */
   public void turnCold() {
     memory.clear();
-    coldUntil = loop.now() + traits.coldMillis();
+    coldUntil = loop.nowMillis() + traits.coldMillis();
     coldKnownAt = -1;
   }
 
   /** The store has what {@link #facts} says; entry VMs hear of it a while later. */
   public void told() {
     if (isCold() && coldKnownAt < 0) {
-      coldKnownAt = loop.now() + NEWS_MILLIS;
+      coldKnownAt = loop.nowMillis() + NEWS_MILLIS;
     }
   }
 
   /** True where it is cold and entry VMs in touch can know it. */
   private boolean isKnownCold() {
-    return isCold() && coldKnownAt >= 0 && loop.now() >= coldKnownAt;
+    return isCold() && coldKnownAt >= 0 && loop.nowMillis() >= coldKnownAt;
   }
 
   /** Says that it leaves; it goes on serving. */
@@ -167,7 +167,7 @@
   }
 
   private boolean isCold() {
-    return loop.now() < coldUntil;
+    return loop.nowMillis() < coldUntil;
   }
 
   private static long work(String path) {
@@ -191,7 +191,7 @@
     note(request, id, deadline, exchange, seen);
     boolean keyShown = headers.contains("Authorization");
     ledger.delivered(
-        new Ledger.Delivery(id, headers.get("Tenant", ""), keyShown, seen, loop.now()));
+        new Ledger.Delivery(id, headers.get("Tenant", ""), keyShown, seen, loop.nowMillis()));
     if (other) {
       answer(exchange, 421, Map.of("Instance-Id", facts.id()), "");
       return;
@@ -204,7 +204,7 @@
       crash.run();
       return;
     }
-    long endsAt = deadline < 0 ? Long.MAX_VALUE : loop.now() + deadline;
+    long endsAt = deadline < 0 ? Long.MAX_VALUE : loop.nowMillis() + deadline;
     Job job = new Job(id, object(headers, id), request.uri(), endsAt, exchange);
     exchange.whenGone(() -> gone(job));
     waiting.addLast(job);
@@ -231,7 +231,7 @@
             facts.zone(),
             facts.region(),
             exchange.callerIp(),
-            loop.now(),
+            loop.nowMillis(),
             fate,
             wellFormed,
             deadline,
@@ -244,7 +244,7 @@
   }
 
   private boolean tooManyWhileCold() {
-    long now = loop.now();
+    long now = loop.nowMillis();
     coldArrivals.addLast(now);
     while (coldArrivals.getFirst() <= now - SECOND_MILLIS) {
       coldArrivals.removeFirst();
@@ -258,7 +258,7 @@
       if (job.gone) {
         continue;
       }
-      if (loop.now() >= job.endsAt) {
+      if (loop.nowMillis() >= job.endsAt) {
         refuse(job.exchange, 503, job.id);
         continue;
       }
@@ -268,7 +268,7 @@
 
   private void begin(Job job) {
     boolean known = traits.remembers() > 0 && memory.containsKey(job.object);
-    job.run = ledger.began(job.id, facts.incarnation().toString(), known, loop.now());
+    job.run = ledger.began(job.id, facts.incarnation().toString(), known, loop.nowMillis());
     if (job.path.contains("poison")) {
       crash.run();
       return;
@@ -277,9 +277,10 @@
     double millis = (double) job.workMillis * (known ? traits.knownPart() : 1);
     millis *= 1 - SPREAD + 2 * SPREAD * random.nextDouble();
     millis *= isCold() ? COLD_FACTOR * slowness : slowness;
-    long most = Math.max(0, job.endsAt - loop.now());
+    long most = Math.max(0, job.endsAt - loop.nowMillis());
     boolean inTime = millis <= most;
-    var unused = loop.after(Math.round(Math.min(millis, (double) most)), () -> finish(job, inTime));
+    var unused =
+        loop.schedule(Math.round(Math.min(millis, (double) most)), () -> finish(job, inTime));
   }
 
   private void finish(Job job, boolean inTime) {
@@ -300,7 +301,7 @@
     job.gone = true;
     Ledger.Run run = job.run;
     if (running.remove(job) && run != null) {
-      run.ended(loop.now(), 0, null);
+      run.ended(loop.nowMillis(), 0, null);
     }
     next();
   }
@@ -311,7 +312,7 @@
     String body = "work " + job.id + " of " + facts.id() + ' ' + ".".repeat(FILLER);
     Ledger.Run run = job.run;
     if (run != null) {
-      run.ended(loop.now(), given, body);
+      run.ended(loop.nowMillis(), given, body);
     }
     byte[] whole = text(given, job.id, body).getBytes(StandardCharsets.ISO_8859_1);
     switch (now) {
--- a/sageladder-standin/src/test/java/org/sageladder/standin/network/SimulatedNetworkTest.java
+++ b/sageladder-standin/src/test/java/org/sageladder/standin/network/SimulatedNetworkTest.java
@@ -190,7 +190,7 @@
 
   @Test
   void tasksOfAProcessThatEndedAreDropped() {
-    network.loopOf(far).after(100, () -> seen.add("ran"));
+    network.loopOf(far).schedule(100, () -> seen.add("ran"));
     far.kill();
     loop.runFor(200);
     assertEquals(List.of(), seen);
