--- a/sageladder-entry/src/main/java/org/sageladder/entry/EntryDaemon.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/EntryDaemon.java
@@ -37,15 +37,15 @@
 import org.sageladder.entry.control.RelayControlPlane;
 import org.sageladder.entry.control.ViewEvents;
 import org.sageladder.entry.exchange.CallerExchange;
-import org.sageladder.entry.exchange.InFlight;
+import org.sageladder.entry.exchange.InFlightCounter;
 import org.sageladder.entry.exchange.OutboundClient;
 import org.sageladder.entry.gates.GateTable;
 import org.sageladder.entry.gates.LoadPoller;
 import org.sageladder.entry.http.ConnectionLimits;
 import org.sageladder.entry.http.HttpListener;
 import org.sageladder.entry.http.OperatorPort;
-import org.sageladder.entry.request.HistoryPost;
-import org.sageladder.entry.request.RequestPath;
+import org.sageladder.entry.request.HttpHistorySender;
+import org.sageladder.entry.request.RequestPipeline;
 import org.sageladder.entry.settings.EntrySettings;
 import org.sageladder.entry.stop.PermitHandOver;
 import org.sageladder.entry.stop.PlannedStop;
@@ -138,16 +138,17 @@
     ControlMetrics.bind(metrics, control);
     GateTable gates =
         parts.add(gates(settings, self.incarnation(), control.guard(), time, timers, events));
-    RequestPath path =
-        RequestPath.assemble(
+    RequestPipeline path =
+        RequestPipeline.assemble(
             settings, client, timers, time, events, metrics, control, gates, permitKeys::ring);
-    InFlight inFlight = InFlight.create();
+    InFlightCounter inFlight = InFlightCounter.create();
     PlannedStop plannedStop = plannedStop(settings, control, inFlight, path, client, time);
     parts.add(LoadPoller.start(gates, client, time, timers, LOAD_PERIOD));
-    gates.tellNewHolders(HistoryPost.of(self, settings.customer(), path.codec(), client, time));
-    control.onChange(gates::follow);
+    gates.useHistorySender(
+        HttpHistorySender.of(self, settings.customer(), path.codec(), client, time));
+    control.onChange(gates::applyState);
     control.onChange(ViewEvents.of(settings.vm(), settings.zone(), settings.customer(), events));
-    control.onChange(path::follow);
+    control.onChange(path::applyState);
     control.summaries(gates::summaries);
     control.targets(gates::targetReports);
     control.targetProbe(HttpTargetProbe.of(client));
@@ -162,7 +163,7 @@
             after ->
                 EventPage.of(
                     settings.vm(), startedMillis, settings.zone(), events, after, EVENTS_PER_PAGE),
-            path.explanation(),
+            path.lookUpExplainer(),
             drainAsked::countDown);
     HttpListener operators =
         parts.add(
@@ -179,7 +180,7 @@
                 limits(settings, settings.callerLimits().workers()),
                 () -> CallerExchange.create(path.router(), inFlight)));
     connectionMetrics(metrics, callers);
-    path.reachedAt(settings.host(), callers.port());
+    path.advertiseAddress(settings.host(), callers.port());
     control.serving(callers.port());
     events.record(EventKind.STARTED, "", settings.customer(), settings.zone(), 0, settings.vm());
     logger.atInfo().log(
@@ -197,20 +198,20 @@
   private static PlannedStop plannedStop(
       EntrySettings settings,
       ControlPlane control,
-      InFlight inFlight,
-      RequestPath path,
+      InFlightCounter inFlight,
+      RequestPipeline path,
       OutboundClient client,
       TimeSource time) {
     return PlannedStop.of(
         control,
         inFlight,
-        path.home(),
+        path.issuer(),
         PermitHandOver.of(
             settings.vm(),
             settings.zone(),
             settings.customer(),
             control,
-            path.home(),
+            path.issuer(),
             path.codec(),
             PermitHome.Limits.standard(),
             client,
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/HttpTargetProbe.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/HttpTargetProbe.java
@@ -15,7 +15,7 @@
 import org.sageladder.core.membership.Holding;
 import org.sageladder.entry.exchange.BodyCollector;
 import org.sageladder.entry.exchange.BodyPipe;
-import org.sageladder.entry.exchange.Outbound;
+import org.sageladder.entry.exchange.RequestSender;
 
 /** Asks targets for their load over HTTP. */
 public final class HttpTargetProbe implements TargetProbe {
@@ -24,14 +24,14 @@
   private static final Duration CONNECT = Duration.ofMillis(500);
   private static final int LARGEST_REPORT = 4096;
 
-  private final Outbound client;
+  private final RequestSender client;
 
-  private HttpTargetProbe(Outbound client) {
+  private HttpTargetProbe(RequestSender client) {
     this.client = client;
   }
 
   /** A probe that sends with {@code client}. */
-  public static HttpTargetProbe of(Outbound client) {
+  public static HttpTargetProbe of(RequestSender client) {
     return new HttpTargetProbe(client);
   }
 
@@ -44,9 +44,9 @@
     client.send(host, request, null, BodyPipe.of(new byte[0]), CONNECT, new Load(target, answer));
   }
 
-  private record Load(Holding target, Consumer<Boolean> answer) implements Outbound.Listener {
+  private record Load(Holding target, Consumer<Boolean> answer) implements RequestSender.Listener {
     @Override
-    public void head(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
+    public void onResponse(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
       if (response.getCode() == 200) {
         BodyCollector.collect(body, LARGEST_REPORT, this::tell);
       }
@@ -63,10 +63,10 @@
     }
 
     @Override
-    public void done() {}
+    public void onComplete() {}
 
     @Override
-    public void lost(boolean sent, Exception cause) {
+    public void onFailure(boolean sent, Exception cause) {
       logger.atFine().withCause(cause).log("target %s is out of reach", target.target());
     }
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/BodyCollector.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/BodyCollector.java
@@ -12,22 +12,22 @@
 /** Reads a whole body into memory, for the messages between entry VMs. */
 public final class BodyCollector implements DataStreamChannel {
   private final BodyPipe body;
-  private final int limit;
-  private final Consumer<byte[]> whenWhole;
+  private final int maxBytes;
+  private final Consumer<byte[]> whenComplete;
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
   private BodyCollector(BodyPipe body, int limit, Consumer<byte[]> whenWhole) {
     this.body = body;
-    this.limit = limit;
-    this.whenWhole = whenWhole;
+    this.maxBytes = limit;
+    this.whenComplete = whenWhole;
   }
 
   /**
    * Calls {@code whenWhole} once with the whole body; never for a body that is cut, and with an
    * empty one where it is larger than {@code limit} bytes.
    */
-  public static void collect(BodyPipe body, int limit, Consumer<byte[]> whenWhole) {
-    new BodyCollector(body, limit, whenWhole).requestOutput();
+  public static void collect(BodyPipe body, int maxBytes, Consumer<byte[]> whenComplete) {
+    new BodyCollector(body, maxBytes, whenComplete).requestOutput();
   }
 
   @Override
@@ -44,7 +44,7 @@
     int length = source.remaining();
     byte[] part = new byte[length];
     source.get(part);
-    if (bytes.size() + length <= limit) {
+    if (bytes.size() + length <= maxBytes) {
       bytes.writeBytes(part);
     }
     return length;
@@ -57,6 +57,6 @@
 
   @Override
   public void endStream(@Nullable List<? extends Header> trailers) {
-    whenWhole.accept(bytes.toByteArray());
+    whenComplete.accept(bytes.toByteArray());
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/BodyPipe.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/BodyPipe.java
@@ -20,24 +20,24 @@
  * channel of either connection is called with {@code lock} held.
  */
 public final class BodyPipe {
-  private static final int PREFIX = 1 << 14;
+  private static final int HASHED_PREFIX_BYTES = 1 << 14;
 
   private final Object produceLock = new Object();
   private final Object lock = new Object();
   private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
   private @Nullable CapacityChannel source;
   private @Nullable DataStreamChannel sink;
-  private int creditBeforeSource;
-  private boolean discarding;
-  private boolean ended;
+  private int pendingCreditBytes;
+  private boolean isDiscarding;
+  private boolean isEnded;
   private @Nullable Exception failure;
-  private long carried;
-  private long accepted;
-  private long most = Long.MAX_VALUE;
-  private @Nullable AnswerRecorder recorder;
-  private final HashStream64 prefix = Hashing.komihash5_0().hashStream();
+  private long writtenBytes;
+  private long acceptedBytes;
+  private long maxBytes = Long.MAX_VALUE;
+  private @Nullable BodyRecorder recorder;
+  private final HashStream64 prefixHash = Hashing.komihash5_0().hashStream();
   private int prefixBytes;
-  private @Nullable Runnable whenPrefixKnown;
+  private @Nullable Runnable onPrefixComplete;
 
   private BodyPipe() {}
 
@@ -52,21 +52,21 @@
     if (body.length > 0) {
       pipe.buffers.add(ByteBuffer.wrap(body));
     }
-    pipe.ended = true;
+    pipe.isEnded = true;
     return pipe;
   }
 
   /** Copies all that is accepted from now on to {@code to} as well. */
-  public void record(AnswerRecorder to) {
+  public void record(BodyRecorder newRecorder) {
     synchronized (lock) {
-      recorder = to;
+      recorder = newRecorder;
     }
   }
 
   /** True once all bytes of the body were accepted. */
-  public boolean isWhole() {
+  public boolean isComplete() {
     synchronized (lock) {
-      return ended && failure == null;
+      return isEnded && failure == null;
     }
   }
 
@@ -76,19 +76,19 @@
    * <p>Guards against a chunked body without end, of which nothing tells the length beforehand: it
    * would hold its target's slot until the deadline.
    */
-  public void limit(long bytes) {
+  public void limitLength(long newMaxBytes) {
     synchronized (lock) {
-      most = bytes;
+      maxBytes = newMaxBytes;
     }
   }
 
   /** Names the channel by which the receiving connection is told to read on. */
-  void source(CapacityChannel channel) throws IOException {
+  void setSource(CapacityChannel channel) throws IOException {
     int credit;
     synchronized (lock) {
       source = channel;
-      credit = creditBeforeSource;
-      creditBeforeSource = 0;
+      credit = pendingCreditBytes;
+      pendingCreditBytes = 0;
     }
     if (credit > 0) {
       channel.update(credit);
@@ -102,15 +102,15 @@
     CapacityChannel credit = null;
     Runnable known;
     synchronized (lock) {
-      accepted += length;
-      if (accepted > most) {
-        throw new IOException("the body is longer than the " + most + " bytes allowed");
+      acceptedBytes += length;
+      if (acceptedBytes > maxBytes) {
+        throw new IOException("the body is longer than the " + maxBytes + " bytes allowed");
       }
       if (recorder != null) {
         recorder.add(bytes);
       }
-      known = addToPrefix(bytes) ? takeWhenPrefixKnown() : null;
-      if (discarding) {
+      known = addToPrefix(bytes) ? takePrefixAction() : null;
+      if (isDiscarding) {
         bytes.position(bytes.limit());
         credit = source;
       } else if (length > 0) {
@@ -132,28 +132,28 @@
   }
 
   private boolean addToPrefix(ByteBuffer bytes) {
-    if (prefixBytes == PREFIX) {
+    if (prefixBytes == HASHED_PREFIX_BYTES) {
       return false;
     }
     ByteBuffer view = bytes.duplicate();
-    byte[] part = new byte[Math.min(view.remaining(), PREFIX - prefixBytes)];
+    byte[] part = new byte[Math.min(view.remaining(), HASHED_PREFIX_BYTES - prefixBytes)];
     view.get(part);
-    prefix.putBytes(part);
+    prefixHash.putBytes(part);
     prefixBytes += part.length;
-    return prefixBytes == PREFIX;
+    return prefixBytes == HASHED_PREFIX_BYTES;
   }
 
-  private @Nullable Runnable takeWhenPrefixKnown() {
-    Runnable action = whenPrefixKnown;
-    whenPrefixKnown = null;
+  private @Nullable Runnable takePrefixAction() {
+    Runnable action = onPrefixComplete;
+    onPrefixComplete = null;
     return action;
   }
 
   /** Runs {@code action} once the first 16 KB, or the whole of a shorter body, have come. */
-  public void whenPrefixKnown(Runnable action) {
+  public void whenPrefixComplete(Runnable action) {
     synchronized (lock) {
-      if (!ended && prefixBytes < PREFIX) {
-        whenPrefixKnown = action;
+      if (!isEnded && prefixBytes < HASHED_PREFIX_BYTES) {
+        onPrefixComplete = action;
         return;
       }
     }
@@ -163,18 +163,18 @@
   /** Hash of as much of the first 16 KB as has come. */
   public long prefixHash() {
     synchronized (lock) {
-      return prefix.getAsLong();
+      return prefixHash.getAsLong();
     }
   }
 
   /** Marks the body as whole: all its bytes were accepted. */
-  void end() {
+  void complete() {
     DataStreamChannel wake;
     Runnable known;
     synchronized (lock) {
-      ended = true;
+      isEnded = true;
       wake = sink;
-      known = takeWhenPrefixKnown();
+      known = takePrefixAction();
     }
     if (wake != null) {
       wake.requestOutput();
@@ -191,7 +191,7 @@
   public void fail(Exception cause) {
     DataStreamChannel wake;
     synchronized (lock) {
-      if (ended) {
+      if (isEnded) {
         // All bytes are here: the receiving connection may go without making the body any shorter.
         return;
       }
@@ -214,14 +214,14 @@
     int credit = 0;
     CapacityChannel channel;
     synchronized (lock) {
-      discarding = true;
+      isDiscarding = true;
       for (ByteBuffer buffer : buffers) {
         credit += buffer.remaining();
       }
       buffers.clear();
       channel = source;
       if (channel == null) {
-        creditBeforeSource += credit;
+        pendingCreditBytes += credit;
       }
     }
     if (channel != null && credit > 0) {
@@ -239,14 +239,14 @@
       for (ByteBuffer buffer : buffers) {
         bytes += buffer.remaining();
       }
-      return bytes == 0 && ended ? 1 : bytes;
+      return bytes == 0 && isEnded ? 1 : bytes;
     }
   }
 
   /** Bytes written to the sending connection so far. */
-  public long carried() {
+  public long writtenBytes() {
     synchronized (lock) {
-      return carried;
+      return writtenBytes;
     }
   }
 
@@ -261,13 +261,13 @@
         boolean last;
         synchronized (lock) {
           if (failure != null) {
-            throw new IOException("body cut after " + carried + " bytes", failure);
+            throw new IOException("body cut after " + writtenBytes + " bytes", failure);
           }
-          if (discarding) {
-            throw new IOException("body given up after " + carried + " bytes");
+          if (isDiscarding) {
+            throw new IOException("body given up after " + writtenBytes + " bytes");
           }
           head = buffers.peek();
-          last = ended && head == null;
+          last = isEnded && head == null;
         }
         if (last) {
           channel.endStream(null);
@@ -277,7 +277,7 @@
           return;
         }
         int written = channel.write(head);
-        credit(written, head);
+        returnCredit(written, head);
         if (head.hasRemaining()) {
           return;
         }
@@ -288,16 +288,16 @@
   // discard() may have emptied the queue while this buffer was being written: only the same buffer
   // is taken off, never one with equal content.
   @SuppressWarnings("ReferenceEquality")
-  private void credit(int written, ByteBuffer head) throws IOException {
+  private void returnCredit(int written, ByteBuffer head) throws IOException {
     CapacityChannel channel;
     synchronized (lock) {
-      carried += written;
+      writtenBytes += written;
       if (!head.hasRemaining() && buffers.peek() == head) {
         buffers.remove();
       }
       channel = source;
       if (channel == null) {
-        creditBeforeSource += written;
+        pendingCreditBytes += written;
       }
     }
     if (channel != null && written > 0) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/AnswerRecorder.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/BodyRecorder.java
@@ -10,23 +10,23 @@
  * <p>Not safe for several threads: the {@link BodyPipe} that feeds it does so under its own lock,
  * and it is read after the body's end.
  */
-public final class AnswerRecorder {
-  private final int limit;
+public final class BodyRecorder {
+  private final int maxBytes;
   private final ByteArrayOutputStream copy = new ByteArrayOutputStream(256);
-  private boolean tooLarge;
+  private boolean isTooLarge;
 
-  private AnswerRecorder(int limit) {
-    this.limit = limit;
+  private BodyRecorder(int limit) {
+    this.maxBytes = limit;
   }
 
   /** A recorder that gives up at more than {@code limit} bytes. */
-  public static AnswerRecorder upTo(int limit) {
-    return new AnswerRecorder(limit);
+  public static BodyRecorder upTo(int maxBytes) {
+    return new BodyRecorder(maxBytes);
   }
 
   void add(ByteBuffer bytes) {
-    if (tooLarge || copy.size() + bytes.remaining() > limit) {
-      tooLarge = true;
+    if (isTooLarge || copy.size() + bytes.remaining() > maxBytes) {
+      isTooLarge = true;
       copy.reset();
       return;
     }
@@ -38,6 +38,6 @@
 
   /** The whole body, or empty where it was larger than the limit. */
   public Optional<byte[]> body() {
-    return tooLarge ? Optional.empty() : Optional.of(copy.toByteArray());
+    return isTooLarge ? Optional.empty() : Optional.of(copy.toByteArray());
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/CallerExchange.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/CallerExchange.java
@@ -22,7 +22,7 @@
 /**
  * One request of one caller and the single answer it gets.
  *
- * <p>{@link #answer} may be called from any thread; only the first call has an effect, so that a
+ * <p>{@link #respond} may be called from any thread; only the first call has an effect, so that a
  * late answer of an abandoned try never reaches the caller as well.
  */
 public final class CallerExchange implements AsyncServerExchangeHandler {
@@ -36,39 +36,39 @@
   @FunctionalInterface
   public interface Handler {
     /** Called once, when the head of the request is complete. */
-    void begin(CallerExchange exchange) throws IOException;
+    void handle(CallerExchange exchange) throws IOException;
   }
 
   private final Handler handler;
   private final BodyPipe requestBody = BodyPipe.open();
-  private final AtomicBoolean answered = new AtomicBoolean();
-  private final AtomicReference<@Nullable Runnable> onGone = new AtomicReference<>();
-  private final AtomicBoolean ended = new AtomicBoolean();
+  private final AtomicBoolean isResponseStarted = new AtomicBoolean();
+  private final AtomicReference<@Nullable Runnable> disconnectAction = new AtomicReference<>();
+  private final AtomicBoolean isEnded = new AtomicBoolean();
   private volatile @Nullable HttpRequest request;
   private volatile @Nullable EntityDetails entity;
   private volatile @Nullable ResponseChannel channel;
   private volatile @Nullable HttpContext context;
-  private volatile @Nullable BodyPipe answerBody;
-  private final InFlight inFlight;
-  private final AtomicBoolean counted = new AtomicBoolean();
-  private volatile boolean answerWhole;
+  private volatile @Nullable BodyPipe responseBody;
+  private final InFlightCounter inFlight;
+  private final AtomicBoolean isCounted = new AtomicBoolean();
+  private volatile boolean isResponseComplete;
 
-  private CallerExchange(Handler handler, InFlight inFlight) {
+  private CallerExchange(Handler handler, InFlightCounter inFlight) {
     this.handler = handler;
     this.inFlight = inFlight;
   }
 
   /** An exchange that waits for its request. */
   public static CallerExchange create(Handler handler) {
-    return create(handler, InFlight.create());
+    return create(handler, InFlightCounter.create());
   }
 
   /** An exchange that waits for its request and is counted in {@code inFlight} until its end. */
-  public static CallerExchange create(Handler handler, InFlight inFlight) {
+  public static CallerExchange create(Handler handler, InFlightCounter inFlight) {
     return new CallerExchange(handler, inFlight);
   }
 
-  /** The head of the request; only after {@link Handler#begin} was called. */
+  /** The head of the request; only after {@link Handler#handle} was called. */
   public HttpRequest request() {
     HttpRequest known = request;
     if (known == null) {
@@ -91,24 +91,24 @@
    * Counts this exchange as a request for a target, which a planned stop waits to see no more of.
    */
   public void countRequest() {
-    inFlight.request();
+    inFlight.countRequest();
   }
 
   /** True once an answer was begun. */
-  public boolean isAnswered() {
-    return answered.get();
+  public boolean isResponseStarted() {
+    return isResponseStarted.get();
   }
 
   /** Runs {@code action} once if the caller's connection ends before the whole answer was sent. */
-  public void onGone(Runnable action) {
-    onGone.set(action);
-    if (ended.get()) {
-      gone();
+  public void onDisconnect(Runnable action) {
+    disconnectAction.set(action);
+    if (isEnded.get()) {
+      endExchange();
     }
   }
 
   /** Tells a caller that waits for leave to send its body to go on. */
-  public void acceptBody() throws IOException {
+  public void sendContinue() throws IOException {
     ResponseChannel to = channel;
     HttpContext in = context;
     if (to == null || in == null || !request().containsHeader(HttpHeaders.EXPECT)) {
@@ -126,16 +126,16 @@
    *
    * @param details length and type of the body, or null where there is none
    */
-  public boolean answer(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
+  public boolean respond(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
     ResponseChannel to = channel;
     HttpContext in = context;
-    if (to == null || in == null || !answered.compareAndSet(false, true)) {
+    if (to == null || in == null || !isResponseStarted.compareAndSet(false, true)) {
       return false;
     }
-    answerBody = body;
+    responseBody = body;
     try {
       if (details == null) {
-        answerWhole = true;
+        isResponseComplete = true;
       }
       if (inFlight.isLeaving()) {
         // The caller must not send its next request on a connection that is about to be closed.
@@ -146,7 +146,7 @@
       return true;
     } catch (IOException | HttpException e) {
       body.fail(e);
-      gone();
+      endExchange();
       return false;
     }
   }
@@ -162,17 +162,17 @@
     entity = entityDetails;
     channel = responseChannel;
     context = httpContext;
-    counted.set(true);
+    isCounted.set(true);
     inFlight.begin();
     if (entityDetails == null) {
-      requestBody.end();
+      requestBody.complete();
     }
-    handler.begin(this);
+    handler.handle(this);
   }
 
   @Override
   public void updateCapacity(CapacityChannel capacityChannel) throws IOException {
-    requestBody.source(capacityChannel);
+    requestBody.setSource(capacityChannel);
   }
 
   @Override
@@ -182,18 +182,18 @@
 
   @Override
   public void streamEnd(@Nullable List<? extends Header> trailers) {
-    requestBody.end();
+    requestBody.complete();
   }
 
   @Override
   public int available() {
-    BodyPipe body = answerBody;
+    BodyPipe body = responseBody;
     return body == null ? 0 : body.available();
   }
 
   @Override
   public void produce(DataStreamChannel dataChannel) throws IOException {
-    BodyPipe body = answerBody;
+    BodyPipe body = responseBody;
     if (body != null) {
       body.produce(dataChannel);
     }
@@ -202,23 +202,23 @@
   @Override
   public void failed(Exception cause) {
     requestBody.fail(cause);
-    gone();
+    endExchange();
   }
 
   @Override
   public void releaseResources() {
-    if (ended.compareAndSet(false, true) && !answerWhole) {
+    if (isEnded.compareAndSet(false, true) && !isResponseComplete) {
       requestBody.fail(new IOException("the caller's exchange ended"));
     }
-    gone();
+    endExchange();
   }
 
-  private void gone() {
-    ended.set(true);
-    if (counted.getAndSet(false)) {
+  private void endExchange() {
+    isEnded.set(true);
+    if (isCounted.getAndSet(false)) {
       inFlight.end();
     }
-    Runnable action = onGone.getAndSet(null);
+    Runnable action = disconnectAction.getAndSet(null);
     if (action != null) {
       action.run();
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/CarriedEntity.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/ForwardedEntity.java
@@ -9,14 +9,14 @@
  *
  * @param length bytes, or -1 where the sender did not say; such a body is sent in chunks
  */
-public record CarriedEntity(long length, @Nullable String type, @Nullable String encoding)
+public record ForwardedEntity(long length, @Nullable String type, @Nullable String encoding)
     implements EntityDetails {
 
   /** The same length, type and encoding as {@code details}; null where that is null. */
-  public static @Nullable CarriedEntity of(@Nullable EntityDetails details) {
+  public static @Nullable ForwardedEntity of(@Nullable EntityDetails details) {
     return details == null
         ? null
-        : new CarriedEntity(
+        : new ForwardedEntity(
             details.getContentLength(), details.getContentType(), details.getContentEncoding());
   }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/InFlight.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/InFlightCounter.java
@@ -4,47 +4,47 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** Counts the callers' exchanges that have begun and not ended, for a planned stop to wait on. */
-public final class InFlight {
-  private final AtomicInteger count = new AtomicInteger();
-  private final AtomicLong requests = new AtomicLong();
-  private volatile boolean leaving;
+public final class InFlightCounter {
+  private final AtomicInteger exchanges = new AtomicInteger();
+  private final AtomicLong targetRequests = new AtomicLong();
+  private volatile boolean isLeaving;
 
-  private InFlight() {}
+  private InFlightCounter() {}
 
   /** A count of none. */
-  public static InFlight create() {
-    return new InFlight();
+  public static InFlightCounter create() {
+    return new InFlightCounter();
   }
 
   void begin() {
-    count.incrementAndGet();
+    exchanges.incrementAndGet();
   }
 
   void end() {
-    count.decrementAndGet();
+    exchanges.decrementAndGet();
   }
 
-  void request() {
-    requests.incrementAndGet();
+  void countRequest() {
+    targetRequests.incrementAndGet();
   }
 
   /** Requests for targets since the start; look-ups and messages of peers do not count. */
-  public long requests() {
-    return requests.get();
+  public long targetRequests() {
+    return targetRequests.get();
   }
 
   /** Exchanges that have not ended. */
-  public int count() {
-    return count.get();
+  public int exchanges() {
+    return exchanges.get();
   }
 
   /** From now on each answer asks its caller to close the connection. */
   public void beginLeaving() {
-    leaving = true;
+    isLeaving = true;
   }
 
   /** True once a planned stop has begun. */
   public boolean isLeaving() {
-    return leaving;
+    return isLeaving;
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/OutboundClient.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/OutboundClient.java
@@ -12,7 +12,7 @@
 import org.sageladder.http.Connector;
 
 /** Sends requests to targets and to other entry VMs over pooled connections. */
-public final class OutboundClient implements Outbound, AutoCloseable {
+public final class OutboundClient implements RequestSender, AutoCloseable {
   private final Connector connector;
 
   private OutboundClient(Connector connector) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/OutboundExchange.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/OutboundExchange.java
@@ -28,23 +28,23 @@
 final class OutboundExchange implements AsyncClientExchangeHandler {
   private final HttpRequest request;
   private final @Nullable EntityDetails details;
-  private final BodyPipe body;
-  private final Outbound.Listener listener;
-  private final BodyPipe answer = BodyPipe.open();
-  private final AtomicBoolean finished = new AtomicBoolean();
+  private final BodyPipe requestBody;
+  private final RequestSender.Listener listener;
+  private final BodyPipe responseBody = BodyPipe.open();
+  private final AtomicBoolean isFinished = new AtomicBoolean();
   private final Object lock = new Object();
   private @Nullable AsyncClientEndpoint endpoint;
-  private boolean abandoned;
-  private volatile boolean sent;
+  private boolean isAbandoned;
+  private volatile boolean isSent;
 
   private OutboundExchange(
       HttpRequest request,
       @Nullable EntityDetails details,
       BodyPipe body,
-      Outbound.Listener listener) {
+      RequestSender.Listener listener) {
     this.request = request;
     this.details = details;
-    this.body = body;
+    this.requestBody = body;
     this.listener = listener;
   }
 
@@ -52,14 +52,14 @@
       HttpRequest request,
       @Nullable EntityDetails details,
       BodyPipe body,
-      Outbound.Listener listener) {
+      RequestSender.Listener listener) {
     return new OutboundExchange(request, details, body, listener);
   }
 
   void start(AsyncClientEndpoint connected) {
     synchronized (lock) {
       endpoint = connected;
-      if (abandoned) {
+      if (isAbandoned) {
         connected.releaseAndDiscard();
         return;
       }
@@ -71,22 +71,22 @@
   public void produceRequest(RequestChannel channel, HttpContext context)
       throws HttpException, IOException {
     synchronized (lock) {
-      if (abandoned) {
+      if (isAbandoned) {
         throw new IOException("abandoned before it was sent");
       }
-      sent = true;
+      isSent = true;
     }
     channel.sendRequest(request, details, context);
   }
 
   @Override
   public int available() {
-    return body.available();
+    return requestBody.available();
   }
 
   @Override
   public void produce(DataStreamChannel channel) throws IOException {
-    body.produce(channel);
+    requestBody.produce(channel);
   }
 
   @Override
@@ -95,39 +95,39 @@
   @Override
   public void consumeResponse(
       HttpResponse response, @Nullable EntityDetails entityDetails, HttpContext context) {
-    if (entityDetails != null && isEndless(response)) {
+    if (entityDetails != null && isCloseDelimited(response)) {
       failed(new IOException("the answer states neither its length nor chunks"));
       return;
     }
     if (entityDetails != null) {
-      listener.head(response, entityDetails, answer);
+      listener.onResponse(response, entityDetails, responseBody);
       return;
     }
     if (!release()) {
       return;
     }
-    answer.end();
-    listener.head(response, null, answer);
-    listener.done();
+    responseBody.complete();
+    listener.onResponse(response, null, responseBody);
+    listener.onComplete();
   }
 
   /**
    * True where only the connection's end marks the end of the body. The HTTP library reports such a
    * body as chunked, and a cut one would reach the caller as a whole one, so it counts as lost.
    */
-  private static boolean isEndless(HttpResponse response) {
+  private static boolean isCloseDelimited(HttpResponse response) {
     return !response.containsHeader(HttpHeaders.CONTENT_LENGTH)
         && !response.containsHeader(HttpHeaders.TRANSFER_ENCODING);
   }
 
   @Override
   public void updateCapacity(CapacityChannel channel) throws IOException {
-    answer.source(channel);
+    responseBody.setSource(channel);
   }
 
   @Override
   public void consume(ByteBuffer bytes) throws IOException {
-    answer.accept(bytes);
+    responseBody.accept(bytes);
   }
 
   @Override
@@ -135,19 +135,19 @@
     // The connection is given back before the caller can see the end: the caller's going would
     // otherwise cancel an exchange that is whole and close a good connection.
     if (release()) {
-      listener.done();
+      listener.onComplete();
     }
-    answer.end();
+    responseBody.complete();
   }
 
   @Override
   public void failed(Exception cause) {
-    if (!finished.compareAndSet(false, true)) {
+    if (!isFinished.compareAndSet(false, true)) {
       return;
     }
     discard();
-    answer.fail(cause);
-    listener.lost(sent, cause);
+    responseBody.fail(cause);
+    listener.onFailure(isSent, cause);
   }
 
   @Override
@@ -162,7 +162,7 @@
 
   /** Gives the connection back for reuse; false where the exchange had already ended. */
   private boolean release() {
-    if (!finished.compareAndSet(false, true)) {
+    if (!isFinished.compareAndSet(false, true)) {
       return false;
     }
     AsyncClientEndpoint known;
@@ -178,7 +178,7 @@
   private void discard() {
     AsyncClientEndpoint known;
     synchronized (lock) {
-      abandoned = true;
+      isAbandoned = true;
       known = endpoint;
     }
     if (known != null) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/Outbound.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/RequestSender.java
@@ -8,21 +8,21 @@
 import org.jspecify.annotations.Nullable;
 
 /** Sends requests to targets and to other entry VMs. */
-public interface Outbound {
+public interface RequestSender {
   /** Hears how one request went; each method at most once, from an I/O thread. */
   public interface Listener {
     /** The head of the answer; {@code body} carries the rest as it comes. */
-    void head(HttpResponse response, @Nullable EntityDetails details, BodyPipe body);
+    void onResponse(HttpResponse response, @Nullable EntityDetails details, BodyPipe body);
 
     /** The whole answer was read. */
-    void done();
+    void onComplete();
 
     /**
      * The request failed.
      *
      * @param sent false only where no byte of the request was given to the connection
      */
-    void lost(boolean sent, Exception cause);
+    void onFailure(boolean sent, Exception cause);
   }
 
   /**
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/GateTable.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/GateTable.java
@@ -30,21 +30,21 @@
  */
 public final class GateTable implements AutoCloseable {
   /** How long a history waits here for the view that names this entry VM as the holder. */
-  private static final long HISTORY_WAIT_NANOS = Duration.ofSeconds(2).toNanos();
+  private static final long MAX_HISTORY_WAIT_NANOS = Duration.ofSeconds(2).toNanos();
 
   private final String vm;
   private final String zone;
   private final String customer;
-  private final Function<Contract.Service, ServiceGate> maker;
+  private final Function<Contract.Service, ServiceGate> gateFactory;
   private final TimeSource time;
   private volatile List<Holding> zoneHoldings = List.of();
   private final Map<String, ServiceGate> gates = new ConcurrentHashMap<>();
-  private final FormerHolders formerHolders;
-  private final LinkTable links;
-  private volatile HistorySender sender = HistorySender.none();
-  private final Map<String, Told> told = new HashMap<>();
+  private final PreviousHolders previousHolders;
+  private final LinkLimiter linkLimiter;
+  private volatile HistorySender historySender = HistorySender.none();
+  private final Map<String, PendingHistory> pendingHistories = new HashMap<>();
 
-  private record Told(long view, TargetHistory history, long receivedNanos) {}
+  private record PendingHistory(long view, TargetHistory history, long receivedNanos) {}
 
   private GateTable(
       String vm,
@@ -53,20 +53,20 @@
       TimeSource time,
       long incarnation,
       Function<Contract.Service, ServiceGate> maker) {
-    this.formerHolders = new FormerHolders(vm, incarnation);
-    this.links = new LinkTable(vm, zone, time);
+    this.previousHolders = new PreviousHolders(vm, incarnation);
+    this.linkLimiter = new LinkLimiter(vm, zone, time);
     this.vm = vm;
     this.zone = zone;
     this.customer = customer;
     this.time = time;
-    this.maker = maker;
+    this.gateFactory = maker;
   }
 
   /**
    * A table without gates.
    *
    * @param incarnation of this entry VM, as its zone's views name it
-   * @param maker makes the gate of a service when it is first named
+   * @param gateFactory makes the gate of a service when it is first named
    */
   public static GateTable create(
       String vm,
@@ -74,17 +74,17 @@
       String customer,
       TimeSource time,
       long incarnation,
-      Function<Contract.Service, ServiceGate> maker) {
-    return new GateTable(vm, zone, customer, time, incarnation, maker);
+      Function<Contract.Service, ServiceGate> gateFactory) {
+    return new GateTable(vm, zone, customer, time, incarnation, gateFactory);
   }
 
   /** Names how the new holders of targets that move away are told; until then they are not. */
-  public void tellNewHolders(HistorySender newSender) {
-    sender = newSender;
+  public void useHistorySender(HistorySender newSender) {
+    historySender = newSender;
   }
 
   /** Follows a new contract or view. */
-  public synchronized void follow(ClusterState state) {
+  public synchronized void applyState(ClusterState state) {
     Contract contract = state.contracts().get(customer);
     if (contract == null) {
       return;
@@ -93,8 +93,8 @@
     ZoneView view = state.views().get(zone);
     Set<String> takenOver = Set.of();
     if (view != null) {
-      takenOver = formerHolders.follow(view);
-      links.follow(contract, view);
+      takenOver = previousHolders.applyView(view);
+      linkLimiter.applyView(contract, view);
       zoneHoldings = view.holdings();
       for (Holding holding : view.holdings()) {
         if (holding.holder().equals(vm)) {
@@ -103,13 +103,13 @@
       }
     }
     for (Contract.Service service : contract.services()) {
-      ServiceGate gate = gates.computeIfAbsent(service.name(), name -> maker.apply(service));
+      ServiceGate gate = gates.computeIfAbsent(service.name(), name -> gateFactory.apply(service));
       gate.updateService(service);
       gate.updateHoldings(held.getOrDefault(service.name(), List.of()), takenOver);
     }
-    learnTold();
+    applyPendingHistories();
     if (view != null) {
-      handOver(view);
+      sendHistories(view);
     }
   }
 
@@ -118,28 +118,28 @@
    *
    * @param view number of the view by which the target moved
    */
-  public synchronized void learn(long view, TargetHistory history) {
-    told.put(history.target(), new Told(view, history, time.nanos()));
-    learnTold();
+  public synchronized void acceptHistory(long view, TargetHistory history) {
+    pendingHistories.put(history.target(), new PendingHistory(view, history, time.nanos()));
+    applyPendingHistories();
   }
 
   /**
    * A history may overtake the view that names this entry VM, so it is kept for a while. One of an
    * earlier move says nothing of what the last holder did, and is left out.
    */
-  private void learnTold() {
+  private void applyPendingHistories() {
     long now = time.nanos();
-    told.values().removeIf(each -> now - each.receivedNanos() > HISTORY_WAIT_NANOS);
-    told.values().removeIf(this::isTaken);
+    pendingHistories.values().removeIf(each -> now - each.receivedNanos() > MAX_HISTORY_WAIT_NANOS);
+    pendingHistories.values().removeIf(this::applyIfCurrent);
   }
 
-  private boolean isTaken(Told each) {
-    return each.view() > formerHolders.lastElsewhere(each.history().target())
-        && gates.values().stream().anyMatch(gate -> gate.importHistory(each.history()));
+  private boolean applyIfCurrent(PendingHistory pending) {
+    return pending.view() > previousHolders.lastViewHeldElsewhere(pending.history().target())
+        && gates.values().stream().anyMatch(gate -> gate.importHistory(pending.history()));
   }
 
   /** Tells the holders of targets that this entry VM held before what its gates counted. */
-  private void handOver(ZoneView view) {
+  private void sendHistories(ZoneView view) {
     for (Holding holding : view.holdings()) {
       ServiceGate gate = gates.get(holding.service());
       if (gate == null || holding.holder().isEmpty() || holding.holder().equals(vm)) {
@@ -151,19 +151,19 @@
           .ifPresent(
               member ->
                   gate.exportHistory(holding.target())
-                      .ifPresent(history -> sender.send(member, view.number(), history)));
+                      .ifPresent(history -> historySender.send(member, view.number(), history)));
     }
   }
 
   /** The gate of {@code service} where this entry VM holds a target of it, else null. */
-  public @Nullable ServiceGate holding(String service) {
+  public @Nullable ServiceGate gateWithTargets(String service) {
     ServiceGate gate = gates.get(service);
     return gate != null && gate.holdsTargets() ? gate : null;
   }
 
   /** Shares of the links from other regions. */
-  public LinkTable links() {
-    return links;
+  public LinkLimiter linkLimiter() {
+    return linkLimiter;
   }
 
   /** What this entry VM reports of its gates. */
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/GuardedGate.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/GuardedGate.java
@@ -41,7 +41,7 @@
 
   @Override
   public Cancellable request(AdmissionRequest request, Consumer<Admission> whenDecided) {
-    return gate.request(request, admission -> whenDecided.accept(checked(admission)));
+    return gate.request(request, admission -> whenDecided.accept(checkGuard(admission)));
   }
 
   @Override
@@ -57,7 +57,7 @@
     return free.compareTo(confirmed) < 0 ? confirmed : free;
   }
 
-  private Admission checked(Admission admission) {
+  private Admission checkGuard(Admission admission) {
     if (!(admission instanceof Admission.Admitted admitted)) {
       return admission;
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/LinkTable.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/LinkLimiter.java
@@ -20,8 +20,8 @@
  * all services. Zones of a region need not hear each other for that, and a slot has one holder, so
  * the shares add up to the limit at most.
  */
-public final class LinkTable {
-  private static final Duration LONGEST_HINT = Duration.ofSeconds(60);
+public final class LinkLimiter {
+  private static final Duration MAX_RETRY_AFTER = Duration.ofSeconds(60);
 
   private final String vm;
   private final String zone;
@@ -29,23 +29,23 @@
   private final Map<String, LinkRateLimiter> shares = new ConcurrentHashMap<>();
   private volatile String region = "";
 
-  LinkTable(String vm, String zone, TimeSource time) {
+  LinkLimiter(String vm, String zone, TimeSource time) {
     this.vm = vm;
     this.zone = zone;
     this.time = time;
   }
 
-  void follow(Contract contract, ZoneView view) {
+  void applyView(Contract contract, ZoneView view) {
     Contract.Region own = contract.regionOfZone(zone).orElse(null);
     if (own == null) {
       return;
     }
     region = own.name();
-    double part = slotPart(view) / own.zones().size();
+    double linkFraction = ownSlotFraction(view) / own.zones().size();
     long now = time.nanos();
     for (Contract.LinkLimit limit : contract.linkLimits()) {
       if (limit.to().equals(region)) {
-        double share = part * limit.requestsPerSecond();
+        double share = linkFraction * limit.requestsPerSecond();
         shares
             .computeIfAbsent(limit.from(), from -> LinkRateLimiter.of(share, now))
             .updateRate(share, now);
@@ -59,7 +59,7 @@
         .anyMatch(limit -> limit.from().equals(from) && limit.to().equals(region));
   }
 
-  private double slotPart(ZoneView view) {
+  private double ownSlotFraction(ZoneView view) {
     double own = 0;
     double all = 0;
     for (Holding holding : view.holdings()) {
@@ -72,20 +72,20 @@
   /**
    * Counts a request that came over a link, or says why it must not pass.
    *
-   * @param from region of the caller, or of the entry VM that passed the request on; empty where
-   *     not known, and then no limit applies
+   * @param fromRegion region of the caller, or of the entry VM that passed the request on; empty
+   *     where not known, and then no limit applies
    */
-  public Optional<Result.NotRun> refusal(String from, RequestClass requestClass) {
-    LinkRateLimiter share = from.equals(region) ? null : shares.get(from);
+  public Optional<Result.NotRun> admitOrRefuse(String fromRegion, RequestClass requestClass) {
+    LinkRateLimiter share = fromRegion.equals(region) ? null : shares.get(fromRegion);
     long now = time.nanos();
     if (share == null || share.tryAcquire(requestClass, now)) {
       return Optional.empty();
     }
-    Duration hint = share.retryAfter(requestClass, now);
+    Duration retryAfter = share.retryAfter(requestClass, now);
     return Optional.of(
         new Result.NotRun(
             ResultCode.LINK_LIMIT,
-            hint.compareTo(LONGEST_HINT) > 0 ? LONGEST_HINT : hint,
-            "the link from " + from + " to " + region + " carries no more " + requestClass));
+            retryAfter.compareTo(MAX_RETRY_AFTER) > 0 ? MAX_RETRY_AFTER : retryAfter,
+            "the link from " + fromRegion + " to " + region + " carries no more " + requestClass));
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/LoadPoller.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/LoadPoller.java
@@ -19,7 +19,7 @@
 import org.sageladder.core.time.TimeSource;
 import org.sageladder.entry.exchange.BodyCollector;
 import org.sageladder.entry.exchange.BodyPipe;
-import org.sageladder.entry.exchange.Outbound;
+import org.sageladder.entry.exchange.RequestSender;
 
 /**
  * Asks each held target for its load once a period and tells the gate.
@@ -30,18 +30,18 @@
 public final class LoadPoller implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final JsonMapper JSON = new JsonMapper();
-  private static final Duration CONNECT = Duration.ofMillis(500);
-  private static final int LARGEST_REPORT = 4096;
+  private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
+  private static final int MAX_REPORT_BYTES = 4096;
 
   private final GateTable gates;
-  private final Outbound client;
+  private final RequestSender client;
   private final TimeSource time;
   private final ScheduledFuture<?> polling;
-  private volatile boolean closed;
+  private volatile boolean isClosed;
 
   private LoadPoller(
       GateTable gates,
-      Outbound client,
+      RequestSender client,
       TimeSource time,
       ScheduledExecutorService timers,
       Duration period) {
@@ -56,7 +56,7 @@
   /** A poller that asks every {@code period} from now on. */
   public static LoadPoller start(
       GateTable gates,
-      Outbound client,
+      RequestSender client,
       TimeSource time,
       ScheduledExecutorService timers,
       Duration period) {
@@ -67,7 +67,7 @@
     try {
       gates.byService().values().forEach(this::poll);
     } catch (RuntimeException e) {
-      if (closed) {
+      if (isClosed) {
         return;
       }
       // A task that throws is never run again, and the gates would go blind without a word.
@@ -81,28 +81,28 @@
       BasicHttpRequest request = new BasicHttpRequest("GET", "/load");
       request.setScheme(host.getSchemeName());
       request.setAuthority(new URIAuthority(host));
-      Report report = new Report(gate, target, time.nanos());
-      client.send(host, request, null, BodyPipe.of(new byte[0]), CONNECT, report);
+      LoadListener report = new LoadListener(gate, target, time.nanos());
+      client.send(host, request, null, BodyPipe.of(new byte[0]), CONNECT_TIMEOUT, report);
     }
   }
 
   @Override
   public void close() {
-    closed = true;
+    isClosed = true;
     polling.cancel(false);
   }
 
   /** One answer on its way; it counts as taken when it was asked for, the earliest it may be. */
-  private record Report(ServiceGate gate, Holding target, long askedNanos)
-      implements Outbound.Listener {
+  private record LoadListener(ServiceGate gate, Holding target, long requestedNanos)
+      implements RequestSender.Listener {
     @Override
-    public void head(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
+    public void onResponse(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
       if (response.getCode() == 200) {
-        BodyCollector.collect(body, LARGEST_REPORT, this::tell);
+        BodyCollector.collect(body, MAX_REPORT_BYTES, this::reportLoad);
       }
     }
 
-    private void tell(byte[] bytes) {
+    private void reportLoad(byte[] bytes) {
       try {
         JsonNode load = JSON.readTree(bytes);
         if (load.path("incarnation").asLong(target.targetIncarnation())
@@ -114,17 +114,17 @@
             load.path("busy").asInt(),
             load.path("slots").asInt(target.slots()),
             load.path("draining").asBoolean(),
-            askedNanos);
+            requestedNanos);
       } catch (IOException e) {
         logger.atFine().withCause(e).log("target %s reports no readable load", target.target());
       }
     }
 
     @Override
-    public void done() {}
+    public void onComplete() {}
 
     @Override
-    public void lost(boolean sent, Exception cause) {
+    public void onFailure(boolean sent, Exception cause) {
       logger.atFinest().withCause(cause).log("target %s reports no load", target.target());
     }
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/FormerHolders.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/PreviousHolders.java
@@ -20,18 +20,18 @@
  *
  * <p>Not safe for use by several threads.
  */
-final class FormerHolders {
+final class PreviousHolders {
   private final String vm;
   private final long ownIncarnation;
-  private final Map<String, Holder> last = new HashMap<>();
-  private final Map<String, Long> lastElsewhere = new HashMap<>();
-  private long seenView = Long.MIN_VALUE;
+  private final Map<String, Holder> lastHolders = new HashMap<>();
+  private final Map<String, Long> lastViewsHeldElsewhere = new HashMap<>();
+  private long highestViewNumber = Long.MIN_VALUE;
 
   /**
-   * @param gap true once a later view named no holder or another
+   * @param hasGap true once a later view named no holder or another
    */
   private record Holder(
-      long targetIncarnation, String vm, long incarnation, boolean takenOver, boolean gap) {
+      long targetIncarnation, String vm, long incarnation, boolean isTakenOver, boolean hasGap) {
     boolean isSame(Holder other) {
       return targetIncarnation == other.targetIncarnation
           && vm.equals(other.vm)
@@ -39,64 +39,65 @@
     }
 
     Holder withGap() {
-      return new Holder(targetIncarnation, vm, incarnation, takenOver, true);
+      return new Holder(targetIncarnation, vm, incarnation, isTakenOver, true);
     }
   }
 
-  FormerHolders(String vm, long incarnation) {
+  PreviousHolders(String vm, long incarnation) {
     this.vm = vm;
     this.ownIncarnation = incarnation;
   }
 
   /** Takes in a view and names the targets held here that another may have held until now. */
-  Set<String> follow(ZoneView view) {
-    boolean isNew = view.number() > seenView;
-    seenView = Math.max(seenView, view.number());
+  Set<String> applyView(ZoneView view) {
+    boolean isNew = view.number() > highestViewNumber;
+    highestViewNumber = Math.max(highestViewNumber, view.number());
     Set<String> takenOver = new HashSet<>();
     for (Holding holding : view.holdings()) {
       if (isNew) {
-        note(holding, view);
+        recordHolder(holding, view);
       }
-      Holder holder = last.get(holding.target());
-      if (holder != null && holder.takenOver && holder.vm.equals(vm) && !holder.gap) {
+      Holder holder = lastHolders.get(holding.target());
+      if (holder != null && holder.isTakenOver && holder.vm.equals(vm) && !holder.hasGap) {
         takenOver.add(holding.target());
       }
     }
     Set<String> named = new HashSet<>();
     view.holdings().forEach(holding -> named.add(holding.target()));
-    last.keySet().retainAll(named);
-    lastElsewhere.keySet().retainAll(named);
+    lastHolders.keySet().retainAll(named);
+    lastViewsHeldElsewhere.keySet().retainAll(named);
     return takenOver;
   }
 
   /** Number of the last view that gave the target to nobody or to another, or 0. */
-  long lastElsewhere(String target) {
-    return lastElsewhere.getOrDefault(target, 0L);
+  long lastViewHeldElsewhere(String target) {
+    return lastViewsHeldElsewhere.getOrDefault(target, 0L);
   }
 
-  private void note(Holding holding, ZoneView view) {
+  private void recordHolder(Holding holding, ZoneView view) {
     if (!holding.holder().equals(vm)) {
-      lastElsewhere.put(holding.target(), view.number());
+      lastViewsHeldElsewhere.put(holding.target(), view.number());
     }
-    Holder before = last.get(holding.target());
+    Holder previous = lastHolders.get(holding.target());
     if (holding.holder().isEmpty()) {
-      if (before != null) {
-        last.put(holding.target(), before.withGap());
+      if (previous != null) {
+        lastHolders.put(holding.target(), previous.withGap());
       }
       return;
     }
     long incarnation = incarnation(holding.holder(), view);
-    boolean fresh = before == null || before.targetIncarnation != holding.targetIncarnation();
-    boolean earlierSelf = holding.holder().equals(vm) && incarnation != ownIncarnation;
+    boolean isFirstHolder =
+        previous == null || previous.targetIncarnation != holding.targetIncarnation();
+    boolean isEarlierIncarnation = holding.holder().equals(vm) && incarnation != ownIncarnation;
     Holder now =
         new Holder(
             holding.targetIncarnation(),
             holding.holder(),
             incarnation,
-            !fresh || earlierSelf,
+            !isFirstHolder || isEarlierIncarnation,
             false);
-    if (fresh || before.gap || !before.isSame(now)) {
-      last.put(holding.target(), now);
+    if (isFirstHolder || previous.hasGap || !previous.isSame(now)) {
+      lastHolders.put(holding.target(), now);
     }
   }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/HttpListener.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/HttpListener.java
@@ -25,8 +25,8 @@
 import org.apache.hc.core5.util.TimeValue;
 import org.apache.hc.core5.util.Timeout;
 import org.sageladder.core.result.ResultCode;
-import org.sageladder.entry.request.Answers;
 import org.sageladder.entry.request.Headers;
+import org.sageladder.entry.request.LocalReplies;
 import org.sageladder.platform.http.HangUpSession;
 
 /** One listening HTTP port of an entry VM. */
@@ -127,11 +127,12 @@
 
   private static void mark(HttpResponse response, boolean badLength) {
     if (badLength) {
-      Answers.mark(response, ResultCode.BODY_LENGTH_INVALID);
+      LocalReplies.addResultHeaders(response, ResultCode.BODY_LENGTH_INVALID);
       return;
     }
     boolean tooLarge = response.getCode() == 431;
-    Answers.mark(response, tooLarge ? ResultCode.HEAD_TOO_LARGE : ResultCode.MALFORMED_REQUEST);
+    LocalReplies.addResultHeaders(
+        response, tooLarge ? ResultCode.HEAD_TOO_LARGE : ResultCode.MALFORMED_REQUEST);
   }
 
   /** The port that is open. */
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/OperatorPort.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/OperatorPort.java
@@ -17,8 +17,8 @@
 import org.sageladder.entry.control.ControlPlane;
 import org.sageladder.entry.exchange.CallerExchange;
 import org.sageladder.entry.gates.GateTable;
-import org.sageladder.entry.request.Answers;
-import org.sageladder.entry.request.Explanation;
+import org.sageladder.entry.request.LocalReplies;
+import org.sageladder.entry.request.LookUpExplainer;
 import org.sageladder.platform.event.EventPage;
 import org.sageladder.protocol.ZoneReport;
 
@@ -32,7 +32,7 @@
   private final ControlPlane control;
   private final GateTable gates;
   private final EventSource events;
-  private final Explanation explanation;
+  private final LookUpExplainer explanation;
   private final Runnable drain;
 
   private OperatorPort(
@@ -41,7 +41,7 @@
       ControlPlane control,
       GateTable gates,
       EventSource events,
-      Explanation explanation,
+      LookUpExplainer explanation,
       Runnable drain) {
     this.vm = vm;
     this.metrics = metrics;
@@ -70,33 +70,33 @@
       ControlPlane control,
       GateTable gates,
       EventSource events,
-      Explanation explanation,
+      LookUpExplainer explanation,
       Runnable drain) {
     return new OperatorPort(vm, metrics, control, gates, events, explanation, drain);
   }
 
   @Override
-  public void begin(CallerExchange exchange) throws java.io.IOException {
+  public void handle(CallerExchange exchange) throws java.io.IOException {
     exchange.requestBody().discard();
     String path = exchange.request().getPath();
     if (path.equals("/v1/metrics")) {
-      Answers.send(
+      LocalReplies.send(
           exchange,
           new BasicHttpResponse(200),
           ContentType.create("text/plain", "UTF-8"),
           metrics.scrape());
     } else if (path.equals("/v1/state")) {
-      Answers.send(exchange, new BasicHttpResponse(200), state());
+      LocalReplies.send(exchange, new BasicHttpResponse(200), state());
     } else if (path.equals("/v1/events") || path.startsWith("/v1/events?")) {
       sendEvents(exchange, path);
     } else if (path.startsWith("/v1/explain?")) {
       explain(exchange, path);
     } else if (path.equals("/v1/drain") && exchange.request().getMethod().equals("POST")) {
-      Answers.send(
+      LocalReplies.send(
           exchange, new BasicHttpResponse(202), JSON.createObjectNode().put("draining", true));
       drain.run();
     } else {
-      Answers.send(
+      LocalReplies.send(
           exchange,
           Result.notRun(
               ResultCode.UNKNOWN_ROUTE,
@@ -110,14 +110,14 @@
   private void sendEvents(CallerExchange exchange, String path) {
     Matcher query = EVENTS.matcher(path);
     if (!query.matches()) {
-      Answers.send(
+      LocalReplies.send(
           exchange,
           Result.notRun(
               ResultCode.MALFORMED_REQUEST, "query of '" + path + "' is not ?after=WHOLE-NUMBER"));
       return;
     }
     long after = query.group(1) == null ? 0 : Long.parseLong(query.group(1));
-    Answers.send(
+    LocalReplies.send(
         exchange,
         new BasicHttpResponse(200),
         ContentType.APPLICATION_JSON,
@@ -127,13 +127,13 @@
   private void explain(CallerExchange exchange, String path) {
     ObjectNode json = explanation.explain(path, control.state());
     if (json == null) {
-      Answers.send(
+      LocalReplies.send(
           exchange,
           Result.notRun(
               ResultCode.UNKNOWN_SERVICE,
               "'" + path + "' names no contract, service and client block in force here"));
     } else {
-      Answers.send(exchange, new BasicHttpResponse(200), json);
+      LocalReplies.send(exchange, new BasicHttpResponse(200), json);
     }
   }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/log/Logs.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/log/Logs.java
@@ -26,7 +26,7 @@
     Logger root = Logger.getLogger("");
     root.setLevel(Level.WARNING);
     Logger.getLogger("org.sageladder").setLevel(level(settings.level()));
-    Handler handler = new Flushing(formatter(settings.format(), vm));
+    Handler handler = new FlushingHandler(formatter(settings.format(), vm));
     handler.setLevel(Level.ALL);
     root.addHandler(handler);
   }
@@ -83,8 +83,8 @@
   }
 
   /** Writes each line at once, so that the last lines of a dying process are not lost. */
-  private static final class Flushing extends StreamHandler {
-    Flushing(Formatter formatter) {
+  private static final class FlushingHandler extends StreamHandler {
+    FlushingHandler(Formatter formatter) {
       super(System.err, formatter);
     }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/quarantine/CrashWatch.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/quarantine/CrashDetector.java
@@ -28,7 +28,7 @@
 import org.sageladder.core.time.TimeSource;
 import org.sageladder.entry.exchange.BodyCollector;
 import org.sageladder.entry.exchange.BodyPipe;
-import org.sageladder.entry.exchange.Outbound;
+import org.sageladder.entry.exchange.RequestSender;
 
 /**
  * Tells a target's crash from a broken connection, and which requests were on it.
@@ -39,34 +39,34 @@
  *
  * <p>One lock guards the gathered requests; nothing is called while it is held.
  */
-public final class CrashWatch {
+public final class CrashDetector {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final JsonMapper JSON = new JsonMapper();
-  private static final String TOPIC = "crash";
-  private static final Duration GATHER = Duration.ofMillis(30);
-  private static final Duration CONNECT = Duration.ofMillis(300);
-  private static final Duration KEEP = Duration.ofMinutes(10);
-  private static final int LARGEST_LOAD = 4_096;
-  private static final int MOST_COUNTED = 10_000;
-  private static final long CRASHES_PER_INCARNATION = 1_000;
+  private static final String CRASH_REPORT_TOPIC = "crash";
+  private static final Duration BATCH_DELAY = Duration.ofMillis(30);
+  private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(300);
+  private static final Duration REPORT_RETENTION = Duration.ofMinutes(10);
+  private static final int MAX_LOAD_BYTES = 4_096;
+  private static final int MAX_COUNTED_INCARNATIONS = 10_000;
+  private static final long MAX_CRASHES_PER_INCARNATION = 1_000;
 
   private final String customer;
   private final Quarantine quarantine;
-  private final Outbound client;
+  private final RequestSender client;
   private final ScheduledExecutorService timers;
   private final TimeSource time;
   private final EventSink events;
   private final PeerMessages messages;
   private final Object lock = new Object();
   // Guarded by lock: fingerprints cut off a moment ago, by target.
-  private final Map<String, Set<Long>> cut = new HashMap<>();
+  private final Map<String, Set<Long>> failedRequests = new HashMap<>();
   // Guarded by lock: crashes seen here of one listed incarnation, by target and incarnation.
-  private final Map<String, Integer> crashes = new HashMap<>();
+  private final Map<String, Integer> crashCounts = new HashMap<>();
 
-  private CrashWatch(
+  private CrashDetector(
       String customer,
       Quarantine quarantine,
-      Outbound client,
+      RequestSender client,
       ScheduledExecutorService timers,
       TimeSource time,
       EventSink events,
@@ -81,17 +81,18 @@
   }
 
   /** A watch that tells crashes to {@code quarantine} and, by {@code messages}, to the others. */
-  public static CrashWatch start(
+  public static CrashDetector start(
       String customer,
       Quarantine quarantine,
-      Outbound client,
+      RequestSender client,
       ScheduledExecutorService timers,
       TimeSource time,
       EventSink events,
       PeerMessages messages) {
-    CrashWatch watch = new CrashWatch(customer, quarantine, client, timers, time, events, messages);
-    messages.setReceiver(TOPIC, (from, content) -> watch.heard(content));
-    return watch;
+    CrashDetector detector =
+        new CrashDetector(customer, quarantine, client, timers, time, events, messages);
+    messages.setReceiver(CRASH_REPORT_TOPIC, (from, content) -> detector.onPeerReport(content));
+    return detector;
   }
 
   /** The quarantine that follows from the crashes. */
@@ -100,43 +101,49 @@
   }
 
   /** A request's connection failed before its answer was whole. */
-  public void cut(Holding target, long fingerprint) {
-    boolean first;
+  public void recordConnectionFailure(Holding target, long fingerprint) {
+    boolean isFirst;
     synchronized (lock) {
-      first = !cut.containsKey(target.target());
-      cut.computeIfAbsent(target.target(), ignored -> new HashSet<>()).add(fingerprint);
+      isFirst = !failedRequests.containsKey(target.target());
+      failedRequests.computeIfAbsent(target.target(), ignored -> new HashSet<>()).add(fingerprint);
     }
-    if (first) {
+    if (isFirst) {
       ScheduledFuture<?> unused =
-          timers.schedule(() -> ask(target), GATHER.toMillis(), TimeUnit.MILLISECONDS);
+          timers.schedule(() -> probeLoad(target), BATCH_DELAY.toMillis(), TimeUnit.MILLISECONDS);
     }
   }
 
-  private void ask(Holding target) {
+  private void probeLoad(Holding target) {
     HttpHost host = new HttpHost(target.host(), target.port());
     BasicHttpRequest request = new BasicHttpRequest("GET", "/load");
     request.setScheme(host.getSchemeName());
     request.setAuthority(new URIAuthority(host));
     Runnable cancel =
-        client.send(host, request, null, BodyPipe.of(new byte[0]), CONNECT, new LoadAnswer(target));
+        client.send(
+            host,
+            request,
+            null,
+            BodyPipe.of(new byte[0]),
+            CONNECT_TIMEOUT,
+            new LoadListener(target));
     ScheduledFuture<?> unused =
-        timers.schedule(cancel, CONNECT.toMillis() * 2, TimeUnit.MILLISECONDS);
+        timers.schedule(cancel, CONNECT_TIMEOUT.toMillis() * 2, TimeUnit.MILLISECONDS);
   }
 
-  private Set<Long> take(Holding target) {
+  private Set<Long> takeFailedRequests(Holding target) {
     synchronized (lock) {
-      Set<Long> gathered = cut.remove(target.target());
+      Set<Long> gathered = failedRequests.remove(target.target());
       return gathered == null ? Set.of() : gathered;
     }
   }
 
-  private void crashed(Holding target) {
-    Set<Long> fingerprints = take(target);
+  private void reportCrash(Holding target) {
+    Set<Long> fingerprints = takeFailedRequests(target);
     if (fingerprints.isEmpty()) {
       return;
     }
     CrashReport report =
-        new CrashReport(target.target(), crashNumber(target), time.wallMillis(), fingerprints);
+        new CrashReport(target.target(), crashIncarnation(target), time.wallMillis(), fingerprints);
     events.record(
         EventKind.TARGET_CRASHED,
         "",
@@ -146,7 +153,7 @@
         fingerprints.size() + " requests were on it");
     if (quarantine.add(report)) {
       String id = target.target() + "/" + report.incarnation();
-      messages.broadcast(TOPIC, id, CrashReportCodec.encode(report), KEEP);
+      messages.broadcast(CRASH_REPORT_TOPIC, id, CrashReportCodec.encode(report), REPORT_RETENTION);
     }
     for (long fingerprint : fingerprints) {
       if (quarantine.isQuarantined(fingerprint, time.wallMillis())) {
@@ -165,17 +172,18 @@
    * Tells two crashes of a target apart also while the list, which lags, still names the first
    * incarnation: taken for one crash, they would let the request through once more.
    */
-  private long crashNumber(Holding target) {
+  private long crashIncarnation(Holding target) {
     synchronized (lock) {
-      if (crashes.size() > MOST_COUNTED) {
-        crashes.clear();
+      if (crashCounts.size() > MAX_COUNTED_INCARNATIONS) {
+        crashCounts.clear();
       }
-      int seen = crashes.merge(target.target() + "/" + target.targetIncarnation(), 1, Integer::sum);
-      return target.targetIncarnation() * CRASHES_PER_INCARNATION + seen;
+      int seen =
+          crashCounts.merge(target.target() + "/" + target.targetIncarnation(), 1, Integer::sum);
+      return target.targetIncarnation() * MAX_CRASHES_PER_INCARNATION + seen;
     }
   }
 
-  private void heard(byte[] content) {
+  private void onPeerReport(byte[] content) {
     try {
       boolean unused = quarantine.add(CrashReportCodec.decode(content));
     } catch (IOException e) {
@@ -184,19 +192,19 @@
     }
   }
 
-  private final class LoadAnswer implements Outbound.Listener {
+  private final class LoadListener implements RequestSender.Listener {
     private final Holding target;
 
-    LoadAnswer(Holding target) {
+    LoadListener(Holding target) {
       this.target = target;
     }
 
     @Override
-    public void head(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
-      BodyCollector.collect(body, LARGEST_LOAD, this::read);
+    public void onResponse(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
+      BodyCollector.collect(body, MAX_LOAD_BYTES, this::compareIncarnation);
     }
 
-    private void read(byte[] load) {
+    private void compareIncarnation(byte[] load) {
       long incarnation = 0;
       try {
         JsonNode json = JSON.readTree(load);
@@ -205,19 +213,19 @@
         logger.atFine().withCause(e).log("load of %s cannot be read", target.target());
       }
       if (target.targetIncarnation() > 0 && incarnation > target.targetIncarnation()) {
-        crashed(target);
+        reportCrash(target);
       } else {
-        Set<Long> harmless = take(target);
+        Set<Long> harmless = takeFailedRequests(target);
         logger.atFine().log("%s lives on after %d cut requests", target.target(), harmless.size());
       }
     }
 
     @Override
-    public void done() {}
+    public void onComplete() {}
 
     @Override
-    public void lost(boolean sent, Exception cause) {
-      crashed(target);
+    public void onFailure(boolean sent, Exception cause) {
+      reportCrash(target);
     }
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/PassedHeaders.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/EndToEndHeaders.java
@@ -8,9 +8,9 @@
 import org.sageladder.core.message.HopByHopHeaders;
 
 /** Copies the headers that belong to the message, leaving those that belong to a connection. */
-final class PassedHeaders {
+final class EndToEndHeaders {
   /** Headers that the HTTP library writes itself, from what it is told of the message. */
-  private static final Set<String> WRITTEN_BY_THE_LIBRARY =
+  private static final Set<String> SET_BY_HTTP_LIBRARY =
       Set.of(
           "content-length",
           "content-type",
@@ -20,23 +20,24 @@
           "server",
           "user-agent");
 
-  private PassedHeaders() {}
+  private EndToEndHeaders() {}
 
   /**
    * Copies headers from {@code from} to {@code to}.
    *
-   * @param ours whether headers of sageladder are copied too, as between entry VMs
+   * @param includeSageladderHeaders whether headers of sageladder are copied too, as between entry
+   *     VMs
    */
-  static void copy(HttpMessage from, HttpMessage to, boolean ours) {
-    HopByHopHeaders left =
+  static void copy(HttpMessage from, HttpMessage to, boolean includeSageladderHeaders) {
+    HopByHopHeaders hopByHop =
         HopByHopHeaders.of(
             Arrays.stream(from.getHeaders("Connection")).map(Header::getValue).toList());
     for (Header header : from.getHeaders()) {
       String name = header.getName().toLowerCase(Locale.ROOT);
-      if (left.contains(name) || WRITTEN_BY_THE_LIBRARY.contains(name)) {
+      if (hopByHop.contains(name) || SET_BY_HTTP_LIBRARY.contains(name)) {
         continue;
       }
-      if (name.startsWith("sageladder-") && !ours) {
+      if (name.startsWith("sageladder-") && !includeSageladderHeaders) {
         continue;
       }
       to.addHeader(header.getName(), header.getValue());
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/FlowParts.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/FlowContext.java
@@ -4,17 +4,17 @@
 import java.util.concurrent.ScheduledExecutorService;
 import org.sageladder.core.event.EventSink;
 import org.sageladder.core.time.TimeSource;
-import org.sageladder.entry.exchange.Outbound;
-import org.sageladder.entry.quarantine.CrashWatch;
+import org.sageladder.entry.exchange.RequestSender;
+import org.sageladder.entry.quarantine.CrashDetector;
 
 /** What every request flow of one entry VM shares. */
-record FlowParts(
+record FlowContext(
     String vm,
     String customer,
-    Outbound client,
+    RequestSender client,
     ScheduledExecutorService timers,
     TimeSource time,
     EventSink events,
     RequestCounters counters,
     Duration connectTimeout,
-    CrashWatch crashes) {}
+    CrashDetector crashDetector) {}
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/FlowState.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/FlowState.java
@@ -9,15 +9,15 @@
  * <p>Failure guarded against: a deadline or a broken connection in the very instant of sending sees
  * the request as waiting, and its caller is told "not run" of a request that runs. The decision to
  * send and the decision to end are taken under one lock, and the later one knows of the earlier.
- * The lock is the last in any order but for whatever {@link #whileOpen} runs.
+ * The lock is the last in any order but for whatever {@link #runUnlessEnded} runs.
  */
 final class FlowState {
-  private Runnable cancelStep = () -> {};
+  private Runnable cancelAction = () -> {};
   private boolean dispatched;
   private boolean ended;
 
   /** What had to be known at the end. */
-  record End(boolean dispatched, Runnable cancelStep) {}
+  record End(boolean isDispatched, Runnable cancelAction) {}
 
   /** Decides, once and for all, that the request is sent; false where the flow has ended. */
   synchronized boolean beginDispatch() {
@@ -25,12 +25,12 @@
       return false;
     }
     dispatched = true;
-    cancelStep = () -> {};
+    cancelAction = () -> {};
     return true;
   }
 
   /** Takes a dispatch back that provably ran nothing. */
-  synchronized void waitAgain() {
+  synchronized void undoDispatch() {
     dispatched = false;
   }
 
@@ -48,7 +48,7 @@
       return null;
     }
     ended = true;
-    return new End(dispatched, cancelStep);
+    return new End(dispatched, cancelAction);
   }
 
   synchronized void finish() {
@@ -56,7 +56,7 @@
   }
 
   /** Runs {@code action} unless the flow has ended; false where it has. */
-  synchronized boolean whileOpen(Runnable action) {
+  synchronized boolean runUnlessEnded(Runnable action) {
     if (!ended) {
       action.run();
     }
@@ -64,7 +64,7 @@
   }
 
   /** Names the wait as what a going caller ends, unless the gate has let the request through. */
-  void waitFor(Gate.Cancellable wait) {
+  void setWait(Gate.Cancellable wait) {
     boolean now;
     synchronized (this) {
       if (dispatched) {
@@ -72,7 +72,7 @@
       }
       now = ended;
       if (!now) {
-        cancelStep = wait::cancel;
+        cancelAction = wait::cancel;
       }
     }
     if (now) {
@@ -81,12 +81,12 @@
   }
 
   /** Names what ends the present step; runs it at once where the flow has already ended. */
-  void step(Runnable cancel) {
+  void setCancelAction(Runnable cancel) {
     boolean now;
     synchronized (this) {
       now = ended;
       if (!now) {
-        cancelStep = cancel;
+        cancelAction = cancel;
       }
     }
     if (now) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/Headers.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/Headers.java
@@ -8,7 +8,7 @@
   public static final String DEADLINE = "Sageladder-Deadline-Millis";
 
   /** Milliseconds after which the caller leaves this entry VM and tries another; optional. */
-  public static final String TRY = "Sageladder-Try-Millis";
+  public static final String ATTEMPT_TIMEOUT = "Sageladder-Try-Millis";
 
   /** A sealed permit; on an answer, a fresh one to send the request with. */
   public static final String PERMIT = "Sageladder-Permit";
@@ -26,7 +26,7 @@
   public static final String FORWARDED_BY = "Sageladder-Forwarded-By";
 
   /** Between entry VMs: the sealed word of a permit's home that this copy may be run. */
-  public static final String DISPATCH = "Sageladder-Dispatch";
+  public static final String DISPATCH_TOKEN = "Sageladder-Dispatch";
 
   /** Number and name of the result. */
   public static final String RESULT = "Sageladder-Result";
@@ -49,8 +49,8 @@
   /** Remaining milliseconds as targets know them. */
   public static final String TARGET_DEADLINE = "Deadline-Millis";
 
-  static final List<String> CHECKED =
-      List.of(PERMIT, IDEMPOTENCY_KEY, REQUEST_ID, FORWARDED_BY, DISPATCH);
+  static final List<String> LENGTH_LIMITED =
+      List.of(PERMIT, IDEMPOTENCY_KEY, REQUEST_ID, FORWARDED_BY, DISPATCH_TOKEN);
 
   private Headers() {}
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/HistoryPost.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/HttpHistorySender.java
@@ -19,28 +19,28 @@
 import org.sageladder.core.time.TimeSource;
 import org.sageladder.entry.exchange.BodyCollector;
 import org.sageladder.entry.exchange.BodyPipe;
-import org.sageladder.entry.exchange.Outbound;
+import org.sageladder.entry.exchange.RequestSender;
 import org.sageladder.entry.gates.HistorySender;
 
 /**
  * Sends target histories to the callers' port of their new holders, with a sealed word whose
  * sequence is the number of the view that moved the target.
  */
-public final class HistoryPost implements HistorySender {
+public final class HttpHistorySender implements HistorySender {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final JsonMapper JSON = new JsonMapper();
-  private static final int LARGEST_ANSWER = 4096;
-  private static final Duration CONNECT = Duration.ofMillis(500);
-  private static final Duration WORD_LIFE = Duration.ofSeconds(10);
+  private static final int MAX_RESPONSE_BYTES = 4096;
+  private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
+  private static final Duration TOKEN_LIFETIME = Duration.ofSeconds(10);
 
   private final Member self;
   private final String customer;
   private final PermitCodec codec;
-  private final Outbound client;
+  private final RequestSender client;
   private final TimeSource time;
 
-  private HistoryPost(
-      Member self, String customer, PermitCodec codec, Outbound client, TimeSource time) {
+  private HttpHistorySender(
+      Member self, String customer, PermitCodec codec, RequestSender client, TimeSource time) {
     this.self = self;
     this.customer = customer;
     this.codec = codec;
@@ -49,9 +49,9 @@
   }
 
   /** A sender for the entry VM {@code self}. */
-  public static HistoryPost of(
-      Member self, String customer, PermitCodec codec, Outbound client, TimeSource time) {
-    return new HistoryPost(self, customer, codec, client, time);
+  public static HttpHistorySender of(
+      Member self, String customer, PermitCodec codec, RequestSender client, TimeSource time) {
+    return new HttpHistorySender(self, customer, codec, client, time);
   }
 
   @Override
@@ -63,46 +63,46 @@
       logger.atWarning().withCause(e).log("cannot write the history of %s", history.target());
       return;
     }
-    BasicHttpRequest request = new BasicHttpRequest("PUT", PeerRoutes.TARGET_HISTORY);
+    BasicHttpRequest request = new BasicHttpRequest("PUT", PeerRequestHandler.TARGET_HISTORY_PATH);
     HttpHost host = new HttpHost(holder.host(), holder.port());
     request.setScheme(host.getSchemeName());
     request.setAuthority(new URIAuthority(host));
-    request.setHeader(Headers.DISPATCH, codec.seal(word(view, history)));
+    request.setHeader(Headers.DISPATCH_TOKEN, codec.seal(token(view, history)));
     client.send(
         host,
         request,
         new BasicEntityDetails(body.length, ContentType.APPLICATION_JSON),
         BodyPipe.of(body),
-        CONNECT,
-        new Answer(holder.vm(), history.target()));
+        CONNECT_TIMEOUT,
+        new SendListener(holder.vm(), history.target()));
   }
 
-  private Permit word(long view, TargetHistory history) {
-    long expiry = time.wallMillis() + WORD_LIFE.toMillis();
+  private Permit token(long view, TargetHistory history) {
+    long expiry = time.wallMillis() + TOKEN_LIFETIME.toMillis();
     return new Permit(
         self.vm(),
         self.incarnation(),
         view,
         expiry,
         customer,
-        PeerRoutes.TARGET_HISTORY,
+        PeerRequestHandler.TARGET_HISTORY_PATH,
         history.target(),
         "");
   }
 
-  private record Answer(String vm, String target) implements Outbound.Listener {
+  private record SendListener(String vm, String target) implements RequestSender.Listener {
     @Override
-    public void head(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
+    public void onResponse(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
       if (details != null) {
-        BodyCollector.collect(body, LARGEST_ANSWER, bytes -> {});
+        BodyCollector.collect(body, MAX_RESPONSE_BYTES, bytes -> {});
       }
     }
 
     @Override
-    public void done() {}
+    public void onComplete() {}
 
     @Override
-    public void lost(boolean sent, Exception cause) {
+    public void onFailure(boolean sent, Exception cause) {
       logger.atInfo().withCause(cause).log(
           "%s was not told what %s carried; it waits one window of the shift cap", vm, target);
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/Answers.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/LocalReplies.java
@@ -17,10 +17,10 @@
 import org.sageladder.entry.exchange.CallerExchange;
 
 /** The answers that an entry VM gives of its own. */
-public final class Answers {
+public final class LocalReplies {
   private static final JsonMapper JSON = new JsonMapper();
 
-  private Answers() {}
+  private LocalReplies() {}
 
   /** {@code number NAME}, as the result header says it. */
   public static String label(ResultCode code) {
@@ -33,7 +33,7 @@
   }
 
   /** The outcome with that label; unknown where no outcome has it. */
-  static Outcome outcome(String label) {
+  static Outcome parseOutcome(String label) {
     for (Outcome outcome : Outcome.values()) {
       if (label(outcome).equals(label)) {
         return outcome;
@@ -44,10 +44,10 @@
 
   /** Sends a result as a small JSON document; false where another answer was begun before. */
   public static boolean send(CallerExchange exchange, Result result) {
-    return exchange.isAnswered() ? false : send(exchange, head(result), result);
+    return exchange.isResponseStarted() ? false : send(exchange, responseHead(result), result);
   }
 
-  /** Sends a result with a head made by {@link #head} and added to. */
+  /** Sends a result with a head made by {@link #responseHead} and added to. */
   public static boolean send(CallerExchange exchange, HttpResponse head, Result result) {
     ObjectNode json = JSON.createObjectNode();
     json.put("code", result.code().number());
@@ -67,13 +67,13 @@
   public static boolean send(
       CallerExchange exchange, HttpResponse head, ContentType type, String text) {
     byte[] body = text.getBytes(StandardCharsets.UTF_8);
-    return exchange.answer(head, new BasicEntityDetails(body.length, type), BodyPipe.of(body));
+    return exchange.respond(head, new BasicEntityDetails(body.length, type), BodyPipe.of(body));
   }
 
   /** The head of the answer that tells {@code result}. */
-  public static HttpResponse head(Result result) {
+  public static HttpResponse responseHead(Result result) {
     BasicHttpResponse response = new BasicHttpResponse(result.code().httpStatus());
-    mark(response, result.code());
+    addResultHeaders(response, result.code());
     Duration retryAfter = retryAfter(result);
     if (!retryAfter.isZero()) {
       response.setHeader(Headers.RETRY_AFTER, retryAfter.toMillis());
@@ -83,7 +83,7 @@
   }
 
   /** Adds number, name and outcome of {@code code} to an answer. */
-  public static void mark(HttpResponse response, ResultCode code) {
+  public static void addResultHeaders(HttpResponse response, ResultCode code) {
     response.setHeader(Headers.RESULT, label(code));
     response.setHeader(Headers.OUTCOME, label(code.outcome()));
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/Explanation.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/LookUpExplainer.java
@@ -22,20 +22,20 @@
  * <p>The shares come from asking the look-up table itself many times with fixed random bits, so
  * that the explanation cannot differ from what callers get.
  */
-public final class Explanation {
+public final class LookUpExplainer {
   private static final JsonMapper JSON = new JsonMapper();
   private static final int SAMPLES = 1_000;
 
   private final LookUps lookUps;
   private final TimeSource time;
 
-  private Explanation(LookUps lookUps, TimeSource time) {
+  private LookUpExplainer(LookUps lookUps, TimeSource time) {
     this.lookUps = lookUps;
     this.time = time;
   }
 
-  static Explanation of(LookUps lookUps, TimeSource time) {
-    return new Explanation(lookUps, time);
+  static LookUpExplainer of(LookUps lookUps, TimeSource time) {
+    return new LookUpExplainer(lookUps, time);
   }
 
   /**
@@ -43,8 +43,8 @@
    *
    * @return null where the contract, the service or the block is unknown here
    */
-  public @Nullable ObjectNode explain(String path, ClusterState state) {
-    LookUps.Query query = LookUps.Query.parse(path);
+  public @Nullable ObjectNode explain(String pathWithQuery, ClusterState state) {
+    LookUps.Query query = LookUps.Query.parse(pathWithQuery);
     Contract contract = state.contracts().get(query.contract());
     Contract.Service service =
         contract == null ? null : contract.service(query.service()).orElse(null);
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/LookUps.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/LookUps.java
@@ -28,7 +28,7 @@
   }
 
   /** Builds the table that follows from {@code state}. */
-  public void follow(ClusterState state) {
+  public void applyState(ClusterState state) {
     LookUpTable old = table;
     long now = time.wallMillis();
     table =
@@ -66,7 +66,7 @@
       for (String pair : (start < 0 ? "" : path.substring(start + 1)).split("&", -1)) {
         int equals = pair.indexOf('=');
         String name = equals < 0 ? pair : pair.substring(0, equals);
-        String value = equals < 0 ? "" : decoded(pair.substring(equals + 1));
+        String value = equals < 0 ? "" : decode(pair.substring(equals + 1));
         switch (name) {
           case "contract" -> contract = value;
           case "service" -> service = value;
@@ -76,10 +76,10 @@
           }
         }
       }
-      return new Query(contract, service, number(block), block);
+      return new Query(contract, service, parseBlock(block), block);
     }
 
-    private static String decoded(String text) {
+    private static String decode(String text) {
       try {
         return URLDecoder.decode(text, StandardCharsets.UTF_8);
       } catch (IllegalArgumentException e) {
@@ -88,7 +88,7 @@
     }
 
     /** The number of a block, or -1 where {@code text} is none. */
-    static int number(String text) {
+    static int parseBlock(String text) {
       boolean digits = !text.isEmpty() && text.chars().allMatch(c -> c >= '0' && c <= '9');
       return digits && text.length() <= 9 ? Integer.parseInt(text) : -1;
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/PeerLeg.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/PeerAttempt.java
@@ -13,58 +13,58 @@
 import org.sageladder.entry.exchange.BodyPipe;
 
 /** A try through another entry VM: the holder of a gate, or the home of the permit. */
-final class PeerLeg extends Leg {
-  private final Member member;
-  private final boolean toHome;
+final class PeerAttempt extends RequestAttempt {
+  private final Member peer;
+  private final boolean toIssuer;
 
-  PeerLeg(RequestFlow flow, Member member, boolean toHome) {
+  PeerAttempt(RequestFlow flow, Member member, boolean toHome) {
     super(flow);
-    this.member = member;
-    this.toHome = toHome;
+    this.peer = member;
+    this.toIssuer = toHome;
   }
 
   @Override
-  public void head(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
+  public void onResponse(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
     var said = response.getFirstHeader(Headers.OUTCOME);
-    Outcome outcome = said == null ? Outcome.UNKNOWN : Answers.outcome(said.getValue());
+    Outcome outcome = said == null ? Outcome.UNKNOWN : LocalReplies.parseOutcome(said.getValue());
     BasicHttpResponse passed = new BasicHttpResponse(response.getCode());
-    PassedHeaders.copy(response, passed, true);
+    EndToEndHeaders.copy(response, passed, true);
     if (outcome == Outcome.RAN) {
-      recordRun(passed, details, body);
+      startRecording(passed, details, body);
     } else {
       flow.endRun(outcome == Outcome.NOT_RUN);
     }
-    if (flow.passOn(passed, details, body, outcome)) {
-      flow.record(EventKind.ANSWERED, member.vm(), "status " + response.getCode());
+    if (flow.forwardResponse(passed, details, body, outcome)) {
+      flow.recordEvent(EventKind.ANSWERED, peer.vm(), "status " + response.getCode());
     }
   }
 
   @Override
-  public void done() {
-    endProvenRun(true);
+  public void onComplete() {
+    endRunIfResponded(true);
     flow.finish();
   }
 
   @Override
-  public void lost(boolean sent, Exception cause) {
-    if (flow.isOver()) {
-      endProvenRun(false);
+  public void onFailure(boolean sent, Exception cause) {
+    if (flow.isSettled()) {
+      endRunIfResponded(false);
       flow.finish();
       return;
     }
-    if (toHome) {
+    if (toIssuer) {
       // Another copy may have reached the home: "not run" could be said by the home alone.
-      flow.unknown(
+      flow.failUnknown(
           ResultCode.HOME_LOST,
-          "entry VM " + member.vm() + ", home of the permit, cannot be reached: " + cause);
+          "entry VM " + peer.vm() + ", home of the permit, cannot be reached: " + cause);
     } else if (sent) {
-      flow.unknown(ResultCode.GATE_LOST, "entry VM " + member.vm() + " was lost: " + cause);
+      flow.failUnknown(ResultCode.GATE_LOST, "entry VM " + peer.vm() + " was lost: " + cause);
     } else {
       flow.refuse(
           new Result.NotRun(
               ResultCode.GATE_MOVED,
               Duration.ofMillis(500),
-              "cannot connect to entry VM " + member.vm()));
+              "cannot connect to entry VM " + peer.vm()));
     }
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/PeerRoutes.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/PeerRequestHandler.java
@@ -27,36 +27,36 @@
  *
  * <p>Every such message carries the sealed word of its sender, so a caller cannot make one up.
  */
-public final class PeerRoutes {
+public final class PeerRequestHandler {
   /** Path under which messages between entry VMs are taken. */
-  public static final String PREFIX = "/v1/peer/";
+  public static final String PATH_PREFIX = "/v1/peer/";
 
   /** Takes the states of permits whose home stops. */
-  public static final String HAND_OVER = PREFIX + "hand-over";
+  public static final String HAND_OVER_PATH = PATH_PREFIX + "hand-over";
 
   /** Takes the name of the entry VM that answers for a home that stops. */
-  public static final String SUCCESSOR = PREFIX + "successor";
+  public static final String SUCCESSOR_PATH = PATH_PREFIX + "successor";
 
   /** Takes what the gate that held a target before counted of it. */
-  public static final String TARGET_HISTORY = PREFIX + "target-history";
+  public static final String TARGET_HISTORY_PATH = PATH_PREFIX + "target-history";
 
-  /** Topic of announcements that carry the same sealed word as {@link #SUCCESSOR}. */
+  /** Topic of announcements that carry the same sealed word as {@link #SUCCESSOR_PATH}. */
   public static final String SUCCESSOR_TOPIC = "permit-successor";
 
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final int LARGEST_HAND_OVER = 64 << 20;
-  private static final int LARGEST_HISTORY = 4096;
+  private static final int MAX_HAND_OVER_BYTES = 64 << 20;
+  private static final int MAX_HISTORY_BYTES = 4096;
   private static final JsonMapper JSON = new JsonMapper();
 
   private final String customer;
   private final PermitCodec codec;
-  private final PermitHome home;
+  private final PermitHome issuer;
   private final PermitSuccessors successors;
   private final GateTable gates;
   private final TimeSource time;
   private final Executor executor;
 
-  PeerRoutes(
+  PeerRequestHandler(
       String customer,
       PermitCodec codec,
       PermitHome home,
@@ -67,89 +67,93 @@
     this.gates = gates;
     this.customer = customer;
     this.codec = codec;
-    this.home = home;
+    this.issuer = home;
     this.successors = successors;
     this.time = time;
     this.executor = executor;
   }
 
-  void begin(CallerExchange exchange) throws IOException {
+  void handle(CallerExchange exchange) throws IOException {
     String path = exchange.request().getPath();
-    Header header = exchange.request().getFirstHeader(Headers.DISPATCH);
+    Header header = exchange.request().getFirstHeader(Headers.DISPATCH_TOKEN);
     OpenedPermit opened = codec.open(header == null ? "" : header.getValue());
     if (!(opened instanceof OpenedPermit.Valid valid)
         || !valid.permit().customer().equals(customer)
         || !valid.permit().service().equals(path)) {
       exchange.requestBody().discard();
-      Answers.send(
+      LocalReplies.send(
           exchange,
           Result.notRun(ResultCode.PERMIT_INVALID, "only an entry VM may send to " + path));
       return;
     }
     Permit word = valid.permit();
-    if (path.equals(SUCCESSOR)) {
-      note(word);
+    if (path.equals(SUCCESSOR_PATH)) {
+      recordSuccessor(word);
       exchange.requestBody().discard();
-      accepted(exchange);
+      acknowledge(exchange);
       return;
     }
-    if (path.equals(TARGET_HISTORY)) {
+    if (path.equals(TARGET_HISTORY_PATH)) {
       BodyCollector.collect(
-          exchange.requestBody(), LARGEST_HISTORY, bytes -> learn(exchange, word, bytes));
+          exchange.requestBody(), MAX_HISTORY_BYTES, bytes -> acceptHistory(exchange, word, bytes));
       return;
     }
     BodyCollector.collect(
         exchange.requestBody(),
-        LARGEST_HAND_OVER,
-        bytes -> executor.execute(() -> adopt(exchange, word, bytes)));
+        MAX_HAND_OVER_BYTES,
+        bytes -> executor.execute(() -> acceptHandOver(exchange, word, bytes)));
   }
 
   /** Takes an announced successor; a word that cannot be verified here is left out. */
-  void announced(byte[] content) {
+  void onSuccessorAnnounced(byte[] content) {
     OpenedPermit opened = codec.open(new String(content, StandardCharsets.US_ASCII));
     if (opened instanceof OpenedPermit.Valid valid
         && valid.permit().customer().equals(customer)
-        && valid.permit().service().equals(SUCCESSOR)) {
-      note(valid.permit());
+        && valid.permit().service().equals(SUCCESSOR_PATH)) {
+      recordSuccessor(valid.permit());
     }
   }
 
-  private void note(Permit word) {
-    successors.note(
-        word.issuer(), word.incarnation(), word.binding(), word.expiryMillis(), time.wallMillis());
+  private void recordSuccessor(Permit token) {
+    successors.recordSuccessor(
+        token.issuer(),
+        token.incarnation(),
+        token.binding(),
+        token.expiryMillis(),
+        time.wallMillis());
   }
 
-  private static void accepted(CallerExchange exchange) {
-    exchange.answer(new BasicHttpResponse(204), null, BodyPipe.of(new byte[0]));
+  private static void acknowledge(CallerExchange exchange) {
+    exchange.respond(new BasicHttpResponse(204), null, BodyPipe.of(new byte[0]));
   }
 
-  private void learn(CallerExchange exchange, Permit word, byte[] bytes) {
+  private void acceptHistory(CallerExchange exchange, Permit token, byte[] bytes) {
     try {
       TargetHistory history = JSON.readValue(bytes, TargetHistory.class);
-      if (!history.target().equals(word.binding())) {
+      if (!history.target().equals(token.binding())) {
         throw new IOException(
-            "the history is of " + history.target() + ", its word of " + word.binding());
+            "the history is of " + history.target() + ", its word of " + token.binding());
       }
-      gates.learn(word.sequence(), history);
-      accepted(exchange);
+      gates.acceptHistory(token.sequence(), history);
+      acknowledge(exchange);
     } catch (IOException e) {
-      Answers.send(
+      LocalReplies.send(
           exchange, Result.notRun(ResultCode.MALFORMED_REQUEST, String.valueOf(e.getMessage())));
     }
   }
 
-  private void adopt(CallerExchange exchange, Permit word, byte[] bytes) {
+  private void acceptHandOver(CallerExchange exchange, Permit token, byte[] bytes) {
     try {
       HandOver handOver = HandOverCodec.decode(bytes);
-      if (!handOver.vm().equals(word.issuer()) || handOver.incarnation() != word.incarnation()) {
-        throw new IOException("the hand-over is of " + handOver.vm() + ", not " + word.issuer());
+      if (!handOver.vm().equals(token.issuer()) || handOver.incarnation() != token.incarnation()) {
+        throw new IOException("the hand-over is of " + handOver.vm() + ", not " + token.issuer());
       }
-      home.adopt(handOver);
+      issuer.adopt(handOver);
       logger.atInfo().log(
           "answers for %d permits of %s, which stops", handOver.permitCount(), handOver.vm());
-      accepted(exchange);
+      acknowledge(exchange);
     } catch (IOException e) {
-      Answers.send(
+      LocalReplies.send(
           exchange, Result.notRun(ResultCode.MALFORMED_REQUEST, String.valueOf(e.getMessage())));
     }
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/Permits.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/PermitEnforcer.java
@@ -29,46 +29,47 @@
  * reached the home by another way. Everywhere else what goes wrong is told as "unknown", which asks
  * the caller to send the same permit again.
  */
-public final class Permits {
-  private static final String DISPATCH_PREFIX = "dispatch/";
+public final class PermitEnforcer {
+  private static final String DISPATCH_BINDING_PREFIX = "dispatch/";
 
-  private final FlowParts parts;
+  private final FlowContext context;
   private final ControlPlane control;
   private final PermitCodec codec;
-  private final PermitHome home;
+  private final PermitHome issuer;
   private final PermitSuccessors successors;
-  private volatile String address = "";
+  private volatile String issuerAddress = "";
 
-  Permits(
-      FlowParts parts,
+  PermitEnforcer(
+      FlowContext parts,
       ControlPlane control,
       PermitCodec codec,
       PermitHome home,
       PermitSuccessors successors) {
-    this.parts = parts;
+    this.context = parts;
     this.control = control;
     this.codec = codec;
-    this.home = home;
+    this.issuer = home;
     this.successors = successors;
   }
 
   /** Notes where callers and other entry VMs reach this home; permits minted later tell it. */
-  void reachedAt(String hostAndPort) {
-    address = hostAndPort;
+  void advertiseAddress(String hostAndPort) {
+    issuerAddress = hostAndPort;
   }
 
   /** A fresh sealed permit, bound to the idempotency key if one is given; empty when stopping. */
   String mint(String service, String idempotencyKey) {
     Optional<Permit> minted =
-        home.mint(parts.customer(), service, keyDigest(idempotencyKey), parts.time().wallMillis());
+        issuer.mint(
+            context.customer(), service, keyDigest(idempotencyKey), context.time().wallMillis());
     if (minted.isEmpty()) {
       return "";
     }
     long sequence = minted.get().sequence();
-    parts
+    context
         .events()
-        .record(EventKind.PERMIT_MINTED, "", parts.customer(), service, sequence, idempotencyKey);
-    return codec.seal(minted.get().withIssuerAddress(address));
+        .record(EventKind.PERMIT_MINTED, "", context.customer(), service, sequence, idempotencyKey);
+    return codec.seal(minted.get().withIssuerAddress(issuerAddress));
   }
 
   private static String keyDigest(String idempotencyKey) {
@@ -78,36 +79,36 @@
   }
 
   /** Runs {@code carry} if this copy of the request may run; answers it otherwise. */
-  void guard(
+  void runIfPermitted(
       CallerExchange exchange,
       RequestHead head,
       Contract.Service service,
-      Consumer<RequestFlow> carry)
+      Consumer<RequestFlow> run)
       throws IOException {
-    Copy copy = new Copy(exchange, head, service, carry);
-    if (!head.dispatch().isEmpty()) {
-      dispatched(copy);
+    RequestCopy copy = new RequestCopy(exchange, head, service, run);
+    if (!head.dispatchToken().isEmpty()) {
+      handleDispatched(copy);
     } else if (head.permit().isEmpty()) {
-      askForPermit(copy);
+      requirePermit(copy);
     } else {
-      opened(copy, codec.open(head.permit()));
+      handleOpenedPermit(copy, codec.open(head.permit()));
     }
   }
 
   /** One copy of a request, and what to do if it may run. */
-  private record Copy(
+  private record RequestCopy(
       CallerExchange exchange,
       RequestHead head,
       Contract.Service service,
-      Consumer<RequestFlow> carry) {}
+      Consumer<RequestFlow> run) {}
 
   /** The home let this copy run and holds no target itself; its word is sealed. */
-  private void dispatched(Copy copy) throws IOException {
-    OpenedPermit opened = codec.open(copy.head().dispatch());
+  private void handleDispatched(RequestCopy copy) throws IOException {
+    OpenedPermit opened = codec.open(copy.head().dispatchToken());
     if (opened instanceof OpenedPermit.Valid valid
-        && valid.permit().binding().equals(DISPATCH_PREFIX + copy.head().id())
-        && isFor(valid.permit(), copy)) {
-      copy.carry().accept(RequestFlow.begin(parts, copy.exchange(), copy.head(), copy.service()));
+        && valid.permit().binding().equals(DISPATCH_BINDING_PREFIX + copy.head().id())
+        && matches(valid.permit(), copy)) {
+      copy.run().accept(RequestFlow.start(context, copy.exchange(), copy.head(), copy.service()));
       return;
     }
     refuse(
@@ -115,7 +116,7 @@
         Result.notRun(ResultCode.PERMIT_INVALID, "the word of the permit's home cannot be read"));
   }
 
-  private void askForPermit(Copy copy) throws IOException {
+  private void requirePermit(RequestCopy copy) throws IOException {
     Result.NotRun result =
         Result.notRun(
             ResultCode.PERMIT_REQUIRED,
@@ -124,18 +125,18 @@
     refuse(copy, result, mint(copy.service().name(), copy.head().idempotencyKey()));
   }
 
-  private void opened(Copy copy, OpenedPermit opened) throws IOException {
+  private void handleOpenedPermit(RequestCopy copy, OpenedPermit opened) throws IOException {
     if (opened instanceof OpenedPermit.Invalid invalid) {
       refuse(copy, Result.notRun(ResultCode.PERMIT_INVALID, invalid.reason()));
       return;
     }
     if (opened instanceof OpenedPermit.UnknownKey unknown) {
       // Nobody vouches for the address in it, so it is passed on to a known entry VM or not at all.
-      toHome(copy, unknown.unverifiedPermit().withIssuerAddress(""));
+      forwardToIssuer(copy, unknown.unverifiedPermit().withIssuerAddress(""));
       return;
     }
     Permit permit = ((OpenedPermit.Valid) opened).permit();
-    if (!isFor(permit, copy)) {
+    if (!matches(permit, copy)) {
       refuse(
           copy,
           Result.notRun(
@@ -153,16 +154,19 @@
                   + "'"));
       return;
     }
-    decide(copy, permit, home.beginExecution(permit, digest(copy), parts.time().wallMillis()));
+    applyDecision(
+        copy,
+        permit,
+        issuer.beginExecution(permit, requestDigest(copy), context.time().wallMillis()));
   }
 
-  private static boolean isFor(Permit permit, Copy copy) {
+  private static boolean matches(Permit permit, RequestCopy copy) {
     return permit.service().equals(copy.service().name())
         && permit.customer().equals(copy.head().customer());
   }
 
   /** What every copy of one request has in common and two requests seldom have. */
-  private static String digest(Copy copy) {
+  private static String requestDigest(RequestCopy copy) {
     EntityDetails entity = copy.exchange().entity();
     return copy.exchange().request().getMethod()
         + ' '
@@ -173,40 +177,43 @@
         + copy.head().idempotencyKey();
   }
 
-  private void decide(Copy copy, Permit permit, Decision decision) throws IOException {
+  private void applyDecision(RequestCopy copy, Permit permit, Decision decision)
+      throws IOException {
     if (decision instanceof Decision.Execute execute) {
-      record(EventKind.PERMIT_USED, copy, permit, "");
-      copy.carry()
+      recordEvent(EventKind.PERMIT_USED, copy, permit, "");
+      copy.run()
           .accept(
-              RequestFlow.beginPermitted(
-                  parts,
+              RequestFlow.startPermitted(
+                  context,
                   copy.exchange(),
                   copy.head(),
                   copy.service(),
-                  new Run(execute.execution(), copy.head().id(), copy.head().idempotencyKey())));
+                  new IssuedPermitRun(
+                      execute.execution(), copy.head().id(), copy.head().idempotencyKey())));
       return;
     }
     if (decision instanceof Decision.Foreign) {
-      toHome(copy, permit);
+      forwardToIssuer(copy, permit);
       return;
     }
     if (decision instanceof Decision.Moved moved) {
-      toSuccessor(copy, moved.successor());
+      forwardToSuccessor(copy, moved.successor());
       return;
     }
-    record(EventKind.PERMIT_REPEATED, copy, permit, decision.getClass().getSimpleName());
-    repeat(copy, permit, decision);
+    recordEvent(EventKind.PERMIT_REPEATED, copy, permit, decision.getClass().getSimpleName());
+    handleRepeat(copy, permit, decision);
   }
 
-  private void repeat(Copy copy, Permit permit, Decision decision) throws IOException {
+  private void handleRepeat(RequestCopy copy, Permit permit, Decision decision) throws IOException {
     if (decision instanceof Decision.Replay replay && replay.answer().kept()) {
       discardBody(copy);
-      parts.counters().result(copy.service().name(), ResultCode.OK);
-      Recording.send(copy.exchange(), replay.answer());
+      context.counters().countResult(copy.service().name(), ResultCode.OK);
+      ResponseRecording.replay(copy.exchange(), replay.answer());
     } else if (decision instanceof Decision.Replay) {
       refuse(copy, new Result.Ran(ResultCode.ANSWER_NOT_KEPT));
     } else if (decision instanceof Decision.Running) {
-      refuse(copy, unknown(ResultCode.PERMIT_RUNNING, "an earlier copy is running; ask again"));
+      refuse(
+          copy, unknownResult(ResultCode.PERMIT_RUNNING, "an earlier copy is running; ask again"));
     } else if (decision instanceof Decision.NotRun) {
       refuse(
           copy,
@@ -218,28 +225,29 @@
     } else if (decision instanceof Decision.Expired) {
       refuse(
           copy,
-          unknown(ResultCode.PERMIT_EXPIRED, "the permit expired at " + permit.expiryMillis()));
+          unknownResult(
+              ResultCode.PERMIT_EXPIRED, "the permit expired at " + permit.expiryMillis()));
     } else {
-      refuse(copy, unknown(ResultCode.OUTCOME_UNKNOWN, "an earlier copy may have run"));
+      refuse(copy, unknownResult(ResultCode.OUTCOME_UNKNOWN, "an earlier copy may have run"));
     }
   }
 
-  private void toHome(Copy copy, Permit permit) throws IOException {
-    Optional<String> successor = successors.of(permit.issuer(), permit.incarnation());
+  private void forwardToIssuer(RequestCopy copy, Permit permit) throws IOException {
+    Optional<String> successor = successors.find(permit.issuer(), permit.incarnation());
     if (!copy.head().forwardedBy().isEmpty()) {
-      homeLost(copy, permit.issuer());
+      refuseIssuerLost(copy, permit.issuer());
       return;
     }
     if (successor.isPresent()) {
-      forward(copy, successor.get(), permit.issuer());
+      forwardToMember(copy, successor.get(), permit.issuer());
       return;
     }
-    Optional<Member> told = homeTold(permit);
+    Optional<Member> told = issuerAtPermitAddress(permit);
     if (told.isPresent()) {
-      begin(copy, told.get());
+      startForwarding(copy, told.get());
       return;
     }
-    forward(copy, permit.issuer(), permit.issuer());
+    forwardToMember(copy, permit.issuer(), permit.issuer());
   }
 
   /**
@@ -249,7 +257,7 @@
    * permits before the others' views name it, and a view that lags or is cut off may not name it
    * for long. The address is covered by the MAC and belongs to the very incarnation that decides.
    */
-  private static Optional<Member> homeTold(Permit permit) {
+  private static Optional<Member> issuerAtPermitAddress(Permit permit) {
     int colon = permit.issuerAddress().lastIndexOf(':');
     if (colon < 0) {
       return Optional.empty();
@@ -260,36 +268,37 @@
   }
 
   /** A home that has stopped passes on also what was passed to it: its successor ends the chain. */
-  private void toSuccessor(Copy copy, String successor) throws IOException {
-    forward(copy, successor, parts.vm());
+  private void forwardToSuccessor(RequestCopy copy, String successor) throws IOException {
+    forwardToMember(copy, successor, context.vm());
   }
 
-  private void forward(Copy copy, String to, String vm) throws IOException {
-    Optional<Member> member = control.state().member(to);
-    if (member.isEmpty() || to.equals(parts.vm())) {
-      homeLost(copy, vm);
+  private void forwardToMember(RequestCopy copy, String toVm, String issuerVm) throws IOException {
+    Optional<Member> member = control.state().member(toVm);
+    if (member.isEmpty() || toVm.equals(context.vm())) {
+      refuseIssuerLost(copy, issuerVm);
       return;
     }
-    begin(copy, member.get());
+    startForwarding(copy, member.get());
   }
 
-  private void begin(Copy copy, Member home) {
-    RequestFlow.begin(parts, copy.exchange(), copy.head(), copy.service()).forwardToHome(home);
+  private void startForwarding(RequestCopy copy, Member issuer) {
+    RequestFlow.start(context, copy.exchange(), copy.head(), copy.service())
+        .forwardToIssuer(issuer);
   }
 
-  private void homeLost(Copy copy, String vm) throws IOException {
+  private void refuseIssuerLost(RequestCopy copy, String issuerVm) throws IOException {
     refuse(
         copy,
-        unknown(
+        unknownResult(
             ResultCode.HOME_LOST,
-            "entry VM " + vm + ", which gave the permit, does not answer for it any more"));
+            "entry VM " + issuerVm + ", which gave the permit, does not answer for it any more"));
   }
 
   /**
    * What an entry VM that is not the home may say of a request with a permit: its own copy was not
    * run, but another one may have been, by another way.
    */
-  static Result heldElsewhere(Result result) {
+  static Result unknownUnlessIssuer(Result result) {
     return result instanceof Result.NotRun notRun
         ? new Result.Unknown(
             ResultCode.HOME_LOST,
@@ -301,77 +310,77 @@
         : result;
   }
 
-  private static Result unknown(ResultCode code, String detail) {
+  private static Result unknownResult(ResultCode code, String detail) {
     return new Result.Unknown(code, detail);
   }
 
-  private void refuse(Copy copy, Result result) throws IOException {
+  private void refuse(RequestCopy copy, Result result) throws IOException {
     refuse(copy, result, "");
   }
 
-  private void refuse(Copy copy, Result result, String freshPermit) throws IOException {
-    parts.counters().result(copy.service().name(), result.code());
+  private void refuse(RequestCopy copy, Result result, String newPermit) throws IOException {
+    context.counters().countResult(copy.service().name(), result.code());
     discardBody(copy);
-    HttpResponse answer = Answers.head(result);
-    if (!freshPermit.isEmpty() && result.code().outcome() == Outcome.NOT_RUN) {
-      answer.setHeader(Headers.PERMIT, freshPermit);
+    HttpResponse answer = LocalReplies.responseHead(result);
+    if (!newPermit.isEmpty() && result.code().outcome() == Outcome.NOT_RUN) {
+      answer.setHeader(Headers.PERMIT, newPermit);
     }
-    Answers.send(copy.exchange(), answer, result);
+    LocalReplies.send(copy.exchange(), answer, result);
   }
 
-  private static void discardBody(Copy copy) throws IOException {
+  private static void discardBody(RequestCopy copy) throws IOException {
     copy.exchange().requestBody().discard();
-    copy.exchange().acceptBody();
+    copy.exchange().sendContinue();
   }
 
-  private void record(EventKind kind, Copy copy, Permit permit, String detail) {
-    parts
+  private void recordEvent(EventKind kind, RequestCopy copy, Permit permit, String detail) {
+    context
         .events()
         .record(
             kind,
             copy.head().id(),
-            parts.customer(),
+            context.customer(),
             copy.service().name(),
             permit.sequence(),
             detail);
   }
 
   /** The run of one permit homed here. */
-  private final class Run implements PermitRun {
+  private final class IssuedPermitRun implements PermitRun {
     private final Execution execution;
     private final String requestId;
     private final String idempotencyKey;
 
-    Run(Execution execution, String requestId, String idempotencyKey) {
+    IssuedPermitRun(Execution execution, String requestId, String idempotencyKey) {
       this.execution = execution;
       this.requestId = requestId;
       this.idempotencyKey = idempotencyKey;
     }
 
     @Override
-    public void ran(RecordedAnswer answer) {
-      ended(execution.recordAnswer(answer), "ran");
+    public void recordRan(RecordedAnswer answer) {
+      recordEnd(execution.recordAnswer(answer), "ran");
     }
 
     @Override
-    public void notRun() {
-      ended(execution.recordNotRun(), "not run");
+    public void recordNotRun() {
+      recordEnd(execution.recordNotRun(), "not run");
     }
 
     @Override
-    public void unknown() {
-      ended(execution.recordUnknown(), "unknown");
+    public void recordUnknown() {
+      recordEnd(execution.recordUnknown(), "unknown");
     }
 
-    private void ended(boolean first, String how) {
+    private void recordEnd(boolean first, String how) {
       if (first) {
         Permit permit = execution.permit();
-        parts
+        context
             .events()
             .record(
                 EventKind.PERMIT_USED,
                 requestId,
-                parts.customer(),
+                context.customer(),
                 permit.service(),
                 permit.sequence(),
                 how);
@@ -379,12 +388,12 @@
     }
 
     @Override
-    public String freshPermit() {
+    public String mintNewPermit() {
       return mint(execution.permit().service(), idempotencyKey);
     }
 
     @Override
-    public String dispatch() {
+    public String dispatchToken() {
       Permit permit = execution.permit();
       return codec.seal(
           new Permit(
@@ -394,7 +403,7 @@
               permit.expiryMillis(),
               permit.customer(),
               permit.service(),
-              DISPATCH_PREFIX + requestId,
+              DISPATCH_BINDING_PREFIX + requestId,
               ""));
     }
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/PermitSuccessors.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/PermitSuccessors.java
@@ -10,23 +10,25 @@
  * <p>Entries are dropped after their expiry, when no permit of the stopped incarnation lives.
  */
 public final class PermitSuccessors {
-  private final Map<Stopped, Successor> successors = new ConcurrentHashMap<>();
+  private final Map<StoppedIncarnation, Successor> successors = new ConcurrentHashMap<>();
 
-  private record Stopped(String vm, long incarnation) {}
+  private record StoppedIncarnation(String vm, long incarnation) {}
 
   private record Successor(String vm, long expiryMillis) {}
 
   /** Notes that {@code successor} answers for the permits of {@code incarnation} of {@code vm}. */
-  public void note(
+  public void recordSuccessor(
       String vm, long incarnation, String successor, long expiryMillis, long nowMillis) {
     successors.values().removeIf(each -> each.expiryMillis() <= nowMillis);
     if (expiryMillis > nowMillis) {
-      successors.put(new Stopped(vm, incarnation), new Successor(successor, expiryMillis));
+      successors.put(
+          new StoppedIncarnation(vm, incarnation), new Successor(successor, expiryMillis));
     }
   }
 
   /** The successor of that incarnation, where one is known. */
-  public Optional<String> of(String vm, long incarnation) {
-    return Optional.ofNullable(successors.get(new Stopped(vm, incarnation))).map(Successor::vm);
+  public Optional<String> find(String vm, long incarnation) {
+    return Optional.ofNullable(successors.get(new StoppedIncarnation(vm, incarnation)))
+        .map(Successor::vm);
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestCounters.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestCounters.java
@@ -17,12 +17,12 @@
   }
 
   /** Counts one answer given to a caller. */
-  public void result(String service, ResultCode code) {
+  public void countResult(String service, ResultCode code) {
     registry.counter("sageladder.results", "service", service, "code", code.name()).increment();
   }
 
   /** Counts one look-up answered. */
-  public void lookUp(String service) {
+  public void countLookUp(String service) {
     registry.counter("sageladder.look.ups", "service", service).increment();
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestFlow.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestFlow.java
@@ -24,7 +24,7 @@
 import org.sageladder.core.result.ResultCode;
 import org.sageladder.entry.exchange.BodyPipe;
 import org.sageladder.entry.exchange.CallerExchange;
-import org.sageladder.entry.exchange.CarriedEntity;
+import org.sageladder.entry.exchange.ForwardedEntity;
 
 /**
  * One request on its way: gate, target, answer, or on to the entry VM that holds a gate.
@@ -33,132 +33,133 @@
  * All later news of abandoned tries is dropped by it, so the caller gets exactly one answer.
  */
 final class RequestFlow {
-  private static final int MOST_TRIES = 3;
+  private static final int MAX_ATTEMPTS = 3;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** Mean service times that are kept free for the work when a wait for a slot ends. */
-  private static final double WORK_MARGIN = 2;
+  private static final double SERVICE_TIME_MARGIN = 2;
 
   /** How long a run is still listened to after its caller was told "unknown". */
-  private static final Duration LATE_ANSWERS = Duration.ofSeconds(5);
+  private static final Duration LATE_RESPONSE_TIMEOUT = Duration.ofSeconds(5);
 
   /** Ends a flow before it has its answer. */
-  private enum Ending {
+  private enum AbortReason {
     DEADLINE,
     CALLER_GONE
   }
 
-  private final FlowParts parts;
+  private final FlowContext context;
   private final CallerExchange exchange;
   private final RequestHead head;
   private final Contract.Service service;
   private final @Nullable PermitRun run;
   private final long deadlineNanos;
-  private final long tryEndNanos;
-  private final AtomicBoolean over = new AtomicBoolean();
+  private final long attemptDeadlineNanos;
+  private final AtomicBoolean settled = new AtomicBoolean();
   private final FlowState state = new FlowState();
-  private int tries;
-  private volatile boolean callerGone;
-  private volatile boolean toHome;
-  private volatile boolean lostTry;
-  private volatile @Nullable BodyPipe answerBody;
-  private @Nullable ScheduledFuture<?> timer;
+  private int attempts;
+  private volatile boolean isCallerGone;
+  private volatile boolean isSentToIssuer;
+  private volatile boolean hasLostAttempt;
+  private volatile @Nullable BodyPipe responseBody;
+  private @Nullable ScheduledFuture<?> deadlineTimer;
 
   private RequestFlow(
-      FlowParts parts,
+      FlowContext parts,
       CallerExchange exchange,
       RequestHead head,
       Contract.Service service,
       @Nullable PermitRun run) {
-    this.parts = parts;
+    this.context = parts;
     this.run = run;
     this.exchange = exchange;
     this.head = head;
     this.service = service;
     long now = parts.time().nanos();
     this.deadlineNanos = now + head.deadline().toNanos();
-    this.tryEndNanos = now + head.tryTime().toNanos();
+    this.attemptDeadlineNanos = now + head.attemptTimeout().toNanos();
   }
 
   /** Starts a flow with its deadline running. */
-  static RequestFlow begin(
-      FlowParts parts, CallerExchange exchange, RequestHead head, Contract.Service service) {
-    return begin(new RequestFlow(parts, exchange, head, service, null));
+  static RequestFlow start(
+      FlowContext parts, CallerExchange exchange, RequestHead head, Contract.Service service) {
+    return start(new RequestFlow(parts, exchange, head, service, null));
   }
 
   /** Starts the flow of the one copy that a permit lets run. */
-  static RequestFlow beginPermitted(
-      FlowParts parts,
+  static RequestFlow startPermitted(
+      FlowContext parts,
       CallerExchange exchange,
       RequestHead head,
       Contract.Service service,
       PermitRun run) {
-    return begin(new RequestFlow(parts, exchange, head, service, run));
+    return start(new RequestFlow(parts, exchange, head, service, run));
   }
 
-  private static RequestFlow begin(RequestFlow flow) {
-    flow.timer = flow.later(() -> flow.giveUp(Ending.DEADLINE), flow.head.deadline());
-    flow.exchange.onGone(() -> flow.giveUp(Ending.CALLER_GONE));
+  private static RequestFlow start(RequestFlow flow) {
+    flow.deadlineTimer =
+        flow.schedule(() -> flow.abort(AbortReason.DEADLINE), flow.head.deadline());
+    flow.exchange.onDisconnect(() -> flow.abort(AbortReason.CALLER_GONE));
     return flow;
   }
 
-  private ScheduledFuture<?> later(Runnable action, Duration delay) {
-    return parts.timers().schedule(action, delay.toNanos(), TimeUnit.NANOSECONDS);
+  private ScheduledFuture<?> schedule(Runnable action, Duration delay) {
+    return context.timers().schedule(action, delay.toNanos(), TimeUnit.NANOSECONDS);
   }
 
   /** Asks {@code gate} for a slot and sends the request to its target. */
-  void through(Gate gate) {
+  void admitThrough(Gate gate) {
     admit(gate, "");
   }
 
   /** Passes the request on to the entry VM that holds a gate. */
-  void forwardTo(Member member) {
-    record(EventKind.FORWARDED, member.vm(), "no target of " + service.name() + " is held here");
-    passTo(member, new PeerLeg(this, member, false));
+  void forwardTo(Member peer) {
+    recordEvent(EventKind.FORWARDED, peer.vm(), "no target of " + service.name() + " is held here");
+    forward(peer, new PeerAttempt(this, peer, false));
   }
 
   /** Passes the request on to the entry VM that decides on its permit. */
-  void forwardToHome(Member member) {
-    record(EventKind.FORWARDED, member.vm(), "it is the home of the permit");
-    toHome = true;
-    passTo(member, new PeerLeg(this, member, true));
+  void forwardToIssuer(Member issuer) {
+    recordEvent(EventKind.FORWARDED, issuer.vm(), "it is the home of the permit");
+    isSentToIssuer = true;
+    forward(issuer, new PeerAttempt(this, issuer, true));
   }
 
-  private void passTo(Member member, PeerLeg leg) {
+  private void forward(Member peer, PeerAttempt attempt) {
     if (!state.beginDispatch()) {
       return;
     }
     BasicHttpRequest request =
         new BasicHttpRequest(exchange.request().getMethod(), exchange.request().getPath());
-    PassedHeaders.copy(exchange.request(), request, true);
+    EndToEndHeaders.copy(exchange.request(), request, true);
     request.setHeader(Headers.REQUEST_ID, head.id());
     request.setHeader(Headers.DEADLINE, remainingMillis());
-    request.setHeader(Headers.TRY, millisUntil(tryEndNanos));
-    request.setHeader(Headers.FORWARDED_BY, parts.vm());
-    request.removeHeaders(Headers.DISPATCH);
+    request.setHeader(Headers.ATTEMPT_TIMEOUT, millisUntil(attemptDeadlineNanos));
+    request.setHeader(Headers.FORWARDED_BY, context.vm());
+    request.removeHeaders(Headers.DISPATCH_TOKEN);
     if (run != null) {
-      request.setHeader(Headers.DISPATCH, run.dispatch());
+      request.setHeader(Headers.DISPATCH_TOKEN, run.dispatchToken());
     }
-    send(new HttpHost(member.host(), member.port()), request, leg);
+    send(new HttpHost(peer.host(), peer.port()), request, attempt);
   }
 
-  void admit(Gate gate, String avoid) {
-    Quarantine quarantine = parts.crashes().quarantine();
+  void admit(Gate gate, String avoidTarget) {
+    Quarantine quarantine = context.crashDetector().quarantine();
     if (quarantine.isEmpty()) {
-      askGate(gate, avoid);
+      requestSlot(gate, avoidTarget);
       return;
     }
     try {
-      exchange.acceptBody();
+      exchange.sendContinue();
     } catch (java.io.IOException e) {
-      giveUp(Ending.CALLER_GONE);
+      abort(AbortReason.CALLER_GONE);
       return;
     }
     exchange
         .requestBody()
-        .whenPrefixKnown(
+        .whenPrefixComplete(
             () -> {
-              long held = quarantine.remainingMillis(fingerprint(), parts.time().wallMillis());
+              long held = quarantine.remainingMillis(fingerprint(), context.time().wallMillis());
               if (held > 0) {
                 refuse(
                     new Result.NotRun(
@@ -166,7 +167,7 @@
                         Duration.ofMillis(held),
                         "this request crashed two targets; it is tried again later"));
               } else {
-                askGate(gate, avoid);
+                requestSlot(gate, avoidTarget);
               }
             });
   }
@@ -184,13 +185,13 @@
         .getAsLong();
   }
 
-  private void askGate(Gate gate, String avoid) {
-    tries++;
+  private void requestSlot(Gate gate, String avoidTarget) {
+    attempts++;
     Gate.Cancellable wait =
         gate.request(
-            new AdmissionRequest(head.id(), lastUsefulSlotNanos(), avoid, ""),
-            admission -> decided(gate, admission));
-    state.waitFor(wait);
+            new AdmissionRequest(head.id(), slotDeadlineNanos(), avoidTarget, ""),
+            admission -> onAdmission(gate, admission));
+    state.setWait(wait);
   }
 
   /**
@@ -201,13 +202,13 @@
    * again, and nearly all work that the cap lets through would be thrown away. So a wait ends while
    * there is time for the work, and its caller is told "not run" while it still listens.
    */
-  private long lastUsefulSlotNanos() {
-    double workNanos = WORK_MARGIN * service.meanServiceMillis() * NANOS_PER_MILLI;
-    long end = tryEndNanos - deadlineNanos < 0 ? tryEndNanos : deadlineNanos;
-    return end - (long) Math.min(workNanos, head.tryTime().toNanos() / 2.0);
+  private long slotDeadlineNanos() {
+    double workNanos = SERVICE_TIME_MARGIN * service.meanServiceMillis() * NANOS_PER_MILLI;
+    long end = attemptDeadlineNanos - deadlineNanos < 0 ? attemptDeadlineNanos : deadlineNanos;
+    return end - (long) Math.min(workNanos, head.attemptTimeout().toNanos() / 2.0);
   }
 
-  private void decided(Gate gate, Admission admission) {
+  private void onAdmission(Gate gate, Admission admission) {
     if (admission instanceof Admission.Refused refused) {
       refuse(refused.result());
       return;
@@ -218,61 +219,61 @@
       return;
     }
     Holding target = slot.target();
-    record(EventKind.DISPATCHED, target.target(), "try " + tries);
+    recordEvent(EventKind.DISPATCHED, target.target(), "try " + attempts);
     BasicHttpRequest request = new BasicHttpRequest(exchange.request().getMethod(), head.path());
-    PassedHeaders.copy(exchange.request(), request, false);
+    EndToEndHeaders.copy(exchange.request(), request, false);
     request.setHeader(Headers.TARGET_REQUEST_ID, head.id());
     request.setHeader(Headers.TARGET_DEADLINE, remainingMillis());
-    send(new HttpHost(target.host(), target.port()), request, new TargetLeg(this, gate, slot));
+    send(new HttpHost(target.host(), target.port()), request, new TargetAttempt(this, gate, slot));
   }
 
-  private void send(HttpHost host, BasicHttpRequest request, Leg leg) {
+  private void send(HttpHost host, BasicHttpRequest request, RequestAttempt attempt) {
     request.setScheme(host.getSchemeName());
     request.setAuthority(new URIAuthority(host));
     Runnable cancel =
-        parts
+        context
             .client()
             .send(
                 host,
                 request,
-                CarriedEntity.of(exchange.entity()),
+                ForwardedEntity.of(exchange.entity()),
                 exchange.requestBody(),
-                parts.connectTimeout(),
-                leg);
-    state.step(cancel);
+                context.connectTimeout(),
+                attempt);
+    state.setCancelAction(cancel);
     try {
-      exchange.acceptBody();
+      exchange.sendContinue();
     } catch (java.io.IOException e) {
-      giveUp(Ending.CALLER_GONE);
+      abort(AbortReason.CALLER_GONE);
     }
   }
 
-  private void giveUp(Ending ending) {
-    if (run != null && exchange.requestBody().isWhole()) {
-      if (ending == Ending.CALLER_GONE) {
-        goOnAlone();
+  private void abort(AbortReason ending) {
+    if (run != null && exchange.requestBody().isComplete()) {
+      if (ending == AbortReason.CALLER_GONE) {
+        continueWithoutCaller();
         return;
       }
       if (state.isDispatched()) {
-        listenOn();
+        awaitLateResponse();
         return;
       }
     }
-    boolean first = over.compareAndSet(false, true);
+    boolean first = settled.compareAndSet(false, true);
     FlowState.End end = state.end();
     if (end == null) {
       return;
     }
-    boolean sent = end.dispatched();
-    end.cancelStep().run();
+    boolean sent = end.isDispatched();
+    end.cancelAction().run();
     stopTimer();
-    if (!first || ending == Ending.CALLER_GONE) {
+    if (!first || ending == AbortReason.CALLER_GONE) {
       endRun(first && !sent);
-      record(EventKind.CANCELLED, "", ending.name());
+      recordEvent(EventKind.CANCELLED, "", ending.name());
     } else if (sent) {
-      answer(new Result.Unknown(ResultCode.TARGET_TIMEOUT, "no answer by the deadline"));
+      sendResult(new Result.Unknown(ResultCode.TARGET_TIMEOUT, "no answer by the deadline"));
     } else {
-      answer(
+      sendResult(
           Result.notRun(ResultCode.QUEUE_DEADLINE, "the deadline passed before a slot was free"));
     }
   }
@@ -281,31 +282,32 @@
    * The caller of a donation or bid is gone and will ask again with the same permit. Cancelling
    * would leave it with "unknown" for good; the run goes on, and its answer is recorded.
    */
-  private void goOnAlone() {
-    callerGone = true;
-    BodyPipe begun = answerBody;
+  private void continueWithoutCaller() {
+    isCallerGone = true;
+    BodyPipe begun = responseBody;
     if (begun != null) {
       discard(begun);
     }
   }
 
   /** The deadline passed on a run that may still be answered: say so, and record what comes. */
-  private void listenOn() {
-    if (!state.whileOpen(() -> timer = later(this::stopListening, LATE_ANSWERS))) {
+  private void awaitLateResponse() {
+    if (!state.runUnlessEnded(
+        () -> deadlineTimer = schedule(this::stopAwaitingResponse, LATE_RESPONSE_TIMEOUT))) {
       return;
     }
-    if (over.compareAndSet(false, true)) {
-      answer(new Result.Unknown(ResultCode.TARGET_TIMEOUT, "no answer by the deadline"));
+    if (settled.compareAndSet(false, true)) {
+      sendResult(new Result.Unknown(ResultCode.TARGET_TIMEOUT, "no answer by the deadline"));
     }
   }
 
-  private void stopListening() {
+  private void stopAwaitingResponse() {
     FlowState.End end = state.end();
     if (end == null) {
       return;
     }
     endRun(false);
-    end.cancelStep().run();
+    end.cancelAction().run();
   }
 
   void endRun(boolean notRun) {
@@ -313,49 +315,49 @@
       return;
     }
     if (notRun) {
-      run.notRun();
+      run.recordNotRun();
     } else {
-      run.unknown();
+      run.recordUnknown();
     }
   }
 
   /** Ends the flow with a refusal. */
   void refuse(Result.NotRun result) {
-    if (over.compareAndSet(false, true)) {
+    if (settled.compareAndSet(false, true)) {
       finish();
-      answer(result);
+      sendResult(result);
     }
   }
 
-  void unknown(ResultCode code, String detail) {
-    if (over.compareAndSet(false, true)) {
+  void failUnknown(ResultCode code, String detail) {
+    if (settled.compareAndSet(false, true)) {
       finish();
-      answer(new Result.Unknown(code, detail));
+      sendResult(new Result.Unknown(code, detail));
     }
   }
 
-  private void answer(Result decided) {
-    Result result = provable(decided);
-    record(
+  private void sendResult(Result decided) {
+    Result result = provableResult(decided);
+    recordEvent(
         result instanceof Result.NotRun ? EventKind.REFUSED : EventKind.FAILED,
         "",
         result.code().name());
     endRun(result instanceof Result.NotRun);
-    parts.counters().result(service.name(), result.code());
+    context.counters().countResult(service.name(), result.code());
     if (run == null || !state.isDispatched()) {
       discard(exchange.requestBody());
     }
-    HttpResponse answer = Answers.head(result);
-    addFreshPermit(answer, result.code().outcome());
-    Answers.send(exchange, answer, result);
+    HttpResponse answer = LocalReplies.responseHead(result);
+    addNewPermit(answer, result.code().outcome());
+    LocalReplies.send(exchange, answer, result);
   }
 
   /** Says "unknown" in place of "not run" where another copy or an earlier try may have run. */
-  private Result provable(Result decided) {
-    if (toHome) {
-      return Permits.heldElsewhere(decided);
+  private Result provableResult(Result decided) {
+    if (isSentToIssuer) {
+      return PermitEnforcer.unknownUnlessIssuer(decided);
     }
-    if (lostTry && decided instanceof Result.NotRun notRun) {
+    if (hasLostAttempt && decided instanceof Result.NotRun notRun) {
       return new Result.Unknown(
           ResultCode.TARGET_LOST, "an earlier try was lost, and then " + notRun.code());
     }
@@ -363,10 +365,10 @@
   }
 
   /** A permit told "not run" is used up, so the answer brings the one for a new try. */
-  private void addFreshPermit(HttpResponse answer, Outcome outcome) {
-    String fresh = run != null && outcome == Outcome.NOT_RUN ? run.freshPermit() : "";
+  private void addNewPermit(HttpResponse response, Outcome outcome) {
+    String fresh = run != null && outcome == Outcome.NOT_RUN ? run.mintNewPermit() : "";
     if (!fresh.isEmpty()) {
-      answer.setHeader(Headers.PERMIT, fresh);
+      response.setHeader(Headers.PERMIT, fresh);
     }
   }
 
@@ -381,29 +383,29 @@
   }
 
   /** True once the caller has its answer, or has gone. */
-  boolean isOver() {
-    return over.get();
+  boolean isSettled() {
+    return settled.get();
   }
 
   /** A try was lost after it was sent, so "not run" can no longer be proven. */
-  void markLostTry() {
-    lostTry = true;
+  void markAttemptLost() {
+    hasLostAttempt = true;
   }
 
   /** The only try so far provably did not run: while the next waits, "not run" is true again. */
-  void waitAgain() {
-    state.waitAgain();
+  void undoDispatch() {
+    state.undoDispatch();
   }
 
-  boolean mayTryAgain(boolean sent) {
-    return tries < MOST_TRIES
-        && !over.get()
-        && (!sent || exchange.entity() == null)
-        && Duration.ofNanos(deadlineNanos - parts.time().nanos()).toMillis() > 0;
+  boolean canRetry(boolean isSent) {
+    return attempts < MAX_ATTEMPTS
+        && !settled.get()
+        && (!isSent || exchange.entity() == null)
+        && Duration.ofNanos(deadlineNanos - context.time().nanos()).toMillis() > 0;
   }
 
-  FlowParts parts() {
-    return parts;
+  FlowContext context() {
+    return context;
   }
 
   Contract.Service service() {
@@ -416,7 +418,7 @@
   }
 
   private void stopTimer() {
-    ScheduledFuture<?> running = timer;
+    ScheduledFuture<?> running = deadlineTimer;
     if (running != null) {
       running.cancel(false);
     }
@@ -427,33 +429,33 @@
   }
 
   private long millisUntil(long endNanos) {
-    return Math.max(1, (endNanos - parts.time().nanos()) / NANOS_PER_MILLI);
+    return Math.max(1, (endNanos - context.time().nanos()) / NANOS_PER_MILLI);
   }
 
-  void record(EventKind kind, String subject, String detail) {
-    parts.events().record(kind, head.id(), head.customer(), subject, 0, detail);
+  void recordEvent(EventKind kind, String subject, String detail) {
+    context.events().record(kind, head.id(), head.customer(), subject, 0, detail);
   }
 
   /** Passes an answer on to the caller; its body follows as it comes. */
-  boolean passOn(
-      HttpResponse passed, @Nullable EntityDetails details, BodyPipe body, Outcome outcome) {
-    if (!over.compareAndSet(false, true)) {
+  boolean forwardResponse(
+      HttpResponse response, @Nullable EntityDetails details, BodyPipe body, Outcome outcome) {
+    if (!settled.compareAndSet(false, true)) {
       if (run != null) {
         discard(body);
       }
       return false;
     }
-    addFreshPermit(passed, outcome);
-    answerBody = body;
-    boolean begun = !callerGone && exchange.answer(passed, CarriedEntity.of(details), body);
-    if (begun && !callerGone) {
+    addNewPermit(response, outcome);
+    responseBody = body;
+    boolean begun = !isCallerGone && exchange.respond(response, ForwardedEntity.of(details), body);
+    if (begun && !isCallerGone) {
       return true;
     }
     if (run != null) {
       discard(body);
       return true;
     }
-    giveUp(Ending.CALLER_GONE);
+    abort(AbortReason.CALLER_GONE);
     return false;
   }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestHead.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestHead.java
@@ -13,12 +13,12 @@
  * @param id the caller's request id, or a fresh one
  * @param path path and query for the target, starting with a slash
  * @param deadline time from now by which the caller wants the whole answer
- * @param tryTime time from now after which the caller leaves for another entry VM, at most {@code
- *     deadline}
+ * @param attemptTimeout time from now after which the caller leaves for another entry VM, at most
+ *     {@code deadline}
  * @param permit the sealed permit, or empty
  * @param idempotencyKey the caller's own key, or empty
  * @param forwardedBy entry VM that passed the request on, or empty
- * @param dispatch sealed word of the permit's home that this copy may be run, or empty
+ * @param dispatchToken sealed word of the permit's home that this copy may be run, or empty
  */
 public record RequestHead(
     String id,
@@ -26,16 +26,16 @@
     String service,
     String path,
     Duration deadline,
-    Duration tryTime,
+    Duration attemptTimeout,
     String permit,
     String idempotencyKey,
     String forwardedBy,
-    String dispatch) {
+    String dispatchToken) {
 
   /** Path under which requests are taken. */
-  public static final String PREFIX = "/v1/request/";
+  public static final String PATH_PREFIX = "/v1/request/";
 
-  private static final int LONGEST_VALUE = 512;
+  private static final int MAX_HEADER_VALUE_LENGTH = 512;
 
   /** A head that passed the checks, or the refusal to send. */
   public sealed interface Parsed {
@@ -46,50 +46,53 @@
     record Rejected(Result.NotRun result) implements Parsed {}
   }
 
-  /** Checks the head of a request whose path starts with {@link #PREFIX}. */
+  /** Checks the head of a request whose path starts with {@link #PATH_PREFIX}. */
   public static Parsed parse(HttpRequest request, String path) {
-    String rest = path.substring(PREFIX.length());
+    String rest = path.substring(PATH_PREFIX.length());
     int firstSlash = rest.indexOf('/');
     String customer = firstSlash < 0 ? rest : rest.substring(0, firstSlash);
     String afterCustomer = firstSlash < 0 ? "" : rest.substring(firstSlash + 1);
     int serviceEnd = endOfSegment(afterCustomer);
     String service = afterCustomer.substring(0, serviceEnd);
     if (customer.isEmpty() || service.isEmpty()) {
-      return rejected(
+      return reject(
           ResultCode.UNKNOWN_ROUTE,
-          "path '" + path + "' must be " + PREFIX + "CONTRACT/SERVICE/PATH");
+          "path '" + path + "' must be " + PATH_PREFIX + "CONTRACT/SERVICE/PATH");
     }
     String targetPath = afterCustomer.substring(serviceEnd);
     if (!targetPath.startsWith("/")) {
       targetPath = "/" + targetPath;
     }
-    String deadlineText = value(request, Headers.DEADLINE);
+    String deadlineText = headerValue(request, Headers.DEADLINE);
     if (deadlineText.isEmpty()) {
-      return rejected(
+      return reject(
           ResultCode.DEADLINE_REQUIRED,
           "header " + Headers.DEADLINE + " is missing; send the milliseconds you will wait");
     }
-    long deadlineMillis = wholeNumber(deadlineText);
+    long deadlineMillis = parseWholeNumber(deadlineText);
     if (deadlineMillis < 1) {
-      return rejected(
+      return reject(
           ResultCode.DEADLINE_INVALID,
           Headers.DEADLINE + " '" + deadlineText + "' must be a whole number of at least 1");
     }
-    String tryText = value(request, Headers.TRY);
-    long tryMillis = tryText.isEmpty() ? deadlineMillis : wholeNumber(tryText);
+    String tryText = headerValue(request, Headers.ATTEMPT_TIMEOUT);
+    long tryMillis = tryText.isEmpty() ? deadlineMillis : parseWholeNumber(tryText);
     if (tryMillis < 1) {
-      return rejected(
+      return reject(
           ResultCode.DEADLINE_INVALID,
-          Headers.TRY + " '" + tryText + "' must be a whole number of at least 1, or left out");
+          Headers.ATTEMPT_TIMEOUT
+              + " '"
+              + tryText
+              + "' must be a whole number of at least 1, or left out");
     }
-    for (String name : Headers.CHECKED) {
-      if (value(request, name).length() > LONGEST_VALUE) {
-        return rejected(
+    for (String name : Headers.LENGTH_LIMITED) {
+      if (headerValue(request, name).length() > MAX_HEADER_VALUE_LENGTH) {
+        return reject(
             ResultCode.MALFORMED_REQUEST,
-            "header " + name + " is longer than " + LONGEST_VALUE + " characters");
+            "header " + name + " is longer than " + MAX_HEADER_VALUE_LENGTH + " characters");
       }
     }
-    String id = value(request, Headers.REQUEST_ID);
+    String id = headerValue(request, Headers.REQUEST_ID);
     return new Parsed.Accepted(
         new RequestHead(
             id.isEmpty() ? UUID.randomUUID().toString() : id,
@@ -98,10 +101,10 @@
             targetPath,
             Duration.ofMillis(deadlineMillis),
             Duration.ofMillis(Math.min(tryMillis, deadlineMillis)),
-            value(request, Headers.PERMIT),
-            value(request, Headers.IDEMPOTENCY_KEY),
-            value(request, Headers.FORWARDED_BY),
-            value(request, Headers.DISPATCH)));
+            headerValue(request, Headers.PERMIT),
+            headerValue(request, Headers.IDEMPOTENCY_KEY),
+            headerValue(request, Headers.FORWARDED_BY),
+            headerValue(request, Headers.DISPATCH_TOKEN)));
   }
 
   private static int endOfSegment(String text) {
@@ -114,16 +117,16 @@
     return text.length();
   }
 
-  private static Parsed rejected(ResultCode code, String detail) {
+  private static Parsed reject(ResultCode code, String detail) {
     return new Parsed.Rejected(Result.notRun(code, detail));
   }
 
-  private static String value(HttpRequest request, String name) {
+  private static String headerValue(HttpRequest request, String name) {
     Header header = request.getFirstHeader(name);
     return header == null || header.getValue() == null ? "" : header.getValue().trim();
   }
 
-  private static long wholeNumber(String text) {
+  private static long parseWholeNumber(String text) {
     if (text.length() > 12 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
       return -1;
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestPath.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestPipeline.java
@@ -15,38 +15,38 @@
 import org.sageladder.entry.control.ControlPlane;
 import org.sageladder.entry.exchange.OutboundClient;
 import org.sageladder.entry.gates.GateTable;
-import org.sageladder.entry.quarantine.CrashWatch;
+import org.sageladder.entry.quarantine.CrashDetector;
 import org.sageladder.entry.settings.EntrySettings;
 
 /** Puts together the parts that a request passes. */
-public final class RequestPath {
+public final class RequestPipeline {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
   private final RequestRouter router;
   private final LookUps lookUps;
-  private final Explanation explanation;
+  private final LookUpExplainer lookUpExplainer;
 
-  private final PermitHome home;
+  private final PermitHome issuer;
   private final PermitCodec codec;
-  private final Permits permits;
+  private final PermitEnforcer permitEnforcer;
 
-  private RequestPath(
+  private RequestPipeline(
       RequestRouter router,
       LookUps lookUps,
       TimeSource time,
       PermitHome home,
       PermitCodec codec,
-      Permits permits) {
+      PermitEnforcer permits) {
     this.router = router;
     this.lookUps = lookUps;
-    this.explanation = Explanation.of(lookUps, time);
-    this.home = home;
+    this.lookUpExplainer = LookUpExplainer.of(lookUps, time);
+    this.issuer = home;
     this.codec = codec;
-    this.permits = permits;
+    this.permitEnforcer = permits;
   }
 
   /** The request path of one entry VM. */
-  public static RequestPath assemble(
+  public static RequestPipeline assemble(
       EntrySettings settings,
       OutboundClient client,
       ScheduledExecutorService timers,
@@ -56,8 +56,8 @@
       ControlPlane control,
       GateTable gates,
       Supplier<KeyRing> keys) {
-    FlowParts parts =
-        new FlowParts(
+    FlowContext parts =
+        new FlowContext(
             settings.vm(),
             settings.customer(),
             client,
@@ -66,7 +66,7 @@
             events,
             RequestCounters.in(metrics),
             CONNECT_TIMEOUT,
-            CrashWatch.start(
+            CrashDetector.start(
                 settings.customer(),
                 Quarantine.create(Quarantine.Limits.standard()),
                 client,
@@ -76,16 +76,18 @@
                 control.messages()));
     PermitCodec codec = PermitCodec.of(keys);
     PermitHome home =
-        PermitHome.of(settings.vm(), permitIncarnation(), PermitHome.Limits.standard());
+        PermitHome.of(settings.vm(), newPermitIncarnation(), PermitHome.Limits.standard());
     PermitSuccessors successors = new PermitSuccessors();
-    Permits permits = new Permits(parts, control, codec, home, successors);
-    PeerRoutes peers =
-        new PeerRoutes(settings.customer(), codec, home, successors, gates, time, timers);
+    PermitEnforcer permits = new PermitEnforcer(parts, control, codec, home, successors);
+    PeerRequestHandler peers =
+        new PeerRequestHandler(settings.customer(), codec, home, successors, gates, time, timers);
     control
         .messages()
-        .setReceiver(PeerRoutes.SUCCESSOR_TOPIC, (from, content) -> peers.announced(content));
+        .setReceiver(
+            PeerRequestHandler.SUCCESSOR_TOPIC,
+            (from, content) -> peers.onSuccessorAnnounced(content));
     LookUps lookUps = LookUps.create(time);
-    return new RequestPath(
+    return new RequestPipeline(
         new RequestRouter(
             parts,
             settings.customer(),
@@ -107,13 +109,13 @@
    * A number that no other start of this VM has had. Permits are numbered from 1 in each
    * incarnation: with a number seen before, a permit used before the restart would be unused again.
    */
-  private static long permitIncarnation() {
+  private static long newPermitIncarnation() {
     return new SecureRandom().nextLong();
   }
 
   /** The permits minted here. */
-  public PermitHome home() {
-    return home;
+  public PermitHome issuer() {
+    return issuer;
   }
 
   /** What seals and opens permits and the messages about them. */
@@ -127,17 +129,17 @@
   }
 
   /** What operators ask why a look-up is answered as it is. */
-  public Explanation explanation() {
-    return explanation;
+  public LookUpExplainer lookUpExplainer() {
+    return lookUpExplainer;
   }
 
   /** Notes where callers and other entry VMs reach this one, for the permits minted from now on. */
-  public void reachedAt(String host, int port) {
-    permits.reachedAt(host + ":" + port);
+  public void advertiseAddress(String host, int port) {
+    permitEnforcer.advertiseAddress(host + ":" + port);
   }
 
   /** Follows a new state. */
-  public void follow(ClusterState state) {
-    lookUps.follow(state);
+  public void applyState(ClusterState state) {
+    lookUps.applyState(state);
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestRouter.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestRouter.java
@@ -32,31 +32,32 @@
   private static final JsonMapper JSON = new JsonMapper();
 
   /** Who holds which target cannot change before the next heartbeat. */
-  private static final Duration NEXT_VIEW = MembershipSettings.standard().heartbeatInterval();
+  private static final Duration HEARTBEAT_INTERVAL =
+      MembershipSettings.standard().heartbeatInterval();
 
-  private final FlowParts parts;
+  private final FlowContext context;
   private final String customer;
   private final String zone;
   private final ControlPlane control;
   private final GateTable gates;
   private final LookUps lookUps;
-  private final Permits permits;
-  private final PeerRoutes peers;
-  private final long mostBodyBytes;
+  private final PermitEnforcer permits;
+  private final PeerRequestHandler peerHandler;
+  private final long maxBodyBytes;
 
   RequestRouter(
-      FlowParts parts,
+      FlowContext parts,
       String customer,
       String zone,
       ControlPlane control,
       GateTable gates,
       LookUps lookUps,
-      Permits permits,
-      PeerRoutes peers,
+      PermitEnforcer permits,
+      PeerRequestHandler peers,
       long mostBodyBytes) {
-    this.mostBodyBytes = mostBodyBytes;
-    this.peers = peers;
-    this.parts = parts;
+    this.maxBodyBytes = mostBodyBytes;
+    this.peerHandler = peers;
+    this.context = parts;
     this.customer = customer;
     this.zone = zone;
     this.control = control;
@@ -66,26 +67,31 @@
   }
 
   @Override
-  public void begin(CallerExchange exchange) throws IOException {
+  public void handle(CallerExchange exchange) throws IOException {
     String path = exchange.request().getPath();
     if (path.startsWith(LookUps.PATH)) {
-      lookUp(exchange, path);
-    } else if (path.startsWith(RequestHead.PREFIX)) {
-      request(exchange, path);
-    } else if (path.startsWith(PeerRoutes.PREFIX)) {
-      peers.begin(exchange);
+      handleLookUp(exchange, path);
+    } else if (path.startsWith(RequestHead.PATH_PREFIX)) {
+      handleRequest(exchange, path);
+    } else if (path.startsWith(PeerRequestHandler.PATH_PREFIX)) {
+      peerHandler.handle(exchange);
     } else {
       refuse(
           exchange,
           Result.notRun(
               ResultCode.UNKNOWN_ROUTE,
-              "path '" + path + "' is neither " + LookUps.PATH + " nor " + RequestHead.PREFIX));
+              "path '"
+                  + path
+                  + "' is neither "
+                  + LookUps.PATH
+                  + " nor "
+                  + RequestHead.PATH_PREFIX));
     }
   }
 
-  private void lookUp(CallerExchange exchange, String path) throws IOException {
+  private void handleLookUp(CallerExchange exchange, String path) throws IOException {
     LookUps.Query query = LookUps.Query.parse(path);
-    Optional<Result.NotRun> fault = check(query.contract(), query.service());
+    Optional<Result.NotRun> fault = validate(query.contract(), query.service());
     if (fault.isEmpty() && query.block() < 0) {
       fault =
           Optional.of(
@@ -106,13 +112,13 @@
               "no entry VM is known for block " + query.block() + " of this contract"));
       return;
     }
-    parts.counters().lookUp(query.service());
+    context.counters().countLookUp(query.service());
     HttpResponse head = new BasicHttpResponse(200);
-    Answers.mark(head, ResultCode.OK);
-    Answers.send(exchange, head, describe(query, route));
+    LocalReplies.addResultHeaders(head, ResultCode.OK);
+    LocalReplies.send(exchange, head, toJson(query, route));
   }
 
-  private ObjectNode describe(LookUps.Query query, Route route) {
+  private ObjectNode toJson(LookUps.Query query, Route route) {
     ObjectNode json = JSON.createObjectNode();
     json.put("contract", query.contract());
     json.put("revision", route.revision());
@@ -128,7 +134,7 @@
           .put("address", member.host() + ":" + member.port());
     }
     Contract.Service service = service(query.service());
-    boolean goesHere = route.entries().get(0).vm().equals(parts.vm());
+    boolean goesHere = route.entries().get(0).vm().equals(context.vm());
     if (service != null && !service.repeatable() && goesHere) {
       // A permit sends its request to the VM that minted it. Minted here for a request that is to
       // go elsewhere it would cost two more hops, so there the first try fetches it.
@@ -137,7 +143,7 @@
     return json;
   }
 
-  private void request(CallerExchange exchange, String path) throws IOException {
+  private void handleRequest(CallerExchange exchange, String path) throws IOException {
     exchange.countRequest();
     RequestHead.Parsed parsed = RequestHead.parse(exchange.request(), path);
     if (parsed instanceof RequestHead.Parsed.Rejected rejected) {
@@ -145,13 +151,13 @@
       return;
     }
     EntityDetails body = exchange.entity();
-    if (body != null && body.getContentLength() > mostBodyBytes) {
-      refuse(exchange, bodyTooLong(body.getContentLength()));
+    if (body != null && body.getContentLength() > maxBodyBytes) {
+      refuse(exchange, bodyTooLarge(body.getContentLength()));
       return;
     }
-    exchange.requestBody().limit(mostBodyBytes);
+    exchange.requestBody().limitLength(maxBodyBytes);
     RequestHead head = ((RequestHead.Parsed.Accepted) parsed).head();
-    Optional<Result.NotRun> fault = check(head.customer(), head.service());
+    Optional<Result.NotRun> fault = validate(head.customer(), head.service());
     if (fault.isPresent()) {
       refuse(exchange, fault.get());
       return;
@@ -162,28 +168,29 @@
       return;
     }
     if (head.deadline().compareTo(service.longestDeadline()) > 0) {
-      refuse(exchange, tooLong(head, service));
+      refuse(exchange, deadlineTooLong(head, service));
       return;
     }
-    parts
+    context
         .events()
         .record(EventKind.RECEIVED, head.id(), customer, service.name(), 0, head.forwardedBy());
-    String from = regionOfSender(exchange, head);
+    String from = senderRegion(exchange, head);
     if (service.repeatable()) {
-      carry(RequestFlow.begin(parts, exchange, head, service), head, service, from);
+      admitOrForward(RequestFlow.start(context, exchange, head, service), head, service, from);
       return;
     }
-    permits.guard(exchange, head, service, flow -> carry(flow, head, service, from));
+    permits.runIfPermitted(
+        exchange, head, service, flow -> admitOrForward(flow, head, service, from));
   }
 
-  private Result.NotRun bodyTooLong(long length) {
+  private Result.NotRun bodyTooLarge(long length) {
     return Result.notRun(
         ResultCode.BODY_LENGTH_INVALID,
-        "a body of " + length + " bytes is above the " + mostBodyBytes + " allowed here");
+        "a body of " + length + " bytes is above the " + maxBodyBytes + " allowed here");
   }
 
   /** Region that the request was sent from: the caller's, or that of the entry VM before. */
-  private String regionOfSender(CallerExchange exchange, RequestHead head) {
+  private String senderRegion(CallerExchange exchange, RequestHead head) {
     ClusterState state = control.state();
     Contract contract = state.contracts().get(customer);
     if (contract == null) {
@@ -191,7 +198,7 @@
     }
     if (head.forwardedBy().isEmpty()) {
       Header block = exchange.request().getFirstHeader(Headers.BLOCK);
-      int number = block == null ? -1 : LookUps.Query.number(block.getValue());
+      int number = block == null ? -1 : LookUps.Query.parseBlock(block.getValue());
       return number < 0 ? "" : contract.regionOfBlock(number).orElse("");
     }
     for (ZoneView view : state.views().values()) {
@@ -202,7 +209,7 @@
     return "";
   }
 
-  private static Result.NotRun tooLong(RequestHead head, Contract.Service service) {
+  private static Result.NotRun deadlineTooLong(RequestHead head, Contract.Service service) {
     return Result.notRun(
         ResultCode.DEADLINE_INVALID,
         Headers.DEADLINE
@@ -214,18 +221,20 @@
             + service.name());
   }
 
-  private void carry(RequestFlow flow, RequestHead head, Contract.Service service, String from) {
-    ServiceGate gate = gates.holding(head.service());
+  private void admitOrForward(
+      RequestFlow flow, RequestHead head, Contract.Service service, String senderRegion) {
+    ServiceGate gate = gates.gateWithTargets(head.service());
     if (gate != null) {
-      Optional<Result.NotRun> full = gates.links().refusal(from, service.requestClass());
+      Optional<Result.NotRun> full =
+          gates.linkLimiter().admitOrRefuse(senderRegion, service.requestClass());
       if (full.isPresent()) {
         flow.refuse(full.get());
         return;
       }
-      flow.through(GuardedGate.of(gate, gate::inFlight, control.guard()));
+      flow.admitThrough(GuardedGate.of(gate, gate::inFlight, control.guard()));
       return;
     }
-    Member holder = head.forwardedBy().isEmpty() ? holderElsewhere(head.service()) : null;
+    Member holder = head.forwardedBy().isEmpty() ? nearestHolder(head.service()) : null;
     if (holder != null) {
       flow.forwardTo(holder);
       return;
@@ -233,18 +242,18 @@
     flow.refuse(
         new Result.NotRun(
             head.forwardedBy().isEmpty() ? ResultCode.NO_TARGET : ResultCode.GATE_MOVED,
-            NEXT_VIEW,
+            HEARTBEAT_INTERVAL,
             "no target of " + head.service() + " is held at this entry VM"));
   }
 
   /** The nearest entry VM that holds a target of {@code service}: own zone, own region, others. */
-  private @Nullable Member holderElsewhere(String service) {
+  private @Nullable Member nearestHolder(String service) {
     ClusterState state = control.state();
     Contract contract = state.contracts().get(customer);
     if (contract == null) {
       return null;
     }
-    Member found = holderIn(state, zone, service);
+    Member found = holderInZone(state, zone, service);
     if (found != null) {
       return found;
     }
@@ -252,7 +261,7 @@
     Member elsewhere = null;
     for (Contract.Region candidate : contract.regions()) {
       for (String other : candidate.zones()) {
-        Member holder = holderIn(state, other, service);
+        Member holder = holderInZone(state, other, service);
         if (holder != null && candidate.name().equals(region)) {
           return holder;
         }
@@ -264,7 +273,7 @@
     return elsewhere;
   }
 
-  private @Nullable Member holderIn(ClusterState state, String inZone, String service) {
+  private @Nullable Member holderInZone(ClusterState state, String inZone, String service) {
     ZoneView view = state.views().get(inZone);
     if (view == null) {
       return null;
@@ -274,7 +283,7 @@
         continue;
       }
       for (Member member : view.members()) {
-        if (member.vm().equals(holding.holder()) && !member.vm().equals(parts.vm())) {
+        if (member.vm().equals(holding.holder()) && !member.vm().equals(context.vm())) {
           return member;
         }
       }
@@ -287,7 +296,7 @@
     return contract == null ? null : contract.service(name).orElse(null);
   }
 
-  private Optional<Result.NotRun> check(String contract, String service) {
+  private Optional<Result.NotRun> validate(String contract, String service) {
     if (!contract.equals(customer)) {
       return Optional.of(
           Result.notRun(
@@ -318,11 +327,11 @@
   private void refuse(CallerExchange exchange, Result.NotRun refusal) throws IOException {
     boolean copy =
         exchange.request().containsHeader(Headers.PERMIT)
-            && !exchange.request().containsHeader(Headers.DISPATCH);
-    Result result = copy ? Permits.heldElsewhere(refusal) : refusal;
-    parts.counters().result("", result.code());
+            && !exchange.request().containsHeader(Headers.DISPATCH_TOKEN);
+    Result result = copy ? PermitEnforcer.unknownUnlessIssuer(refusal) : refusal;
+    context.counters().countResult("", result.code());
     exchange.requestBody().discard();
-    Answers.send(exchange, result);
-    exchange.acceptBody();
+    LocalReplies.send(exchange, result);
+    exchange.sendContinue();
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/Recording.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/ResponseRecording.java
@@ -12,22 +12,22 @@
 import org.sageladder.core.permit.RecordedAnswer;
 import org.sageladder.entry.exchange.BodyPipe;
 import org.sageladder.entry.exchange.CallerExchange;
-import org.sageladder.entry.exchange.CarriedEntity;
+import org.sageladder.entry.exchange.ForwardedEntity;
 
 /** Turns an answer into what a permit's home keeps, and back. */
-final class Recording {
+final class ResponseRecording {
   private final int status;
   private final List<RecordedAnswer.Header> headers;
 
-  private Recording(int status, List<RecordedAnswer.Header> headers) {
+  private ResponseRecording(int status, List<RecordedAnswer.Header> headers) {
     this.status = status;
     this.headers = headers;
   }
 
   /** Notes the head now: sending it on adds headers that belong to the connection. */
-  static Recording begin(HttpResponse passed, @Nullable EntityDetails details) {
+  static ResponseRecording start(HttpResponse response, @Nullable EntityDetails details) {
     List<RecordedAnswer.Header> headers = new ArrayList<>();
-    for (Header header : passed.getHeaders()) {
+    for (Header header : response.getHeaders()) {
       headers.add(new RecordedAnswer.Header(header.getName(), header.getValue()));
     }
     if (details != null && details.getContentType() != null) {
@@ -37,31 +37,31 @@
       headers.add(
           new RecordedAnswer.Header(HttpHeaders.CONTENT_ENCODING, details.getContentEncoding()));
     }
-    return new Recording(passed.getCode(), headers);
+    return new ResponseRecording(response.getCode(), headers);
   }
 
   /** What to keep; without {@code body} only that there was an answer. */
-  RecordedAnswer end(Optional<byte[]> body) {
+  RecordedAnswer finish(Optional<byte[]> body) {
     return body.map(bytes -> RecordedAnswer.complete(status, headers, bytes))
         .orElseGet(RecordedAnswer::notKept);
   }
 
   /** Answers a repeat with what was kept. */
-  static void send(CallerExchange exchange, RecordedAnswer kept) {
-    BasicHttpResponse response = new BasicHttpResponse(kept.status());
+  static void replay(CallerExchange exchange, RecordedAnswer recorded) {
+    BasicHttpResponse response = new BasicHttpResponse(recorded.status());
     String type = null;
     String encoding = null;
-    for (RecordedAnswer.Header header : kept.headers()) {
+    for (RecordedAnswer.Header header : recorded.headers()) {
       switch (header.name()) {
         case HttpHeaders.CONTENT_TYPE -> type = header.value();
         case HttpHeaders.CONTENT_ENCODING -> encoding = header.value();
         default -> response.addHeader(header.name(), header.value());
       }
     }
-    boolean empty = kept.body().length == 0;
-    exchange.answer(
+    boolean empty = recorded.body().length == 0;
+    exchange.respond(
         response,
-        empty ? null : new CarriedEntity(kept.body().length, type, encoding),
-        BodyPipe.of(kept.body()));
+        empty ? null : new ForwardedEntity(recorded.body().length, type, encoding),
+        BodyPipe.of(recorded.body()));
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/stop/PermitHandOver.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/stop/PermitHandOver.java
@@ -30,26 +30,26 @@
 import org.sageladder.core.time.TimeSource;
 import org.sageladder.entry.control.ControlPlane;
 import org.sageladder.entry.exchange.BodyPipe;
-import org.sageladder.entry.exchange.Outbound;
+import org.sageladder.entry.exchange.RequestSender;
 import org.sageladder.entry.request.Headers;
-import org.sageladder.entry.request.PeerRoutes;
+import org.sageladder.entry.request.PeerRequestHandler;
 
 /** Hands the states of the permits homed here to a successor and tells the others of it. */
 public final class PermitHandOver {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final Duration CONNECT = Duration.ofMillis(500);
-  private static final Duration ANSWER = Duration.ofSeconds(2);
-  private static final int TRIES = 5;
-  private static final int MOST_TOLD = 16;
+  private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
+  private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(2);
+  private static final int MAX_SEND_ATTEMPTS = 5;
+  private static final int MAX_NOTIFIED_PEERS = 16;
 
   private final String vm;
   private final String zone;
   private final String customer;
   private final ControlPlane control;
-  private final PermitHome home;
+  private final PermitHome issuer;
   private final PermitCodec codec;
   private final PermitHome.Limits limits;
-  private final Outbound client;
+  private final RequestSender client;
   private final TimeSource time;
 
   private PermitHandOver(
@@ -60,13 +60,13 @@
       PermitHome home,
       PermitCodec codec,
       PermitHome.Limits limits,
-      Outbound client,
+      RequestSender client,
       TimeSource time) {
     this.vm = vm;
     this.zone = zone;
     this.customer = customer;
     this.control = control;
-    this.home = home;
+    this.issuer = home;
     this.codec = codec;
     this.limits = limits;
     this.client = client;
@@ -79,12 +79,12 @@
       String zone,
       String customer,
       ControlPlane control,
-      PermitHome home,
+      PermitHome issuer,
       PermitCodec codec,
       PermitHome.Limits limits,
-      Outbound client,
+      RequestSender client,
       TimeSource time) {
-    return new PermitHandOver(vm, zone, customer, control, home, codec, limits, client, time);
+    return new PermitHandOver(vm, zone, customer, control, issuer, codec, limits, client, time);
   }
 
   /**
@@ -94,9 +94,9 @@
    */
   public boolean run() throws InterruptedException {
     Optional<Member> successor = Optional.empty();
-    for (Member candidate : candidates()) {
+    for (Member candidate : stayingMembers()) {
       // Once the home is closed its successor is fixed, so only one that answers is named.
-      if (tellSuccessor(candidate, candidate)) {
+      if (notifySuccessor(candidate, candidate)) {
         successor = Optional.of(candidate);
         break;
       }
@@ -105,37 +105,37 @@
       logger.atWarning().log("no entry VM answers, so permits homed here cannot be handed over");
       return false;
     }
-    Optional<HandOver> state = home.close(successor.get().vm(), time.wallMillis());
-    boolean taken = state.isPresent() && send(successor.get(), state.get());
-    announce(successor.get());
-    List<Member> near = candidates();
-    for (Member member : near.subList(0, Math.min(MOST_TOLD, near.size()))) {
+    Optional<HandOver> state = issuer.close(successor.get().vm(), time.wallMillis());
+    boolean taken = state.isPresent() && sendStates(successor.get(), state.get());
+    announceSuccessor(successor.get());
+    List<Member> near = stayingMembers();
+    for (Member member : near.subList(0, Math.min(MAX_NOTIFIED_PEERS, near.size()))) {
       if (!member.vm().equals(successor.get().vm())) {
-        tellSuccessor(member, successor.get());
+        notifySuccessor(member, successor.get());
       }
     }
     return taken;
   }
 
   /** Reaches the entry VMs that are too many or too far to be told one by one. */
-  private void announce(Member successor) {
-    String word = codec.seal(word(PeerRoutes.SUCCESSOR, successor.vm()));
+  private void announceSuccessor(Member successor) {
+    String word = codec.seal(token(PeerRequestHandler.SUCCESSOR_PATH, successor.vm()));
     control
         .messages()
         .broadcast(
-            PeerRoutes.SUCCESSOR_TOPIC,
-            vm + "/" + home.incarnation(),
+            PeerRequestHandler.SUCCESSOR_TOPIC,
+            vm + "/" + issuer.incarnation(),
             word.getBytes(StandardCharsets.US_ASCII),
             limits.lifetime().plus(limits.retention()));
   }
 
-  private Permit word(String route, String successor) {
+  private Permit token(String route, String successor) {
     long expiry = time.wallMillis() + limits.lifetime().plus(limits.retention()).toMillis();
-    return new Permit(vm, home.incarnation(), 0, expiry, customer, route, successor, "");
+    return new Permit(vm, issuer.incarnation(), 0, expiry, customer, route, successor, "");
   }
 
   /** Members that stay, nearest first: own zone, own region, others. */
-  private List<Member> candidates() {
+  private List<Member> stayingMembers() {
     ClusterState state = control.state();
     Contract contract = state.contracts().get(customer);
     List<String> zones = new ArrayList<>();
@@ -156,11 +156,12 @@
     return members;
   }
 
-  private boolean send(Member successor, HandOver state) throws InterruptedException {
+  private boolean sendStates(Member successor, HandOver state) throws InterruptedException {
     byte[] bytes = HandOverCodec.encode(state);
-    for (int i = 0; i < TRIES; i++) {
+    for (int i = 0; i < MAX_SEND_ATTEMPTS; i++) {
       // The same bytes to the same VM: where only the acknowledgement was lost, nothing changes.
-      if (post(successor, PeerRoutes.HAND_OVER, successor.vm(), bytes)) {
+      if (putAndAwaitAcknowledgement(
+          successor, PeerRequestHandler.HAND_OVER_PATH, successor.vm(), bytes)) {
         logger.atInfo().log(
             "handed %d permits to %s in %d bytes",
             state.permitCount(), successor.vm(), bytes.length);
@@ -171,17 +172,18 @@
     return false;
   }
 
-  private boolean tellSuccessor(Member to, Member successor) throws InterruptedException {
-    return post(to, PeerRoutes.SUCCESSOR, successor.vm(), new byte[0]);
+  private boolean notifySuccessor(Member to, Member successor) throws InterruptedException {
+    return putAndAwaitAcknowledgement(
+        to, PeerRequestHandler.SUCCESSOR_PATH, successor.vm(), new byte[0]);
   }
 
-  private boolean post(Member to, String route, String successor, byte[] body)
+  private boolean putAndAwaitAcknowledgement(Member to, String route, String successor, byte[] body)
       throws InterruptedException {
     BasicHttpRequest request = new BasicHttpRequest("PUT", route);
     HttpHost host = new HttpHost(to.host(), to.port());
     request.setScheme(host.getSchemeName());
     request.setAuthority(new URIAuthority(host));
-    request.setHeader(Headers.DISPATCH, codec.seal(word(route, successor)));
+    request.setHeader(Headers.DISPATCH_TOKEN, codec.seal(token(route, successor)));
     CompletableFuture<Boolean> answered = new CompletableFuture<>();
     Runnable cancel =
         client.send(
@@ -189,27 +191,28 @@
             request,
             new BasicEntityDetails(body.length, ContentType.APPLICATION_OCTET_STREAM),
             BodyPipe.of(body),
-            CONNECT,
+            CONNECT_TIMEOUT,
             new Acknowledgement(answered));
     try {
-      return answered.get(ANSWER.toMillis(), TimeUnit.MILLISECONDS);
+      return answered.get(RESPONSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
       cancel.run();
       return false;
     }
   }
 
-  private record Acknowledgement(CompletableFuture<Boolean> answered) implements Outbound.Listener {
+  private record Acknowledgement(CompletableFuture<Boolean> answered)
+      implements RequestSender.Listener {
     @Override
-    public void head(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
+    public void onResponse(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
       answered.complete(response.getCode() == 204);
     }
 
     @Override
-    public void done() {}
+    public void onComplete() {}
 
     @Override
-    public void lost(boolean sent, Exception cause) {
+    public void onFailure(boolean sent, Exception cause) {
       answered.complete(false);
     }
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/stop/PlannedStop.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/stop/PlannedStop.java
@@ -5,7 +5,7 @@
 import org.sageladder.core.permit.PermitHome;
 import org.sageladder.core.time.TimeSource;
 import org.sageladder.entry.control.ControlPlane;
-import org.sageladder.entry.exchange.InFlight;
+import org.sageladder.entry.exchange.InFlightCounter;
 
 /**
  * Takes an entry VM out of service without cutting what is in flight.
@@ -18,18 +18,18 @@
   /**
    * Times of the steps.
    *
-   * @param newsSpread shortest wait for the news of the leaving to reach look-ups elsewhere
-   * @param noNewcomers silence after which no caller is thought to come by an older look-up
-   * @param lookUpsExpire longest wait for that silence
-   * @param runsEnd longest wait for runs under permits
-   * @param exchangesEnd longest wait for all other exchanges
+   * @param propagationDelay shortest wait for the news of the leaving to reach look-ups elsewhere
+   * @param quietPeriod silence after which no caller is thought to come by an older look-up
+   * @param maxLookUpExpiryWait longest wait for that silence
+   * @param maxRunWait longest wait for runs under permits
+   * @param maxExchangeWait longest wait for all other exchanges
    */
   public record Limits(
-      Duration newsSpread,
-      Duration noNewcomers,
-      Duration lookUpsExpire,
-      Duration runsEnd,
-      Duration exchangesEnd) {
+      Duration propagationDelay,
+      Duration quietPeriod,
+      Duration maxLookUpExpiryWait,
+      Duration maxRunWait,
+      Duration maxExchangeWait) {
     /** Look-ups live 2 s and news of the leaving takes up to 1 s more. */
     public static Limits standard() {
       return new Limits(
@@ -57,26 +57,26 @@
       Duration handOver,
       Duration exchanges) {}
 
-  private static final Duration STEP = Duration.ofMillis(5);
-  private static final Duration QUIET = Duration.ofMillis(300);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(5);
+  private static final Duration MIN_IDLE_TIME = Duration.ofMillis(300);
 
   private final ControlPlane control;
-  private final InFlight inFlight;
-  private final PermitHome home;
+  private final InFlightCounter inFlight;
+  private final PermitHome issuer;
   private final PermitHandOver handOver;
   private final TimeSource time;
   private final Limits limits;
 
   private PlannedStop(
       ControlPlane control,
-      InFlight inFlight,
+      InFlightCounter inFlight,
       PermitHome home,
       PermitHandOver handOver,
       TimeSource time,
       Limits limits) {
     this.control = control;
     this.inFlight = inFlight;
-    this.home = home;
+    this.issuer = home;
     this.handOver = handOver;
     this.time = time;
     this.limits = limits;
@@ -85,36 +85,36 @@
   /** A stop that has not begun. */
   public static PlannedStop of(
       ControlPlane control,
-      InFlight inFlight,
-      PermitHome home,
+      InFlightCounter inFlight,
+      PermitHome issuer,
       PermitHandOver handOver,
       TimeSource time,
       Limits limits) {
-    return new PlannedStop(control, inFlight, home, handOver, time, limits);
+    return new PlannedStop(control, inFlight, issuer, handOver, time, limits);
   }
 
   /** Runs all steps; the listening ports may be closed when it returns. */
   public Outcome run() throws InterruptedException {
-    long start = time.nanos();
+    long startNanos = time.nanos();
     inFlight.beginLeaving();
     control.beginLeaving();
-    awaitNoNewcomers();
-    long noNewcomers = time.nanos();
-    home.startDraining();
-    await(limits.runsEnd(), () -> home.runningOwnCount() == 0);
-    long runsEnded = time.nanos();
+    awaitLookUpExpiry();
+    long lookUpsExpiredNanos = time.nanos();
+    issuer.startDraining();
+    await(limits.maxRunWait(), () -> issuer.runningOwnCount() == 0);
+    long runsEndedNanos = time.nanos();
     boolean handedOver = handOver.run();
-    long handedOverAt = time.nanos();
-    await(limits.runsEnd(), () -> home.runningCount() == 0);
-    awaitQuiet();
-    int cut = inFlight.count();
+    long handedOverNanos = time.nanos();
+    await(limits.maxRunWait(), () -> issuer.runningCount() == 0);
+    awaitIdle();
+    int cut = inFlight.exchanges();
     return new Outcome(
         handedOver,
         cut,
-        Duration.ofNanos(noNewcomers - start),
-        Duration.ofNanos(runsEnded - noNewcomers),
-        Duration.ofNanos(handedOverAt - runsEnded),
-        Duration.ofNanos(time.nanos() - handedOverAt));
+        Duration.ofNanos(lookUpsExpiredNanos - startNanos),
+        Duration.ofNanos(runsEndedNanos - lookUpsExpiredNanos),
+        Duration.ofNanos(handedOverNanos - runsEndedNanos),
+        Duration.ofNanos(time.nanos() - handedOverNanos));
   }
 
   /**
@@ -122,37 +122,37 @@
    * connection and uses the next entry VM of its answer, so silence is enough: nothing is cut.
    * Look-ups are no sign of newcomers: they are answered everywhere, and name others by now.
    */
-  private void awaitNoNewcomers() throws InterruptedException {
-    Thread.sleep(limits.newsSpread().toMillis());
-    long[] seen = {inFlight.requests(), time.nanos()};
+  private void awaitLookUpExpiry() throws InterruptedException {
+    Thread.sleep(limits.propagationDelay().toMillis());
+    long[] seen = {inFlight.targetRequests(), time.nanos()};
     await(
-        limits.lookUpsExpire().minus(limits.newsSpread()),
+        limits.maxLookUpExpiryWait().minus(limits.propagationDelay()),
         () -> {
-          if (inFlight.requests() != seen[0]) {
-            seen[0] = inFlight.requests();
+          if (inFlight.targetRequests() != seen[0]) {
+            seen[0] = inFlight.targetRequests();
             seen[1] = time.nanos();
           }
-          return time.nanos() - seen[1] > limits.noNewcomers().toNanos();
+          return time.nanos() - seen[1] > limits.quietPeriod().toNanos();
         });
   }
 
   /** A caller on a kept connection may send again at once, so one moment of idleness is no end. */
-  private void awaitQuiet() throws InterruptedException {
+  private void awaitIdle() throws InterruptedException {
     long[] busySeen = {time.nanos()};
     await(
-        limits.exchangesEnd(),
+        limits.maxExchangeWait(),
         () -> {
-          if (inFlight.count() > 0) {
+          if (inFlight.exchanges() > 0) {
             busySeen[0] = time.nanos();
           }
-          return time.nanos() - busySeen[0] > QUIET.toNanos();
+          return time.nanos() - busySeen[0] > MIN_IDLE_TIME.toNanos();
         });
   }
 
-  private void await(Duration longest, BooleanSupplier done) throws InterruptedException {
-    long end = time.nanos() + longest.toNanos();
+  private void await(Duration maxWait, BooleanSupplier done) throws InterruptedException {
+    long end = time.nanos() + maxWait.toNanos();
     while (!done.getAsBoolean() && time.nanos() - end < 0) {
-      Thread.sleep(STEP.toMillis());
+      Thread.sleep(POLL_INTERVAL.toMillis());
     }
   }
 }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/exchange/BodyPipeTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/exchange/BodyPipeTest.java
@@ -44,7 +44,7 @@
    */
   @Test
   void aChunkedBodyFailsAtTheLimit() throws IOException {
-    pipe.limit(10);
+    pipe.limitLength(10);
     pipe.accept(bytes("ten bytes."));
     assertThrows(IOException.class, () -> pipe.accept(bytes("!")));
     pipe.fail(new IOException("its connection was closed"));
@@ -62,7 +62,7 @@
     pipe.produce(writer);
     pipe.discard();
     pipe.accept(bytes("second part"));
-    pipe.end();
+    pipe.complete();
     assertThrows(IOException.class, () -> pipe.produce(writer));
     assertFalse(writer.ended);
   }
@@ -71,7 +71,7 @@
   @Test
   void aWholeBodyOutlivesItsConnection() throws IOException {
     pipe.accept(bytes("a whole bid"));
-    pipe.end();
+    pipe.complete();
     pipe.fail(new IOException("the dealer's connection broke"));
     pipe.produce(writer);
     assertEquals("a whole bid", writer.text());
@@ -83,12 +83,12 @@
    */
   @Test
   void anAnswerIsRecordedAlsoOnceItsCallerIsGone() throws IOException {
-    AnswerRecorder recorder = AnswerRecorder.upTo(100);
+    BodyRecorder recorder = BodyRecorder.upTo(100);
     pipe.record(recorder);
     pipe.accept(bytes("sold "));
     pipe.discard();
     pipe.accept(bytes("to you"));
-    pipe.end();
+    pipe.complete();
     assertArrayEquals(
         "sold to you".getBytes(StandardCharsets.UTF_8), recorder.body().orElseThrow());
   }
@@ -96,7 +96,7 @@
   /** A 100 MB export must not be copied into the memory of an entry VM for the sake of repeats. */
   @Test
   void anAnswerAboveTheLimitIsNotRecorded() throws IOException {
-    AnswerRecorder recorder = AnswerRecorder.upTo(10);
+    BodyRecorder recorder = BodyRecorder.upTo(10);
     pipe.record(recorder);
     pipe.accept(bytes("more than ten bytes"));
     assertTrue(recorder.body().isEmpty());
--- a/sageladder-entry/src/test/java/org/sageladder/entry/exchange/EndlessAnswerTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/exchange/CloseDelimitedResponseTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Answers of targets whose end cannot be told. */
-class EndlessAnswerTest {
+class CloseDelimitedResponseTest {
 
   // A target dies while it sends a recording without a length. The connection's end is all that
   // marks
@@ -27,16 +27,16 @@
   // researcher's client would keep it as a success.
   @Test
   void anAnswerWithoutLengthOrChunksIsLostAndNotPassedOn() throws Exception {
-    assertEquals("lost, sent", news("HTTP/1.1 200 OK\r\n\r\nhalf a so"));
+    assertEquals("lost, sent", firstEvent("HTTP/1.1 200 OK\r\n\r\nhalf a so"));
   }
 
   @Test
   void anAnswerWithALengthIsPassedOn() throws Exception {
-    assertEquals("head", news("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nsong"));
+    assertEquals("head", firstEvent("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nsong"));
   }
 
   /** The first news of an exchange with a target that sends {@code answer} and hangs up. */
-  private static String news(String answer) throws Exception {
+  private static String firstEvent(String answer) throws Exception {
     try (ServerSocket target = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         OutboundClient client = OutboundClient.start(1, 1)) {
       CompletableFuture<Void> answering = CompletableFuture.runAsync(() -> answer(target, answer));
@@ -46,7 +46,12 @@
       request.setAuthority(new URIAuthority(host));
       Runnable cancel =
           client.send(
-              host, request, null, BodyPipe.of(new byte[0]), Duration.ofSeconds(5), to(first));
+              host,
+              request,
+              null,
+              BodyPipe.of(new byte[0]),
+              Duration.ofSeconds(5),
+              completing(first));
       String news = first.get(20, TimeUnit.SECONDS);
       answering.join();
       cancel.run();
@@ -65,18 +70,19 @@
     }
   }
 
-  private static Outbound.Listener to(CompletableFuture<String> first) {
-    return new Outbound.Listener() {
+  private static RequestSender.Listener completing(CompletableFuture<String> first) {
+    return new RequestSender.Listener() {
       @Override
-      public void head(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
+      public void onResponse(
+          HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
         first.complete("head");
       }
 
       @Override
-      public void done() {}
+      public void onComplete() {}
 
       @Override
-      public void lost(boolean sent, Exception cause) {
+      public void onFailure(boolean sent, Exception cause) {
         first.complete(sent ? "lost, sent" : "lost, not sent");
       }
     };
--- a/sageladder-entry/src/test/java/org/sageladder/entry/gates/GateTableTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/gates/GateTableTest.java
@@ -39,8 +39,8 @@
   private int inStep;
 
   GateTableTest() {
-    first.tellNewHolders((holder, view, history) -> sent.add(history));
-    second.tellNewHolders((holder, view, history) -> sent.add(history));
+    first.useHistorySender((holder, view, history) -> sent.add(history));
+    second.useHistorySender((holder, view, history) -> sent.add(history));
   }
 
   // An entry VM joins a zone in a surge and gets a target that has just grown by all that its cap
@@ -65,8 +65,8 @@
     all(view(2, ""));
     all(view(3, "vm-2"));
     assertEquals(1, sent.size());
-    second.learn(3, sent.get(0));
-    second.learn(3, sent.get(0));
+    second.acceptHistory(3, sent.get(0));
+    second.acceptHistory(3, sent.get(0));
     flood(Duration.ofSeconds(1), first, second);
     assertTrue(perStep.get(perStep.size() - 1) > 0, "no wait is needed: " + perStep);
     flood(WINDOW.multipliedBy(3), first, second);
@@ -82,7 +82,7 @@
     all(view(2, ""));
     all(view(3, "vm-2"));
     assertEquals(1, sent.size());
-    second.learn(3, sent.get(0));
+    second.acceptHistory(3, sent.get(0));
     flood(Duration.ofSeconds(1), first, second);
     assertTrue(total() > 0, "no wait is needed: " + perStep);
     flood(WINDOW.multipliedBy(2), first, second);
@@ -94,15 +94,15 @@
   // zone, or of each rolling restart, were refused.
   @Test
   void waitsOfSeveralMovesDoNotAddUp() {
-    first.follow(view(1, "vm-0"));
-    first.follow(view(2, ""));
-    first.follow(view(3, "vm-1"));
-    second.follow(view(3, "vm-1"));
+    first.applyState(view(1, "vm-0"));
+    first.applyState(view(2, ""));
+    first.applyState(view(3, "vm-1"));
+    second.applyState(view(3, "vm-1"));
     time.advance(HALF_WAY);
     all(view(4, ""));
     all(view(5, "vm-2"));
     assertEquals(1, sent.size());
-    second.learn(5, sent.get(0));
+    second.acceptHistory(5, sent.get(0));
     time.advance(HALF_WAY.plusSeconds(1));
     flood(Duration.ofSeconds(1), second);
     assertTrue(total() > 0, "the wait of the first gate is over: " + perStep);
@@ -113,11 +113,11 @@
   void historyThatOvertakesTheViewIsKept() {
     all(view(1, "vm-1"));
     flood(WINDOW, first);
-    first.follow(view(2, ""));
-    first.follow(view(3, "vm-2"));
-    second.learn(3, sent.get(0));
-    second.follow(view(1, "vm-1"));
-    second.follow(view(3, "vm-2"));
+    first.applyState(view(2, ""));
+    first.applyState(view(3, "vm-2"));
+    second.acceptHistory(3, sent.get(0));
+    second.applyState(view(1, "vm-1"));
+    second.applyState(view(3, "vm-2"));
     flood(WINDOW.multipliedBy(2), first, second);
     assertCapKept();
     assertTrue(total() >= 3 * GAIN, "waited all the same: " + perStep);
@@ -131,13 +131,13 @@
     flood(WINDOW, first);
     all(view(2, ""));
     all(view(3, "vm-2"));
-    second.learn(3, sent.get(0));
+    second.acceptHistory(3, sent.get(0));
     flood(WINDOW, second);
     TargetHistory early = sent.get(0);
     all(view(4, ""));
     all(view(5, "vm-1"));
-    second.learn(3, early);
-    first.learn(3, early);
+    second.acceptHistory(3, early);
+    first.acceptHistory(3, early);
     flood(Duration.ofSeconds(1), first, second);
     assertEquals(0, perStep.get(perStep.size() - 1), "must wait: " + perStep);
     flood(WINDOW.multipliedBy(2), first, second);
@@ -151,9 +151,9 @@
     all(view(1, "vm-1"));
     flood(HALF_WAY, first);
     GateTable restarted = table("vm-1", 2);
-    restarted.follow(view(1, "vm-1"));
+    restarted.applyState(view(1, "vm-1"));
     flood(Duration.ofSeconds(1), restarted);
-    restarted.follow(view(2, "vm-1", 2));
+    restarted.applyState(view(2, "vm-1", 2));
     flood(WINDOW.multipliedBy(3), restarted);
     assertCapKept();
     assertTrue(total() > 2 * GAIN, "the new process must begin after one window");
@@ -175,14 +175,18 @@
     all(shared);
     int passed = 0;
     for (int milli = 0; milli < 10_000; milli++) {
-      passed += first.links().refusal("far", RequestClass.INTERACTIVE).isEmpty() ? 1 : 0;
-      passed += second.links().refusal("far", RequestClass.INTERACTIVE).isEmpty() ? 1 : 0;
+      passed +=
+          first.linkLimiter().admitOrRefuse("far", RequestClass.INTERACTIVE).isEmpty() ? 1 : 0;
+      passed +=
+          second.linkLimiter().admitOrRefuse("far", RequestClass.INTERACTIVE).isEmpty() ? 1 : 0;
       time.advance(Duration.ofMillis(1));
     }
     assertTrue(passed <= 11 * LINK_LIMIT, "a second's worth and 10 s: " + passed);
     assertTrue(passed >= 10 * LINK_LIMIT, "the link must be used: " + passed);
-    assertTrue(first.links().refusal("r", RequestClass.BACKGROUND).isEmpty(), "own region");
-    assertTrue(first.links().refusal("", RequestClass.BACKGROUND).isEmpty(), "not known");
+    assertTrue(
+        first.linkLimiter().admitOrRefuse("r", RequestClass.BACKGROUND).isEmpty(), "own region");
+    assertTrue(
+        first.linkLimiter().admitOrRefuse("", RequestClass.BACKGROUND).isEmpty(), "not known");
   }
 
   /** Gives the gates more requests than they may take, and ends each with a whole answer. */
@@ -201,7 +205,7 @@
   }
 
   private void offer(GateTable table) {
-    ServiceGate gate = table.holding("s");
+    ServiceGate gate = table.gateWithTargets("s");
     if (gate == null) {
       return;
     }
@@ -242,8 +246,8 @@
   }
 
   private void all(ClusterState state) {
-    first.follow(state);
-    second.follow(state);
+    first.applyState(state);
+    second.applyState(state);
   }
 
   private GateTable table(String vm, long incarnation) {
--- a/sageladder-entry/src/test/java/org/sageladder/entry/http/HttpListenerTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/http/HttpListenerTest.java
@@ -18,7 +18,7 @@
 import org.sageladder.core.result.Result;
 import org.sageladder.core.result.ResultCode;
 import org.sageladder.entry.exchange.CallerExchange;
-import org.sageladder.entry.request.Answers;
+import org.sageladder.entry.request.LocalReplies;
 
 /** What a port grants to its connections. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
@@ -38,7 +38,7 @@
   }
 
   private static void refuse(CallerExchange exchange) {
-    Answers.send(exchange, Result.notRun(ResultCode.UNKNOWN_ROUTE, "nothing is served here"));
+    LocalReplies.send(exchange, Result.notRun(ResultCode.UNKNOWN_ROUTE, "nothing is served here"));
   }
 
   private static Socket connect(HttpListener listener) throws IOException {
