--- a/sageladder-entry/src/test/java/org/sageladder/entry/quarantine/CrashWatchTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/quarantine/CrashDetectorTest.java
@@ -20,31 +20,31 @@
 import org.sageladder.core.spread.PeerMessages;
 import org.sageladder.core.time.VirtualTime;
 import org.sageladder.entry.exchange.BodyPipe;
-import org.sageladder.entry.exchange.Outbound;
+import org.sageladder.entry.exchange.RequestSender;
 
 /** Telling a crash from a broken connection, and telling the peers. */
-class CrashWatchTest {
-  private static final long POISON = 666;
+class CrashDetectorTest {
+  private static final long CRASHING_FINGERPRINT = 666;
 
   private final VirtualTime time = VirtualTime.startingAt(1_000_000);
   private final List<Runnable> timers = new ArrayList<>();
-  private final List<Outbound.Listener> asked = new ArrayList<>();
+  private final List<RequestSender.Listener> loadProbes = new ArrayList<>();
   private final List<PeerMessages.Receiver> receivers = new ArrayList<>();
   private final ScheduledExecutorService executor = new Recorder();
-  private final CrashWatch first = watch();
-  private final CrashWatch second = watch();
+  private final CrashDetector first = watch();
+  private final CrashDetector second = watch();
 
   @AfterEach
   void stop() {
     executor.shutdownNow();
   }
 
-  private CrashWatch watch() {
-    return CrashWatch.start(
+  private CrashDetector watch() {
+    return CrashDetector.start(
         "kannelkoda",
         Quarantine.create(Quarantine.Limits.standard()),
         (host, request, details, body, connectTimeout, listener) -> {
-          asked.add(listener);
+          loadProbes.add(listener);
           return () -> {};
         },
         executor,
@@ -58,11 +58,11 @@
   }
 
   /** Lets the gathered requests be asked about; returns whoever waits for the target's load. */
-  private Outbound.Listener lastAsked() {
+  private RequestSender.Listener runTimersAndGetLastProbe() {
     List<Runnable> due = new ArrayList<>(timers);
     timers.clear();
     due.forEach(Runnable::run);
-    return asked.get(asked.size() - 1);
+    return loadProbes.get(loadProbes.size() - 1);
   }
 
   /**
@@ -71,48 +71,48 @@
    */
   @Test
   void twoVmsThatSawOneCrashEachHoldTheRequestBack() {
-    first.cut(target("t-1"), POISON);
-    lastAsked().lost(false, new IOException("connection refused"));
-    second.cut(target("t-2"), POISON);
-    lastAsked().lost(false, new IOException("connection refused"));
-    assertTrue(first.quarantine().isQuarantined(POISON, time.wallMillis()));
-    assertTrue(second.quarantine().isQuarantined(POISON, time.wallMillis()));
+    first.recordConnectionFailure(target("t-1"), CRASHING_FINGERPRINT);
+    runTimersAndGetLastProbe().onFailure(false, new IOException("connection refused"));
+    second.recordConnectionFailure(target("t-2"), CRASHING_FINGERPRINT);
+    runTimersAndGetLastProbe().onFailure(false, new IOException("connection refused"));
+    assertTrue(first.quarantine().isQuarantined(CRASHING_FINGERPRINT, time.wallMillis()));
+    assertTrue(second.quarantine().isQuarantined(CRASHING_FINGERPRINT, time.wallMillis()));
   }
 
   /** Network trouble cuts a long export twice while its targets live on: nothing crashed. */
   @Test
   void aCutConnectionToALivingTargetIsNoCrash() {
     for (String name : List.of("t-1", "t-2")) {
-      first.cut(target(name), POISON);
+      first.recordConnectionFailure(target(name), CRASHING_FINGERPRINT);
       String load = "{\"slots\":3,\"busy\":1,\"draining\":false,\"incarnation\":4}";
-      lastAsked()
-          .head(
+      runTimersAndGetLastProbe()
+          .onResponse(
               new BasicHttpResponse(200), null, BodyPipe.of(load.getBytes(StandardCharsets.UTF_8)));
     }
-    assertFalse(first.quarantine().isQuarantined(POISON, time.wallMillis()));
+    assertFalse(first.quarantine().isQuarantined(CRASHING_FINGERPRINT, time.wallMillis()));
   }
 
   /** The target crashed and was back before it was asked: only its incarnation shows it. */
   @Test
   void aTargetThatCameBackAtOnceHasCrashed() {
     for (String name : List.of("t-1", "t-2")) {
-      first.cut(target(name), POISON);
+      first.recordConnectionFailure(target(name), CRASHING_FINGERPRINT);
       String load = "{\"slots\":3,\"busy\":0,\"draining\":false,\"incarnation\":5}";
-      lastAsked()
-          .head(
+      runTimersAndGetLastProbe()
+          .onResponse(
               new BasicHttpResponse(200), null, BodyPipe.of(load.getBytes(StandardCharsets.UTF_8)));
     }
-    assertTrue(first.quarantine().isQuarantined(POISON, time.wallMillis()));
+    assertTrue(first.quarantine().isQuarantined(CRASHING_FINGERPRINT, time.wallMillis()));
   }
 
   /** A crash cuts three connections one by one: one question, one report, all three on it. */
   @Test
   void requestsCutOneByOneAreReportedTogether() {
-    first.cut(target("t-1"), 1);
-    first.cut(target("t-1"), 2);
-    first.cut(target("t-1"), POISON);
-    lastAsked().lost(false, new IOException("connection refused"));
-    assertEquals(1, asked.size());
+    first.recordConnectionFailure(target("t-1"), 1);
+    first.recordConnectionFailure(target("t-1"), 2);
+    first.recordConnectionFailure(target("t-1"), CRASHING_FINGERPRINT);
+    runTimersAndGetLastProbe().onFailure(false, new IOException("connection refused"));
+    assertEquals(1, loadProbes.size());
     assertEquals(3, first.quarantine().reports().iterator().next().fingerprints().size());
   }
 
@@ -120,10 +120,10 @@
   @Test
   void twoCrashesOfOneListedIncarnationCountTwice() {
     for (int i = 0; i < 2; i++) {
-      first.cut(target("t-1"), POISON);
-      lastAsked().lost(false, new IOException("connection refused"));
+      first.recordConnectionFailure(target("t-1"), CRASHING_FINGERPRINT);
+      runTimersAndGetLastProbe().onFailure(false, new IOException("connection refused"));
     }
-    assertTrue(first.quarantine().isQuarantined(POISON, time.wallMillis()));
+    assertTrue(first.quarantine().isQuarantined(CRASHING_FINGERPRINT, time.wallMillis()));
   }
 
   private final class Broadcast implements PeerMessages {
--- a/sageladder-entry/src/test/java/org/sageladder/entry/request/NoCrashes.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/request/EmptyCrashDetector.java
@@ -5,14 +5,14 @@
 import org.sageladder.core.quarantine.Quarantine;
 import org.sageladder.core.spread.PeerMessages;
 import org.sageladder.core.time.TimeSource;
-import org.sageladder.entry.quarantine.CrashWatch;
+import org.sageladder.entry.quarantine.CrashDetector;
 
 /** A crash watch with an empty quarantine, for flows under test. */
-final class NoCrashes {
-  private NoCrashes() {}
+final class EmptyCrashDetector {
+  private EmptyCrashDetector() {}
 
-  static CrashWatch watch(ScheduledExecutorService timers) {
-    return CrashWatch.start(
+  static CrashDetector create(ScheduledExecutorService timers) {
+    return CrashDetector.start(
         "kalnins-dauge",
         Quarantine.create(Quarantine.Limits.standard()),
         (host, request, details, body, connectTimeout, listener) -> () -> {},
--- a/sageladder-entry/src/test/java/org/sageladder/entry/request/NotRunIsTrueTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/request/NotRunOutcomeTest.java
@@ -24,11 +24,11 @@
 import org.sageladder.core.permit.RecordedAnswer;
 import org.sageladder.core.time.TimeSource;
 import org.sageladder.entry.exchange.CallerExchange;
-import org.sageladder.entry.exchange.CarriedEntity;
-import org.sageladder.entry.exchange.Outbound;
+import org.sageladder.entry.exchange.ForwardedEntity;
+import org.sageladder.entry.exchange.RequestSender;
 
 /** What is said to be "not run" must never reach a target. */
-class NotRunIsTrueTest {
+class NotRunOutcomeTest {
   private static final Duration LONG = Duration.ofSeconds(20);
 
   // A dealer's connection breaks in the instant in which the gate lets the bid through. The flow
@@ -47,13 +47,13 @@
           }
         };
     AtomicBoolean sent = new AtomicBoolean();
-    Outbound target =
+    RequestSender target =
         (host, request, details, body, connectTimeout, listener) -> {
           sent.set(true);
           return () -> {};
         };
-    FlowParts parts =
-        new FlowParts(
+    FlowContext parts =
+        new FlowContext(
             "entry-1",
             "kalnins-dauge",
             target,
@@ -62,17 +62,18 @@
             callerGoesAtDispatch,
             RequestCounters.in(new SimpleMeterRegistry()),
             Duration.ofSeconds(1),
-            NoCrashes.watch(timers));
+            EmptyCrashDetector.create(timers));
     RecordingRun run = new RecordingRun();
     CallerExchange caller =
         CallerExchange.create(
-            begun -> RequestFlow.beginPermitted(parts, begun, head(), bids(), run).through(gate()));
+            begun ->
+                RequestFlow.startPermitted(parts, begun, head(), bids(), run).admitThrough(gate()));
     exchange.set(caller);
     // The body is still on its way, so the flow may not go on without its caller.
     caller.handleRequest(
         new BasicHttpRequest("POST", "/v1/request/kalnins-dauge/bid/x"),
-        new CarriedEntity(100, "text/plain", null),
-        new Responses(),
+        new ForwardedEntity(100, "text/plain", null),
+        new RecordingResponseChannel(),
         HttpCoreContext.create());
     timers.shutdownNow();
     assertFalse(run.notRun.get() && sent.get(), "told not run, yet sent to the target");
@@ -113,25 +114,25 @@
     final AtomicBoolean unknown = new AtomicBoolean();
 
     @Override
-    public void ran(RecordedAnswer answer) {}
+    public void recordRan(RecordedAnswer answer) {}
 
     @Override
-    public void notRun() {
+    public void recordNotRun() {
       notRun.set(true);
     }
 
     @Override
-    public void unknown() {
+    public void recordUnknown() {
       unknown.set(true);
     }
 
     @Override
-    public String freshPermit() {
+    public String mintNewPermit() {
       return "";
     }
 
     @Override
-    public String dispatch() {
+    public String dispatchToken() {
       return "";
     }
   }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/request/PermitsTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/request/PermitEnforcerTest.java
@@ -23,15 +23,15 @@
 import org.sageladder.core.time.TimeSource;
 import org.sageladder.entry.control.FixedState;
 import org.sageladder.entry.exchange.CallerExchange;
-import org.sageladder.entry.exchange.Outbound;
+import org.sageladder.entry.exchange.RequestSender;
 
 /** Where a copy of a request goes whose permit was minted by another entry VM. */
-class PermitsTest {
+class PermitEnforcerTest {
   private static final Duration LONG = Duration.ofSeconds(20);
 
   private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(1);
   private final List<String> sentTo = new ArrayList<>();
-  private final Responses answers = new Responses();
+  private final RecordingResponseChannel answers = new RecordingResponseChannel();
   private final PermitHome other = PermitHome.of("entry-2", 4, PermitHome.Limits.standard());
 
   @AfterEach
@@ -70,8 +70,8 @@
   }
 
   private void repeat(PermitCodec codec, String permit) throws IOException {
-    Permits permits =
-        new Permits(
+    PermitEnforcer permits =
+        new PermitEnforcer(
             parts(),
             new FixedState(List.of()),
             codec,
@@ -79,7 +79,7 @@
             new PermitSuccessors());
     RequestHead head =
         new RequestHead("r-1", "kalnins-dauge", "bid", "/x", LONG, LONG, permit, "", "", "");
-    CallerExchange.create(begun -> permits.guard(begun, head, bids(), flow -> {}))
+    CallerExchange.create(begun -> permits.runIfPermitted(begun, head, bids(), flow -> {}))
         .handleRequest(
             new BasicHttpRequest("POST", "/v1/request/kalnins-dauge/bid/x"),
             null,
@@ -87,13 +87,13 @@
             HttpCoreContext.create());
   }
 
-  private FlowParts parts() {
-    Outbound outbound =
+  private FlowContext parts() {
+    RequestSender outbound =
         (host, request, details, body, connectTimeout, listener) -> {
           sentTo.add(host.toHostString());
           return () -> {};
         };
-    return new FlowParts(
+    return new FlowContext(
         "entry-1",
         "kalnins-dauge",
         outbound,
@@ -102,7 +102,7 @@
         EventSink.none(),
         RequestCounters.in(new SimpleMeterRegistry()),
         Duration.ofSeconds(1),
-        NoCrashes.watch(timers));
+        EmptyCrashDetector.create(timers));
   }
 
   private static Contract.Service bids() {
--- a/sageladder-entry/src/test/java/org/sageladder/entry/request/Responses.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/request/RecordingResponseChannel.java
@@ -11,7 +11,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** A caller's connection that keeps the heads of the answers written to it. */
-public final class Responses implements ResponseChannel {
+public final class RecordingResponseChannel implements ResponseChannel {
   private final List<HttpResponse> heads = new ArrayList<>();
 
   /** The value of header {@code name} of each answer, in order. */
--- a/sageladder-entry/src/test/java/org/sageladder/entry/request/RequestFlowTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/request/RequestFlowTest.java
@@ -28,7 +28,7 @@
 import org.sageladder.core.time.TimeSource;
 import org.sageladder.entry.exchange.BodyPipe;
 import org.sageladder.entry.exchange.CallerExchange;
-import org.sageladder.entry.exchange.Outbound;
+import org.sageladder.entry.exchange.RequestSender;
 
 /** What one flow tells its caller, its target and the home of its permit. */
 class RequestFlowTest {
@@ -36,9 +36,9 @@
   private static final int MEAN_SERVICE_MILLIS = 20;
 
   private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(1);
-  private final List<Outbound.Listener> sent = new ArrayList<>();
+  private final List<RequestSender.Listener> sent = new ArrayList<>();
   private final List<Integer> cancelled = new ArrayList<>();
-  private final Responses answers = new Responses();
+  private final RecordingResponseChannel answers = new RecordingResponseChannel();
   private final List<String> runs = new ArrayList<>();
 
   @AfterEach
@@ -46,14 +46,14 @@
     timers.shutdownNow();
   }
 
-  private FlowParts parts() {
-    Outbound outbound =
+  private FlowContext parts() {
+    RequestSender outbound =
         (host, request, details, body, connectTimeout, listener) -> {
           int number = sent.size();
           sent.add(listener);
           return () -> cancelled.add(number);
         };
-    return new FlowParts(
+    return new FlowContext(
         "entry-1",
         "kalnins-dauge",
         outbound,
@@ -62,7 +62,7 @@
         EventSink.none(),
         RequestCounters.in(new SimpleMeterRegistry()),
         Duration.ofSeconds(1),
-        NoCrashes.watch(timers));
+        EmptyCrashDetector.create(timers));
   }
 
   private CallerExchange arrive(CallerExchange.Handler handler) throws IOException {
@@ -118,7 +118,8 @@
   void aCallerThatGoesCancelsTheTargetsWorkAlsoWhereTheGateWasOpen() throws IOException {
     CallerExchange caller =
         arrive(
-            begun -> RequestFlow.begin(parts(), begun, head(), service(true)).through(openGate()));
+            begun ->
+                RequestFlow.start(parts(), begun, head(), service(true)).admitThrough(openGate()));
     caller.failed(new IOException("the collector closed the page"));
     assertEquals(List.of(0), cancelled);
   }
@@ -129,12 +130,13 @@
    */
   @Test
   void aRefusalAfterALostTryIsNotToldAsNotRun() throws IOException {
-    arrive(begun -> RequestFlow.begin(parts(), begun, head(), service(true)).through(openGate()));
-    sent.get(0).lost(true, new IOException("reset"));
+    arrive(
+        begun -> RequestFlow.start(parts(), begun, head(), service(true)).admitThrough(openGate()));
+    sent.get(0).onFailure(true, new IOException("reset"));
     for (int i = 1; i < sent.size(); i++) {
       BasicHttpResponse refusal = new BasicHttpResponse(503);
       refusal.setHeader(Headers.TARGET_REFUSED, "shedding");
-      sent.get(i).head(refusal, null, BodyPipe.of(new byte[0]));
+      sent.get(i).onResponse(refusal, null, BodyPipe.of(new byte[0]));
     }
     assertTrue(sent.size() > 1, "no second try");
     assertEquals("unknown", outcome());
@@ -147,8 +149,9 @@
   @Test
   void aHomeThatCannotBeReachedIsToldAsUnknown() throws IOException {
     Member home = new Member("entry-2", "riga-1", 1, "127.0.0.1", 1, 2, false);
-    arrive(begun -> RequestFlow.begin(parts(), begun, head(), service(false)).forwardToHome(home));
-    sent.get(0).lost(false, new IOException("connection refused"));
+    arrive(
+        begun -> RequestFlow.start(parts(), begun, head(), service(false)).forwardToIssuer(home));
+    sent.get(0).onFailure(false, new IOException("connection refused"));
     assertEquals("unknown", outcome());
   }
 
@@ -158,7 +161,7 @@
   @Test
   void onlyTheHomeSaysNotRunOfARequestWithAPermit() {
     Result refusal = Result.notRun(ResultCode.NO_CONTRACT_IN_FORCE, "just started");
-    assertEquals(ResultCode.HOME_LOST, Permits.heldElsewhere(refusal).code());
+    assertEquals(ResultCode.HOME_LOST, PermitEnforcer.unknownUnlessIssuer(refusal).code());
   }
 
   /**
@@ -170,12 +173,12 @@
     CallerExchange caller =
         arrive(
             begun ->
-                RequestFlow.beginPermitted(parts(), begun, head(), service(false), new RunList())
-                    .through(openGate()));
+                RequestFlow.startPermitted(parts(), begun, head(), service(false), new RunList())
+                    .admitThrough(openGate()));
     caller.failed(new IOException("the dealer's line dropped"));
     BodyPipe body = BodyPipe.of(new byte[0]);
-    sent.get(0).head(new BasicHttpResponse(201), null, body);
-    sent.get(0).done();
+    sent.get(0).onResponse(new BasicHttpResponse(201), null, body);
+    sent.get(0).onComplete();
     assertEquals(List.of(), cancelled);
     assertEquals(List.of("ran 201"), runs);
   }
@@ -188,11 +191,11 @@
   void anAnswerCutShortProvesTheRunButIsNotKept() throws IOException {
     arrive(
         begun ->
-            RequestFlow.beginPermitted(parts(), begun, head(), service(false), new RunList())
-                .through(openGate()));
+            RequestFlow.startPermitted(parts(), begun, head(), service(false), new RunList())
+                .admitThrough(openGate()));
     BodyPipe body = BodyPipe.open();
-    sent.get(0).head(new BasicHttpResponse(200), null, body);
-    sent.get(0).lost(true, new IOException("reset"));
+    sent.get(0).onResponse(new BasicHttpResponse(200), null, body);
+    sent.get(0).onFailure(true, new IOException("reset"));
     assertEquals(List.of("ran, answer not kept"), runs);
   }
 
@@ -211,7 +214,7 @@
           return () -> false;
         };
     long before = System.nanoTime();
-    arrive(begun -> RequestFlow.begin(parts(), begun, head(), service(true)).through(noting));
+    arrive(begun -> RequestFlow.start(parts(), begun, head(), service(true)).admitThrough(noting));
     long after = System.nanoTime();
     long wait = LONG.minusMillis(2 * MEAN_SERVICE_MILLIS).toNanos();
     assertTrue(until.get(0) - before >= wait, "gives up earlier than it must");
@@ -220,27 +223,27 @@
 
   private final class RunList implements PermitRun {
     @Override
-    public void ran(RecordedAnswer answer) {
+    public void recordRan(RecordedAnswer answer) {
       runs.add(answer.kept() ? "ran " + answer.status() : "ran, answer not kept");
     }
 
     @Override
-    public void notRun() {
+    public void recordNotRun() {
       runs.add("not run");
     }
 
     @Override
-    public void unknown() {
+    public void recordUnknown() {
       runs.add("unknown");
     }
 
     @Override
-    public String freshPermit() {
+    public String mintNewPermit() {
       return "";
     }
 
     @Override
-    public String dispatch() {
+    public String dispatchToken() {
       return "";
     }
   }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/stop/PlannedStopTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/stop/PlannedStopTest.java
@@ -27,10 +27,10 @@
 import org.sageladder.entry.exchange.BodyCollector;
 import org.sageladder.entry.exchange.BodyPipe;
 import org.sageladder.entry.exchange.CallerExchange;
-import org.sageladder.entry.exchange.InFlight;
-import org.sageladder.entry.exchange.Outbound;
-import org.sageladder.entry.request.PeerRoutes;
-import org.sageladder.entry.request.Responses;
+import org.sageladder.entry.exchange.InFlightCounter;
+import org.sageladder.entry.exchange.RequestSender;
+import org.sageladder.entry.request.PeerRequestHandler;
+import org.sageladder.entry.request.RecordingResponseChannel;
 
 /** What a planned stop leaves behind. */
 class PlannedStopTest {
@@ -39,14 +39,14 @@
   private static final PlannedStop.Limits LIMITS =
       new PlannedStop.Limits(SHORT, SHORT, Duration.ofMillis(2), LONG, LONG);
 
-  private final InFlight inFlight = InFlight.create();
+  private final InFlightCounter inFlight = InFlightCounter.create();
   private final PermitHome home = PermitHome.of("entry-1", 1, PermitHome.Limits.standard());
   private final PermitHome successor = PermitHome.of("entry-2", 1, PermitHome.Limits.standard());
   private final CallerExchange open = CallerExchange.create(exchange -> {}, inFlight);
   private final List<String> told = new ArrayList<>();
   private final TimeSource time = TimeSource.system();
 
-  private PlannedStop stop(Outbound outbound, Member... peers) {
+  private PlannedStop stop(RequestSender outbound, Member... peers) {
     byte[] secret = new byte[32];
     KeyRing ring = KeyRing.of(List.of(new KeyRing.Key("k", 0, KeyRing.Secret.of(secret))));
     ControlPlane control = new FixedState(List.of(peers));
@@ -69,14 +69,14 @@
   }
 
   /** Takes what a successor would, and ends the open exchange once it has the states. */
-  private Outbound peer() {
+  private RequestSender peer() {
     return (host, request, details, body, connectTimeout, listener) -> {
       told.add(request.getPath());
-      if (request.getPath().equals(PeerRoutes.HAND_OVER)) {
+      if (request.getPath().equals(PeerRequestHandler.HAND_OVER_PATH)) {
         BodyCollector.collect(body, 1 << 20, this::adopt);
         open.releaseResources();
       }
-      listener.head(new BasicHttpResponse(204), null, BodyPipe.of(new byte[0]));
+      listener.onResponse(new BasicHttpResponse(204), null, BodyPipe.of(new byte[0]));
       return () -> {};
     };
   }
@@ -92,7 +92,10 @@
 
   private void beginExchange() throws IOException {
     open.handleRequest(
-        new BasicHttpRequest("GET", "/x"), null, new Responses(), HttpCoreContext.create());
+        new BasicHttpRequest("GET", "/x"),
+        null,
+        new RecordingResponseChannel(),
+        HttpCoreContext.create());
   }
 
   /**
@@ -127,11 +130,11 @@
    */
   @Test
   void aCandidateThatDoesNotAnswerIsNotNamed() throws Exception {
-    Outbound peer = peer();
-    Outbound firstIsDead =
+    RequestSender peer = peer();
+    RequestSender firstIsDead =
         (host, request, details, body, connectTimeout, listener) -> {
           if (host.getPort() == 99) {
-            listener.lost(false, new IOException("connection refused"));
+            listener.onFailure(false, new IOException("connection refused"));
             return () -> {};
           }
           return peer.send(host, request, details, body, connectTimeout, listener);
