--- a/sageladder-core/src/main/java/org/sageladder/core/limits/ServiceGate.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/ServiceGate.java
@@ -45,7 +45,7 @@
   private static final double NON_REPEATABLE_RETRY_FRACTION = 0.1;
   private static final double NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
   private static final long MIN_RETRY_AFTER_NANOS = Duration.ofMillis(10).toNanos();
-  private static final long MIN_WAKE_DELAY_NANOS = Duration.ofMillis(1).toNanos();
+  private static final long MIN_QUEUE_CHECK_DELAY_NANOS = Duration.ofMillis(1).toNanos();
 
   private final String customer;
   private final TimeSource time;
@@ -385,7 +385,7 @@
     }
     queueCheckScheduled = true;
     scheduler.runAfter(
-        Duration.ofNanos(Math.max(MIN_WAKE_DELAY_NANOS, earliest)), this::checkQueue);
+        Duration.ofNanos(Math.max(MIN_QUEUE_CHECK_DELAY_NANOS, earliest)), this::checkQueue);
   }
 
   private void checkQueue() {
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/Quotas.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/Quotas.java
@@ -78,7 +78,7 @@
     List<String> coordinatorOrder = List.of();
     int coordinatorIndex;
     int failedAttempts;
-    long fallbackUntilMillis;
+    long retryFirstCoordinatorMillis;
 
     MeteredWorkspace(Workspace workspace, WorkspaceMeter meter) {
       this.workspace = workspace;
@@ -259,7 +259,7 @@
   /** Goes to the next coordinator in order; behind the last one, on without any for a while. */
   private void tryNextCoordinator(MeteredWorkspace known, long now) {
     int last = coordinatorOrder(known).size() - 1;
-    known.fallbackUntilMillis = now + COORDINATOR_RETRY_MILLIS;
+    known.retryFirstCoordinatorMillis = now + COORDINATOR_RETRY_MILLIS;
     if (known.coordinatorIndex < last) {
       known.coordinatorIndex++;
       return;
@@ -283,7 +283,7 @@
     if (!known.meter.isReportDue(now)) {
       return;
     }
-    if (known.coordinatorIndex > 0 && now >= known.fallbackUntilMillis) {
+    if (known.coordinatorIndex > 0 && now >= known.retryFirstCoordinatorMillis) {
       known.coordinatorIndex = 0;
     }
     List<String> order = coordinatorOrder(known);
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/Gates.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/GateFixture.java
@@ -11,7 +11,7 @@
 import org.sageladder.core.time.VirtualTime;
 
 /** Contracts, holdings and a scheduler on a virtual clock, for tests of gates. */
-final class Gates implements Scheduler {
+final class GateFixture implements Scheduler {
   final VirtualTime time = VirtualTime.startingAt(1_000_000);
   private final PriorityQueue<Task> tasks =
       new PriorityQueue<>(Comparator.comparingLong(Task::dueNanos));
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/LinkRateLimiterTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/LinkRateLimiterTest.java
@@ -9,7 +9,7 @@
 import org.sageladder.core.contract.RequestClass;
 
 class LinkRateLimiterTest {
-  private static final long MILLI = Duration.ofMillis(1).toNanos();
+  private static final long NANOS_PER_MILLI = Duration.ofMillis(1).toNanos();
 
   private final LinkRateLimiter share = LinkRateLimiter.of(100, 0);
 
@@ -20,10 +20,10 @@
     int critical = 0;
     int others = 0;
     for (int milli = 0; milli < 10_000; milli++) {
-      others += share.tryAcquire(RequestClass.BACKGROUND, milli * MILLI) ? 1 : 0;
-      others += share.tryAcquire(RequestClass.INTERACTIVE, milli * MILLI) ? 1 : 0;
+      others += share.tryAcquire(RequestClass.BACKGROUND, milli * NANOS_PER_MILLI) ? 1 : 0;
+      others += share.tryAcquire(RequestClass.INTERACTIVE, milli * NANOS_PER_MILLI) ? 1 : 0;
       boolean bid = milli >= 5_000 && milli % 20 == 0;
-      critical += bid && share.tryAcquire(RequestClass.CRITICAL, milli * MILLI) ? 1 : 0;
+      critical += bid && share.tryAcquire(RequestClass.CRITICAL, milli * NANOS_PER_MILLI) ? 1 : 0;
     }
     assertEquals(250, critical, "50 a second fit into a limit of 100");
     assertTrue(critical + others <= 1_100, "passed " + (critical + others));
@@ -35,9 +35,9 @@
     int background = 0;
     for (int milli = 0; milli < 10_000; milli++) {
       boolean late = milli >= 2_000;
-      boolean passed = share.tryAcquire(RequestClass.BACKGROUND, milli * MILLI);
+      boolean passed = share.tryAcquire(RequestClass.BACKGROUND, milli * NANOS_PER_MILLI);
       background += late && passed ? 1 : 0;
-      share.tryAcquire(RequestClass.INTERACTIVE, milli * MILLI);
+      share.tryAcquire(RequestClass.INTERACTIVE, milli * NANOS_PER_MILLI);
     }
     assertEquals(0, background);
   }
@@ -48,8 +48,8 @@
       assertEquals(Duration.ZERO, share.retryAfter(RequestClass.CRITICAL, 0));
     }
     long hint = share.retryAfter(RequestClass.INTERACTIVE, 0).toNanos();
-    assertFalse(share.tryAcquire(RequestClass.INTERACTIVE, hint - MILLI));
-    assertTrue(share.tryAcquire(RequestClass.INTERACTIVE, hint + MILLI));
+    assertFalse(share.tryAcquire(RequestClass.INTERACTIVE, hint - NANOS_PER_MILLI));
+    assertTrue(share.tryAcquire(RequestClass.INTERACTIVE, hint + NANOS_PER_MILLI));
   }
 
   @Test
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/RateHistoryTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/RateHistoryTest.java
@@ -8,7 +8,7 @@
 
 class RateHistoryTest {
   private static final int GAIN_LIMIT = 40;
-  private static final int WINDOWS = 6;
+  private static final int WINDOW_COUNT = 6;
   private static final long STEP_NANOS = Duration.ofSeconds(1).toNanos();
 
   @Test
@@ -18,7 +18,7 @@
     // so each window lost a part of its gain and the climb to full load took longer than the cap.
     RateHistory history =
         RateHistory.create(Duration.ofNanos(STEP_NANOS * RateHistory.STEPS_PER_WINDOW), 0);
-    for (int window = 1; window <= WINDOWS; window++) {
+    for (int window = 1; window <= WINDOW_COUNT; window++) {
       for (int step = 0; step < RateHistory.STEPS_PER_WINDOW; step++) {
         history.advanceTo(((long) (window - 1) * RateHistory.STEPS_PER_WINDOW + step) * STEP_NANOS);
         fillStep(history);
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/ServiceGateTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/ServiceGateTest.java
@@ -17,10 +17,10 @@
 import org.sageladder.core.result.ResultCode;
 
 class ServiceGateTest {
-  private final Gates gates = new Gates();
+  private final GateFixture gates = new GateFixture();
   private final ServiceGate gate =
       ServiceGate.create(
-          "c", Gates.service(RequestClass.INTERACTIVE), gates.time, gates, EventSink.none());
+          "c", GateFixture.service(RequestClass.INTERACTIVE), gates.time, gates, EventSink.none());
   private final List<Admission> decisions = new ArrayList<>();
 
   @Test
@@ -33,12 +33,12 @@
     }
     assertEquals(3, gate.busySlots());
     assertEquals(4, gate.queuedCount());
-    assertEquals(13, refusals(ResultCode.QUEUE_FULL));
+    assertEquals(13, refusalCount(ResultCode.QUEUE_FULL));
   }
 
   @Test
   void waitingRequestGetsTheFreedSlot() {
-    gate.updateHoldings(Gates.holdings(1, 1));
+    gate.updateHoldings(GateFixture.holdings(1, 1));
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     assertEquals(1, decisions.size());
@@ -51,13 +51,13 @@
 
   @Test
   void waitEndsAtItsDeadlineWithARefusal() {
-    gate.updateHoldings(Gates.holdings(1, 1));
+    gate.updateHoldings(GateFixture.holdings(1, 1));
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     gate.request(gates.requestWithin(Duration.ofMillis(200)), decisions::add);
     gates.advance(Duration.ofMillis(199));
     assertEquals(1, decisions.size());
     gates.advance(Duration.ofMillis(2));
-    assertEquals(1, refusals(ResultCode.QUEUE_DEADLINE));
+    assertEquals(1, refusalCount(ResultCode.QUEUE_DEADLINE));
     slot(0).release(Admission.Completion.ANSWERED);
     assertEquals(0, gate.busySlots(), "a refused request must not get a slot afterwards");
   }
@@ -69,9 +69,9 @@
     holdWarm(1, 3);
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     gate.onLoadReport("t0", 1, 3, true, gates.time.nanos());
-    gate.updateHoldings(Gates.holdings(1, 3));
+    gate.updateHoldings(GateFixture.holdings(1, 3));
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
-    assertEquals(1, refusals(ResultCode.NO_TARGET));
+    assertEquals(1, refusalCount(ResultCode.NO_TARGET));
     assertEquals(1, gate.busySlots());
     slot(0).release(Admission.Completion.ANSWERED);
     assertEquals(0, gate.busySlots());
@@ -85,18 +85,18 @@
     ServiceGate capped =
         ServiceGate.create(
             "c",
-            Gates.service(
+            GateFixture.service(
                 RequestClass.INTERACTIVE, new Contract.ShiftCap(0.1, Duration.ofSeconds(10))),
             gates.time,
             gates,
             EventSink.none());
-    capped.updateHoldings(Gates.holdings(1, 3));
+    capped.updateHoldings(GateFixture.holdings(1, 3));
     Duration hint = fillUntilCapped(capped);
     assertTrue(hint.compareTo(Duration.ofSeconds(1)) > 0, "the cap opens seconds later: " + hint);
     gates.advance(hint.minusMillis(1_001));
-    assertEquals(ResultCode.SHIFT_CAP, askOnce(capped), "a step sooner it is still shut");
+    assertEquals(ResultCode.SHIFT_CAP, requestOnce(capped), "a step sooner it is still shut");
     gates.advance(Duration.ofMillis(1_002));
-    assertEquals(ResultCode.OK, askOnce(capped));
+    assertEquals(ResultCode.OK, requestOnce(capped));
   }
 
   @Test
@@ -107,18 +107,18 @@
     ServiceGate surging =
         ServiceGate.create(
             "c",
-            Gates.service(
+            GateFixture.service(
                 RequestClass.INTERACTIVE,
                 new Contract.ShiftCap(0.1, Duration.ofSeconds(10)),
                 new Contract.ShiftCap(0.5, Duration.ofSeconds(10))),
             gates.time,
             gates,
             EventSink.none());
-    surging.updateHoldings(List.of(Gates.holding("t0", 4), Gates.holding("t1", 4)));
+    surging.updateHoldings(List.of(GateFixture.holding("t0", 4), GateFixture.holding("t1", 4)));
     surging.onLoadReport("t0", 0, 4, true, gates.time.nanos());
     int admitted = 0;
     for (int tenth = 0; tenth < 100; tenth++) {
-      while (askOnce(surging) == ResultCode.OK) {
+      while (requestOnce(surging) == ResultCode.OK) {
         admitted++;
       }
       gates.advance(Duration.ofMillis(100));
@@ -134,16 +134,16 @@
     ServiceGate cutOff =
         ServiceGate.create(
             "c",
-            Gates.service(RequestClass.INTERACTIVE, cap),
+            GateFixture.service(RequestClass.INTERACTIVE, cap),
             gates.time,
             gates,
             EventSink.none(),
             QueueBudget.of(10),
             holding -> holding.slots() / 2);
-    cutOff.updateHoldings(Gates.holdings(1, 4));
+    cutOff.updateHoldings(GateFixture.holdings(1, 4));
     int admitted = 0;
     for (int second = 0; second < 10; second++) {
-      while (askOnce(cutOff) == ResultCode.OK) {
+      while (requestOnce(cutOff) == ResultCode.OK) {
         admitted++;
       }
       gates.advance(Duration.ofSeconds(1));
@@ -155,9 +155,9 @@
   void requestThatCannotOutlastATakeoverIsRefusedAtOnce() {
     // A target has moved here and may get no work for a window. Requests were let wait for their
     // whole queue time, though it was certain from the start that none would be served.
-    gate.updateHoldings(Gates.holdings(1, 3), Set.of("t0"));
+    gate.updateHoldings(GateFixture.holdings(1, 3), Set.of("t0"));
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
-    assertEquals(1, refusals(ResultCode.SHIFT_CAP));
+    assertEquals(1, refusalCount(ResultCode.SHIFT_CAP));
     Admission.Refused refused = (Admission.Refused) decisions.get(0);
     gates.advance(refused.result().retryAfter());
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
@@ -167,7 +167,7 @@
   /** Uses up what the caps let in, with an answer after each; the hint of the refusal at last. */
   private Duration fillUntilCapped(ServiceGate capped) {
     for (int second = 0; second < 10; second++) {
-      while (askOnce(capped) == ResultCode.OK) {
+      while (requestOnce(capped) == ResultCode.OK) {
         assertEquals(0, capped.busySlots());
       }
       Admission.Refused refused = (Admission.Refused) decisions.get(decisions.size() - 1);
@@ -180,7 +180,7 @@
   }
 
   /** Asks with a deadline so near that the gate has to decide; what it said. */
-  private ResultCode askOnce(ServiceGate asked) {
+  private ResultCode requestOnce(ServiceGate asked) {
     int before = decisions.size();
     AdmissionRequest request = new AdmissionRequest("r", gates.time.nanos(), "", "");
     asked.request(request, decisions::add);
@@ -196,41 +196,41 @@
 
   @Test
   void retryDoesNotGoToTheTargetThatFailed() {
-    gate.updateHoldings(Gates.holdings(1, 3));
+    gate.updateHoldings(GateFixture.holdings(1, 3));
     AdmissionRequest retry =
         new AdmissionRequest("r", gates.time.nanos() + 1_000_000_000L, "t0", "");
     gate.request(retry, decisions::add);
-    assertEquals(1, refusals(ResultCode.NO_TARGET), "waiting for the one target is no use");
-    gate.updateHoldings(Gates.holdings(2, 3));
+    assertEquals(1, refusalCount(ResultCode.NO_TARGET), "waiting for the one target is no use");
+    gate.updateHoldings(GateFixture.holdings(2, 3));
     gate.request(retry, decisions::add);
     assertEquals("t1", slot(1).target().target());
   }
 
   @Test
-  void targetLostWhileWorkRunsStillCountsWhenItComesBack() {
-    gate.updateHoldings(Gates.holdings(1, 1));
+  void requestsInFlightStillCountWhenATargetReturns() {
+    gate.updateHoldings(GateFixture.holdings(1, 1));
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     gate.updateHoldings(List.of());
-    gate.updateHoldings(Gates.holdings(1, 1));
+    gate.updateHoldings(GateFixture.holdings(1, 1));
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     assertEquals(1, gate.inFlight("t0"), "the slot in use was forgotten");
     assertEquals(1, gate.queuedCount());
   }
 
   @Test
-  void closedGateRefusesWaitsAndNewWork() {
-    gate.updateHoldings(Gates.holdings(1, 1));
+  void closedGateRefusesQueuedAndNewRequests() {
+    gate.updateHoldings(GateFixture.holdings(1, 1));
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     gate.close();
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
-    assertEquals(2, refusals(ResultCode.STOPPING));
+    assertEquals(2, refusalCount(ResultCode.STOPPING));
     assertEquals(1, gate.busySlots());
   }
 
   @Test
-  void cancelledWaitIsNeverAnswered() {
-    gate.updateHoldings(Gates.holdings(1, 1));
+  void cancelledWaitGetsNoDecision() {
+    gate.updateHoldings(GateFixture.holdings(1, 1));
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     Gate.Cancellable wait =
         gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
@@ -243,8 +243,8 @@
   }
 
   @Test
-  void coldTargetStartsWithOneSlotAndGainsOneWithEachAnswer() {
-    gate.updateHoldings(Gates.holdings(1, 3));
+  void coldTargetGetsOneMoreSlotWithEachResponse() {
+    gate.updateHoldings(GateFixture.holdings(1, 3));
     assertEquals(1, gate.usableSlots());
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     slot(0).release(Admission.Completion.ANSWERED);
@@ -264,7 +264,8 @@
       gates.advance(Duration.ofMillis(20));
       gate.onLoadReport("t0", 0, 3, false, gates.time.nanos());
     }
-    assertTrue(admissions() - sent <= 5, "sent to a shedding target: " + (admissions() - sent));
+    assertTrue(
+        admissionCount() - sent <= 5, "sent to a shedding target: " + (admissionCount() - sent));
   }
 
   @Test
@@ -285,7 +286,7 @@
     int toBroken = 0;
     for (int i = 0; i < 100; i++) {
       gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
-      boolean broken = last().target().target().equals("t0");
+      boolean broken = lastSlot().target().target().equals("t0");
       toBroken += broken ? 1 : 0;
       releaseLast(broken ? Admission.Completion.LOST : Admission.Completion.ANSWERED);
       gates.advance(Duration.ofMillis(10));
@@ -302,13 +303,13 @@
     ServiceGate pulls = gateOf(RequestClass.BACKGROUND, budget);
     ServiceGate bids = gateOf(RequestClass.CRITICAL, budget);
     for (ServiceGate each : List.of(pulls, bids)) {
-      each.updateHoldings(Gates.holdings(1, 1));
+      each.updateHoldings(GateFixture.holdings(1, 1));
       for (int i = 0; i < 4; i++) {
         each.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
       }
     }
     assertEquals(2, pulls.queuedCount());
-    assertEquals(1, refusals(ResultCode.BACKGROUND_SHED));
+    assertEquals(1, refusalCount(ResultCode.BACKGROUND_SHED));
     assertEquals(2, bids.queuedCount());
     bids.close();
     pulls.close();
@@ -318,7 +319,7 @@
   private ServiceGate gateOf(RequestClass requestClass, QueueBudget budget) {
     return ServiceGate.create(
         "c",
-        Gates.service(requestClass),
+        GateFixture.service(requestClass),
         gates.time,
         gates,
         EventSink.none(),
@@ -328,19 +329,19 @@
 
   /** Holds targets that have answered often enough to be given all their slots. */
   private void holdWarm(int targets, int slots) {
-    gate.updateHoldings(Gates.holdings(targets, slots));
+    gate.updateHoldings(GateFixture.holdings(targets, slots));
     for (int i = 0; i < targets * slots; i++) {
       gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
       releaseLast(Admission.Completion.ANSWERED);
     }
     if (gate.usableSlots() < targets * slots) {
-      warmTheRest(targets, slots);
+      warmRemaining(targets, slots);
     }
     assertEquals(targets * slots, gate.usableSlots());
     decisions.clear();
   }
 
-  private void warmTheRest(int targets, int slots) {
+  private void warmRemaining(int targets, int slots) {
     for (int round = 0; round < slots; round++) {
       List<Admission.Slot> taken = new ArrayList<>();
       for (int i = 0; i < targets * slots; i++) {
@@ -356,7 +357,7 @@
     }
   }
 
-  private Admission.Slot last() {
+  private Admission.Slot lastSlot() {
     return slot(decisions.size() - 1);
   }
 
@@ -367,7 +368,7 @@
     }
   }
 
-  private long admissions() {
+  private long admissionCount() {
     return decisions.stream().filter(Admission.Admitted.class::isInstance).count();
   }
 
@@ -375,7 +376,7 @@
     return assertInstanceOf(Admission.Admitted.class, decisions.get(index)).slot();
   }
 
-  private long refusals(ResultCode code) {
+  private long refusalCount(ResultCode code) {
     return decisions.stream()
         .filter(d -> d instanceof Admission.Refused no && no.result().code() == code)
         .count();
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/ShiftCapProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/ShiftCapProperties.java
@@ -24,11 +24,11 @@
   /** Parts of a window in which demand is steady, and parts of such a part. */
   private static final int TICKS_PER_STEP = 10;
 
-  private static final int TARGETS = 4;
-  private static final int SLOTS = 3;
-  private static final double TARGET_CAPACITY = SLOTS * 10.0;
+  private static final int TARGET_COUNT = 4;
+  private static final int SLOTS_PER_TARGET = 3;
+  private static final double TARGET_CAPACITY_PER_SECOND = SLOTS_PER_TARGET * 10.0;
 
-  private final Gates gates = new Gates();
+  private final GateFixture gates = new GateFixture();
   private final Map<String, List<Long>> admissions = new HashMap<>();
   private final Map<String, String> lastHolder = new HashMap<>();
   private final Map<String, Integer> inFlight = new HashMap<>();
@@ -55,15 +55,21 @@
     Contract.ShiftCap cap = new Contract.ShiftCap(gain, Duration.ofSeconds(windowSeconds));
     Contract.ShiftCap targetCap =
         new Contract.ShiftCap(2 * gain, Duration.ofSeconds(windowSeconds));
-    Contract.Service service = Gates.service(RequestClass.INTERACTIVE, cap, targetCap);
+    Contract.Service service = GateFixture.service(RequestClass.INTERACTIVE, cap, targetCap);
     ServiceGate[] region = {gate(service), gate(service)};
-    String[] holderOf = new String[TARGETS];
+    String[] holderOf = new String[TARGET_COUNT];
     moveTargets(region, holderOf, random);
     int steps = 60 * TICKS_PER_STEP;
     double perStep = 1;
     for (int step = 0; step < steps; step++) {
       if (random.nextInt(40) == 0) {
-        perStep = random.nextDouble() * TARGETS * TARGET_CAPACITY * windowSeconds / 10 * 2;
+        perStep =
+            random.nextDouble()
+                * TARGET_COUNT
+                * TARGET_CAPACITY_PER_SECOND
+                * windowSeconds
+                / 10
+                * 2;
       }
       if (random.nextInt(60) == 0) {
         moveTargets(region, holderOf, random);
@@ -73,13 +79,13 @@
       }
       sendRequests(region, perStep, random, windowSeconds);
     }
-    double targetGain = 2 * gain * TARGET_CAPACITY * windowSeconds;
+    double targetGain = 2 * gain * TARGET_CAPACITY_PER_SECOND * windowSeconds;
     for (Map.Entry<String, List<Long>> target : admissions.entrySet()) {
       assertCap(target.getValue(), (int) targetGain, windowSeconds, "a target");
     }
     List<Long> all = new ArrayList<>();
     admissions.values().forEach(all::addAll);
-    int regionGain = (int) (gain * TARGETS * TARGET_CAPACITY * windowSeconds);
+    int regionGain = (int) (gain * TARGET_COUNT * TARGET_CAPACITY_PER_SECOND * windowSeconds);
     assertCap(all, regionGain, windowSeconds, "the region");
   }
 
@@ -88,7 +94,7 @@
   }
 
   private void moveTargets(ServiceGate[] region, String[] holderOf, Random random) {
-    for (int i = 0; i < TARGETS; i++) {
+    for (int i = 0; i < TARGET_COUNT; i++) {
       if (holderOf[i] == null || random.nextInt(3) == 0) {
         holderOf[i] = String.valueOf(random.nextInt(2));
       }
@@ -107,11 +113,11 @@
     for (int gate = 0; gate < region.length; gate++) {
       List<Holding> held = new ArrayList<>();
       Set<String> takenOver = new TreeSet<>();
-      for (int i = 0; i < TARGETS; i++) {
+      for (int i = 0; i < TARGET_COUNT; i++) {
         if (!holderOf[i].equals(String.valueOf(gate))) {
           continue;
         }
-        held.add(Gates.holding("t" + i, SLOTS));
+        held.add(GateFixture.holding("t" + i, SLOTS_PER_TARGET));
         String previous = lastHolder.get("t" + i);
         if (previous != null && (!previous.equals(holderOf[i]) || gate == restarted)) {
           takenOver.add("t" + i);
@@ -119,7 +125,7 @@
       }
       region[gate].updateHoldings(held, takenOver);
     }
-    for (int i = 0; i < TARGETS; i++) {
+    for (int i = 0; i < TARGET_COUNT; i++) {
       String previous = lastHolder.put("t" + i, holderOf[i]);
       if (previous != null && !previous.equals(holderOf[i])) {
         transferHistory(
@@ -159,7 +165,7 @@
           .add(gates.time.nanos());
       String target = yes.slot().target().target();
       int running = inFlight.merge(target, 1, Integer::sum);
-      assertTrue(running <= SLOTS, target + " runs " + running + " requests");
+      assertTrue(running <= SLOTS_PER_TARGET, target + " runs " + running + " requests");
       gates.runAfter(Duration.ofMillis(100), () -> complete(yes.slot()));
     }
   }
--- a/sageladder-core/src/test/java/org/sageladder/core/quota/QuotaModel.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/quota/QuotaModel.java
@@ -13,10 +13,10 @@
 
 /** Entry VMs in three regions that keep one workspace's quota together, on virtual time. */
 final class QuotaModel {
-  static final QuotaTolerance BOUNDS = new QuotaTolerance(5_000, 0.1, 20);
+  static final QuotaTolerance TOLERANCE = new QuotaTolerance(5_000, 0.1, 20);
 
   private static final long CROSS_REGION_MILLIS = 55;
-  private static final int REGIONS = 3;
+  private static final int REGION_COUNT = 3;
 
   /** Decides at one VM: the ways that are compared. */
   @FunctionalInterface
@@ -33,22 +33,22 @@
   private final Set<Integer> disconnected = new HashSet<>();
   private final Random random;
   private final double lossProbability;
-  private final QuotaTolerance bounds;
+  private final QuotaTolerance tolerance;
   private Workspace workspace;
-  private long now;
+  private long nowMillis;
   private long nextOrder;
   private boolean allDown;
   private int vmCount;
   long messageCount;
-  final List<Long> offered = new ArrayList<>();
-  final List<Long> admitted = new ArrayList<>();
+  final List<Long> offeredMillis = new ArrayList<>();
+  final List<Long> admittedMillis = new ArrayList<>();
   long totalWaitMillis;
 
   QuotaModel(int vmCount, QuotaTolerance bounds, Quota quota, double lost, long seed) {
     this.vmCount = vmCount;
     this.random = new Random(seed);
     this.lossProbability = lost;
-    this.bounds = bounds;
+    this.tolerance = bounds;
     this.workspace = new Workspace("choir", OptionalInt.empty(), quota, Set.of());
     List<String> names = new ArrayList<>();
     for (int vm = 0; vm < vmCount; vm++) {
@@ -75,19 +75,19 @@
         if (random.nextDouble() < lossProbability) {
           return;
         }
-        long way = vm % REGIONS == other % REGIONS ? 1 : CROSS_REGION_MILLIS;
+        long way = vm % REGION_COUNT == other % REGION_COUNT ? 1 : CROSS_REGION_MILLIS;
         schedule(
-            now + way,
+            nowMillis + way,
             () -> {
               if (!disconnected.contains(vm) && !disconnected.contains(other)) {
-                vms.get(other).onMessage("e-" + vm, message, now);
+                vms.get(other).onMessage("e-" + vm, message, nowMillis);
               }
             });
       }
 
       @Override
       public void scheduleTick() {
-        schedule(now + Quotas.TICK_MILLIS, () -> vms.get(vm).tick(now));
+        schedule(nowMillis + Quotas.TICK_MILLIS, () -> vms.get(vm).tick(nowMillis));
       }
     };
   }
@@ -110,12 +110,12 @@
     }
     allDown = true;
     schedule(
-        now + millis,
+        nowMillis + millis,
         () -> {
           allDown = false;
           disconnected.clear();
           for (int vm = 0; vm < vmCount; vm++) {
-            vms.set(vm, Quotas.of("e-" + vm, bounds, 4_000, peersOf(vm), now));
+            vms.set(vm, Quotas.of("e-" + vm, tolerance, 4_000, peersOf(vm), nowMillis));
             vms.get(vm).updateLiveVms(names);
           }
           updateQuota(workspace.quota());
@@ -177,14 +177,14 @@
     if (allDown) {
       return;
     }
-    offered.add(asked);
+    offeredMillis.add(asked);
     way.admit(
         vm,
         asked,
         decision -> {
-          totalWaitMillis += now - asked;
+          totalWaitMillis += nowMillis - asked;
           if (decision instanceof QuotaDecision.Granted) {
-            admitted.add(now);
+            admittedMillis.add(nowMillis);
           }
         });
   }
@@ -192,19 +192,19 @@
   void run(long until) {
     while (!events.isEmpty() && events.peek().atMillis() <= until) {
       Event next = events.remove();
-      now = Math.max(now, next.atMillis());
+      nowMillis = Math.max(nowMillis, next.atMillis());
       next.task().run();
     }
   }
 
   /** Most admitted in any window that begins with one of them. */
   int maxAdmittedInWindow() {
-    List<Long> times = new ArrayList<>(admitted);
+    List<Long> times = new ArrayList<>(admittedMillis);
     times.sort(Long::compare);
     int most = 0;
     int first = 0;
     for (int last = 0; last < times.size(); last++) {
-      while (times.get(last) - times.get(first) >= BOUNDS.windowMillis()) {
+      while (times.get(last) - times.get(first) >= TOLERANCE.windowMillis()) {
         first++;
       }
       most = Math.max(most, last - first + 1);
@@ -217,7 +217,7 @@
     double level = workspace.quota().capacity();
     long at = 0;
     int owed = 0;
-    for (long time : offered) {
+    for (long time : offeredMillis) {
       level =
           Math.min(
               workspace.quota().capacity(),
@@ -232,6 +232,6 @@
   }
 
   long maxRequestsInWindow() {
-    return (long) BOUNDS.maxRequests(workspace.quota());
+    return (long) TOLERANCE.maxRequests(workspace.quota());
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/quota/QuotasTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/quota/QuotasTest.java
@@ -15,7 +15,7 @@
   private static final long END_MILLIS = 30_000;
 
   private static QuotaModel model(Quota quota, double lost, long seed) {
-    return new QuotaModel(VM_COUNT, QuotaModel.BOUNDS, quota, lost, seed);
+    return new QuotaModel(VM_COUNT, QuotaModel.TOLERANCE, quota, lost, seed);
   }
 
   private static void assertQuotaKept(QuotaModel model) {
@@ -26,8 +26,8 @@
 
   private static void assertAdmittedFraction(QuotaModel model, double share) {
     assertTrue(
-        model.admitted.size() >= share * model.tokenBucketAdmissions(),
-        model.admitted.size() + " of " + model.tokenBucketAdmissions() + " owed");
+        model.admittedMillis.size() >= share * model.tokenBucketAdmissions(),
+        model.admittedMillis.size() + " of " + model.tokenBucketAdmissions() + " owed");
   }
 
   @Test
@@ -36,7 +36,7 @@
       QuotaModel model = model(quota, 0, 1);
       model.offer(model.coordinated(), quota.ratePerSecond() * USUAL_LOAD_FRACTION, 0, END_MILLIS);
       model.run(END_MILLIS);
-      assertEquals(model.offered.size(), model.admitted.size());
+      assertEquals(model.offeredMillis.size(), model.admittedMillis.size());
       assertEquals(0, model.totalWaitMillis);
     }
   }
@@ -108,7 +108,7 @@
     model.offer(model.coordinated(), 279 * USUAL_LOAD_FRACTION, 0, END_MILLIS);
     model.schedule(10_000, () -> model.updateQuota(new Quota(60, 60)));
     model.run(15_500);
-    model.admitted.clear();
+    model.admittedMillis.clear();
     model.run(END_MILLIS);
     assertQuotaKept(model);
   }
@@ -123,7 +123,7 @@
     together.run(END_MILLIS);
     assertTrue(
         equal.maxAdmittedInWindow() > equal.maxRequestsInWindow()
-            || equal.admitted.size() < equal.tokenBucketAdmissions());
+            || equal.admittedMillis.size() < equal.tokenBucketAdmissions());
     assertQuotaKept(together);
     assertAdmittedFraction(together, 0.9);
   }
@@ -144,6 +144,6 @@
     model.offer(model.coordinated(), 500, 0, 5_000);
     model.run(5_000);
     assertEquals(0, model.messageCount);
-    assertEquals(model.offered.size(), model.admitted.size());
+    assertEquals(model.offeredMillis.size(), model.admittedMillis.size());
   }
 }
