--- a/sageladder-core/src/main/java/org/sageladder/core/placing/ColdTargetLimiter.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/ColdTargetLimiter.java
@@ -72,18 +72,18 @@
    * times over. What a VM that has really gone leaves unused is little, and cold times are short.
    */
   public void updateEntryVms(Collection<EntryVmLocation> live, long now) {
-    Set<String> named = new HashSet<>();
-    for (EntryVmLocation entry : live) {
-      named.add(entry.name());
-      entryVms.put(entry.name(), entry);
-      missingSinceMillis.remove(entry.name());
+    Set<String> liveNames = new HashSet<>();
+    for (EntryVmLocation entryVm : live) {
+      liveNames.add(entryVm.name());
+      entryVms.put(entryVm.name(), entryVm);
+      missingSinceMillis.remove(entryVm.name());
     }
-    for (String known : entryVms.keySet()) {
-      if (!named.contains(known)) {
-        missingSinceMillis.putIfAbsent(known, now);
+    for (String name : entryVms.keySet()) {
+      if (!liveNames.contains(name)) {
+        missingSinceMillis.putIfAbsent(name, now);
       }
     }
-    entryVms.keySet().removeIf(known -> isExpired(known, now));
+    entryVms.keySet().removeIf(name -> isExpired(name, now));
     missingSinceMillis.keySet().retainAll(entryVms.keySet());
   }
 
@@ -94,9 +94,10 @@
 
   /** True where this entry VM may send one more request to a cold target now. */
   public boolean permits(TargetFacts target, double coldPerSecond, long now) {
-    int total = (int) Math.floor(coldPerSecond * rateFactor + extraRequests) - RESERVED_REQUESTS;
-    int mine = ownRequestLimit(target, total);
-    if (mine == 0) {
+    int totalLimit =
+        (int) Math.floor(coldPerSecond * rateFactor + extraRequests) - RESERVED_REQUESTS;
+    int ownLimit = ownRequestLimit(target, totalLimit);
+    if (ownLimit == 0) {
       return false;
     }
     Deque<Long> times = sentTimes.get(target.id());
@@ -106,7 +107,7 @@
     while (!times.isEmpty() && now - times.peekFirst() >= WINDOW_MILLIS) {
       times.removeFirst();
     }
-    return times.size() < mine;
+    return times.size() < ownLimit;
   }
 
   /** Counts a request that is sent to a cold target. */
@@ -119,30 +120,30 @@
     sentTimes.remove(target);
   }
 
-  private int ownRequestLimit(TargetFacts target, int total) {
-    if (entryVms.isEmpty() || total <= 0) {
+  private int ownRequestLimit(TargetFacts target, int totalLimit) {
+    if (entryVms.isEmpty() || totalLimit <= 0) {
       return 0;
     }
-    int senders = Math.min(entryVms.size(), Math.max(1, total / 2));
-    boolean chosen =
+    int senderCount = Math.min(entryVms.size(), Math.max(1, totalLimit / 2));
+    boolean isSender =
         entryVms.values().stream()
             .sorted(byDistance(target))
-            .limit(senders)
-            .anyMatch(entry -> entry.name().equals(self));
-    return chosen ? Math.max(1, total / senders) : 0;
+            .limit(senderCount)
+            .anyMatch(entryVm -> entryVm.name().equals(self));
+    return isSender ? Math.max(1, totalLimit / senderCount) : 0;
   }
 
   private static Comparator<EntryVmLocation> byDistance(TargetFacts target) {
-    return Comparator.<EntryVmLocation>comparingInt(entry -> distance(entry, target))
+    return Comparator.<EntryVmLocation>comparingInt(entryVm -> distance(entryVm, target))
         .thenComparingLong(
-            entry -> Hashing.komihash5_0().hashCharsToLong(target.id() + '\n' + entry.name()))
+            entryVm -> Hashing.komihash5_0().hashCharsToLong(target.id() + '\n' + entryVm.name()))
         .thenComparing(EntryVmLocation::name);
   }
 
-  private static int distance(EntryVmLocation entry, TargetFacts target) {
-    if (entry.zone().equals(target.zone())) {
+  private static int distance(EntryVmLocation entryVm, TargetFacts target) {
+    if (entryVm.zone().equals(target.zone())) {
       return 0;
     }
-    return entry.region().equals(target.region()) ? 1 : 2;
+    return entryVm.region().equals(target.region()) ? 1 : 2;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/Placement.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/Placement.java
@@ -91,29 +91,29 @@
 
   private Placement(
       TargetTable targets,
-      RoundTripTimes distances,
+      RoundTripTimes roundTripTimes,
       RunTimes runTimes,
-      ColdTargetLimiter cold,
-      RegionShiftLimiter shift,
+      ColdTargetLimiter coldLimiter,
+      RegionShiftLimiter shiftLimiter,
       PlacementWeights weights) {
     this.targets = targets;
-    this.roundTripTimes = distances;
+    this.roundTripTimes = roundTripTimes;
     this.runTimes = runTimes;
-    this.coldLimiter = cold;
-    this.shiftLimiter = shift;
+    this.coldLimiter = coldLimiter;
+    this.shiftLimiter = shiftLimiter;
     this.weights = weights;
-    this.regionShare = RegionObjectShare.create(shift::settleMillis);
+    this.regionShare = RegionObjectShare.create(shiftLimiter::settleMillis);
   }
 
   /** A choice among the targets of {@code targets}. */
   public static Placement among(
       TargetTable targets,
-      RoundTripTimes distances,
+      RoundTripTimes roundTripTimes,
       RunTimes runTimes,
-      ColdTargetLimiter cold,
-      RegionShiftLimiter shift,
+      ColdTargetLimiter coldLimiter,
+      RegionShiftLimiter shiftLimiter,
       PlacementWeights weights) {
-    return new Placement(targets, distances, runTimes, cold, shift, weights);
+    return new Placement(targets, roundTripTimes, runTimes, coldLimiter, shiftLimiter, weights);
   }
 
   /**
@@ -122,16 +122,16 @@
    * @param tried ids of the targets that must not be chosen again
    */
   public PlacementDecision place(
-      PlacementRequest order, @Nullable ServiceRule service, Set<String> tried, long now) {
-    List<TargetState> usable = targets.usable(order.service(), now);
-    usable.removeIf(target -> !order.allowsRegion(target.facts().region()));
+      PlacementRequest request, @Nullable ServiceRule service, Set<String> tried, long now) {
+    List<TargetState> usable = targets.usable(request.service(), now);
+    usable.removeIf(target -> !request.allowsRegion(target.facts().region()));
     if (usable.isEmpty()) {
       return new Refuse(Reason.NO_TARGET, MIN_RETRY_AFTER_MILLIS, null);
     }
-    RequestContext prospects = requestContext(order, usable, now);
+    RequestContext context = requestContext(request, usable, now);
     CheapestSend best = new CheapestSend();
-    CheapestSend unmoved = new CheapestSend();
-    Map<String, CheapestSend> ofRegions = new HashMap<>();
+    CheapestSend bestWithoutQueues = new CheapestSend();
+    Map<String, CheapestSend> bestByRegion = new HashMap<>();
     boolean anyCold = false;
     for (TargetState target : usable) {
       if (tried.contains(target.facts().id())) {
@@ -141,22 +141,23 @@
         anyCold = true;
         continue;
       }
-      Send send = estimate(prospects, target, now);
-      if (needsFirstRequest(target, prospects.preferredTargets(), now)) {
+      Send send = estimate(context, target, now);
+      if (needsFirstRequest(target, context.preferredTargets(), now)) {
         return send;
       }
       // What the run costs those who come behind it. Not the wait: by that, queues at the targets
       // that know the object count for more, and work goes to those that run it three times as
       // long.
-      double crowding = queueRoundsAhead(target, now) * send.expectedRunMillis();
-      double cost = costMillis(prospects, send, now) + crowding;
-      best.consider(send, cost);
-      unmoved.consider(send, cost - crowding);
-      ofRegions
+      double queueCostMillis = queueRoundsAhead(target, now) * send.expectedRunMillis();
+      double costMillis = costMillis(context, send, now) + queueCostMillis;
+      best.consider(send, costMillis);
+      bestWithoutQueues.consider(send, costMillis - queueCostMillis);
+      bestByRegion
           .computeIfAbsent(target.facts().region(), name -> new CheapestSend())
-          .consider(send, cost);
+          .consider(send, costMillis);
     }
-    return decide(order, limitShift(order, best, unmoved, ofRegions, now), anyCold, now);
+    return decide(
+        request, limitShift(request, best, bestWithoutQueues, bestByRegion, now), anyCold, now);
   }
 
   /**
@@ -165,24 +166,26 @@
    * the same moment.
    */
   private CheapestSend limitShift(
-      PlacementRequest order,
+      PlacementRequest request,
       CheapestSend best,
-      CheapestSend unmoved,
-      Map<String, CheapestSend> ofRegions,
+      CheapestSend bestWithoutQueues,
+      Map<String, CheapestSend> bestByRegion,
       long now) {
-    Send wanted = best.send;
-    Send home = unmoved.send;
-    if (wanted == null || home == null) {
+    Send cheapest = best.send;
+    Send unqueued = bestWithoutQueues.send;
+    if (cheapest == null || unqueued == null) {
       return best;
     }
-    String region = home.target().facts().region();
-    boolean moved = !wanted.target().facts().region().equals(region);
-    CheapestSend stays = ofRegions.getOrDefault(region, best);
-    if (moved && !shiftLimiter.permitsShift(now) && stays.canAnswerInTime(order, now)) {
+    String region = unqueued.target().facts().region();
+    boolean isShifted = !cheapest.target().facts().region().equals(region);
+    CheapestSend bestInRegion = bestByRegion.getOrDefault(region, best);
+    if (isShifted
+        && !shiftLimiter.permitsShift(now)
+        && bestInRegion.canAnswerInTime(request, now)) {
       shiftLimiter.recordPlaced(false, now);
-      return stays;
+      return bestInRegion;
     }
-    shiftLimiter.recordPlaced(moved, now);
+    shiftLimiter.recordPlaced(isShifted, now);
     return best;
   }
 
@@ -191,31 +194,31 @@
     private @Nullable Send send;
     private double costMillis = Double.MAX_VALUE;
 
-    void consider(Send other, double otherCost) {
-      if (otherCost < costMillis) {
+    void consider(Send other, double otherCostMillis) {
+      if (otherCostMillis < costMillis) {
         send = other;
-        costMillis = otherCost;
+        costMillis = otherCostMillis;
       }
     }
 
     /** True where it serves: the bound on shifts never costs a caller its answer. */
-    boolean canAnswerInTime(PlacementRequest order, long now) {
-      Send known = send;
-      return known != null
-          && known.expectedWaitMillis() + known.expectedRunMillis() <= order.remainingMillis()
-          && !known.target().isAvoided(now);
+    boolean canAnswerInTime(PlacementRequest request, long now) {
+      Send current = send;
+      return current != null
+          && current.expectedWaitMillis() + current.expectedRunMillis() <= request.remainingMillis()
+          && !current.target().isAvoided(now);
     }
   }
 
   private PlacementDecision decide(
-      PlacementRequest order, CheapestSend chosen, boolean anyCold, long now) {
+      PlacementRequest request, CheapestSend chosen, boolean anyCold, long now) {
     Send best = chosen.send;
     if (best == null) {
       return new Refuse(anyCold ? Reason.ALL_COLD : Reason.ALL_TRIED, MIN_RETRY_AFTER_MILLIS, null);
     }
-    if (wouldTimeOut(order, best) && isWaitMeasured(order, best.target(), now)) {
+    if (wouldTimeOut(request, best) && isWaitMeasured(request, best.target(), now)) {
       return new Refuse(
-          Reason.TOO_LATE, (long) best.expectedWaitMillis(), candidateEstimate(order, best, now));
+          Reason.TOO_LATE, (long) best.expectedWaitMillis(), candidateEstimate(request, best, now));
     }
     return best;
   }
@@ -225,15 +228,15 @@
    * measured: its caller would wait for nothing, and the slot would work for nothing. Where a slot
    * is free it is tried in any case, since runs differ and nobody waits for that slot.
    */
-  private boolean wouldTimeOut(PlacementRequest order, Send send) {
-    double run =
+  private boolean wouldTimeOut(PlacementRequest request, Send send) {
+    double runMillis =
         runTimes
                 .estimateFromMeasured(
-                    order.service(), order.route(), send.isWarm(), MIN_MEASURED_RUNS)
+                    request.service(), request.route(), send.isWarm(), MIN_MEASURED_RUNS)
                 .orElse(0)
             * send.target().slowness();
     return send.expectedWaitMillis() > 0
-        && send.expectedWaitMillis() + run > order.remainingMillis();
+        && send.expectedWaitMillis() + runMillis > request.remainingMillis();
   }
 
   /**
@@ -245,16 +248,16 @@
    * that will report it. Where all VMs refuse by older reports, nothing is sent, nothing newer is
    * ever reported, and a service that stands idle is refused for good.
    */
-  private boolean isWaitMeasured(PlacementRequest order, TargetState target, long now) {
-    boolean queueKnown =
-        target.inFlight() > 0 || target.hasReportWithin(order.route().timeoutMillis(), now);
-    return queueKnown && slotHoldTimes.meanMillis(order.service()).isPresent();
+  private boolean isWaitMeasured(PlacementRequest request, TargetState target, long now) {
+    boolean isQueueKnown =
+        target.inFlight() > 0 || target.hasReportWithin(request.route().timeoutMillis(), now);
+    return isQueueKnown && slotHoldTimes.meanMillis(request.service()).isPresent();
   }
 
-  private CandidateEstimate candidateEstimate(PlacementRequest order, Send send, long now) {
-    long runs = runTimes.measuredRunCount(order.service(), order.route(), send.isWarm());
-    double held = slotHoldTimes.meanMillis(order.service()).orElse(0);
-    return new CandidateEstimate(send, held, send.target().load(now), runs);
+  private CandidateEstimate candidateEstimate(PlacementRequest request, Send send, long now) {
+    long runs = runTimes.measuredRunCount(request.service(), request.route(), send.isWarm());
+    double slotHoldMillis = slotHoldTimes.meanMillis(request.service()).orElse(0);
+    return new CandidateEstimate(send, slotHoldMillis, send.target().load(now), runs);
   }
 
   /**
@@ -262,9 +265,10 @@
    * region's first choice for the object. The targets before it know the object, so that by cost
    * alone it would stay without work for as long as they have room.
    */
-  private boolean needsFirstRequest(TargetState target, PreferredTargets homes, long now) {
+  private boolean needsFirstRequest(
+      TargetState target, PreferredTargets preferredTargets, long now) {
     return target.isNewlyJoined()
-        && homes.isRegionPreferred(target)
+        && preferredTargets.isRegionPreferred(target)
         && !target.isAvoided(now)
         && !roundTripTimes.isOtherRegion(target.facts());
   }
@@ -275,51 +279,57 @@
   }
 
   private RequestContext requestContext(
-      PlacementRequest order, List<TargetState> usable, long now) {
-    RouteRule route = order.route();
+      PlacementRequest request, List<TargetState> usable, long now) {
+    RouteRule route = request.route();
     return new RequestContext(
-        order,
+        request,
         route.hasObjectAffinity()
-            ? PreferredTargets.of(order.object(), usable)
+            ? PreferredTargets.of(request.object(), usable)
             : PreferredTargets.none(),
-        CrossRegionCostFactor.of(order.object()),
-        ownRegionCostMillis(order, usable, now),
-        runTimes.estimateMillis(order.service(), route, true),
-        runTimes.estimateMillis(order.service(), route, false));
+        CrossRegionCostFactor.of(request.object()),
+        ownRegionCostMillis(request, usable, now),
+        runTimes.estimateMillis(request.service(), route, true),
+        runTimes.estimateMillis(request.service(), route, false));
   }
 
   /** What a run in this VM's region costs besides: nothing for the objects that it keeps. */
-  private double ownRegionCostMillis(PlacementRequest order, List<TargetState> usable, long now) {
-    if (!order.route().hasObjectAffinity() || isRetainedInOwnRegion(order, now)) {
+  private double ownRegionCostMillis(PlacementRequest request, List<TargetState> usable, long now) {
+    if (!request.route().hasObjectAffinity() || isRetainedInOwnRegion(request, now)) {
       return 0;
     }
-    double nearest = Double.MAX_VALUE;
+    double minRoundTripMillis = Double.MAX_VALUE;
     for (TargetState target : usable) {
       if (roundTripTimes.isOtherRegion(target.facts())) {
-        nearest = Math.min(nearest, roundTripTimes.millis(target.facts()));
+        minRoundTripMillis = Math.min(minRoundTripMillis, roundTripTimes.millis(target.facts()));
       }
     }
-    return nearest == Double.MAX_VALUE ? 0 : weights.roundTripFactor() * nearest;
+    return minRoundTripMillis == Double.MAX_VALUE
+        ? 0
+        : weights.roundTripFactor() * minRoundTripMillis;
   }
 
-  private boolean isRetainedInOwnRegion(PlacementRequest order, long now) {
-    String service = order.service();
+  private boolean isRetainedInOwnRegion(PlacementRequest request, long now) {
+    String service = request.service();
     double slotShare = targets.slotShare(service, roundTripTimes.ownRegion());
     return regionShare.retains(
-        order.object(), service, slotShare, targets.utilization(service), now);
+        request.object(), service, slotShare, targets.utilization(service), now);
   }
 
   /** Sets which share of all zones this VM's region has; until then it keeps all objects. */
-  public void updateZoneShare(double part) {
-    regionShare.updateZoneShare(part);
+  public void updateZoneShare(double zoneShare) {
+    regionShare.updateZoneShare(zoneShare);
   }
 
-  private Send estimate(RequestContext prospects, TargetState target, long now) {
-    double knows = warmProbability(prospects, target);
-    double mean = knows * prospects.warmRunMillis() + (1 - knows) * prospects.coldRunMillis();
-    double run = mean * target.slowness();
+  private Send estimate(RequestContext context, TargetState target, long now) {
+    double warmProbability = warmProbability(context, target);
+    double meanRunMillis =
+        warmProbability * context.warmRunMillis() + (1 - warmProbability) * context.coldRunMillis();
+    double expectedRunMillis = meanRunMillis * target.slowness();
     return new Send(
-        target, knows >= 0.5, run, estimateWaitMillis(prospects.request(), target, mean, now));
+        target,
+        warmProbability >= 0.5,
+        expectedRunMillis,
+        estimateWaitMillis(context.request(), target, meanRunMillis, now));
   }
 
   /**
@@ -328,45 +338,47 @@
    * wait by its own run would keep it from targets that serve the others in time.
    */
   private double estimateWaitMillis(
-      PlacementRequest order, TargetState target, double ownMillis, long now) {
-    double held = slotHoldTimes.meanMillis(order.service()).orElse(ownMillis);
-    return queueRoundsAhead(target, now) * held * target.slowness();
+      PlacementRequest request, TargetState target, double ownRunMillis, long now) {
+    double slotHoldMillis = slotHoldTimes.meanMillis(request.service()).orElse(ownRunMillis);
+    return queueRoundsAhead(target, now) * slotHoldMillis * target.slowness();
   }
 
   /** Requests ahead of one more that is sent there, for each slot; 0 where a slot is free. */
   private static double queueRoundsAhead(TargetState target, long now) {
-    double over = target.load(now) + 1 - target.facts().slots();
-    return Math.max(0, over / target.facts().slots());
+    double excessRequests = target.load(now) + 1 - target.facts().slots();
+    return Math.max(0, excessRequests / target.facts().slots());
   }
 
-  private double warmProbability(RequestContext prospects, TargetState target) {
-    boolean hadIt = target.hasCached(prospects.request().object());
-    return hadIt ? 1 : prospects.preferredTargets().warmProbability(target, weights);
+  private double warmProbability(RequestContext context, TargetState target) {
+    boolean hasCached = target.hasCached(context.request().object());
+    return hasCached ? 1 : context.preferredTargets().warmProbability(target, weights);
   }
 
-  private double costMillis(RequestContext prospects, Send send, long now) {
+  private double costMillis(RequestContext context, Send send, long now) {
     TargetState target = send.target();
-    double cost = pathCostMillis(prospects, target);
-    cost +=
+    double costMillis = pathCostMillis(context, target);
+    costMillis +=
         send.isWarm()
             ? send.expectedRunMillis()
             : send.expectedRunMillis() * weights.coldRunFactor();
-    cost += FULL_LOAD_COST_MILLIS * target.load(now) / target.facts().slots();
-    cost += weights.failureCostMillis() * target.failureShare(now);
-    return target.isAvoided(now) ? cost + AVOIDED_COST_MILLIS : cost;
+    costMillis += FULL_LOAD_COST_MILLIS * target.load(now) / target.facts().slots();
+    costMillis += weights.failureCostMillis() * target.failureShare(now);
+    return target.isAvoided(now) ? costMillis + AVOIDED_COST_MILLIS : costMillis;
   }
 
   /** What the network path to a target counts as: its time, and what the bytes on it are worth. */
-  private double pathCostMillis(RequestContext prospects, TargetState target) {
-    double path = weights.roundTripFactor() * roundTripTimes.millis(target.facts());
+  private double pathCostMillis(RequestContext context, TargetState target) {
+    double costMillis = weights.roundTripFactor() * roundTripTimes.millis(target.facts());
     if (roundTripTimes.isOtherRegion(target.facts())) {
       // By a guessed path no object leaves its region sooner than others.
-      double price =
-          roundTripTimes.isMeasured(target.facts()) ? prospects.crossRegionCostFactor() : 1;
-      return price * (path + weights.crossRegionCostMillis());
+      double factor =
+          roundTripTimes.isMeasured(target.facts()) ? context.crossRegionCostFactor() : 1;
+      return factor * (costMillis + weights.crossRegionCostMillis());
     }
-    path += prospects.ownRegionCostMillis();
-    return roundTripTimes.isOtherZone(target.facts()) ? path + weights.crossZoneCostMillis() : path;
+    costMillis += context.ownRegionCostMillis();
+    return roundTripTimes.isOtherZone(target.facts())
+        ? costMillis + weights.crossZoneCostMillis()
+        : costMillis;
   }
 
   /** Notes that a request was sent as decided. */
@@ -384,30 +396,30 @@
    * @param load what the target reported of its load, or null
    */
   public void recordAnswer(
-      PlacementRequest order, Send send, double millis, @Nullable LoadReport load, long now) {
+      PlacementRequest request, Send send, double millis, @Nullable LoadReport load, long now) {
     TargetState target = send.target();
     target.clearAvoidance();
     target.recordOutcome(true, now);
-    boolean waited = load == null ? send.expectedWaitMillis() > 0 : load.waiting() > 0;
-    double run = millis - roundTripTimes.millis(target.facts());
-    if (run > 0 && !target.isCold(now)) {
-      recordSlotHoldTime(order, target, run, load, waited);
-      recordRunTime(order, target, run, load, waited, now);
+    boolean wasQueued = load == null ? send.expectedWaitMillis() > 0 : load.waiting() > 0;
+    double runMillis = millis - roundTripTimes.millis(target.facts());
+    if (runMillis > 0 && !target.isCold(now)) {
+      recordSlotHoldTime(request, target, runMillis, load, wasQueued);
+      recordRunTime(request, target, runMillis, load, wasQueued, now);
     }
-    target.recordObject(order.object());
+    target.recordObject(request.object());
   }
 
   private void recordSlotHoldTime(
-      PlacementRequest order,
+      PlacementRequest request,
       TargetState target,
       double millis,
       @Nullable LoadReport load,
-      boolean waited) {
-    if (load == null && waited) {
+      boolean wasQueued) {
+    if (load == null && wasQueued) {
       return;
     }
-    double rounds = load == null ? 0 : queueRoundsBehind(target, load);
-    slotHoldTimes.recordAnswer(order.service(), millis / target.slowness(), rounds);
+    double queueRounds = load == null ? 0 : queueRoundsBehind(target, load);
+    slotHoldTimes.recordAnswer(request.service(), millis / target.slowness(), queueRounds);
   }
 
   /** Requests that waited there behind an answer, for each slot. */
@@ -416,26 +428,28 @@
   }
 
   private void recordRunTime(
-      PlacementRequest order,
+      PlacementRequest request,
       TargetState target,
       double millis,
       @Nullable LoadReport load,
-      boolean waited,
+      boolean wasQueued,
       long now) {
-    boolean known = target.hasCached(order.object());
-    RouteRule route = order.route();
-    if (waited) {
-      runTimes.recordWaitAndRun(order.service(), route, known, millis);
+    boolean isWarm = target.hasCached(request.object());
+    RouteRule route = request.route();
+    if (wasQueued) {
+      runTimes.recordWaitAndRun(request.service(), route, isWarm, millis);
       if (load != null) {
-        double held = slotHoldTimes.meanMillis(order.service()).orElse(millis) * target.slowness();
-        double wait = held * queueRoundsBehind(target, load);
-        runTimes.recordQueuedRun(order.service(), route, known, Math.max(0, millis - wait));
+        double slotHoldMillis =
+            slotHoldTimes.meanMillis(request.service()).orElse(millis) * target.slowness();
+        double waitMillis = slotHoldMillis * queueRoundsBehind(target, load);
+        runTimes.recordQueuedRun(
+            request.service(), route, isWarm, Math.max(0, millis - waitMillis));
       }
       return;
     }
-    if (runTimes.measuredRunCount(order.service(), route, known) >= MIN_MEASURED_RUNS) {
-      target.recordRunTimeRatio(millis / runTimes.measuredMillis(order.service(), route, known));
+    if (runTimes.measuredRunCount(request.service(), route, isWarm) >= MIN_MEASURED_RUNS) {
+      target.recordRunTimeRatio(millis / runTimes.measuredMillis(request.service(), route, isWarm));
     }
-    runTimes.recordRun(order.service(), route, known, millis, now);
+    runTimes.recordRun(request.service(), route, isWarm, millis, now);
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/PreferredTargets.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/PreferredTargets.java
@@ -49,22 +49,22 @@
 
   /** The homes of an object, by its hash, among all targets that take work. */
   static PreferredTargets of(long object, List<TargetState> usable) {
-    PreferredTargets homes = new PreferredTargets();
+    PreferredTargets preferredTargets = new PreferredTargets();
     for (TargetState target : usable) {
-      homes.add(new Ranked(target, HASHER.hashLongLongToLong(object, target.idHash())));
+      preferredTargets.add(new Ranked(target, HASHER.hashLongLongToLong(object, target.idHash())));
     }
-    return homes;
+    return preferredTargets;
   }
 
   private void add(Ranked ranked) {
-    Ranked first = preferred;
-    if (first == null || ranked.weight() > first.weight()) {
+    Ranked current = preferred;
+    if (current == null || ranked.weight() > current.weight()) {
       preferred = ranked;
     }
     String region = ranked.target().facts().region();
-    Choices known = choicesByRegion.get(region);
+    Choices choices = choicesByRegion.get(region);
     choicesByRegion.put(
-        region, known == null ? new Choices(ranked, null) : known.withCandidate(ranked));
+        region, choices == null ? new Choices(ranked, null) : choices.withCandidate(ranked));
   }
 
   /** True where {@code target} is the first of its region. */
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RegionLoad.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RegionLoad.java
@@ -53,11 +53,11 @@
 
   /** Requests of other entry VMs that a target with {@code ofSlots} slots has, as a guess. */
   double estimatePeerLoad(int targetSlots) {
-    double guessed = slotCount == 0 ? 0 : (double) ownRequestCount * peerCount / slotCount;
-    long reports = reportedLoadPerSlot.count();
-    double perSlot =
-        (reports * reportedLoadPerSlot.value() + PRIOR_WEIGHT_REPORTS * guessed)
-            / (reports + PRIOR_WEIGHT_REPORTS);
-    return perSlot * targetSlots;
+    double guessedPerSlot = slotCount == 0 ? 0 : (double) ownRequestCount * peerCount / slotCount;
+    long reportCount = reportedLoadPerSlot.count();
+    double loadPerSlot =
+        (reportCount * reportedLoadPerSlot.value() + PRIOR_WEIGHT_REPORTS * guessedPerSlot)
+            / (reportCount + PRIOR_WEIGHT_REPORTS);
+    return loadPerSlot * targetSlots;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RegionObjectShare.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RegionObjectShare.java
@@ -56,8 +56,8 @@
   }
 
   /** Sets which share of all zones this VM's region has; 0 where that is not known. */
-  void updateZoneShare(double share) {
-    zoneShare = share;
+  void updateZoneShare(double newZoneShare) {
+    zoneShare = newZoneShare;
   }
 
   /**
@@ -76,15 +76,22 @@
 
   /** Part of the service's objects that the region keeps. */
   double retainedFraction(String service, double slotShare, double utilization, long now) {
-    double even = slotShare / zoneShare;
-    RetainedShare kept =
-        retainedByService.computeIfAbsent(service, name -> new RetainedShare(even, now));
-    double wanted =
-        utilization <= 0 ? kept.fraction : Math.min(1, even * MAX_UTILIZATION / utilization);
-    double settle = settleMillis.getAsDouble();
-    double most = settle <= 0 ? 1 : USED_FRACTION * (now - kept.updatedAtMillis) / settle;
-    kept.fraction += Math.max(-most, Math.min(most, wanted - kept.fraction));
-    kept.updatedAtMillis = now;
-    return kept.fraction;
+    double proportionalFraction = slotShare / zoneShare;
+    RetainedShare retained =
+        retainedByService.computeIfAbsent(
+            service, name -> new RetainedShare(proportionalFraction, now));
+    double desiredFraction =
+        utilization <= 0
+            ? retained.fraction
+            : Math.min(1, proportionalFraction * MAX_UTILIZATION / utilization);
+    double settleTimeMillis = settleMillis.getAsDouble();
+    double maxChange =
+        settleTimeMillis <= 0
+            ? 1
+            : USED_FRACTION * (now - retained.updatedAtMillis) / settleTimeMillis;
+    retained.fraction +=
+        Math.max(-maxChange, Math.min(maxChange, desiredFraction - retained.fraction));
+    retained.updatedAtMillis = now;
+    return retained.fraction;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RegionShiftLimiter.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RegionShiftLimiter.java
@@ -82,18 +82,18 @@
 
   /** True where the next request may run in another region than it would if nothing waited. */
   public boolean permitsShift(long now) {
-    boolean first = firstRequestAtMillis < 0 || now - firstRequestAtMillis < SPAN_MILLIS;
+    boolean isFirstSpan = firstRequestAtMillis < 0 || now - firstRequestAtMillis < SPAN_MILLIS;
     return maxShiftFraction >= 1
-        || first
+        || isFirstSpan
         || now < suspendedUntilMillis
         || tokens + shiftedShare + stepFraction() >= 1;
   }
 
   private double stepFraction() {
-    double left =
+    double remaining =
         USED_FRACTION * maxShiftFraction
             - (BUCKET_DEPTH - 1) / Math.max(MIN_REQUESTS_PER_SPAN, requestsPerSpan);
-    return Math.max(MIN_STEP, left);
+    return Math.max(MIN_STEP, remaining);
   }
 
   /** Counts a request; {@code moved} where it runs in another region than if nothing waited. */
@@ -104,13 +104,13 @@
     }
     updateRequestRate(now);
     requestCount++;
-    double one = isShifted ? 1 : 0;
+    double cost = isShifted ? 1 : 0;
     tokens =
         Math.max(
-            -BUCKET_DEPTH, Math.min(BUCKET_DEPTH, tokens + shiftedShare + stepFraction() - one));
-    double part =
+            -BUCKET_DEPTH, Math.min(BUCKET_DEPTH, tokens + shiftedShare + stepFraction() - cost));
+    double weight =
         Math.max(1.0 / requestCount, 1 / Math.max(MIN_REQUESTS_PER_SPAN, requestsPerSpan));
-    shiftedShare += part * (one - shiftedShare);
+    shiftedShare += weight * (cost - shiftedShare);
   }
 
   /** Requests in a span, fading: a VM's traffic may come and go. */
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RoundTripTimes.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RoundTripTimes.java
@@ -37,9 +37,9 @@
 
   /** Way there and back, in milliseconds. */
   public double millis(TargetFacts target) {
-    Double known = minMillisByZone.get(target.zone());
-    if (known != null) {
-      return known;
+    Double measured = minMillisByZone.get(target.zone());
+    if (measured != null) {
+      return measured;
     }
     if (target.zone().equals(zone)) {
       return DEFAULT_SAME_ZONE_MILLIS;
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RunTimes.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RunTimes.java
@@ -52,16 +52,16 @@
     }
 
     double estimateMillis() {
-      boolean bounded = unqueuedRuns.count() == 0 && waitsAndRuns.count() > 0;
-      return bounded ? Math.min(estimateMillis, waitsAndRuns.value()) : estimateMillis;
+      boolean isBounded = unqueuedRuns.count() == 0 && waitsAndRuns.count() > 0;
+      return isBounded ? Math.min(estimateMillis, waitsAndRuns.value()) : estimateMillis;
     }
 
     void recordRun(double millis, double settleMillis, long now) {
-      double part = 1.0 / RUN_WINDOW;
+      double weight = 1.0 / RUN_WINDOW;
       if (updatedAtMillis != NEVER && settleMillis > 0) {
-        part = Math.min(part, (now - updatedAtMillis) / settleMillis);
+        weight = Math.min(weight, (now - updatedAtMillis) / settleMillis);
       }
-      estimateMillis += part * (millis - estimateMillis);
+      estimateMillis += weight * (millis - estimateMillis);
       updatedAtMillis = now;
       unqueuedRuns.add(millis);
     }
@@ -99,20 +99,20 @@
   private RouteTimes routeTimes(String service, RouteRule route) {
     return timesByRoute.computeIfAbsent(
         new RouteAtService(service, route.name()),
-        place -> new RouteTimes(route.latencyGoalMillis()));
+        routeAtService -> new RouteTimes(route.latencyGoalMillis()));
   }
 
   /** Forgets all routes but those of these names: operators add and remove them for years. */
   public void retainRoutes(Set<String> routes) {
-    timesByRoute.keySet().removeIf(place -> !routes.contains(place.route()));
+    timesByRoute.keySet().removeIf(routeAtService -> !routes.contains(routeAtService.route()));
   }
 
   /** Mean time of a run, in milliseconds; an object that the target knows takes no longer. */
   public double estimateMillis(String service, RouteRule route, boolean isWarm) {
-    RouteTimes means = routeTimes(service, route);
-    boolean guessed = isWarm && means.warm.unqueuedRuns.count() == 0;
-    double millis = means.of(isWarm).estimateMillis();
-    return guessed ? Math.min(millis, means.cold.estimateMillis()) : millis;
+    RouteTimes times = routeTimes(service, route);
+    boolean isGuess = isWarm && times.warm.unqueuedRuns.count() == 0;
+    double millis = times.of(isWarm).estimateMillis();
+    return isGuess ? Math.min(millis, times.cold.estimateMillis()) : millis;
   }
 
   /** Runs that the mean follows from; 0 where it is a guess. */
@@ -133,9 +133,9 @@
    */
   OptionalDouble estimateFromMeasured(
       String service, RouteRule route, boolean isWarm, long minRuns) {
-    RouteTimes means = routeTimes(service, route);
-    OptionalDouble asked = means.of(isWarm).measuredMillis(minRuns);
-    return asked.isPresent() ? asked : means.of(!isWarm).measuredMillis(minRuns);
+    RouteTimes times = routeTimes(service, route);
+    OptionalDouble requested = times.of(isWarm).measuredMillis(minRuns);
+    return requested.isPresent() ? requested : times.of(!isWarm).measuredMillis(minRuns);
   }
 
   /** Takes the time of one run behind a queue, from which the wait was taken off. */
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/ServiceRetryBudget.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/ServiceRetryBudget.java
@@ -49,28 +49,28 @@
   }
 
   /** Notes how many entry VMs share the extra; a lower number than before has no effect. */
-  public void updateEntryVmCount(int seen) {
-    entryVmCount = Math.max(entryVmCount, seen);
+  public void updateEntryVmCount(int liveCount) {
+    entryVmCount = Math.max(entryVmCount, liveCount);
   }
 
   /** Counts a caller's request for {@code service}. */
   public void recordRequest(String service, long now) {
-    RetryWindow spent = window(service);
-    spent.requestTimes.addLast(now);
-    removeExpired(spent.requestTimes, now);
+    RetryWindow window = window(service);
+    window.requestTimes.addLast(now);
+    removeExpired(window.requestTimes, now);
   }
 
   /** Spends one second send; false where none is left, and the request ends with what it has. */
   public boolean tryAcquire(String service, long now) {
-    RetryWindow spent = window(service);
-    removeExpired(spent.requestTimes, now);
-    removeExpired(spent.retryTimes, now);
-    double most =
-        USED_FRACTION * (retryRatio * spent.requestTimes.size() + extraRetries / entryVmCount);
-    if (spent.retryTimes.size() + 1 > most) {
+    RetryWindow window = window(service);
+    removeExpired(window.requestTimes, now);
+    removeExpired(window.retryTimes, now);
+    double maxRetries =
+        USED_FRACTION * (retryRatio * window.requestTimes.size() + extraRetries / entryVmCount);
+    if (window.retryTimes.size() + 1 > maxRetries) {
       return false;
     }
-    spent.retryTimes.addLast(now);
+    window.retryTimes.addLast(now);
     return true;
   }
 
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/TargetFacts.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/TargetFacts.java
@@ -36,9 +36,11 @@
    * its way. Where the target does not say when it started, a lower sequence may as well be that of
    * a new start, and counts.
    */
-  boolean isOlderThan(TargetFacts known) {
-    boolean sameStart = incarnation.startedAtMillis() != 0 && incarnation.equals(known.incarnation);
-    return incarnation.isBefore(known.incarnation) || (sameStart && sequence < known.sequence);
+  boolean isOlderThan(TargetFacts current) {
+    boolean isSameIncarnation =
+        incarnation.startedAtMillis() != 0 && incarnation.equals(current.incarnation);
+    return incarnation.isBefore(current.incarnation)
+        || (isSameIncarnation && sequence < current.sequence);
   }
 
   /** True where service, region and slots are those of {@code other}. */
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/TargetState.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/TargetState.java
@@ -142,15 +142,17 @@
    * them.
    */
   public double load(long now) {
-    double age = Math.max(0, now - lastReportAtMillis);
-    double fresh = Math.pow(0.5, age / LOAD_HALF_LIFE_MILLIS);
-    long reports = meanPeerLoad.count();
-    double heard = Math.min(reports, LOAD_REPORT_WINDOW);
-    double usual =
-        (heard * meanPeerLoad.value()
+    double ageMillis = Math.max(0, now - lastReportAtMillis);
+    double freshness = Math.pow(0.5, ageMillis / LOAD_HALF_LIFE_MILLIS);
+    long reportCount = meanPeerLoad.count();
+    double reportWeight = Math.min(reportCount, LOAD_REPORT_WINDOW);
+    double expectedPeerLoad =
+        (reportWeight * meanPeerLoad.value()
                 + REGION_PRIOR_WEIGHT_REPORTS * regionLoad.estimatePeerLoad(facts.slots()))
-            / (heard + REGION_PRIOR_WEIGHT_REPORTS);
-    return inFlight + usual + (reports == 0 ? 0 : (peerLoad - usual) * fresh);
+            / (reportWeight + REGION_PRIOR_WEIGHT_REPORTS);
+    return inFlight
+        + expectedPeerLoad
+        + (reportCount == 0 ? 0 : (peerLoad - expectedPeerLoad) * freshness);
   }
 
   /** True where the target has reported its load in the last {@code millis}. */
@@ -172,8 +174,8 @@
 
   /** Notes that a run took {@code ratio} of the time that was expected. */
   void recordRunTimeRatio(double ratio) {
-    double bounded = Math.max(MIN_SLOWNESS, Math.min(MAX_SLOWNESS, ratio));
-    slowness += SLOWNESS_SMOOTHING * (bounded - slowness);
+    double boundedRatio = Math.max(MIN_SLOWNESS, Math.min(MAX_SLOWNESS, ratio));
+    slowness += SLOWNESS_SMOOTHING * (boundedRatio - slowness);
   }
 
   /** How much longer than expected runs take there; 1 is as expected. */
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/TargetTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/TargetTable.java
@@ -43,36 +43,36 @@
 
   /** Takes what a target says of itself. */
   public Change put(TargetFacts facts, long now) {
-    TargetState known = byId.get(facts.id());
-    if (known == null) {
+    TargetState current = byId.get(facts.id());
+    if (current == null) {
       add(facts, now);
       return Change.JOINED;
     }
-    if (facts.isOlderThan(known.facts())) {
+    if (facts.isOlderThan(current.facts())) {
       return Change.OUTDATED;
     }
-    if (known.facts().incarnation().isBefore(facts.incarnation())) {
+    if (current.facts().incarnation().isBefore(facts.incarnation())) {
       remove(facts.id());
       add(facts, now);
       return Change.STARTED_AGAIN;
     }
     removalTimes.remove(facts.id());
-    if (!known.facts().hasSameServiceRegionAndSlots(facts)) {
+    if (!current.facts().hasSameServiceRegionAndSlots(facts)) {
       remove(facts.id());
       add(facts, now);
       return Change.CHANGED;
     }
-    known.update(known.facts().isDraining() ? facts.asDraining() : facts, now);
+    current.update(current.facts().isDraining() ? facts.asDraining() : facts, now);
     return Change.CHANGED;
   }
 
   private void add(TargetFacts facts, long now) {
-    RegionLoad region = regionLoad(facts);
-    region.addSlots(facts.slots());
+    RegionLoad regionLoad = regionLoad(facts);
+    regionLoad.addSlots(facts.slots());
     List<TargetState> others = targetsOfService(facts.service());
-    TargetState fresh = new TargetState(facts, region, now, joinsTargetsWithRequests(others));
-    byId.put(facts.id(), fresh);
-    others.add(fresh);
+    TargetState added = new TargetState(facts, regionLoad, now, joinsTargetsWithRequests(others));
+    byId.put(facts.id(), added);
+    others.add(added);
   }
 
   /**
@@ -91,9 +91,9 @@
         .computeIfAbsent(
             facts.region(),
             name -> {
-              RegionLoad fresh = new RegionLoad();
-              fresh.updatePeerCount(peerCountsByRegion.getOrDefault(name, 0));
-              return fresh;
+              RegionLoad added = new RegionLoad();
+              added.updatePeerCount(peerCountsByRegion.getOrDefault(name, 0));
+              return added;
             });
   }
 
@@ -122,18 +122,18 @@
 
   private void remove(String id) {
     removalTimes.remove(id);
-    TargetState gone = byId.remove(id);
-    if (gone != null) {
-      regionLoad(gone.facts()).addSlots(-gone.facts().slots());
-      byService.get(gone.facts().service()).remove(gone);
+    TargetState removed = byId.remove(id);
+    if (removed != null) {
+      regionLoad(removed.facts()).addSlots(-removed.facts().slots());
+      byService.get(removed.facts().service()).remove(removed);
     }
   }
 
   /** Removes that start of a target now; a later start under the same id stays. */
-  public void remove(TargetIncarnation start) {
-    TargetState known = byId.get(start.id());
-    if (known != null && known.facts().incarnation().equals(start)) {
-      remove(start.id());
+  public void remove(TargetIncarnation incarnation) {
+    TargetState current = byId.get(incarnation.id());
+    if (current != null && current.facts().incarnation().equals(incarnation)) {
+      remove(incarnation.id());
     }
   }
 
@@ -180,9 +180,9 @@
 
   /** True where new work may go to {@code target}; a removal counts from its very moment. */
   public boolean acceptsRequests(TargetState target, long now) {
-    Long removal = removalTimes.get(target.facts().id());
-    boolean removed = removal != null && removal <= now;
-    return !removed
+    Long removalTime = removalTimes.get(target.facts().id());
+    boolean isRemoved = removalTime != null && removalTime <= now;
+    return !isRemoved
         && !target.facts().isDraining()
         && !evacuatedZones.contains(target.facts().zone());
   }
@@ -190,24 +190,24 @@
   /** Share of a service's slots that a region has; 1 where the service has none. */
   double slotShare(String service, String region) {
     Map<String, RegionLoad> regions = loadsByService.getOrDefault(service, Map.of());
-    int all = 0;
-    int own = 0;
-    for (Map.Entry<String, RegionLoad> known : regions.entrySet()) {
-      all += known.getValue().slotCount();
-      own += known.getKey().equals(region) ? known.getValue().slotCount() : 0;
+    int allSlots = 0;
+    int regionSlots = 0;
+    for (Map.Entry<String, RegionLoad> entry : regions.entrySet()) {
+      allSlots += entry.getValue().slotCount();
+      regionSlots += entry.getKey().equals(region) ? entry.getValue().slotCount() : 0;
     }
-    return all == 0 ? 1 : (double) own / all;
+    return allSlots == 0 ? 1 : (double) regionSlots / allSlots;
   }
 
   /** Part of a service's slots, in all regions, that is believed to be busy; 0 to 1. */
   double utilization(String service) {
-    double busy = 0;
+    double requests = 0;
     int slots = 0;
     for (RegionLoad region : loadsByService.getOrDefault(service, Map.of()).values()) {
-      busy += region.estimatedRequestCount();
+      requests += region.estimatedRequestCount();
       slots += region.slotCount();
     }
-    return slots == 0 ? 0 : Math.min(1, busy / slots);
+    return slots == 0 ? 0 : Math.min(1, requests / slots);
   }
 
   /** The targets of a service that new work may go to. */
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/CustomerTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/CustomerTable.java
@@ -13,9 +13,9 @@
   private final RegionIndex regionIndex;
   private final Map<String, ServiceTable> tablesByService;
 
-  private CustomerTable(RegionIndex regions, Map<String, ServiceTable> services) {
-    this.regionIndex = regions;
-    this.tablesByService = services;
+  private CustomerTable(RegionIndex regionIndex, Map<String, ServiceTable> tablesByService) {
+    this.regionIndex = regionIndex;
+    this.tablesByService = tablesByService;
   }
 
   static CustomerTable build(
@@ -24,18 +24,21 @@
       Map<String, List<ZoneSummary>> summaries,
       SteeringInputs inputs,
       @Nullable CustomerTable previous) {
-    boolean sameRegions = previous != null && previous.regionIndex.matches(contract);
-    RegionIndex regions =
-        previous != null && sameRegions ? previous.regionIndex : RegionIndex.of(contract);
-    Map<String, ServiceTable> services = new HashMap<>();
+    boolean hasSameRegions = previous != null && previous.regionIndex.matches(contract);
+    RegionIndex regionIndex =
+        previous != null && hasSameRegions ? previous.regionIndex : RegionIndex.of(contract);
+    Map<String, ServiceTable> tablesByService = new HashMap<>();
     for (Contract.Service service : contract.services()) {
-      List<ZoneSummary> own = summaries.getOrDefault(service.name(), List.of());
-      ServiceFacts facts = ServiceFacts.of(contract, service, state, own, inputs.nowMillis());
-      ServiceTable before =
-          previous != null && sameRegions ? previous.tablesByService.get(service.name()) : null;
-      services.put(service.name(), ServiceTable.build(facts, regions, inputs.ttlMillis(), before));
+      List<ZoneSummary> serviceSummaries = summaries.getOrDefault(service.name(), List.of());
+      ServiceFacts facts =
+          ServiceFacts.of(contract, service, state, serviceSummaries, inputs.nowMillis());
+      ServiceTable previousTable =
+          previous != null && hasSameRegions ? previous.tablesByService.get(service.name()) : null;
+      tablesByService.put(
+          service.name(),
+          ServiceTable.build(facts, regionIndex, inputs.ttlMillis(), previousTable));
     }
-    return new CustomerTable(regions, services);
+    return new CustomerTable(regionIndex, tablesByService);
   }
 
   @Nullable ServiceTable service(String name) {
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/Damping.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/Damping.java
@@ -13,43 +13,43 @@
   private Damping() {}
 
   static double[][] step(
-      ServiceFacts before,
+      ServiceFacts previous,
       double[][] currentFractions,
-      ServiceFacts after,
+      ServiceFacts current,
       double[][] desiredFractions) {
-    double[][] parts = new double[desiredFractions.length][];
-    boolean sameZones = before.zones().size() == after.zones().size();
+    double[][] fractions = new double[desiredFractions.length][];
+    boolean hasSameZones = previous.zones().size() == current.zones().size();
     for (int region = 0; region < desiredFractions.length; region++) {
-      boolean comparable = sameZones && region < currentFractions.length;
-      parts[region] =
-          comparable
-              ? step(region, currentFractions[region], after, desiredFractions[region])
+      boolean isComparable = hasSameZones && region < currentFractions.length;
+      fractions[region] =
+          isComparable
+              ? step(region, currentFractions[region], current, desiredFractions[region])
               : desiredFractions[region];
     }
-    return parts;
+    return fractions;
   }
 
   private static double[] step(
       int region, double[] currentFractions, ServiceFacts facts, double[] desiredFractions) {
-    String home = facts.contract().regions().get(region).name();
-    double homeInForce = 0;
-    double homeWanted = 0;
+    String regionName = facts.contract().regions().get(region).name();
+    double currentLocal = 0;
+    double desiredLocal = 0;
     for (int zone = 0; zone < desiredFractions.length; zone++) {
       ZoneReading reading = facts.zones().get(zone).reading();
       if (currentFractions[zone] > 0 && reading.capacityPerSecond() <= 0) {
         return desiredFractions;
       }
-      if (reading.region().equals(home)) {
-        homeInForce += currentFractions[zone];
-        homeWanted += desiredFractions[zone];
+      if (reading.region().equals(regionName)) {
+        currentLocal += currentFractions[zone];
+        desiredLocal += desiredFractions[zone];
       }
     }
-    double weight = homeWanted > homeInForce ? RETURN_STEP_FRACTION : 1;
-    double[] parts = new double[desiredFractions.length];
+    double weight = desiredLocal > currentLocal ? RETURN_STEP_FRACTION : 1;
+    double[] fractions = new double[desiredFractions.length];
     for (int zone = 0; zone < desiredFractions.length; zone++) {
-      parts[zone] =
+      fractions[zone] =
           currentFractions[zone] + weight * (desiredFractions[zone] - currentFractions[zone]);
     }
-    return parts;
+    return fractions;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/DemandByOrigin.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/DemandByOrigin.java
@@ -25,24 +25,25 @@
    */
   static double[] estimateDemand(Contract contract, List<ZoneReading> zones, double[][] fractions) {
     int regions = contract.regions().size();
-    double[] asked = new double[regions];
-    double[][] sent = new double[regions][regions];
+    double[] received = new double[regions];
+    double[][] sentFractions = new double[regions][regions];
     for (int zone = 0; zone < zones.size(); zone++) {
       int to = regionOf(contract, zones.get(zone).region());
-      asked[to] += zones.get(zone).demandPerSecond();
+      received[to] += zones.get(zone).demandPerSecond();
       for (int from = 0; from < regions; from++) {
-        sent[from][to] += fractions[from][zone];
+        sentFractions[from][to] += fractions[from][zone];
       }
     }
-    double[] demand = asked.clone();
+    double[] demand = received.clone();
     for (int round = 0; round < ITERATIONS; round++) {
-      for (int home = 0; home < regions; home++) {
-        double foreign = 0;
+      for (int region = 0; region < regions; region++) {
+        double fromOthers = 0;
         for (int from = 0; from < regions; from++) {
-          foreign += from == home ? 0 : demand[from] * sent[from][home];
+          fromOthers += from == region ? 0 : demand[from] * sentFractions[from][region];
         }
-        demand[home] =
-            Math.max(0, asked[home] - foreign) / Math.max(MIN_LOCAL_FRACTION, sent[home][home]);
+        demand[region] =
+            Math.max(0, received[region] - fromOthers)
+                / Math.max(MIN_LOCAL_FRACTION, sentFractions[region][region]);
       }
     }
     return demand;
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/FallbackOrder.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/FallbackOrder.java
@@ -60,21 +60,21 @@
   List<Member> startingWith(Member first, double point) {
     List<Member> entries = new ArrayList<>();
     entries.add(first);
-    int turn = Math.floorMod(first.vm().hashCode(), 1 << 16);
+    int offset = Math.floorMod(first.vm().hashCode(), 1 << 16);
     if (!isRegionFull) {
-      addOneHolder(entries, allZones, zone -> zone.name().equals(first.zone()), turn);
+      addOneHolder(entries, allZones, zone -> zone.name().equals(first.zone()), offset);
     }
-    addOneHolder(entries, localZonesByHeadroom, zone -> !zone.name().equals(first.zone()), turn);
-    ServiceFacts.Zone drawn = drawRemoteZone(point, zone -> !zone.name().equals(first.zone()));
-    if (drawn != null) {
-      addOneHolder(entries, List.of(drawn), zone -> true, turn);
+    addOneHolder(entries, localZonesByHeadroom, zone -> !zone.name().equals(first.zone()), offset);
+    ServiceFacts.Zone remoteZone = drawRemoteZone(point, zone -> !zone.name().equals(first.zone()));
+    if (remoteZone != null) {
+      addOneHolder(entries, List.of(remoteZone), zone -> true, offset);
     }
-    if (isRegionFull && drawn != null) {
-      String region = drawn.reading().region();
-      ServiceFacts.Zone next =
+    if (isRegionFull && remoteZone != null) {
+      String region = remoteZone.reading().region();
+      ServiceFacts.Zone secondZone =
           drawRemoteZone(point, zone -> !zone.reading().region().equals(region));
-      if (next != null) {
-        addOneHolder(entries, List.of(next), zone -> true, turn);
+      if (secondZone != null) {
+        addOneHolder(entries, List.of(secondZone), zone -> true, offset);
       }
     }
     addRemainingHolders(entries, this::isLocal);
@@ -89,19 +89,19 @@
   /** The zone abroad at {@code point} of the room of all that pass {@code filter}, or null. */
   private ServiceFacts.@Nullable Zone drawRemoteZone(
       double point, Predicate<ServiceFacts.Zone> filter) {
-    double sum = 0;
+    double totalHeadroom = 0;
     for (ServiceFacts.Zone zone : remoteZones) {
-      sum += filter.test(zone) ? headroom(zone) : 0;
+      totalHeadroom += filter.test(zone) ? headroom(zone) : 0;
     }
-    double left = point * sum;
+    double remaining = point * totalHeadroom;
     ServiceFacts.Zone last = null;
     for (ServiceFacts.Zone zone : remoteZones) {
       if (!filter.test(zone)) {
         continue;
       }
       last = zone;
-      left -= headroom(zone);
-      if (left < 0) {
+      remaining -= headroom(zone);
+      if (remaining < 0) {
         break;
       }
     }
@@ -117,14 +117,14 @@
       List<Member> entries,
       List<ServiceFacts.Zone> zones,
       Predicate<ServiceFacts.Zone> filter,
-      int turn) {
+      int offset) {
     for (ServiceFacts.Zone zone : zones) {
       if (!filter.test(zone)) {
         continue;
       }
       int holders = zone.holders().size();
       for (int i = 0; i < holders; i++) {
-        Member member = zone.holders().get((turn + i) % holders).member();
+        Member member = zone.holders().get((offset + i) % holders).member();
         if (!entries.contains(member) && entries.size() < maxEntries) {
           entries.add(member);
           return;
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/LargestRemainder.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/LargestRemainder.java
@@ -17,14 +17,14 @@
       return counts;
     }
     double[] remainders = new double[counts.length];
-    int given = 0;
+    int assigned = 0;
     for (int i = 0; i < counts.length; i++) {
       double exact = weights.get(i) / sum * count;
       counts[i] = (int) exact;
       remainders[i] = exact - counts[i];
-      given += counts[i];
+      assigned += counts[i];
     }
-    for (; given < count; given++) {
+    for (; assigned < count; assigned++) {
       int largest = 0;
       for (int i = 1; i < counts.length; i++) {
         if (remainders[i] > remainders[largest]) {
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/LookUpTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/LookUpTable.java
@@ -23,22 +23,25 @@
 public final class LookUpTable {
   private final Map<String, CustomerTable> tablesByCustomer;
 
-  private LookUpTable(Map<String, CustomerTable> customers) {
-    this.tablesByCustomer = customers;
+  private LookUpTable(Map<String, CustomerTable> tablesByCustomer) {
+    this.tablesByCustomer = tablesByCustomer;
   }
 
   /** Makes the table for all contracts in {@code state}. */
   public static LookUpTable build(ClusterState state, SteeringInputs inputs) {
     Map<String, Map<String, List<ZoneSummary>>> summaries = byCustomerAndService(state);
-    Map<String, CustomerTable> customers = new HashMap<>();
+    Map<String, CustomerTable> tablesByCustomer = new HashMap<>();
     LookUpTable previous = inputs.previous();
     for (Contract contract : state.contracts().values()) {
-      CustomerTable before =
+      CustomerTable previousTable =
           previous == null ? null : previous.tablesByCustomer.get(contract.customer());
-      Map<String, List<ZoneSummary>> own = summaries.getOrDefault(contract.customer(), Map.of());
-      customers.put(contract.customer(), CustomerTable.build(contract, state, own, inputs, before));
+      Map<String, List<ZoneSummary>> customerSummaries =
+          summaries.getOrDefault(contract.customer(), Map.of());
+      tablesByCustomer.put(
+          contract.customer(),
+          CustomerTable.build(contract, state, customerSummaries, inputs, previousTable));
     }
-    return new LookUpTable(customers);
+    return new LookUpTable(tablesByCustomer);
   }
 
   private static Map<String, Map<String, List<ZoneSummary>>> byCustomerAndService(
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/ServiceTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/ServiceTable.java
@@ -36,18 +36,20 @@
   /** Makes the table, or returns {@code previous} where nothing that it rests on has changed. */
   static ServiceTable build(
       ServiceFacts facts, RegionIndex regionIndex, int ttlMillis, @Nullable ServiceTable previous) {
-    double[][] target = desiredFractions(facts, previous);
-    double[][] parts =
-        previous == null ? target : Damping.step(previous.facts, previous.fractions, facts, target);
-    if (previous != null && previous.isUpToDate(facts, parts)) {
+    double[][] desired = desiredFractions(facts, previous);
+    double[][] fractions =
+        previous == null
+            ? desired
+            : Damping.step(previous.facts, previous.fractions, facts, desired);
+    if (previous != null && previous.isUpToDate(facts, fractions)) {
       return previous;
     }
     int count = facts.contract().regions().size();
     Route[][] answers = new Route[count][];
     for (int region = 0; region < count; region++) {
-      answers[region] = buildAnswers(region, facts, parts[region], ttlMillis);
+      answers[region] = buildAnswers(region, facts, fractions[region], ttlMillis);
     }
-    return new ServiceTable(facts, parts, regionIndex, answers);
+    return new ServiceTable(facts, fractions, regionIndex, answers);
   }
 
   private static double[][] desiredFractions(ServiceFacts facts, @Nullable ServiceTable previous) {
@@ -59,13 +61,13 @@
     return Waterfall.divide(facts.contract(), facts.readings(), demand);
   }
 
-  private boolean isUpToDate(ServiceFacts newFacts, double[][] newParts) {
+  private boolean isUpToDate(ServiceFacts newFacts, double[][] newFractions) {
     if (!facts.hasSameRoutes(newFacts)) {
       return false;
     }
     for (int region = 0; region < fractions.length; region++) {
       for (int zone = 0; zone < fractions[region].length; zone++) {
-        if (Math.abs(fractions[region][zone] - newParts[region][zone]) > 0.5 / MIN_ANSWERS) {
+        if (Math.abs(fractions[region][zone] - newFractions[region][zone]) > 0.5 / MIN_ANSWERS) {
           return false;
         }
       }
@@ -88,31 +90,33 @@
   }
 
   private static Route[] buildAnswers(
-      int region, ServiceFacts facts, double[] parts, int ttlMillis) {
+      int region, ServiceFacts facts, double[] fractions, int ttlMillis) {
     List<Member> holders = new ArrayList<>();
     List<Double> weights = new ArrayList<>();
-    for (int zone = 0; zone < parts.length; zone++) {
-      ServiceFacts.Zone place = facts.zones().get(zone);
-      for (ServiceFacts.Holder holder : place.holders()) {
-        if (parts[zone] > 0) {
+    for (int zone = 0; zone < fractions.length; zone++) {
+      ServiceFacts.Zone serviceZone = facts.zones().get(zone);
+      for (ServiceFacts.Holder holder : serviceZone.holders()) {
+        if (fractions[zone] > 0) {
           holders.add(holder.member());
-          weights.add(parts[zone] * holder.slots() / place.slots());
+          weights.add(fractions[zone] * holder.slots() / serviceZone.slots());
         }
       }
     }
     int length = answerCount(holders.size());
     int[] counts = LargestRemainder.apportion(weights, length);
     Route[] routes = new Route[length];
-    Contract.Region home = facts.contract().regions().get(region);
-    FallbackOrder fallBacks =
-        FallbackOrder.forCallersOf(home, facts, isOverflowing(home, facts, parts), MAX_ENTRIES);
-    Map<List<Member>, Route> made = new HashMap<>();
+    Contract.Region callerRegion = facts.contract().regions().get(region);
+    FallbackOrder fallbackOrder =
+        FallbackOrder.forCallersOf(
+            callerRegion, facts, isOverflowing(callerRegion, facts, fractions), MAX_ENTRIES);
+    Map<List<Member>, Route> routesByEntries = new HashMap<>();
     int filled = 0;
     for (int i = 0; i < counts.length; i++) {
       for (int n = 0; n < counts[i]; n++) {
-        List<Member> entries = fallBacks.startingWith(holders.get(i), (n + 0.5) / counts[i]);
+        List<Member> entries = fallbackOrder.startingWith(holders.get(i), (n + 0.5) / counts[i]);
         routes[filled++] =
-            made.computeIfAbsent(entries, list -> route(list, home, facts, ttlMillis));
+            routesByEntries.computeIfAbsent(
+                entries, list -> route(list, callerRegion, facts, ttlMillis));
       }
     }
     return routes;
@@ -134,20 +138,22 @@
   }
 
   /** True where so many callers of {@code home} are sent abroad that an answer shows it. */
-  private static boolean isOverflowing(Contract.Region home, ServiceFacts facts, double[] parts) {
-    double abroad = 0;
-    for (int zone = 0; zone < parts.length; zone++) {
-      abroad += home.zones().contains(facts.zones().get(zone).name()) ? 0 : parts[zone];
+  private static boolean isOverflowing(
+      Contract.Region callerRegion, ServiceFacts facts, double[] fractions) {
+    double remoteFraction = 0;
+    for (int zone = 0; zone < fractions.length; zone++) {
+      remoteFraction +=
+          callerRegion.zones().contains(facts.zones().get(zone).name()) ? 0 : fractions[zone];
     }
-    return abroad > 1.0 / MIN_ANSWERS;
+    return remoteFraction > 1.0 / MIN_ANSWERS;
   }
 
   private static Route route(
-      List<Member> entries, Contract.Region home, ServiceFacts facts, int ttlMillis) {
+      List<Member> entries, Contract.Region callerRegion, ServiceFacts facts, int ttlMillis) {
     String zone = entries.get(0).zone();
-    boolean atHome = home.zones().contains(zone);
+    boolean isLocal = callerRegion.zones().contains(zone);
     String reason =
-        (atHome ? "in the caller's region, zone " : "home is full, headroom in zone ") + zone;
+        (isLocal ? "in the caller's region, zone " : "home is full, headroom in zone ") + zone;
     return new Route(entries, facts.contract().revision(), ttlMillis, reason);
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/Waterfall.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/Waterfall.java
@@ -48,8 +48,8 @@
     double[] demand = new double[contract.regions().size()];
     for (ZoneReading zone : zones) {
       for (int region = 0; region < demand.length; region++) {
-        boolean own = contract.regions().get(region).name().equals(zone.region());
-        demand[region] += own ? zone.demandPerSecond() : 0;
+        boolean isOwnRegion = contract.regions().get(region).name().equals(zone.region());
+        demand[region] += isOwnRegion ? zone.demandPerSecond() : 0;
       }
     }
     return divide(contract, zones, demand);
@@ -59,23 +59,23 @@
   static double[][] divide(Contract contract, List<ZoneReading> zones, double[] demand) {
     Waterfall waterfall = new Waterfall(contract, zones, demand);
     int regions = contract.regions().size();
-    double[] excess = new double[regions];
+    double[] excessPerSecond = new double[regions];
     for (int region = 0; region < regions; region++) {
-      excess[region] = waterfall.assignLocal(region);
+      excessPerSecond[region] = waterfall.assignLocal(region);
     }
-    double[] spilled = waterfall.spill(excess);
+    double[] spilledPerSecond = waterfall.spill(excessPerSecond);
     for (int region = 0; region < regions; region++) {
-      waterfall.assignUnserved(region, excess[region] - spilled[region]);
+      waterfall.assignUnserved(region, excessPerSecond[region] - spilledPerSecond[region]);
     }
     return waterfall.toFractions();
   }
 
   /** Serves the region's own callers at home as far as it can; answers what is left of them. */
   private double assignLocal(int region) {
-    List<Integer> home = zonesOf(region);
-    double carried = Math.min(demand[region], totalRemaining(home));
-    assignProportionally(region, home, carried);
-    return demand[region] - carried;
+    List<Integer> localZones = zonesOf(region);
+    double localPerSecond = Math.min(demand[region], totalRemaining(localZones));
+    assignProportionally(region, localZones, localPerSecond);
+    return demand[region] - localPerSecond;
   }
 
   /**
@@ -86,45 +86,49 @@
    */
   private double[] spill(double[] excess) {
     double total = 0;
-    for (double one : excess) {
-      total += one;
+    for (double regionExcess : excess) {
+      total += regionExcess;
     }
-    double[] before = remainingPerSecond.clone();
+    double[] headroom = remainingPerSecond.clone();
     double[] spilled = new double[excess.length];
     for (int from = 0; from < excess.length; from++) {
       if (excess[from] <= 0) {
         continue;
       }
       double share = excess[from] / total;
-      spilled[from] = spillFrom(from, excess[from], share, before);
+      spilled[from] = spillFrom(from, excess[from], share, headroom);
     }
     return spilled;
   }
 
   private double spillFrom(int from, double excess, double share, double[] headroom) {
-    double reachable = 0;
-    double[] room = new double[contract.regions().size()];
-    for (int to = 0; to < room.length; to++) {
+    double reachablePerSecond = 0;
+    double[] headroomByRegion = new double[contract.regions().size()];
+    for (int to = 0; to < headroomByRegion.length; to++) {
       if (to != from) {
-        room[to] = Math.min(linkLimit(from, to), share * headroomForRemoteCallers(to, headroom));
-        reachable += room[to];
+        headroomByRegion[to] =
+            Math.min(linkLimit(from, to), share * headroomForRemoteCallers(to, headroom));
+        reachablePerSecond += headroomByRegion[to];
       }
     }
-    double sent = Math.min(excess, reachable);
-    for (int to = 0; to < room.length && reachable > 0; to++) {
-      if (room[to] > 0) {
-        assignProportionally(from, zonesAcceptingRemoteCallers(to), sent * room[to] / reachable);
+    double sentPerSecond = Math.min(excess, reachablePerSecond);
+    for (int to = 0; to < headroomByRegion.length && reachablePerSecond > 0; to++) {
+      if (headroomByRegion[to] > 0) {
+        assignProportionally(
+            from,
+            zonesAcceptingRemoteCallers(to),
+            sentPerSecond * headroomByRegion[to] / reachablePerSecond);
       }
     }
-    return sent;
+    return sentPerSecond;
   }
 
   private double headroomForRemoteCallers(int region, double[] headroom) {
-    double room = 0;
+    double regionHeadroom = 0;
     for (int zone : zonesAcceptingRemoteCallers(region)) {
-      room += headroom[zone];
+      regionHeadroom += headroom[zone];
     }
-    return room;
+    return regionHeadroom;
   }
 
   private double linkLimit(int from, int to) {
@@ -139,39 +143,40 @@
   }
 
   /** What nobody can carry stays at home, where it waits or is refused; abroad only if it must. */
-  private void assignUnserved(int region, double rest) {
-    if (rest <= 0) {
+  private void assignUnserved(int region, double unservedPerSecond) {
+    if (unservedPerSecond <= 0) {
       return;
     }
-    List<Integer> places = withCapacity(zonesOf(region));
-    if (places.isEmpty()) {
-      places = withCapacity(allZones());
+    List<Integer> candidates = withCapacity(zonesOf(region));
+    if (candidates.isEmpty()) {
+      candidates = withCapacity(allZones());
     }
     double capacity = 0;
-    for (int zone : places) {
+    for (int zone : candidates) {
       capacity += zones.get(zone).capacityPerSecond();
     }
-    for (int zone : places) {
-      assignedPerSecond[region][zone] += rest * zones.get(zone).capacityPerSecond() / capacity;
+    for (int zone : candidates) {
+      assignedPerSecond[region][zone] +=
+          unservedPerSecond * zones.get(zone).capacityPerSecond() / capacity;
     }
   }
 
-  private void assignProportionally(int region, List<Integer> places, double amount) {
-    double room = totalRemaining(places);
-    if (room <= 0 || amount <= 0) {
+  private void assignProportionally(int region, List<Integer> candidates, double perSecond) {
+    double totalRemaining = totalRemaining(candidates);
+    if (totalRemaining <= 0 || perSecond <= 0) {
       return;
     }
-    double poured = Math.min(amount, room);
-    for (int zone : places) {
-      double part = poured * remainingPerSecond[zone] / room;
-      assignedPerSecond[region][zone] += part;
-      remainingPerSecond[zone] -= part;
+    double assigned = Math.min(perSecond, totalRemaining);
+    for (int zone : candidates) {
+      double share = assigned * remainingPerSecond[zone] / totalRemaining;
+      assignedPerSecond[region][zone] += share;
+      remainingPerSecond[zone] -= share;
     }
   }
 
-  private double totalRemaining(List<Integer> places) {
+  private double totalRemaining(List<Integer> candidates) {
     double sum = 0;
-    for (int zone : places) {
+    for (int zone : candidates) {
       sum += remainingPerSecond[zone];
     }
     return sum;
@@ -201,9 +206,9 @@
     return all;
   }
 
-  private List<Integer> withCapacity(List<Integer> places) {
-    places.removeIf(zone -> zones.get(zone).capacityPerSecond() <= 0);
-    return places;
+  private List<Integer> withCapacity(List<Integer> candidates) {
+    candidates.removeIf(zone -> zones.get(zone).capacityPerSecond() <= 0);
+    return candidates;
   }
 
   private double[][] toFractions() {
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/ColdTargetLimiterTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/ColdTargetLimiterTest.java
@@ -10,10 +10,10 @@
 
 /** What cold targets get from all entry VMs together. */
 class ColdTargetLimiterTest {
-  private static final double RATE = 3.1;
-  private static final int BOUND = (int) (RATE * 1.5 + 5);
+  private static final double COLD_REQUESTS_PER_SECOND = 3.1;
+  private static final int MAX_REQUESTS_PER_SECOND = (int) (COLD_REQUESTS_PER_SECOND * 1.5 + 5);
 
-  private static List<EntryVmLocation> entries(int count) {
+  private static List<EntryVmLocation> entryVms(int count) {
     List<EntryVmLocation> entries = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       entries.add(new EntryVmLocation("e-" + i, "z" + i % 6, "r" + i % 3));
@@ -27,30 +27,33 @@
    * together.
    */
   @Test
-  void allEntryVmsTogetherStayUnderTheBound() {
-    for (int machines : new int[] {1, 2, 3, 8, 12, 85}) {
-      List<EntryVmLocation> entries = entries(machines);
-      List<ColdTargetLimiter> allowances = new ArrayList<>();
-      for (EntryVmLocation entry : entries) {
-        ColdTargetLimiter allowance = ColdTargetLimiter.of(entry.name(), 1.5, 5);
-        allowance.updateEntryVms(entries, 0);
-        allowances.add(allowance);
+  void combinedRequestsOfAllEntryVmsStayWithinLimit() {
+    for (int vmCount : new int[] {1, 2, 3, 8, 12, 85}) {
+      List<EntryVmLocation> entryVms = entryVms(vmCount);
+      List<ColdTargetLimiter> limiters = new ArrayList<>();
+      for (EntryVmLocation entry : entryVms) {
+        ColdTargetLimiter limiter = ColdTargetLimiter.of(entry.name(), 1.5, 5);
+        limiter.updateEntryVms(entryVms, 0);
+        limiters.add(limiter);
       }
       TargetFacts target = PlacementFixture.target("t", "z1", "r1", 3_000);
       List<Long> sent = new ArrayList<>();
       for (long now = 0; now < 2_000; now += 10) {
-        for (ColdTargetLimiter allowance : allowances) {
-          if (allowance.permits(target, RATE, now)) {
-            allowance.recordSent(target, now);
+        for (ColdTargetLimiter limiter : limiters) {
+          if (limiter.permits(target, COLD_REQUESTS_PER_SECOND, now)) {
+            limiter.recordSent(target, now);
             sent.add(now);
           }
         }
       }
       for (long from : sent) {
         long inSecond = sent.stream().filter(at -> at >= from && at < from + 1_000).count();
-        assertTrue(inSecond <= BOUND, machines + " VMs sent " + inSecond + " in a second");
+        assertTrue(
+            inSecond <= MAX_REQUESTS_PER_SECOND,
+            vmCount + " VMs sent " + inSecond + " in a second");
       }
-      assertTrue(sent.size() >= BOUND - 2, machines + " VMs sent only " + sent.size());
+      assertTrue(
+          sent.size() >= MAX_REQUESTS_PER_SECOND - 2, vmCount + " VMs sent only " + sent.size());
     }
   }
 
@@ -59,10 +62,10 @@
    * targets.
    */
   @Test
-  void sendsNothingBeforeTheOthersAreKnown() {
-    ColdTargetLimiter allowance = ColdTargetLimiter.of("e-0", 1.5, 5);
+  void permitsNothingBeforeFirstEntryVmList() {
+    ColdTargetLimiter limiter = ColdTargetLimiter.of("e-0", 1.5, 5);
     TargetFacts target = PlacementFixture.target("t", "z1", "r1", 3_000);
-    assertEquals(false, allowance.permits(target, RATE, 0));
+    assertEquals(false, limiter.permits(target, COLD_REQUESTS_PER_SECOND, 0));
   }
 
   /**
@@ -71,36 +74,36 @@
    * the target bears from all of them: it got 14 requests in a second.
    */
   @Test
-  void aVmThatSeesOnlyItselfAfterALapseDoesNotTakeEverybodysPart() {
-    List<EntryVmLocation> entries = entries(12);
+  void vmThatSeesOnlyItselfAfterRegistrationsExpireKeepsItsShare() {
+    List<EntryVmLocation> entries = entryVms(12);
     TargetFacts target = PlacementFixture.target("t", "z1", "r1", 3_000);
     int sent = 0;
     for (EntryVmLocation entry : entries) {
-      ColdTargetLimiter allowance = ColdTargetLimiter.of(entry.name(), 1.5, 5);
-      allowance.updateEntryVms(entries, 0);
-      allowance.updateEntryVms(List.of(entry), 20_000);
-      while (allowance.permits(target, RATE, 20_100)) {
-        allowance.recordSent(target, 20_100);
+      ColdTargetLimiter limiter = ColdTargetLimiter.of(entry.name(), 1.5, 5);
+      limiter.updateEntryVms(entries, 0);
+      limiter.updateEntryVms(List.of(entry), 20_000);
+      while (limiter.permits(target, COLD_REQUESTS_PER_SECOND, 20_100)) {
+        limiter.recordSent(target, 20_100);
         sent++;
       }
     }
-    assertTrue(sent <= BOUND, "all together sent " + sent);
+    assertTrue(sent <= MAX_REQUESTS_PER_SECOND, "all together sent " + sent);
   }
 
   /** A VM that has been gone for a minute does not keep its part for ever. */
   @Test
-  void aVmThatIsGoneForLongIsForgotten() {
-    List<EntryVmLocation> entries = entries(2);
-    ColdTargetLimiter allowance = ColdTargetLimiter.of("e-0", 1.5, 5);
+  void shareOfMissingVmIsReassignedAfterGracePeriod() {
+    List<EntryVmLocation> entries = entryVms(2);
+    ColdTargetLimiter limiter = ColdTargetLimiter.of("e-0", 1.5, 5);
     TargetFacts target = PlacementFixture.target("t", "z0", "r0", 3_000);
-    allowance.updateEntryVms(entries, 0);
-    allowance.updateEntryVms(entries.subList(0, 1), 1_000);
-    allowance.updateEntryVms(entries.subList(0, 1), 61_000);
+    limiter.updateEntryVms(entries, 0);
+    limiter.updateEntryVms(entries.subList(0, 1), 1_000);
+    limiter.updateEntryVms(entries.subList(0, 1), 61_000);
     int sent = 0;
-    while (allowance.permits(target, RATE, 61_000)) {
-      allowance.recordSent(target, 61_000);
+    while (limiter.permits(target, COLD_REQUESTS_PER_SECOND, 61_000)) {
+      limiter.recordSent(target, 61_000);
       sent++;
     }
-    assertEquals(BOUND - 1, sent);
+    assertEquals(MAX_REQUESTS_PER_SECOND - 1, sent);
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/CrossRegionCostFactorTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/CrossRegionCostFactorTest.java
@@ -12,49 +12,52 @@
 
 /** Guards against all objects of a route changing region as a learnt run time passes a price. */
 class CrossRegionCostFactorTest {
-  private static final int OBJECTS = 2_000;
-  private static final int ANSWERS = 60;
+  private static final int OBJECT_COUNT = 2_000;
+  private static final int ANSWER_COUNT = 60;
 
   /** Answers of one route that an entry VM of a large deployment gets within a span. */
-  private static final int ANSWERS_A_SPAN = 5;
+  private static final int ANSWERS_PER_SPAN = 5;
 
-  private static final double MOST_SHIFT = 0.15;
-  private static final double FAR_MILLIS = 40;
-  private static final double UNKNOWN_RUN_MILLIS = 300;
+  private static final double MAX_SHIFT_FRACTION = 0.15;
+  private static final double CROSS_REGION_ROUND_TRIP_MILLIS = 40;
+  private static final double COLD_RUN_MILLIS = 300;
 
-  private final PlacementFixture fixture = new PlacementFixture().withFour();
+  private final PlacementFixture fixture = new PlacementFixture().withFourTargets();
 
   @Test
-  void objectsChangeRegionOneAfterTheOtherWhileRunTimesAreLearnt() {
-    fixture.distances.recordConnect("s1", FAR_MILLIS);
-    fixture.distances.recordConnect("s2", FAR_MILLIS);
+  void objectsChangeRegionGraduallyWhileRunTimesAreLearned() {
+    fixture.roundTripTimes.recordConnect("s1", CROSS_REGION_ROUND_TRIP_MILLIS);
+    fixture.roundTripTimes.recordConnect("s2", CROSS_REGION_ROUND_TRIP_MILLIS);
     RouteRule route = PlacementFixture.route(Set.of());
     double first = shareInSouth();
     double before = first;
-    for (int i = 0; i < ANSWERS; i++) {
-      fixture.runTimes.recordRun("search", route, false, UNKNOWN_RUN_MILLIS, i);
+    for (int i = 0; i < ANSWER_COUNT; i++) {
+      fixture.runTimes.recordRun("search", route, false, COLD_RUN_MILLIS, i);
       double after = shareInSouth();
       double changed = Math.abs(after - before);
-      assertTrue(changed <= MOST_SHIFT / ANSWERS_A_SPAN, changed + " after answer " + i);
+      assertTrue(changed <= MAX_SHIFT_FRACTION / ANSWERS_PER_SPAN, changed + " after answer " + i);
       before = after;
     }
-    assertTrue(first - before > MOST_SHIFT, "from " + first + " to " + before);
+    assertTrue(first - before > MAX_SHIFT_FRACTION, "from " + first + " to " + before);
   }
 
   @Test
-  void theMeanPriceIsOne() {
+  void meanFactorIsOne() {
     double mean =
-        LongStream.range(0, OBJECTS).mapToDouble(CrossRegionCostFactor::of).average().orElse(0);
+        LongStream.range(0, OBJECT_COUNT)
+            .mapToDouble(CrossRegionCostFactor::of)
+            .average()
+            .orElse(0);
     assertEquals(1, mean, 0.02);
   }
 
   private double shareInSouth() {
-    List<Long> objects = LongStream.range(0, OBJECTS).boxed().toList();
+    List<Long> objects = LongStream.range(0, OBJECT_COUNT).boxed().toList();
     long south =
         objects.stream()
             .map(object -> (Send) fixture.place(object, Set.of(), Set.of()))
             .filter(send -> send.target().facts().region().equals("south"))
             .count();
-    return (double) south / OBJECTS;
+    return (double) south / OBJECT_COUNT;
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/NewRouteTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/NewRouteTest.java
@@ -31,12 +31,12 @@
 
   private static final long FIRST_RUN_MILLIS = 250;
   private static final long ADDED_RUN_MILLIS = 5;
-  private static final long LEFT_MILLIS = 980;
+  private static final long REMAINING_MILLIS = 980;
 
-  private final PlacementFixture fixture = new PlacementFixture().withFour();
+  private final PlacementFixture fixture = new PlacementFixture().withFourTargets();
 
   /** Goal of 1,000 ms: without a run of it, its run is taken to be 1,500 ms. */
-  private static RouteRule added() {
+  private static RouteRule addedRoute() {
     RouteRule first = PlacementFixture.route(Set.of());
     return new RouteRule(
         "added",
@@ -53,8 +53,8 @@
         false);
   }
 
-  private static PlacementRequest order(RouteRule route, long object) {
-    return new PlacementRequest(route, "search", object, LEFT_MILLIS);
+  private static PlacementRequest request(RouteRule route, long object) {
+    return new PlacementRequest(route, "search", object, REMAINING_MILLIS);
   }
 
   private PlacementDecision place(RouteRule route, long object) {
@@ -63,17 +63,19 @@
 
   private PlacementDecision place(RouteRule route, long object, Set<String> tried) {
     return fixture.placement.place(
-        order(route, object), PlacementFixture.SERVICE, tried, fixture.now);
+        request(route, object), PlacementFixture.SERVICE, tried, fixture.now);
   }
 
-  private void answer(RouteRule route, Send send, long object, long millis, LoadReport load) {
+  private void completeRequest(
+      RouteRule route, Send send, long object, long millis, LoadReport load) {
     fixture.placement.recordSent(send, fixture.now);
     send.target().endRequest();
     send.target().recordReport(load, fixture.now);
-    fixture.placement.recordAnswer(order(route, object), send, (double) millis, load, fixture.now);
+    fixture.placement.recordAnswer(
+        request(route, object), send, (double) millis, load, fixture.now);
   }
 
-  private void crowd() {
+  private void fillQueues() {
     for (String id : TARGETS) {
       TargetState target = fixture.targets.find(id).orElseThrow();
       for (int i = 0; i < IN_FLIGHT; i++) {
@@ -83,25 +85,25 @@
   }
 
   @BeforeEach
-  void theFirstRouteHasRunForAWhile() {
+  void runFirstRoute() {
     RouteRule first = PlacementFixture.route(Set.of());
     for (long object = 0; object < 200; object++) {
       Send send = (Send) place(first, object);
-      answer(first, send, object, FIRST_RUN_MILLIS, new LoadReport(0, 0, 3));
+      completeRequest(first, send, object, FIRST_RUN_MILLIS, new LoadReport(0, 0, 3));
     }
   }
 
   /** Where a request of the first route waits for 420 ms, one of the added route does so too. */
   @Test
-  void waitsAsLongAsOthersDoInTheSameQueue() {
-    crowd();
+  void estimatesSameWaitAsOtherRouteInSameQueue() {
+    fillQueues();
     for (long object = 1_000; object < 1_020; object++) {
       Send first =
           assertInstanceOf(Send.class, place(PlacementFixture.route(Set.of()), object), "first");
-      assertInstanceOf(Send.class, place(added(), object), "added");
+      assertInstanceOf(Send.class, place(addedRoute(), object), "added");
       Set<String> others = new HashSet<>(TARGETS);
       others.remove(first.target().facts().id());
-      Send same = assertInstanceOf(Send.class, place(added(), object, others), "same target");
+      Send same = assertInstanceOf(Send.class, place(addedRoute(), object, others), "same target");
       assertEquals(first.expectedWaitMillis(), same.expectedWaitMillis(), 1);
     }
   }
@@ -111,13 +113,13 @@
    * nothing is learnt of a new route, though an answer shows that its run was no longer than that.
    */
   @Test
-  void isLearntThoughTheQueueNeverEmpties() {
-    LoadReport crowded = new LoadReport(3, 2, 3);
+  void learnsRunTimeWhileQueueNeverDrains() {
+    LoadReport fullReport = new LoadReport(3, 2, 3);
     for (long object = 0; object < 10; object++) {
-      Send send = assertInstanceOf(Send.class, place(added(), object));
-      answer(added(), send, object, ADDED_RUN_MILLIS, crowded);
+      Send send = assertInstanceOf(Send.class, place(addedRoute(), object));
+      completeRequest(addedRoute(), send, object, ADDED_RUN_MILLIS, fullReport);
     }
-    Send next = assertInstanceOf(Send.class, place(added(), 2_000));
+    Send next = assertInstanceOf(Send.class, place(addedRoute(), 2_000));
     assertTrue(
         next.expectedRunMillis() < 100,
         "a run of 5 ms is expected to take " + next.expectedRunMillis());
@@ -128,13 +130,14 @@
    * a guess; targets that are really full refuse by themselves.
    */
   @Test
-  void isNotRefusedByAVmThatHasMeasuredNothing() {
-    PlacementFixture fresh = new PlacementFixture().withFour();
+  void vmWithoutMeasurementsDoesNotRefuse() {
+    PlacementFixture restarted = new PlacementFixture().withFourTargets();
     for (String id : TARGETS) {
-      fresh.targets.find(id).orElseThrow().recordReport(new LoadReport(3, 4, 3), fresh.now);
+      restarted.targets.find(id).orElseThrow().recordReport(new LoadReport(3, 4, 3), restarted.now);
     }
     PlacementDecision decision =
-        fresh.placement.place(order(added(), 1), PlacementFixture.SERVICE, Set.of(), fresh.now);
+        restarted.placement.place(
+            request(addedRoute(), 1), PlacementFixture.SERVICE, Set.of(), restarted.now);
     assertInstanceOf(Send.class, decision);
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementFixture.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementFixture.java
@@ -14,9 +14,9 @@
   static final ServiceRule SERVICE = new ServiceRule("search", 300, 3_000, 3.1);
 
   final TargetTable targets = TargetTable.create();
-  final RoundTripTimes distances;
+  final RoundTripTimes roundTripTimes;
   final RunTimes runTimes;
-  final ColdTargetLimiter cold = ColdTargetLimiter.of("e-1", 1.5, 5);
+  final ColdTargetLimiter coldLimiter = ColdTargetLimiter.of("e-1", 1.5, 5);
   final Placement placement;
   long now = 1_000;
 
@@ -30,16 +30,22 @@
   }
 
   /** The same, where {@code mostShift} of its requests may change region within a span. */
-  PlacementFixture(String region, double mostShift) {
-    distances = RoundTripTimes.from("n1", region);
-    RegionShiftLimiter shift = RegionShiftLimiter.of(mostShift);
-    runTimes = RunTimes.create(shift::settleMillis);
+  PlacementFixture(String region, double maxShiftFraction) {
+    roundTripTimes = RoundTripTimes.from("n1", region);
+    RegionShiftLimiter shiftLimiter = RegionShiftLimiter.of(maxShiftFraction);
+    runTimes = RunTimes.create(shiftLimiter::settleMillis);
     placement =
-        Placement.among(targets, distances, runTimes, cold, shift, PlacementWeights.standard());
-    cold.updateEntryVms(List.of(new EntryVmLocation("e-1", "n1", "north")), 0);
+        Placement.among(
+            targets,
+            roundTripTimes,
+            runTimes,
+            coldLimiter,
+            shiftLimiter,
+            PlacementWeights.standard());
+    coldLimiter.updateEntryVms(List.of(new EntryVmLocation("e-1", "n1", "north")), 0);
   }
 
-  static TargetFacts target(String id, String zone, String region, long coldMillis) {
+  static TargetFacts target(String id, String zone, String region, long remainingColdMillis) {
     return new TargetFacts(
         new TargetIncarnation(id, 0),
         0,
@@ -50,19 +56,19 @@
         region,
         3,
         false,
-        coldMillis);
+        remainingColdMillis);
   }
 
-  PlacementFixture with(String id, String zone, String region) {
+  PlacementFixture withTarget(String id, String zone, String region) {
     targets.put(target(id, zone, region, 0), now);
     return this;
   }
 
-  PlacementFixture withFour() {
-    return with("n-1", "n1", "north")
-        .with("n-2", "n2", "north")
-        .with("s-1", "s1", "south")
-        .with("s-2", "s2", "south");
+  PlacementFixture withFourTargets() {
+    return withTarget("n-1", "n1", "north")
+        .withTarget("n-2", "n2", "north")
+        .withTarget("s-1", "s1", "south")
+        .withTarget("s-2", "s2", "south");
   }
 
   static RouteRule route(Set<String> regions) {
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementTest.java
@@ -15,7 +15,7 @@
 
 /** Where a request goes. */
 class PlacementTest {
-  private final PlacementFixture fixture = new PlacementFixture().withFour();
+  private final PlacementFixture fixture = new PlacementFixture().withFourTargets();
 
   /**
    * Searchers of one song wait three times as long as they need where each of their requests meets
@@ -23,7 +23,7 @@
    */
   @Test
   void twoEntryVmsChooseTheSameTargetForAnObject() {
-    PlacementFixture other = new PlacementFixture().withFour();
+    PlacementFixture other = new PlacementFixture().withFourTargets();
     for (long object = 0; object < 50; object++) {
       assertEquals(
           fixture.send(object).target().facts().id(), other.send(object).target().facts().id());
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void staysInItsRegionWhileThereIsRoom() {
+  void staysInOwnRegionWhileSlotsAreFree() {
     for (long object = 0; object < 50; object++) {
       assertEquals("north", fixture.send(object).target().facts().region());
     }
@@ -42,9 +42,9 @@
    * them while the other region's target, which knows the lot from its own callers, has slots free.
    */
   @Test
-  void goesElsewhereOnceTheSlotsAreFull() {
-    fixture.distances.recordConnect("s1", 20);
-    fixture.distances.recordConnect("s2", 20);
+  void choosesAnotherTargetOnceSlotsAreFull() {
+    fixture.roundTripTimes.recordConnect("s1", 20);
+    fixture.roundTripTimes.recordConnect("s2", 20);
     for (int i = 0; i < 6; i++) {
       Send send = fixture.send(7);
       assertTrue(send.target().load(fixture.now) < 3, "queues behind " + send.target().facts());
@@ -69,7 +69,7 @@
 
   /** A target that says it leaves, and a zone that operators empty, get nothing from then on. */
   @Test
-  void leavingTargetsAndEmptiedZonesGetNothing() {
+  void drainingTargetsAndEvacuatedZonesGetNoRequests() {
     Send first = fixture.send(7);
     fixture.targets.evacuateZone(first.target().facts().zone());
     Send second = fixture.send(7);
@@ -85,35 +85,35 @@
    * too long, it is never served, and nothing is ever learnt. 31 of 32 were refused so.
    */
   @Test
-  void aGuessOfARunRefusesNothing() {
-    double run = fixture.send(1).expectedRunMillis();
+  void guessedRunTimeDoesNotCauseRefusal() {
+    double runMillis = fixture.send(1).expectedRunMillis();
     for (String id : new String[] {"n-1", "n-2", "s-1", "s-2"}) {
       TargetState target = fixture.targets.find(id).orElseThrow();
       for (int i = 0; i < 4; i++) {
         target.startRequest();
       }
     }
-    long left = Math.round(run);
-    PlacementRequest order =
-        new PlacementRequest(PlacementFixture.route(Set.of()), "search", 1, left);
+    long remainingMillis = Math.round(runMillis);
+    PlacementRequest request =
+        new PlacementRequest(PlacementFixture.route(Set.of()), "search", 1, remainingMillis);
     PlacementDecision decision =
-        fixture.placement.place(order, PlacementFixture.SERVICE, Set.of(), fixture.now);
+        fixture.placement.place(request, PlacementFixture.SERVICE, Set.of(), fixture.now);
     Send send = assertInstanceOf(Send.class, decision);
     assertTrue(
         send.expectedWaitMillis() > 0
-            && send.expectedWaitMillis() + send.expectedRunMillis() > left);
+            && send.expectedWaitMillis() + send.expectedRunMillis() > remainingMillis);
   }
 
   /** A caller whose request cannot begin before its time is up is told so at once. */
   @Test
-  void refusesWhatCannotBeginInTime() {
-    PlacementRequest measured =
+  void refusesRequestThatCannotStartBeforeDeadline() {
+    PlacementRequest request =
         new PlacementRequest(PlacementFixture.route(Set.of()), "search", 1, 2_000);
     Send first = fixture.send(1);
     fixture.placement.recordSent(first, fixture.now);
     first.target().endRequest();
     LoadReport idle = new LoadReport(0, 0, 3);
-    fixture.placement.recordAnswer(measured, first, 600, idle, fixture.now);
+    fixture.placement.recordAnswer(request, first, 600, idle, fixture.now);
     PlacementDecision decision = fixture.place(1, Set.of(), Set.of());
     int sent = 0;
     while (decision instanceof Send send) {
@@ -134,7 +134,7 @@
    * counts.
    */
   @Test
-  void aTargetThatWasCrowdedEachTimeItWasSeenIsNotTakenForIdle() {
+  void targetWithRepeatedFullReportsIsNotAssumedIdle() {
     TargetState target = fixture.targets.find("n-1").orElseThrow();
     for (int i = 0; i < 30; i++) {
       fixture.now += 3_000;
@@ -145,7 +145,7 @@
 
   /** A target that was not reached is left alone while there are others. */
   @Test
-  void avoidsATargetThatWasNotReached() {
+  void avoidsUnreachableTarget() {
     Send first = fixture.send(7);
     first.target().avoidUntil(fixture.now + 1_000);
     assertNotEquals(first.target().facts().id(), fixture.send(7).target().facts().id());
@@ -155,7 +155,7 @@
 
   /** Requests that were tried everywhere are not sent a second time to the same target. */
   @Test
-  void neverChoosesATriedTarget() {
+  void neverChoosesTriedTarget() {
     Set<String> tried = new HashSet<>(Set.of("n-1", "n-2", "s-1", "s-2"));
     Refuse refuse = (Refuse) fixture.place(1, tried, Set.of());
     assertEquals(Reason.ALL_TRIED, refuse.reason());
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementUnderLoadTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementUnderLoadTest.java
@@ -19,7 +19,7 @@
 /** What callers get from placing, on the model of targets, beside policies that know less. */
 class PlacementUnderLoadTest {
   /** Load that targets can bear only if most runs are of objects they know: 80/s for 36 slots. */
-  private static final int HEAVY = 80;
+  private static final int HEAVY_REQUESTS_PER_SECOND = 80;
 
   private static final int SECONDS = 30;
 
@@ -41,26 +41,26 @@
 
     PlacementPolicy(long timeoutMillis) {
       this.timeoutMillis = timeoutMillis;
-      for (int vm = 0; vm < TargetModel.VMS; vm++) {
+      for (int vm = 0; vm < TargetModel.VM_COUNT; vm++) {
         PlacementFixture fixture = new PlacementFixture(TargetModel.regionOf(vm));
-        fixture.cold.updateEntryVms(
+        fixture.coldLimiter.updateEntryVms(
             List.of(new EntryVmLocation("e-1", "a", TargetModel.regionOf(vm))), 0);
         for (TargetFacts facts : TargetModel.facts()) {
           fixture.targets.put(facts, 0);
           boolean near = facts.region().equals(TargetModel.regionOf(vm));
-          fixture.distances.recordConnect(facts.zone(), near ? 1 : 40);
+          fixture.roundTripTimes.recordConnect(facts.zone(), near ? 1 : 40);
         }
         vms.add(fixture);
       }
     }
 
-    private PlacementRequest order(long object) {
+    private PlacementRequest request(long object) {
       return new PlacementRequest(
           PlacementFixture.route(Set.of()), "search", object, timeoutMillis);
     }
 
     /** The target for what was refused, or null. */
-    @Nullable Send despite(PlacementDecision.Refuse refused) {
+    @Nullable Send overrideRefusal(PlacementDecision.Refuse refusal) {
       return null;
     }
 
@@ -68,9 +68,11 @@
     public String choose(int vm, long object, long now) {
       Placement placement = vms.get(vm).placement;
       PlacementDecision decision =
-          placement.place(order(object), PlacementFixture.SERVICE, Set.of(), now);
+          placement.place(request(object), PlacementFixture.SERVICE, Set.of(), now);
       Send send =
-          decision instanceof PlacementDecision.Refuse refuse ? despite(refuse) : (Send) decision;
+          decision instanceof PlacementDecision.Refuse refuse
+              ? overrideRefusal(refuse)
+              : (Send) decision;
       if (send == null) {
         return null;
       }
@@ -82,18 +84,23 @@
     }
 
     @Override
-    public void ended(
-        int vm, long object, String target, boolean ran, @Nullable LoadReport load, long now) {
+    public void onAttemptEnded(
+        int vm,
+        long object,
+        String target,
+        boolean hasCompleted,
+        @Nullable LoadReport load,
+        long now) {
       String key = vm + "/" + object + "/" + target;
       Send send = sent.get(key);
       send.target().endRequest();
       if (load != null) {
         send.target().recordReport(load, now);
       }
-      if (ran) {
+      if (hasCompleted) {
         vms.get(vm)
             .placement
-            .recordAnswer(order(object), send, (double) (now - sentAt.get(key)), load, now);
+            .recordAnswer(request(object), send, (double) (now - sentAt.get(key)), load, now);
       }
     }
   }
@@ -105,10 +112,10 @@
     }
 
     @Override
-    @Nullable Send despite(PlacementDecision.Refuse refused) {
-      PlacementDecision.CandidateEstimate judged = refused.bestCandidate();
-      return judged != null && judged.send().expectedWaitMillis() <= SHORT_TIMEOUT_MILLIS
-          ? judged.send()
+    @Nullable Send overrideRefusal(PlacementDecision.Refuse refusal) {
+      PlacementDecision.CandidateEstimate candidate = refusal.bestCandidate();
+      return candidate != null && candidate.send().expectedWaitMillis() <= SHORT_TIMEOUT_MILLIS
+          ? candidate.send()
           : null;
     }
   }
@@ -118,7 +125,7 @@
     private final List<TargetTable> vms = new ArrayList<>();
 
     LeastLoadedPolicy() {
-      for (int vm = 0; vm < TargetModel.VMS; vm++) {
+      for (int vm = 0; vm < TargetModel.VM_COUNT; vm++) {
         TargetTable table = TargetTable.create();
         TargetModel.facts().forEach(facts -> table.put(facts, 0));
         vms.add(table);
@@ -127,20 +134,26 @@
 
     @Override
     public String choose(int vm, long object, long now) {
-      String own = TargetModel.regionOf(vm);
-      TargetState least =
+      String ownRegion = TargetModel.regionOf(vm);
+      TargetState leastLoaded =
           vms.get(vm).usable("search", now).stream()
               .min(
                   Comparator.comparingDouble(
-                      target -> target.load(now) + (target.facts().region().equals(own) ? 0 : 0.5)))
+                      target ->
+                          target.load(now) + (target.facts().region().equals(ownRegion) ? 0 : 0.5)))
               .orElseThrow();
-      least.startRequest();
-      return least.facts().id();
+      leastLoaded.startRequest();
+      return leastLoaded.facts().id();
     }
 
     @Override
-    public void ended(
-        int vm, long object, String target, boolean ran, @Nullable LoadReport load, long now) {
+    public void onAttemptEnded(
+        int vm,
+        long object,
+        String target,
+        boolean hasCompleted,
+        @Nullable LoadReport load,
+        long now) {
       TargetState state = vms.get(vm).find(target).orElseThrow();
       state.endRequest();
       if (load != null) {
@@ -160,8 +173,13 @@
     }
 
     @Override
-    public void ended(
-        int vm, long object, String target, boolean ran, @Nullable LoadReport load, long now) {}
+    public void onAttemptEnded(
+        int vm,
+        long object,
+        String target,
+        boolean hasCompleted,
+        @Nullable LoadReport load,
+        long now) {}
   }
 
   /**
@@ -170,14 +188,16 @@
    * grow. By object most runs are of lots that their target knows.
    */
   @Test
-  void moreIsAnsweredInTimeThanByLoadOrByChance() {
-    Outcome ours = TargetModel.play(new PlacementPolicy(), HEAVY, SECONDS);
-    Outcome leastUsed = TargetModel.play(new LeastLoadedPolicy(), HEAVY, SECONDS);
-    Outcome any = TargetModel.play(new RandomPolicy(), HEAVY, SECONDS);
-    String figures = "ours " + ours + ", least used " + leastUsed + ", any " + any;
-    assertTrue(ours.inGoal() >= leastUsed.inGoal() + 0.1, figures);
-    assertTrue(ours.inGoal() >= any.inGoal() + 0.1, figures);
-    assertTrue(ours.answered() >= 0.99, figures);
+  void answersMoreWithinGoalThanLeastLoadedOrRandom() {
+    Outcome placement =
+        TargetModel.simulate(new PlacementPolicy(), HEAVY_REQUESTS_PER_SECOND, SECONDS);
+    Outcome leastLoaded =
+        TargetModel.simulate(new LeastLoadedPolicy(), HEAVY_REQUESTS_PER_SECOND, SECONDS);
+    Outcome random = TargetModel.simulate(new RandomPolicy(), HEAVY_REQUESTS_PER_SECOND, SECONDS);
+    String figures = "ours " + placement + ", least used " + leastLoaded + ", any " + random;
+    assertTrue(placement.inGoalFraction() >= leastLoaded.inGoalFraction() + 0.1, figures);
+    assertTrue(placement.inGoalFraction() >= random.inGoalFraction() + 0.1, figures);
+    assertTrue(placement.answeredFraction() >= 0.99, figures);
   }
 
   /**
@@ -186,34 +206,36 @@
    * nothing. Refused by wait and run together more of them know it at once, and more are answered.
    */
   @Test
-  void fewerAreCutOffAndMoreAnsweredThanByTheWaitAlone() {
+  void fewerTimeoutsAndMoreAnswersThanRefusalByWaitAlone() {
     for (int perSecond : new int[] {100, 130, 160, 200}) {
-      Outcome ours =
-          TargetModel.mean(
+      Outcome placement =
+          TargetModel.simulateMean(
               () -> new PlacementPolicy(SHORT_TIMEOUT_MILLIS),
               perSecond,
               SECONDS,
               SHORT_TIMEOUT_MILLIS,
               DRAWS);
-      Outcome former =
-          TargetModel.mean(
+      Outcome byWaitAlone =
+          TargetModel.simulateMean(
               () -> new RefusalByWaitPolicy(SHORT_TIMEOUT_MILLIS),
               perSecond,
               SECONDS,
               SHORT_TIMEOUT_MILLIS,
               DRAWS);
-      String figures = perSecond + "/s: ours " + ours + ", by the wait alone " + former;
-      assertTrue(ours.cutOff() < former.cutOff(), figures);
-      assertTrue(ours.answered() > former.answered(), figures);
+      String figures = perSecond + "/s: ours " + placement + ", by the wait alone " + byWaitAlone;
+      assertTrue(placement.timedOutFraction() < byWaitAlone.timedOutFraction(), figures);
+      assertTrue(placement.answeredFraction() > byWaitAlone.answeredFraction(), figures);
     }
   }
 
   /** At a load that targets bear in any case nobody is refused for the sake of order. */
   @Test
-  void aQuietHourRefusesNobody() {
-    Outcome ours = TargetModel.play(new PlacementPolicy(), 20, SECONDS);
-    Outcome leastUsed = TargetModel.play(new LeastLoadedPolicy(), 20, SECONDS);
-    assertTrue(ours.answered() == 1, "answered " + ours);
-    assertTrue(ours.inGoal() >= leastUsed.inGoal() + 0.1, ours + ", least used " + leastUsed);
+  void refusesNothingAtLowLoad() {
+    Outcome placement = TargetModel.simulate(new PlacementPolicy(), 20, SECONDS);
+    Outcome leastLoaded = TargetModel.simulate(new LeastLoadedPolicy(), 20, SECONDS);
+    assertTrue(placement.answeredFraction() == 1, "answered " + placement);
+    assertTrue(
+        placement.inGoalFraction() >= leastLoaded.inGoalFraction() + 0.1,
+        placement + ", least used " + leastLoaded);
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/RegionLoadTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/RegionLoadTest.java
@@ -8,7 +8,7 @@
 
 /** What an entry VM believes of the load of targets that it has not heard of lately. */
 class RegionLoadTest {
-  private final PlacementFixture fixture = new PlacementFixture().withFour();
+  private final PlacementFixture fixture = new PlacementFixture().withFourTargets();
 
   private TargetState target(String id) {
     return fixture.targets.find(id).orElseThrow();
@@ -20,7 +20,7 @@
    * second in a queue.
    */
   @Test
-  void beforeAnyWordTheOthersAreTakenToSendAsThisVmDoes() {
+  void beforeFirstReportPeersAreAssumedToSendTheSameLoad() {
     fixture.targets.updatePeerCounts(Map.of("north", 20, "south", 20));
     target("n-1").startRequest();
     assertTrue(target("n-2").load(0) > 3, "load " + target("n-2").load(0));
@@ -34,14 +34,14 @@
    * would count as 1.2 of them; weighed against what was guessed before it counts as half.
    */
   @Test
-  void aFirstReportCountsForAsMuchAsTheGuessBeforeIt() {
+  void firstReportWeighsAsMuchAsPriorEstimate() {
     target("n-1").recordReport(new LoadReport(3, 9, 3), 0);
     assertEquals(6, target("n-1").load(10_000), 0.1);
   }
 
   /** What one target of a region tells stands in for those that have told nothing. */
   @Test
-  void aTargetThatToldNothingIsTakenToBeLikeTheOthersOfItsRegion() {
+  void targetWithoutReportIsAssumedToMatchItsRegion() {
     for (int i = 0; i < 20; i++) {
       target("n-1").recordReport(new LoadReport(3, 3, 3), 0);
     }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/RegionObjectShareTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/RegionObjectShareTest.java
@@ -8,46 +8,47 @@
 
 /** Which objects a region keeps. */
 class RegionObjectShareTest {
-  private static final int OBJECTS = 10_000;
+  private static final int OBJECT_COUNT = 10_000;
   private static final double THIRD = 1.0 / 3;
   private static final double SETTLE_MILLIS = 2_000 / 0.15;
 
-  private static RegionObjectShare share(double zones) {
+  private static RegionObjectShare share(double zoneShare) {
     RegionObjectShare share = RegionObjectShare.create(() -> SETTLE_MILLIS);
-    share.updateZoneShare(zones);
+    share.updateZoneShare(zoneShare);
     return share;
   }
 
-  private static int kept(RegionObjectShare share, double slotShare, double busy, long now) {
+  private static int countRetained(
+      RegionObjectShare share, double slotShare, double utilization, long now) {
     Random random = new Random(1);
-    int kept = 0;
-    for (int i = 0; i < OBJECTS; i++) {
-      kept += share.retains(random.nextLong(), "s", slotShare, busy, now) ? 1 : 0;
+    int retained = 0;
+    for (int i = 0; i < OBJECT_COUNT; i++) {
+      retained += share.retains(random.nextLong(), "s", slotShare, utilization, now) ? 1 : 0;
     }
-    return kept;
+    return retained;
   }
 
   /** Guards against a region whose few targets have queues while those of others stand idle. */
   @Test
-  void regionWithFewSlotsKeepsAsManyObjectsAsItsSlotsBear() {
+  void regionWithFewSlotsRetainsOnlyWhatItsSlotsCanServe() {
     RegionObjectShare share = share(THIRD);
-    assertEquals(0.3 * OBJECTS, kept(share, 0.1, 0, 0), 0.02 * OBJECTS);
-    assertEquals(0.3 * OBJECTS, kept(share, 0.1, 0.6, 60_000), 0.02 * OBJECTS);
-    assertEquals(0.6 * OBJECTS, kept(share, 0.1, 0.3, 120_000), 0.02 * OBJECTS);
+    assertEquals(0.3 * OBJECT_COUNT, countRetained(share, 0.1, 0, 0), 0.02 * OBJECT_COUNT);
+    assertEquals(0.3 * OBJECT_COUNT, countRetained(share, 0.1, 0.6, 60_000), 0.02 * OBJECT_COUNT);
+    assertEquals(0.6 * OBJECT_COUNT, countRetained(share, 0.1, 0.3, 120_000), 0.02 * OBJECT_COUNT);
   }
 
   @Test
-  void regionWithEnoughSlotsOrLittleLoadKeepsAll() {
-    assertEquals(OBJECTS, kept(share(THIRD), 0.4, 1, 0));
-    assertEquals(OBJECTS, kept(share(0), 0.1, 1, 0));
-    RegionObjectShare idle = share(THIRD);
-    kept(idle, 0.1, 0.1, 0);
-    assertEquals(OBJECTS, kept(idle, 0.1, 0.1, 60_000));
+  void regionWithEnoughSlotsOrLittleLoadRetainsAllObjects() {
+    assertEquals(OBJECT_COUNT, countRetained(share(THIRD), 0.4, 1, 0));
+    assertEquals(OBJECT_COUNT, countRetained(share(0), 0.1, 1, 0));
+    RegionObjectShare lightlyLoaded = share(THIRD);
+    countRetained(lightlyLoaded, 0.1, 0.1, 0);
+    assertEquals(OBJECT_COUNT, countRetained(lightlyLoaded, 0.1, 0.1, 60_000));
   }
 
   /** Guards against requests that change region together as soon as the load is known. */
   @Test
-  void shareMovesNoFasterThanRequestsMayChangeRegion() {
+  void retainedFractionChangesNoFasterThanShiftLimit() {
     RegionObjectShare share = share(THIRD);
     double before = share.retainedFraction("s", 0.1, 0, 0);
     for (long now = 0; now <= 2_000; now += 10) {
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/RunTimesTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/RunTimesTest.java
@@ -14,7 +14,7 @@
 
   /** A route that is removed and added again years later starts with nothing known. */
   @Test
-  void aRemovedRouteIsForgotten() {
+  void removedRouteIsDiscarded() {
     runTimes.recordRun("search", route, true, 150, 0);
     runTimes.retainRoutes(Set.of("r"));
     assertEquals(1, runTimes.measuredRunCount("search", route, true));
@@ -24,7 +24,7 @@
 
   /** In a queue that never empties no run is met with a free slot, yet its time can be told. */
   @Test
-  void runsBehindQueuesAreMeasuredToo() {
+  void queuedRunsAreMeasured() {
     assertEquals(OptionalDouble.empty(), runTimes.estimateFromMeasured("search", route, true, 2));
     runTimes.recordQueuedRun("search", route, true, 140);
     runTimes.recordQueuedRun("search", route, true, 160);
@@ -36,7 +36,7 @@
 
   /** Guards against all entry VMs leaving their common guess within the same second. */
   @Test
-  void aMeanMovesNoFasterThanItMaySettle() {
+  void estimateChangesNoFasterThanSettleTime() {
     RunTimes settling = RunTimes.create(() -> 10_000);
     double guess = settling.estimateMillis("search", route, false);
     for (long now = 0; now < 2_000; now += 20) {
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/ServiceRetryBudgetTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/ServiceRetryBudgetTest.java
@@ -12,31 +12,31 @@
    * once. Each keeps its part: the ratio's of its own requests, the extra's by the number of VMs.
    */
   @Test
-  void eachEntryVmKeepsItsPart() {
-    ServiceRetryBudget allowance = ServiceRetryBudget.of(0.2, 64, 10_000);
-    allowance.updateEntryVmCount(12);
+  void entryVmUsesOnlyItsShareOfTheBudget() {
+    ServiceRetryBudget budget = ServiceRetryBudget.of(0.2, 64, 10_000);
+    budget.updateEntryVmCount(12);
     for (int i = 0; i < 100; i++) {
-      allowance.recordRequest("s", i);
+      budget.recordRequest("s", i);
     }
-    int taken = 0;
-    while (allowance.tryAcquire("s", 200)) {
-      taken++;
+    int retries = 0;
+    while (budget.tryAcquire("s", 200)) {
+      retries++;
     }
-    assertTrue(taken > 10 && taken <= 0.2 * 100 + 64.0 / 12, "took " + taken);
-    assertEquals(false, allowance.tryAcquire("s", 5_000));
-    assertTrue(allowance.tryAcquire("s", 10_201), "the window is over");
+    assertTrue(retries > 10 && retries <= 0.2 * 100 + 64.0 / 12, "took " + retries);
+    assertEquals(false, budget.tryAcquire("s", 5_000));
+    assertTrue(budget.tryAcquire("s", 10_201), "the window is over");
   }
 
   /** A VM that leaves has spent its part already: the others do not inherit it. */
   @Test
-  void partsDoNotGrowWhenVmsLeave() {
-    ServiceRetryBudget allowance = ServiceRetryBudget.of(0, 48, 10_000);
-    allowance.updateEntryVmCount(12);
-    allowance.updateEntryVmCount(1);
-    int taken = 0;
-    while (allowance.tryAcquire("s", 0)) {
-      taken++;
+  void shareDoesNotGrowWhenVmsLeave() {
+    ServiceRetryBudget budget = ServiceRetryBudget.of(0, 48, 10_000);
+    budget.updateEntryVmCount(12);
+    budget.updateEntryVmCount(1);
+    int retries = 0;
+    while (budget.tryAcquire("s", 0)) {
+      retries++;
     }
-    assertTrue(taken <= 4, "took " + taken);
+    assertTrue(retries <= 4, "took " + retries);
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/StaleEstimatesTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/StaleEstimatesTest.java
@@ -17,43 +17,43 @@
   private static final LoadReport IDLE = new LoadReport(0, 0, 3);
   private static final LoadReport FULL = new LoadReport(3, 9, 3);
 
-  private final PlacementFixture fixture = new PlacementFixture().with("n-1", "n1", "north");
+  private final PlacementFixture fixture = new PlacementFixture().withTarget("n-1", "n1", "north");
 
   private static RouteRule route(String name, String service, long goalMillis) {
-    RouteRule like = PlacementFixture.route(Set.of());
+    RouteRule template = PlacementFixture.route(Set.of());
     return new RouteRule(
         name,
-        like.host(),
+        template.host(),
         '/' + name + '/',
         true,
-        like.timeoutMillis(),
+        template.timeoutMillis(),
         goalMillis,
-        like.priority(),
+        template.priority(),
         List.of(new ServiceShare(service, 1)),
         2,
         true,
         Set.of(),
-        like.anonymous());
+        template.anonymous());
   }
 
-  private static PlacementRequest order(RouteRule route, long object, long millisLeft) {
-    return new PlacementRequest(route, route.services().get(0).service(), object, millisLeft);
+  private static PlacementRequest request(RouteRule route, long object, long remainingMillis) {
+    return new PlacementRequest(route, route.services().get(0).service(), object, remainingMillis);
   }
 
-  private Send send(PlacementRequest order) {
+  private Send send(PlacementRequest request) {
     PlacementDecision decision =
-        fixture.placement.place(order, PlacementFixture.SERVICE, Set.of(), fixture.now);
+        fixture.placement.place(request, PlacementFixture.SERVICE, Set.of(), fixture.now);
     return assertInstanceOf(Send.class, decision);
   }
 
-  private void answered(RouteRule route, int times, long millis, LoadReport load) {
+  private void completeRequests(RouteRule route, int times, long millis, LoadReport load) {
     for (int i = 0; i < times; i++) {
-      PlacementRequest order = order(route, i, 10_000);
-      Send send = send(order);
+      PlacementRequest request = request(route, i, 10_000);
+      Send send = send(request);
       fixture.placement.recordSent(send, fixture.now);
       send.target().endRequest();
       send.target().recordReport(load, fixture.now);
-      fixture.placement.recordAnswer(order, send, (double) millis, load, fixture.now);
+      fixture.placement.recordAnswer(request, send, (double) millis, load, fixture.now);
     }
   }
 
@@ -67,11 +67,11 @@
    * refused for good.
    */
   @Test
-  void aTargetThatWasFullAMinuteAgoIsTriedAgain() {
+  void targetWithStaleFullReportIsTriedAgain() {
     RouteRule bid = route("bid", "search", 400);
-    answered(bid, 20, 1_600, FULL);
+    completeRequests(bid, 20, 1_600, FULL);
     fixture.now += 60_000;
-    send(order(bid, 1, 1_000));
+    send(request(bid, 1, 1_000));
   }
 
   /**
@@ -79,19 +79,19 @@
    * each target that ran it seemed twice as fast as it was, and drew the requests of all routes.
    */
   @Test
-  void aTargetIsNotFastSinceAGuessWasTooLong() {
-    answered(route("first", "search", 400), 100, 250, IDLE);
+  void overestimatedRunTimeDoesNotMakeTargetSeemFast() {
+    completeRequests(route("first", "search", 400), 100, 250, IDLE);
     double before = target("n-1").slowness();
-    answered(route("added", "search", 1_000), 5, 5, IDLE);
+    completeRequests(route("added", "search", 1_000), 5, 5, IDLE);
     assertEquals(before, target("n-1").slowness(), 0.1);
   }
 
   /** The same where the guess is too short: requests of all routes left targets that were well. */
   @Test
-  void aTargetIsNotSlowSinceAGuessWasTooShort() {
-    answered(route("first", "search", 400), 100, 250, IDLE);
+  void underestimatedRunTimeDoesNotMakeTargetSeemSlow() {
+    completeRequests(route("first", "search", 400), 100, 250, IDLE);
     double before = target("n-1").slowness();
-    answered(route("added", "search", 400), 5, 2_400, IDLE);
+    completeRequests(route("added", "search", 400), 5, 2_400, IDLE);
     assertEquals(before, target("n-1").slowness(), 0.1);
   }
 
@@ -101,17 +101,17 @@
    * usual after their first answer, and the requests of its other routes left them.
    */
   @Test
-  void aRouteThatMovesToAnotherServiceIsMeasuredAnew() {
+  void routeMovedToAnotherServiceIsMeasuredAnew() {
     RouteRule before = route("moved", "search", 400);
-    answered(before, 100, 5, IDLE);
+    completeRequests(before, 100, 5, IDLE);
     RouteRule after = route("moved", "ledger", 400);
-    TargetIncarnation start = new TargetIncarnation("l-1", 0);
+    TargetIncarnation incarnation = new TargetIncarnation("l-1", 0);
     fixture.targets.put(
-        new TargetFacts(start, 0, "ledger", "10.0.0.2", 80, "n1", "north", 3, false, 0),
+        new TargetFacts(incarnation, 0, "ledger", "10.0.0.2", 80, "n1", "north", 3, false, 0),
         fixture.now);
     assertTrue(
-        send(order(after, 1, 10_000)).expectedRunMillis() > 100, "runs of the former service");
-    answered(after, 5, 500, IDLE);
+        send(request(after, 1, 10_000)).expectedRunMillis() > 100, "runs of the former service");
+    completeRequests(after, 5, 500, IDLE);
     assertEquals(1, target("l-1").slowness(), 0.1);
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/TargetModel.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/TargetModel.java
@@ -21,19 +21,19 @@
  */
 final class TargetModel {
   static final String[] REGIONS = {"north", "south", "west"};
-  static final int VMS = 6;
-  static final int SLOTS = 3;
+  static final int VM_COUNT = 6;
+  static final int SLOTS_PER_TARGET = 3;
 
-  private static final int TARGETS_IN_REGION = 4;
-  private static final int QUEUE = 9;
-  private static final int REMEMBERED = 25;
+  private static final int TARGETS_PER_REGION = 4;
+  private static final int MAX_QUEUE_LENGTH = 9;
+  private static final int MAX_REMEMBERED_OBJECTS = 25;
 
   /** Three kinds of request of 24 objects each share the service: more than a target remembers. */
-  private static final int OBJECTS = 72;
+  private static final int OBJECT_COUNT = 72;
 
-  private static final long UNKNOWN_MILLIS = 640;
-  private static final long KNOWN_MILLIS = 192;
-  private static final long WAY_MILLIS = 40;
+  private static final long COLD_RUN_MILLIS = 640;
+  private static final long WARM_RUN_MILLIS = 192;
+  private static final long CROSS_REGION_ROUND_TRIP_MILLIS = 40;
   private static final long GOAL_MILLIS = 400;
   private static final long ARRIVALS_SEED = 815;
   private static final long RUNS_SEED = 4711;
@@ -44,34 +44,39 @@
     String choose(int vm, long object, long now);
 
     /** The attempt ended; {@code load} is what the target told, null where it was cut off. */
-    void ended(
-        int vm, long object, String target, boolean ran, @Nullable LoadReport load, long now);
+    void onAttemptEnded(
+        int vm,
+        long object,
+        String target,
+        boolean hasCompleted,
+        @Nullable LoadReport load,
+        long now);
   }
 
   /** What callers got: parts of all requests. Those neither answered nor cut off were refused. */
-  record Outcome(double inGoal, double answered, double cutOff) {}
+  record Outcome(double inGoalFraction, double answeredFraction, double timedOutFraction) {}
 
   private static final class Request {
     final int vm;
     final long object;
-    final long arrivedAt;
-    boolean over;
+    final long arrivedAtMillis;
+    boolean isFinished;
 
     Request(int vm, long object, long arrivedAt) {
       this.vm = vm;
       this.object = object;
-      this.arrivedAt = arrivedAt;
+      this.arrivedAtMillis = arrivedAt;
     }
   }
 
-  private record Event(long at, long order, Runnable action) {}
+  private record Event(long atMillis, long order, Runnable action) {}
 
   private final class Target {
     final String id;
     final String region;
     int running;
     final Deque<Request> waiting = new ArrayDeque<>();
-    final Map<Long, Boolean> memory = new LinkedHashMap<>(32, 0.75f, true);
+    final Map<Long, Boolean> recentObjects = new LinkedHashMap<>(32, 0.75f, true);
 
     Target(String id, String region) {
       this.id = id;
@@ -79,49 +84,49 @@
     }
 
     void arrive(Request request) {
-      if (running < SLOTS) {
-        run(request);
-      } else if (waiting.size() < QUEUE) {
+      if (running < SLOTS_PER_TARGET) {
+        startRun(request);
+      } else if (waiting.size() < MAX_QUEUE_LENGTH) {
         waiting.addLast(request);
       } else {
-        request.over = true;
+        request.isFinished = true;
         answer(this, request, false);
       }
     }
 
     /** The caller waits no longer: the request leaves its slot or its place in the queue. */
-    void drop(Request request) {
+    void cancel(Request request) {
       if (!waiting.remove(request)) {
         running--;
-        next();
+        startNext();
       }
     }
 
-    private void next() {
+    private void startNext() {
       if (!waiting.isEmpty()) {
-        run(waiting.removeFirst());
+        startRun(waiting.removeFirst());
       }
     }
 
-    private void run(Request request) {
+    private void startRun(Request request) {
       running++;
-      long mean = memory.containsKey(request.object) ? KNOWN_MILLIS : UNKNOWN_MILLIS;
+      long mean = recentObjects.containsKey(request.object) ? WARM_RUN_MILLIS : COLD_RUN_MILLIS;
       long millis = Math.round(mean * (0.85 + 0.3 * random.nextDouble()));
-      at(now + millis, () -> finished(request));
+      schedule(now + millis, () -> finishRun(request));
     }
 
-    private void finished(Request request) {
-      if (request.over) {
+    private void finishRun(Request request) {
+      if (request.isFinished) {
         return;
       }
-      request.over = true;
+      request.isFinished = true;
       running--;
-      memory.put(request.object, true);
-      if (memory.size() > REMEMBERED) {
-        memory.remove(memory.keySet().iterator().next());
+      recentObjects.put(request.object, true);
+      if (recentObjects.size() > MAX_REMEMBERED_OBJECTS) {
+        recentObjects.remove(recentObjects.keySet().iterator().next());
       }
       answer(this, request, true);
-      next();
+      startNext();
     }
   }
 
@@ -129,11 +134,13 @@
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
           (a, b) ->
-              a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
+              a.atMillis() != b.atMillis()
+                  ? Long.compare(a.atMillis(), b.atMillis())
+                  : Long.compare(a.order(), b.order()));
   private final Random random;
   private final Policy policy;
   private final long timeoutMillis;
-  private int cutOff;
+  private int timedOut;
   private long now;
   private long order;
   private int requests;
@@ -153,7 +160,7 @@
   static List<TargetFacts> facts() {
     List<TargetFacts> facts = new ArrayList<>();
     for (String region : REGIONS) {
-      for (int i = 0; i < TARGETS_IN_REGION; i++) {
+      for (int i = 0; i < TARGETS_PER_REGION; i++) {
         String id = region + "-" + i;
         facts.add(
             new TargetFacts(
@@ -164,7 +171,7 @@
                 80,
                 region + "-a",
                 region,
-                SLOTS,
+                SLOTS_PER_TARGET,
                 false,
                 0));
       }
@@ -177,24 +184,24 @@
   }
 
   /** Plays {@code seconds} of {@code perSecond} requests of callers that wait for any time. */
-  static Outcome play(Policy policy, int perSecond, int seconds) {
-    return play(policy, perSecond, seconds, Long.MAX_VALUE / 2, 0);
+  static Outcome simulate(Policy policy, int perSecond, int seconds) {
+    return simulate(policy, perSecond, seconds, Long.MAX_VALUE / 2, 0);
   }
 
   /** The mean over so many draws, where requests are cut off after {@code timeoutMillis}. */
-  static Outcome mean(
+  static Outcome simulateMean(
       Supplier<Policy> policies, int perSecond, int seconds, long timeoutMillis, int draws) {
     List<Outcome> outcomes = new ArrayList<>();
     for (int seed = 0; seed < draws; seed++) {
-      outcomes.add(play(policies.get(), perSecond, seconds, timeoutMillis, seed));
+      outcomes.add(simulate(policies.get(), perSecond, seconds, timeoutMillis, seed));
     }
     return new Outcome(
-        outcomes.stream().mapToDouble(Outcome::inGoal).average().orElseThrow(),
-        outcomes.stream().mapToDouble(Outcome::answered).average().orElseThrow(),
-        outcomes.stream().mapToDouble(Outcome::cutOff).average().orElseThrow());
+        outcomes.stream().mapToDouble(Outcome::inGoalFraction).average().orElseThrow(),
+        outcomes.stream().mapToDouble(Outcome::answeredFraction).average().orElseThrow(),
+        outcomes.stream().mapToDouble(Outcome::timedOutFraction).average().orElseThrow());
   }
 
-  private static Outcome play(
+  private static Outcome simulate(
       Policy policy, int perSecond, int seconds, long timeoutMillis, long seed) {
     TargetModel model = new TargetModel(policy, timeoutMillis, seed);
     Random arrivals = new Random(ARRIVALS_SEED + seed);
@@ -202,27 +209,27 @@
     while (at < seconds * 1_000.0) {
       at += -Math.log(1 - arrivals.nextDouble()) * 1_000 / perSecond;
       Request request =
-          new Request(arrivals.nextInt(VMS), arrivals.nextInt(OBJECTS), Math.round(at));
-      model.at(request.arrivedAt, () -> model.arrive(request));
+          new Request(arrivals.nextInt(VM_COUNT), arrivals.nextInt(OBJECT_COUNT), Math.round(at));
+      model.schedule(request.arrivedAtMillis, () -> model.arrive(request));
     }
     while (!model.events.isEmpty()) {
       Event next = model.events.remove();
-      model.now = next.at();
+      model.now = next.atMillis();
       next.action().run();
     }
     return new Outcome(
         (double) model.inGoal / model.requests,
         (double) model.answered / model.requests,
-        (double) model.cutOff / model.requests);
+        (double) model.timedOut / model.requests);
   }
 
-  private void at(long time, Runnable action) {
+  private void schedule(long atMillis, Runnable action) {
     order++;
-    events.add(new Event(time, order, action));
+    events.add(new Event(atMillis, order, action));
   }
 
-  private long way(Target target, int vm) {
-    return target.region.equals(regionOf(vm)) ? 0 : WAY_MILLIS / 2;
+  private long oneWayMillis(Target target, int vm) {
+    return target.region.equals(regionOf(vm)) ? 0 : CROSS_REGION_ROUND_TRIP_MILLIS / 2;
   }
 
   private void arrive(Request request) {
@@ -232,32 +239,33 @@
       return;
     }
     Target target = targets.get(chosen);
-    at(now + way(target, request.vm), () -> target.arrive(request));
-    at(request.arrivedAt + timeoutMillis, () -> timeUp(target, request));
+    schedule(now + oneWayMillis(target, request.vm), () -> target.arrive(request));
+    schedule(request.arrivedAtMillis + timeoutMillis, () -> timeOut(target, request));
   }
 
-  private void timeUp(Target target, Request request) {
-    if (request.over) {
+  private void timeOut(Target target, Request request) {
+    if (request.isFinished) {
       return;
     }
-    request.over = true;
-    cutOff++;
-    target.drop(request);
-    policy.ended(request.vm, request.object, target.id, false, null, now);
+    request.isFinished = true;
+    timedOut++;
+    target.cancel(request);
+    policy.onAttemptEnded(request.vm, request.object, target.id, false, null, now);
   }
 
-  private void answer(Target from, Request request, boolean ran) {
-    LoadReport load = new LoadReport(from.running, from.waiting.size(), SLOTS);
-    at(now + way(from, request.vm), () -> delivered(from, request, ran, load));
+  private void answer(Target from, Request request, boolean hasCompleted) {
+    LoadReport load = new LoadReport(from.running, from.waiting.size(), SLOTS_PER_TARGET);
+    schedule(
+        now + oneWayMillis(from, request.vm), () -> deliver(from, request, hasCompleted, load));
   }
 
-  private void delivered(Target from, Request request, boolean ran, LoadReport load) {
-    policy.ended(request.vm, request.object, from.id, ran, load, now);
-    if (!ran) {
+  private void deliver(Target from, Request request, boolean hasCompleted, LoadReport load) {
+    policy.onAttemptEnded(request.vm, request.object, from.id, hasCompleted, load, now);
+    if (!hasCompleted) {
       return;
     }
     answered++;
-    if (now - request.arrivedAt <= GOAL_MILLIS) {
+    if (now - request.arrivedAtMillis <= GOAL_MILLIS) {
       inGoal++;
     }
   }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/TargetTableTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/TargetTableTest.java
@@ -10,17 +10,17 @@
 
 /** Which targets an entry VM knows. */
 class TargetTableTest {
-  private final PlacementFixture fixture = new PlacementFixture().withFour();
+  private final PlacementFixture fixture = new PlacementFixture().withFourTargets();
 
   /**
    * The store was away and all entries lapsed; the targets live. Removed at once they would leave
    * every caller without an answer for the two seconds until they are back.
    */
   @Test
-  void aLapsedEntryThatIsBackInTimeIsKept() {
+  void targetRegisteredAgainBeforeScheduledRemovalIsKept() {
     fixture.targets.scheduleRemoval("n-1", 3_000);
     assertEquals(List.of(), fixture.targets.removeDue(2_999));
-    fixture.with("n-1", "n1", "north");
+    fixture.withTarget("n-1", "n1", "north");
     assertEquals(List.of(), fixture.targets.removeDue(9_000));
     fixture.targets.scheduleRemoval("n-2", 9_000);
     assertEquals(List.of(new TargetIncarnation("n-2", 0)), fixture.targets.removeDue(9_000));
@@ -32,7 +32,7 @@
    * removal was carried out at the next sweep, up to a quarter of a second after its time.
    */
   @Test
-  void aRemovalCountsFromItsMoment() {
+  void scheduledRemovalTakesEffectBeforeSweep() {
     fixture.targets.scheduleRemoval("n-1", 3_000);
     assertEquals(4, fixture.targets.usable("search", 2_999).size());
     assertEquals(3, fixture.targets.usable("search", 3_000).size());
@@ -40,17 +40,17 @@
 
   /** Guards against a first request from each VM to each target of a small region at the start. */
   @Test
-  void onlyTargetsThatJoinOthersWithWorkAreNewlyJoined() {
-    fixture.with("n-3", "n1", "north");
+  void onlyTargetsThatJoinTargetsWithRequestsAreNewlyJoined() {
+    fixture.withTarget("n-3", "n1", "north");
     assertFalse(fixture.targets.find("n-3").orElseThrow().isNewlyJoined());
     fixture.targets.find("s-1").orElseThrow().startRequest();
-    fixture.with("n-4", "n1", "north");
+    fixture.withTarget("n-4", "n1", "north");
     assertTrue(fixture.targets.find("n-4").orElseThrow().isNewlyJoined());
   }
 
   /** A heartbeat that was sent before the target said it leaves comes late: it is leaving still. */
   @Test
-  void aLeavingTargetStaysSo() {
+  void drainingTargetStaysDraining() {
     TargetFacts ready = PlacementFixture.target("n-1", "n1", "north", 0);
     fixture.targets.put(
         new TargetFacts(
@@ -69,10 +69,11 @@
     assertFalse(fixture.targets.acceptsRequests(fixture.targets.find("n-1").orElseThrow(), 3));
   }
 
-  private static TargetFacts born(long born, long sequence, long coldMillis) {
-    TargetFacts plain = PlacementFixture.target("n-1", "n1", "north", coldMillis);
+  private static TargetFacts startedAt(
+      long startedAtMillis, long sequence, long remainingColdMillis) {
+    TargetFacts plain = PlacementFixture.target("n-1", "n1", "north", remainingColdMillis);
     return new TargetFacts(
-        new TargetIncarnation("n-1", born),
+        new TargetIncarnation("n-1", startedAtMillis),
         sequence,
         plain.service(),
         plain.host(),
@@ -81,7 +82,7 @@
         plain.region(),
         plain.slots(),
         false,
-        coldMillis);
+        remainingColdMillis);
   }
 
   /**
@@ -90,26 +91,26 @@
    * of its former life, and is never used again where that was leaving.
    */
   @Test
-  void aTargetThatStartsAgainUnderItsIdIsAnother() {
+  void restartUnderSameIdResetsState() {
     TargetTable table = TargetTable.create();
-    assertEquals(Change.JOINED, table.put(born(1_000, 7, 0).asDraining(), 1));
-    TargetState former = table.find("n-1").orElseThrow();
-    former.recordObject(5);
-    former.startRequest();
-    former.avoidUntil(90_000);
-    former.recordOutcome(false, 1);
+    assertEquals(Change.JOINED, table.put(startedAt(1_000, 7, 0).asDraining(), 1));
+    TargetState previous = table.find("n-1").orElseThrow();
+    previous.recordObject(5);
+    previous.startRequest();
+    previous.avoidUntil(90_000);
+    previous.recordOutcome(false, 1);
     table.scheduleRemoval("n-1", 50);
-    assertEquals(Change.STARTED_AGAIN, table.put(born(2_000, 0, 3_000), 2));
-    TargetState later = table.find("n-1").orElseThrow();
-    assertFalse(later.hasCached(5));
-    assertFalse(later.isAvoided(3));
-    assertTrue(later.isCold(3));
-    assertEquals(0, later.inFlight());
-    assertEquals(0, later.failureShare(3));
+    assertEquals(Change.STARTED_AGAIN, table.put(startedAt(2_000, 0, 3_000), 2));
+    TargetState restarted = table.find("n-1").orElseThrow();
+    assertFalse(restarted.hasCached(5));
+    assertFalse(restarted.isAvoided(3));
+    assertTrue(restarted.isCold(3));
+    assertEquals(0, restarted.inFlight());
+    assertEquals(0, restarted.failureShare(3));
     assertEquals(List.of(), table.removeDue(60));
-    assertTrue(table.acceptsRequests(later, 60));
-    former.endRequest();
-    assertEquals(0, later.inFlight());
+    assertTrue(table.acceptsRequests(restarted, 60));
+    previous.endRequest();
+    assertEquals(0, restarted.inFlight());
   }
 
   /**
@@ -117,24 +118,24 @@
    * word, the target would be warm and without its new load.
    */
   @Test
-  void anOlderWordOfATargetHasNoEffect() {
+  void olderRegistrationHasNoEffect() {
     TargetTable table = TargetTable.create();
-    table.put(born(2_000, 4, 3_000), 1);
-    assertEquals(Change.OUTDATED, table.put(born(1_000, 90, 0), 2));
-    assertEquals(Change.OUTDATED, table.put(born(2_000, 3, 0), 2));
+    table.put(startedAt(2_000, 4, 3_000), 1);
+    assertEquals(Change.OUTDATED, table.put(startedAt(1_000, 90, 0), 2));
+    assertEquals(Change.OUTDATED, table.put(startedAt(2_000, 3, 0), 2));
     assertTrue(table.find("n-1").orElseThrow().isCold(3));
-    assertEquals(Change.CHANGED, table.put(born(2_000, 5, 0), 3));
+    assertEquals(Change.CHANGED, table.put(startedAt(2_000, 5, 0), 3));
     assertFalse(table.find("n-1").orElseThrow().isCold(4));
   }
 
   /** A target that does not say when it started is told apart by its id alone, as it always was. */
   @Test
-  void withoutATimeOfItsStartTheIdAloneCounts() {
+  void withoutStartTimeOnlyIdDistinguishesIncarnations() {
     TargetTable table = TargetTable.create();
-    table.put(born(0, 9, 0), 1);
-    assertEquals(Change.CHANGED, table.put(born(0, 1, 0), 2));
-    assertEquals(Change.CHANGED, table.put(born(5_000, 2, 0), 3));
-    assertEquals(Change.CHANGED, table.put(born(0, 3, 0), 4));
+    table.put(startedAt(0, 9, 0), 1);
+    assertEquals(Change.CHANGED, table.put(startedAt(0, 1, 0), 2));
+    assertEquals(Change.CHANGED, table.put(startedAt(5_000, 2, 0), 3));
+    assertEquals(Change.CHANGED, table.put(startedAt(0, 3, 0), 4));
   }
 
   /**
@@ -142,9 +143,9 @@
    * was seen: the new one must stay.
    */
   @Test
-  void onlyTheStartThatIsGoneIsRemoved() {
+  void onlyMatchingIncarnationIsRemoved() {
     TargetTable table = TargetTable.create();
-    table.put(born(2_000, 0, 0), 1);
+    table.put(startedAt(2_000, 0, 0), 1);
     table.remove(new TargetIncarnation("n-1", 1_000));
     assertTrue(table.find("n-1").isPresent());
     table.remove(new TargetIncarnation("n-1", 2_000));
@@ -155,7 +156,7 @@
    * The targets of a zone that was empty for a while have turned cold: taken back, they get little.
    */
   @Test
-  void aZoneTakenBackIsCold() {
+  void targetsAreColdAfterEvacuationEnds() {
     fixture.targets.evacuateZone("n1");
     fixture.targets.endEvacuation("n1", 5_000, 3_000);
     TargetState target = fixture.targets.find("n-1").orElseThrow();
--- a/sageladder-core/src/test/java/org/sageladder/core/steering/FallbackOrderTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/steering/FallbackOrderTest.java
@@ -18,26 +18,26 @@
 
 class FallbackOrderTest {
   private static final long NOW = 1_000_000;
-  private static final int SOUTHERN_BLOCK = 50;
+  private static final int SOUTH_BLOCK = 50;
 
   @Test
-  void callersOfAFullRegionAreToldOfAllRegionsWithRoom() {
+  void answersForFullRegionIncludeEveryRegionWithHeadroom() {
     // South is asked for five times what it carries; north has twice the room of west. Were all
     // answers to end with the one zone that has the most room, the refused callers would fill that
     // zone, be refused there as well, and west would stand half idle.
-    Map<String, Integer> firstAbroad = new HashMap<>();
+    Map<String, Integer> firstRemoteCounts = new HashMap<>();
     for (Route route : answers(500, 20, 70)) {
       List<String> regions = regionsOf(route);
       assertEquals(Set.of("south", "north", "west"), Set.copyOf(regions), regions.toString());
-      String abroad = regions.stream().filter(name -> !name.equals("south")).findFirst().get();
-      firstAbroad.merge(abroad, 1, Integer::sum);
+      String firstRemote = regions.stream().filter(name -> !name.equals("south")).findFirst().get();
+      firstRemoteCounts.merge(firstRemote, 1, Integer::sum);
     }
-    double ratio = firstAbroad.get("north") / (double) firstAbroad.get("west");
-    assertTrue(ratio > 1.5 && ratio < 2.7, firstAbroad.toString());
+    double ratio = firstRemoteCounts.get("north") / (double) firstRemoteCounts.get("west");
+    assertTrue(ratio > 1.5 && ratio < 2.7, firstRemoteCounts.toString());
   }
 
   @Test
-  void callersOfARegionWithRoomGetThreePlacesAtHome() {
+  void answersForRegionWithHeadroomStartWithThreeLocalEntries() {
     // A VM dies: its callers should find the next place at home, where answers are near and warm.
     for (Route route : answers(60, 20, 20)) {
       List<String> regions = regionsOf(route);
@@ -57,18 +57,19 @@
   /** All answers for a caller of south, by the demand on each region; each carries 108. */
   private static List<Route> answers(double south, double north, double west) {
     Contract contract = LookUpTableTest.contract();
-    ClusterState views = LookUpTableTest.state(contract, "");
+    ClusterState withoutSummaries = LookUpTableTest.state(contract, "");
     List<ZoneSummary> summaries = new ArrayList<>();
     for (String zone : contract.zones()) {
       double demand = zone.startsWith("s") ? south : zone.startsWith("n") ? north : west;
       double admitted = Math.min(54, demand / 2);
       summaries.add(new ZoneSummary(zone, "c", "s", NOW, 6, 0, 0, admitted, 60, demand / 2));
     }
-    ClusterState state = new ClusterState(views.contracts(), views.views(), summaries);
+    ClusterState state =
+        new ClusterState(withoutSummaries.contracts(), withoutSummaries.views(), summaries);
     LookUpTable table = LookUpTable.build(state, SteeringInputs.at(NOW));
     List<Route> routes = new ArrayList<>();
     for (int random = 0; random < ServiceTable.MIN_ANSWERS; random++) {
-      Route route = table.lookUp("c", "s", SOUTHERN_BLOCK, random);
+      Route route = table.lookUp("c", "s", SOUTH_BLOCK, random);
       assertNotNull(route);
       routes.add(route);
     }
--- a/sageladder-core/src/test/java/org/sageladder/core/steering/LookUpTableTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/steering/LookUpTableTest.java
@@ -22,7 +22,7 @@
   private static final long NOW = 1_000_000;
 
   @Test
-  void callerGetsAGateHolderOfItsOwnRegionFirst() {
+  void firstEntryIsGateHolderInCallersRegion() {
     LookUpTable table = LookUpTable.build(state(contract(), ""), SteeringInputs.at(NOW));
     for (int i = 0; i < 100; i++) {
       Route route = table.lookUp("c", "s", 150, i);
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void leavingEntryVmIsNeverNamed() {
+  void leavingEntryVmIsNeverReturned() {
     // A VM begins its planned stop: an answer that still named it would send callers to a process
     // that is about to end, and the stop would never see its last request.
     LookUpTable table = LookUpTable.build(state(contract(), "north1-vm0"), SteeringInputs.at(NOW));
@@ -54,19 +54,19 @@
   }
 
   @Test
-  void everyGateOfALargeServiceIsNamedFirst() {
+  void everyGateOfLargeServiceIsReturnedFirst() {
     // A service has more gates in a region than an answer array once had places: a third of them
     // was never named, stood idle, and the callers of the others were refused.
     LookUpTable table = LookUpTable.build(state(contract(), "", 60), SteeringInputs.at(NOW));
-    Map<String, Integer> named = new HashMap<>();
+    Map<String, Integer> firstCounts = new HashMap<>();
     for (int i = 0; i < 1024; i++) {
       Route route = table.lookUp("c", "s", 150, i);
       assertNotNull(route);
-      named.merge(route.entries().get(0).vm(), 1, Integer::sum);
+      firstCounts.merge(route.entries().get(0).vm(), 1, Integer::sum);
     }
-    assertEquals(120, named.size());
-    int most = named.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-    int fewest = named.values().stream().mapToInt(Integer::intValue).min().orElse(0);
+    assertEquals(120, firstCounts.size());
+    int most = firstCounts.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+    int fewest = firstCounts.values().stream().mapToInt(Integer::intValue).min().orElse(0);
     assertTrue(4 * most <= 5 * fewest, "named " + fewest + " to " + most + " times");
   }
 
