--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/BodyPipe.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/BodyPipe.java
@@ -37,7 +37,7 @@
   private @Nullable BodyRecorder recorder;
   private final HashStream64 prefixHash = Hashing.komihash5_0().hashStream();
   private int prefixBytes;
-  private @Nullable Runnable onPrefixComplete;
+  private @Nullable Runnable prefixCompleteAction;
 
   private BodyPipe() {}
 
@@ -144,8 +144,8 @@
   }
 
   private @Nullable Runnable takePrefixAction() {
-    Runnable action = onPrefixComplete;
-    onPrefixComplete = null;
+    Runnable action = prefixCompleteAction;
+    prefixCompleteAction = null;
     return action;
   }
 
@@ -153,7 +153,7 @@
   public void whenPrefixComplete(Runnable action) {
     synchronized (lock) {
       if (!isEnded && prefixBytes < HASHED_PREFIX_BYTES) {
-        onPrefixComplete = action;
+        prefixCompleteAction = action;
         return;
       }
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/CallerExchange.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/CallerExchange.java
@@ -42,7 +42,7 @@
   private final Handler handler;
   private final BodyPipe requestBody = BodyPipe.open();
   private final AtomicBoolean isResponseStarted = new AtomicBoolean();
-  private final AtomicReference<@Nullable Runnable> disconnectAction = new AtomicReference<>();
+  private final AtomicReference<@Nullable Runnable> endAction = new AtomicReference<>();
   private final AtomicBoolean isEnded = new AtomicBoolean();
   private volatile @Nullable HttpRequest request;
   private volatile @Nullable EntityDetails entity;
@@ -100,8 +100,8 @@
   }
 
   /** Runs {@code action} once if the caller's connection ends before the whole answer was sent. */
-  public void onDisconnect(Runnable action) {
-    disconnectAction.set(action);
+  public void onEnd(Runnable action) {
+    endAction.set(action);
     if (isEnded.get()) {
       endExchange();
     }
@@ -218,7 +218,7 @@
     if (isCounted.getAndSet(false)) {
       inFlight.end();
     }
-    Runnable action = disconnectAction.getAndSet(null);
+    Runnable action = endAction.getAndSet(null);
     if (action != null) {
       action.run();
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/GateTable.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/GateTable.java
@@ -44,7 +44,7 @@
   private volatile HistorySender historySender = HistorySender.none();
   private final Map<String, PendingHistory> pendingHistories = new HashMap<>();
 
-  private record PendingHistory(long view, TargetHistory history, long receivedNanos) {}
+  private record PendingHistory(long viewNumber, TargetHistory history, long receivedNanos) {}
 
   private GateTable(
       String vm,
@@ -116,10 +116,10 @@
   /**
    * Takes what another entry VM's gate counted of a target that is held here now or soon.
    *
-   * @param view number of the view by which the target moved
+   * @param viewNumber number of the view by which the target moved
    */
-  public synchronized void acceptHistory(long view, TargetHistory history) {
-    pendingHistories.put(history.target(), new PendingHistory(view, history, time.nanos()));
+  public synchronized void acceptHistory(long viewNumber, TargetHistory history) {
+    pendingHistories.put(history.target(), new PendingHistory(viewNumber, history, time.nanos()));
     applyPendingHistories();
   }
 
@@ -134,7 +134,7 @@
   }
 
   private boolean applyIfCurrent(PendingHistory pending) {
-    return pending.view() > previousHolders.lastViewHeldElsewhere(pending.history().target())
+    return pending.viewNumber() > previousHolders.lastViewNotHeldHere(pending.history().target())
         && gates.values().stream().anyMatch(gate -> gate.importHistory(pending.history()));
   }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/HistorySender.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/HistorySender.java
@@ -14,9 +14,9 @@
   /**
    * Begins to send {@code history} to {@code holder}.
    *
-   * @param view number of the view that names the holder; tells this move from earlier ones
+   * @param viewNumber number of the view that names the holder; tells this move from earlier ones
    */
-  void send(Member holder, long view, TargetHistory history);
+  void send(Member holder, long viewNumber, TargetHistory history);
 
   /** Sends nothing, so that each new holder waits. */
   static HistorySender none() {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/PreviousHolders.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/PreviousHolders.java
@@ -24,7 +24,7 @@
   private final String vm;
   private final long ownIncarnation;
   private final Map<String, Holder> lastHolders = new HashMap<>();
-  private final Map<String, Long> lastViewsHeldElsewhere = new HashMap<>();
+  private final Map<String, Long> lastViewsNotHeldHere = new HashMap<>();
   private long highestViewNumber = Long.MIN_VALUE;
 
   /**
@@ -65,18 +65,18 @@
     Set<String> named = new HashSet<>();
     view.holdings().forEach(holding -> named.add(holding.target()));
     lastHolders.keySet().retainAll(named);
-    lastViewsHeldElsewhere.keySet().retainAll(named);
+    lastViewsNotHeldHere.keySet().retainAll(named);
     return takenOver;
   }
 
   /** Number of the last view that gave the target to nobody or to another, or 0. */
-  long lastViewHeldElsewhere(String target) {
-    return lastViewsHeldElsewhere.getOrDefault(target, 0L);
+  long lastViewNotHeldHere(String target) {
+    return lastViewsNotHeldHere.getOrDefault(target, 0L);
   }
 
   private void recordHolder(Holding holding, ZoneView view) {
     if (!holding.holder().equals(vm)) {
-      lastViewsHeldElsewhere.put(holding.target(), view.number());
+      lastViewsNotHeldHere.put(holding.target(), view.number());
     }
     Holder previous = lastHolders.get(holding.target());
     if (holding.holder().isEmpty()) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/HttpHistorySender.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/HttpHistorySender.java
@@ -55,7 +55,7 @@
   }
 
   @Override
-  public void send(Member holder, long view, TargetHistory history) {
+  public void send(Member holder, long viewNumber, TargetHistory history) {
     byte[] body;
     try {
       body = JSON.writeValueAsBytes(history);
@@ -67,7 +67,7 @@
     HttpHost host = new HttpHost(holder.host(), holder.port());
     request.setScheme(host.getSchemeName());
     request.setAuthority(new URIAuthority(host));
-    request.setHeader(Headers.DISPATCH_TOKEN, codec.seal(token(view, history)));
+    request.setHeader(Headers.DISPATCH_TOKEN, codec.seal(token(viewNumber, history)));
     client.send(
         host,
         request,
@@ -77,12 +77,12 @@
         new SendListener(holder.vm(), history.target()));
   }
 
-  private Permit token(long view, TargetHistory history) {
+  private Permit token(long viewNumber, TargetHistory history) {
     long expiry = time.wallMillis() + TOKEN_LIFETIME.toMillis();
     return new Permit(
         self.vm(),
         self.incarnation(),
-        view,
+        viewNumber,
         expiry,
         customer,
         PeerRequestHandler.TARGET_HISTORY_PATH,
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/PermitEnforcer.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/PermitEnforcer.java
@@ -235,14 +235,14 @@
   private void forwardToIssuer(RequestCopy copy, Permit permit) throws IOException {
     Optional<String> successor = successors.find(permit.issuer(), permit.incarnation());
     if (!copy.head().forwardedBy().isEmpty()) {
-      refuseIssuerLost(copy, permit.issuer());
+      reportIssuerLost(copy, permit.issuer());
       return;
     }
     if (successor.isPresent()) {
       forwardToMember(copy, successor.get(), permit.issuer());
       return;
     }
-    Optional<Member> told = issuerAtPermitAddress(permit);
+    Optional<Member> told = issuerByAddress(permit);
     if (told.isPresent()) {
       startForwarding(copy, told.get());
       return;
@@ -257,7 +257,7 @@
    * permits before the others' views name it, and a view that lags or is cut off may not name it
    * for long. The address is covered by the MAC and belongs to the very incarnation that decides.
    */
-  private static Optional<Member> issuerAtPermitAddress(Permit permit) {
+  private static Optional<Member> issuerByAddress(Permit permit) {
     int colon = permit.issuerAddress().lastIndexOf(':');
     if (colon < 0) {
       return Optional.empty();
@@ -275,7 +275,7 @@
   private void forwardToMember(RequestCopy copy, String toVm, String issuerVm) throws IOException {
     Optional<Member> member = control.state().member(toVm);
     if (member.isEmpty() || toVm.equals(context.vm())) {
-      refuseIssuerLost(copy, issuerVm);
+      reportIssuerLost(copy, issuerVm);
       return;
     }
     startForwarding(copy, member.get());
@@ -286,7 +286,7 @@
         .forwardToIssuer(issuer);
   }
 
-  private void refuseIssuerLost(RequestCopy copy, String issuerVm) throws IOException {
+  private void reportIssuerLost(RequestCopy copy, String issuerVm) throws IOException {
     refuse(
         copy,
         unknownResult(
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestFlow.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestFlow.java
@@ -62,7 +62,7 @@
   private volatile boolean isSentToIssuer;
   private volatile boolean hasLostAttempt;
   private volatile @Nullable BodyPipe responseBody;
-  private @Nullable ScheduledFuture<?> deadlineTimer;
+  private @Nullable ScheduledFuture<?> timeoutTimer;
 
   private RequestFlow(
       FlowContext parts,
@@ -97,9 +97,8 @@
   }
 
   private static RequestFlow start(RequestFlow flow) {
-    flow.deadlineTimer =
-        flow.schedule(() -> flow.abort(AbortReason.DEADLINE), flow.head.deadline());
-    flow.exchange.onDisconnect(() -> flow.abort(AbortReason.CALLER_GONE));
+    flow.timeoutTimer = flow.schedule(() -> flow.abort(AbortReason.DEADLINE), flow.head.deadline());
+    flow.exchange.onEnd(() -> flow.abort(AbortReason.CALLER_GONE));
     return flow;
   }
 
@@ -293,7 +292,7 @@
   /** The deadline passed on a run that may still be answered: say so, and record what comes. */
   private void awaitLateResponse() {
     if (!state.runUnlessEnded(
-        () -> deadlineTimer = schedule(this::stopAwaitingResponse, LATE_RESPONSE_TIMEOUT))) {
+        () -> timeoutTimer = schedule(this::stopAwaitingResponse, LATE_RESPONSE_TIMEOUT))) {
       return;
     }
     if (settled.compareAndSet(false, true)) {
@@ -418,7 +417,7 @@
   }
 
   private void stopTimer() {
-    ScheduledFuture<?> running = deadlineTimer;
+    ScheduledFuture<?> running = timeoutTimer;
     if (running != null) {
       running.cancel(false);
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestRouter.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestRouter.java
@@ -41,7 +41,7 @@
   private final ControlPlane control;
   private final GateTable gates;
   private final LookUps lookUps;
-  private final PermitEnforcer permits;
+  private final PermitEnforcer permitEnforcer;
   private final PeerRequestHandler peerHandler;
   private final long maxBodyBytes;
 
@@ -63,7 +63,7 @@
     this.control = control;
     this.gates = gates;
     this.lookUps = lookUps;
-    this.permits = permits;
+    this.permitEnforcer = permits;
   }
 
   @Override
@@ -138,7 +138,7 @@
     if (service != null && !service.repeatable() && goesHere) {
       // A permit sends its request to the VM that minted it. Minted here for a request that is to
       // go elsewhere it would cost two more hops, so there the first try fetches it.
-      json.put("permit", permits.mint(service.name(), ""));
+      json.put("permit", permitEnforcer.mint(service.name(), ""));
     }
     return json;
   }
@@ -179,7 +179,7 @@
       admitOrForward(RequestFlow.start(context, exchange, head, service), head, service, from);
       return;
     }
-    permits.runIfPermitted(
+    permitEnforcer.runIfPermitted(
         exchange, head, service, flow -> admitOrForward(flow, head, service, from));
   }
 
--- a/sageladder-entry/src/test/java/org/sageladder/entry/exchange/BodyPipeTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/exchange/BodyPipeTest.java
@@ -30,7 +30,7 @@
    * get half a song that looks whole; it must fail instead, which cuts the caller's connection.
    */
   @Test
-  void aCutBodyIsNeverEnded() throws IOException {
+  void failedBodyIsNeverEnded() throws IOException {
     pipe.accept(bytes("half a song"));
     pipe.produce(writer);
     pipe.fail(new IOException("the target died"));
@@ -43,7 +43,7 @@
    * at the limit of the settings, and its target sees a cut body, never a whole one.
    */
   @Test
-  void aChunkedBodyFailsAtTheLimit() throws IOException {
+  void chunkedBodyFailsAtTheLimit() throws IOException {
     pipe.limitLength(10);
     pipe.accept(bytes("ten bytes."));
     assertThrows(IOException.class, () -> pipe.accept(bytes("!")));
@@ -57,7 +57,7 @@
    * and its end comes. Written to the target, that end would make a short donation look whole.
    */
   @Test
-  void aBodyThatWasGivenUpIsNotWrittenOn() throws IOException {
+  void discardedBodyIsNotWritten() throws IOException {
     pipe.accept(bytes("first part, "));
     pipe.produce(writer);
     pipe.discard();
@@ -69,7 +69,7 @@
 
   /** A dealer's connection breaks after the whole bid came: the bid must still reach its target. */
   @Test
-  void aWholeBodyOutlivesItsConnection() throws IOException {
+  void completeBodyOutlivesItsConnection() throws IOException {
     pipe.accept(bytes("a whole bid"));
     pipe.complete();
     pipe.fail(new IOException("the dealer's connection broke"));
@@ -82,7 +82,7 @@
    * The answer to a bid is kept for repeats while it passes, also where nobody reads it any more.
    */
   @Test
-  void anAnswerIsRecordedAlsoOnceItsCallerIsGone() throws IOException {
+  void responseIsRecordedAfterItsCallerIsGone() throws IOException {
     BodyRecorder recorder = BodyRecorder.upTo(100);
     pipe.record(recorder);
     pipe.accept(bytes("sold "));
@@ -95,7 +95,7 @@
 
   /** A 100 MB export must not be copied into the memory of an entry VM for the sake of repeats. */
   @Test
-  void anAnswerAboveTheLimitIsNotRecorded() throws IOException {
+  void responseAboveTheLimitIsNotRecorded() throws IOException {
     BodyRecorder recorder = BodyRecorder.upTo(10);
     pipe.record(recorder);
     pipe.accept(bytes("more than ten bytes"));
@@ -104,7 +104,7 @@
 
   /** Two sendings of one request are cut into pieces differently and must hash alike. */
   @Test
-  void thePrefixHashDoesNotDependOnThePieces() throws IOException {
+  void prefixHashDoesNotDependOnChunkBoundaries() throws IOException {
     BodyPipe other = BodyPipe.open();
     pipe.accept(bytes("a damaged "));
     pipe.accept(bytes("recording"));
--- a/sageladder-entry/src/test/java/org/sageladder/entry/exchange/CloseDelimitedResponseTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/exchange/CloseDelimitedResponseTest.java
@@ -26,12 +26,12 @@
   // the body's end, so half a song looks whole; passed on in chunks, with a proper last chunk, the
   // researcher's client would keep it as a success.
   @Test
-  void anAnswerWithoutLengthOrChunksIsLostAndNotPassedOn() throws Exception {
+  void responseWithoutLengthOrChunksIsLost() throws Exception {
     assertEquals("lost, sent", firstEvent("HTTP/1.1 200 OK\r\n\r\nhalf a so"));
   }
 
   @Test
-  void anAnswerWithALengthIsPassedOn() throws Exception {
+  void responseWithLengthIsForwarded() throws Exception {
     assertEquals("head", firstEvent("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nsong"));
   }
 
@@ -39,7 +39,8 @@
   private static String firstEvent(String answer) throws Exception {
     try (ServerSocket target = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         OutboundClient client = OutboundClient.start(1, 1)) {
-      CompletableFuture<Void> answering = CompletableFuture.runAsync(() -> answer(target, answer));
+      CompletableFuture<Void> answering =
+          CompletableFuture.runAsync(() -> sendResponse(target, answer));
       CompletableFuture<String> first = new CompletableFuture<>();
       BasicHttpRequest request = new BasicHttpRequest("GET", "/recordings/7");
       HttpHost host = new HttpHost("127.0.0.1", target.getLocalPort());
@@ -59,7 +60,7 @@
     }
   }
 
-  private static void answer(ServerSocket target, String answer) {
+  private static void sendResponse(ServerSocket target, String answer) {
     try (Socket connection = target.accept()) {
       byte[] head = new byte[4096];
       if (connection.getInputStream().read(head) > 0) {
--- a/sageladder-entry/src/test/java/org/sageladder/entry/gates/GateTableTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/gates/GateTableTest.java
@@ -24,52 +24,56 @@
 /** One target moves between the gates of entry VMs; the requests it is given are counted here. */
 class GateTableTest {
   private static final Duration WINDOW = Duration.ofSeconds(10);
-  private static final Duration HALF_WAY = Duration.ofSeconds(5);
-  private static final int LINK_LIMIT = 20;
-  private static final int STEPS = 10;
+  private static final Duration HALF_WINDOW = Duration.ofSeconds(5);
+  private static final int LINK_LIMIT_PER_SECOND = 20;
+  private static final int STEPS_PER_WINDOW = 10;
 
   /** 4 slots of 100 ms carry 40 a second; a gain of a tenth of that over 10 s is 40 requests. */
-  private static final int GAIN = 40;
+  private static final int GAIN_PER_WINDOW = 40;
 
   private final VirtualTime time = VirtualTime.startingAt(1_000_000_000_000L);
   private final GateTable first = table("vm-1", 1);
   private final GateTable second = table("vm-2", 1);
-  private final List<TargetHistory> sent = new ArrayList<>();
-  private final List<Integer> perStep = new ArrayList<>();
-  private int inStep;
+  private final List<TargetHistory> sentHistories = new ArrayList<>();
+  private final List<Integer> admittedPerStep = new ArrayList<>();
+  private int admittedInStep;
 
   GateTableTest() {
-    first.useHistorySender((holder, view, history) -> sent.add(history));
-    second.useHistorySender((holder, view, history) -> sent.add(history));
+    first.useHistorySender((holder, view, history) -> sentHistories.add(history));
+    second.useHistorySender((holder, view, history) -> sentHistories.add(history));
   }
 
   // An entry VM joins a zone in a surge and gets a target that has just grown by all that its cap
   // allows. The new gate counts from nothing and would let it grow by the same once more within
   // the same window: a cold cache behind it gets twice the shift that the contract promises.
   @Test
-  void targetWhoseHistoryIsLostGrowsByNoSecondGain() {
-    all(view(1, "vm-1"));
-    flood(HALF_WAY, first);
-    all(view(2, ""));
-    all(view(3, "vm-2"));
-    flood(WINDOW.multipliedBy(4), first, second);
+  void targetWithLostHistoryGetsNoSecondGain() {
+    applyToBoth(view(1, "vm-1"));
+    overload(HALF_WINDOW, first);
+    applyToBoth(view(2, ""));
+    applyToBoth(view(3, "vm-2"));
+    overload(WINDOW.multipliedBy(4), first, second);
     assertCapKept();
-    assertTrue(total() > 3 * GAIN, "the new gate must begin after one window, in all " + total());
+    assertTrue(
+        totalAdmitted() > 3 * GAIN_PER_WINDOW,
+        "the new gate must begin after one window, in all " + totalAdmitted());
   }
 
   // The same move, and the history arrives: nobody waits, and the cap holds over both gates.
   @Test
-  void targetWhoseHistoryArrivesGoesOnAtOnce() {
-    all(view(1, "vm-1"));
-    flood(WINDOW.multipliedBy(2), first);
-    all(view(2, ""));
-    all(view(3, "vm-2"));
-    assertEquals(1, sent.size());
-    second.acceptHistory(3, sent.get(0));
-    second.acceptHistory(3, sent.get(0));
-    flood(Duration.ofSeconds(1), first, second);
-    assertTrue(perStep.get(perStep.size() - 1) > 0, "no wait is needed: " + perStep);
-    flood(WINDOW.multipliedBy(3), first, second);
+  void targetWithReceivedHistoryIsServedAtOnce() {
+    applyToBoth(view(1, "vm-1"));
+    overload(WINDOW.multipliedBy(2), first);
+    applyToBoth(view(2, ""));
+    applyToBoth(view(3, "vm-2"));
+    assertEquals(1, sentHistories.size());
+    second.acceptHistory(3, sentHistories.get(0));
+    second.acceptHistory(3, sentHistories.get(0));
+    overload(Duration.ofSeconds(1), first, second);
+    assertTrue(
+        admittedPerStep.get(admittedPerStep.size() - 1) > 0,
+        "no wait is needed: " + admittedPerStep);
+    overload(WINDOW.multipliedBy(3), first, second);
     assertCapKept();
   }
 
@@ -77,15 +81,15 @@
   // nothing to do just then; of these the neighbour told nothing, since it had forgotten them the
   // moment they were taken from it, and their callers were refused for a whole window.
   @Test
-  void targetThatHadNoWorkMovesWithoutAWait() {
-    all(view(1, "vm-1"));
-    all(view(2, ""));
-    all(view(3, "vm-2"));
-    assertEquals(1, sent.size());
-    second.acceptHistory(3, sent.get(0));
-    flood(Duration.ofSeconds(1), first, second);
-    assertTrue(total() > 0, "no wait is needed: " + perStep);
-    flood(WINDOW.multipliedBy(2), first, second);
+  void idleTargetMovesWithoutWait() {
+    applyToBoth(view(1, "vm-1"));
+    applyToBoth(view(2, ""));
+    applyToBoth(view(3, "vm-2"));
+    assertEquals(1, sentHistories.size());
+    second.acceptHistory(3, sentHistories.get(0));
+    overload(Duration.ofSeconds(1), first, second);
+    assertTrue(totalAdmitted() > 0, "no wait is needed: " + admittedPerStep);
+    overload(WINDOW.multipliedBy(2), first, second);
     assertCapKept();
   }
 
@@ -98,81 +102,83 @@
     first.applyState(view(2, ""));
     first.applyState(view(3, "vm-1"));
     second.applyState(view(3, "vm-1"));
-    time.advance(HALF_WAY);
-    all(view(4, ""));
-    all(view(5, "vm-2"));
-    assertEquals(1, sent.size());
-    second.acceptHistory(5, sent.get(0));
-    time.advance(HALF_WAY.plusSeconds(1));
-    flood(Duration.ofSeconds(1), second);
-    assertTrue(total() > 0, "the wait of the first gate is over: " + perStep);
+    time.advance(HALF_WINDOW);
+    applyToBoth(view(4, ""));
+    applyToBoth(view(5, "vm-2"));
+    assertEquals(1, sentHistories.size());
+    second.acceptHistory(5, sentHistories.get(0));
+    time.advance(HALF_WINDOW.plusSeconds(1));
+    overload(Duration.ofSeconds(1), second);
+    assertTrue(totalAdmitted() > 0, "the wait of the first gate is over: " + admittedPerStep);
   }
 
   // The message overtakes the view that names the new holder. Thrown away it would cost a window.
   @Test
-  void historyThatOvertakesTheViewIsKept() {
-    all(view(1, "vm-1"));
-    flood(WINDOW, first);
+  void historyReceivedBeforeTheViewIsKept() {
+    applyToBoth(view(1, "vm-1"));
+    overload(WINDOW, first);
     first.applyState(view(2, ""));
     first.applyState(view(3, "vm-2"));
-    second.acceptHistory(3, sent.get(0));
+    second.acceptHistory(3, sentHistories.get(0));
     second.applyState(view(1, "vm-1"));
     second.applyState(view(3, "vm-2"));
-    flood(WINDOW.multipliedBy(2), first, second);
+    overload(WINDOW.multipliedBy(2), first, second);
     assertCapKept();
-    assertTrue(total() >= 3 * GAIN, "waited all the same: " + perStep);
+    assertTrue(totalAdmitted() >= 3 * GAIN_PER_WINDOW, "waited all the same: " + admittedPerStep);
   }
 
   // The target goes to another VM and comes back, and a history of the first move arrives late. It
   // says nothing of what the other VM did since, so it must not end the wait.
   @Test
   void historyOfAnEarlierMoveDoesNotEndTheWait() {
-    all(view(1, "vm-1"));
-    flood(WINDOW, first);
-    all(view(2, ""));
-    all(view(3, "vm-2"));
-    second.acceptHistory(3, sent.get(0));
-    flood(WINDOW, second);
-    TargetHistory early = sent.get(0);
-    all(view(4, ""));
-    all(view(5, "vm-1"));
+    applyToBoth(view(1, "vm-1"));
+    overload(WINDOW, first);
+    applyToBoth(view(2, ""));
+    applyToBoth(view(3, "vm-2"));
+    second.acceptHistory(3, sentHistories.get(0));
+    overload(WINDOW, second);
+    TargetHistory early = sentHistories.get(0);
+    applyToBoth(view(4, ""));
+    applyToBoth(view(5, "vm-1"));
     second.acceptHistory(3, early);
     first.acceptHistory(3, early);
-    flood(Duration.ofSeconds(1), first, second);
-    assertEquals(0, perStep.get(perStep.size() - 1), "must wait: " + perStep);
-    flood(WINDOW.multipliedBy(2), first, second);
+    overload(Duration.ofSeconds(1), first, second);
+    assertEquals(
+        0, admittedPerStep.get(admittedPerStep.size() - 1), "must wait: " + admittedPerStep);
+    overload(WINDOW.multipliedBy(2), first, second);
     assertCapKept();
   }
 
   // An entry VM's process dies and its successor of the same name gets the targets back before the
   // zone missed it. It has forgotten what it let through a second ago.
   @Test
-  void restartedEntryVmDoesNotGrowItsTargetsAgain() {
-    all(view(1, "vm-1"));
-    flood(HALF_WAY, first);
+  void restartedEntryVmGetsNoSecondGain() {
+    applyToBoth(view(1, "vm-1"));
+    overload(HALF_WINDOW, first);
     GateTable restarted = table("vm-1", 2);
     restarted.applyState(view(1, "vm-1"));
-    flood(Duration.ofSeconds(1), restarted);
+    overload(Duration.ofSeconds(1), restarted);
     restarted.applyState(view(2, "vm-1", 2));
-    flood(WINDOW.multipliedBy(3), restarted);
+    overload(WINDOW.multipliedBy(3), restarted);
     assertCapKept();
-    assertTrue(total() > 2 * GAIN, "the new process must begin after one window");
+    assertTrue(
+        totalAdmitted() > 2 * GAIN_PER_WINDOW, "the new process must begin after one window");
   }
 
   @Test
-  void targetThatNobodyHeldBeforeIsServedAtOnce() {
-    all(view(1, ""));
-    all(view(2, "vm-1"));
-    flood(Duration.ofSeconds(1), first);
-    assertTrue(total() > 0);
+  void targetWithoutPreviousHolderIsServedAtOnce() {
+    applyToBoth(view(1, ""));
+    applyToBoth(view(2, "vm-1"));
+    overload(Duration.ofSeconds(1), first);
+    assertTrue(totalAdmitted() > 0);
   }
 
   // Tables of many callers are seconds old and still send them over a link that others fill. What
   // steering reckons with does not hold the link's limit then; the gates at its end must.
   @Test
-  void gatesAtTheEndOfALinkTogetherLetNoMoreThroughThanItsLimit() {
+  void gatesTogetherAdmitNoMoreThanTheLinkLimit() {
     ClusterState shared = state(1, holding("t-1", "vm-1"), holding("t-2", "vm-2"));
-    all(shared);
+    applyToBoth(shared);
     int passed = 0;
     for (int milli = 0; milli < 10_000; milli++) {
       passed +=
@@ -181,8 +187,8 @@
           second.linkLimiter().admitOrRefuse("far", RequestClass.INTERACTIVE).isEmpty() ? 1 : 0;
       time.advance(Duration.ofMillis(1));
     }
-    assertTrue(passed <= 11 * LINK_LIMIT, "a second's worth and 10 s: " + passed);
-    assertTrue(passed >= 10 * LINK_LIMIT, "the link must be used: " + passed);
+    assertTrue(passed <= 11 * LINK_LIMIT_PER_SECOND, "a second's worth and 10 s: " + passed);
+    assertTrue(passed >= 10 * LINK_LIMIT_PER_SECOND, "the link must be used: " + passed);
     assertTrue(
         first.linkLimiter().admitOrRefuse("r", RequestClass.BACKGROUND).isEmpty(), "own region");
     assertTrue(
@@ -190,21 +196,21 @@
   }
 
   /** Gives the gates more requests than they may take, and ends each with a whole answer. */
-  private void flood(Duration length, GateTable... tables) {
+  private void overload(Duration length, GateTable... tables) {
     long steps = length.toMillis() / 1000;
     for (long step = 0; step < steps; step++) {
       for (int tenth = 0; tenth < 10; tenth++) {
         for (GateTable table : tables) {
-          offer(table);
+          offerRequests(table);
         }
         time.advance(Duration.ofMillis(100));
       }
-      perStep.add(inStep);
-      inStep = 0;
+      admittedPerStep.add(admittedInStep);
+      admittedInStep = 0;
     }
   }
 
-  private void offer(GateTable table) {
+  private void offerRequests(GateTable table) {
     ServiceGate gate = table.gateWithTargets("s");
     if (gate == null) {
       return;
@@ -212,40 +218,41 @@
     List<Admission.Slot> slots = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       AdmissionRequest request = new AdmissionRequest("r", time.nanos() + 1, "", "");
-      gate.request(request, admission -> take(admission, slots)).cancel();
+      gate.request(request, admission -> countAdmission(admission, slots)).cancel();
     }
     slots.forEach(slot -> slot.release(Admission.Completion.ANSWERED));
   }
 
-  private void take(Admission admission, List<Admission.Slot> slots) {
+  private void countAdmission(Admission admission, List<Admission.Slot> slots) {
     if (admission instanceof Admission.Admitted admitted) {
       slots.add(admitted.slot());
-      inStep++;
+      admittedInStep++;
     }
   }
 
-  private int total() {
-    return perStep.stream().mapToInt(Integer::intValue).sum();
+  private int totalAdmitted() {
+    return admittedPerStep.stream().mapToInt(Integer::intValue).sum();
   }
 
   private void assertCapKept() {
-    for (int end = 0; end < perStep.size(); end++) {
-      int recent = window(end);
-      int before = window(end - STEPS);
+    for (int end = 0; end < admittedPerStep.size(); end++) {
+      int recent = admittedInWindow(end);
+      int before = admittedInWindow(end - STEPS_PER_WINDOW);
       assertTrue(
-          recent <= before + GAIN, recent + " after " + before + " at " + end + " of " + perStep);
+          recent <= before + GAIN_PER_WINDOW,
+          recent + " after " + before + " at " + end + " of " + admittedPerStep);
     }
   }
 
-  private int window(int end) {
+  private int admittedInWindow(int end) {
     int sum = 0;
-    for (int step = Math.max(0, end - STEPS + 1); step <= end; step++) {
-      sum += perStep.get(step);
+    for (int step = Math.max(0, end - STEPS_PER_WINDOW + 1); step <= end; step++) {
+      sum += admittedPerStep.get(step);
     }
     return sum;
   }
 
-  private void all(ClusterState state) {
+  private void applyToBoth(ClusterState state) {
     first.applyState(state);
     second.applyState(state);
   }
@@ -310,7 +317,7 @@
         List.of(new Contract.Region("r", List.of("z")), new Contract.Region("far", List.of("y"))),
         new Contract.Delays(1, 20, 1),
         List.of(new Contract.ClientBlocks(0, 0, "r")),
-        List.of(new Contract.LinkLimit("far", "r", LINK_LIMIT)),
+        List.of(new Contract.LinkLimit("far", "r", LINK_LIMIT_PER_SECOND)),
         List.of(service));
   }
 }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/gates/GuardedGateTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/gates/GuardedGateTest.java
@@ -25,7 +25,7 @@
   // targets
   // have another holder by now; the waiting requests must not reach them.
   @Test
-  void requestAdmittedAfterAPauseIsTurnedAwayAndItsSlotGivenBackUnused() {
+  void requestAdmittedAfterPauseIsRefusedAndItsSlotReleasedUnused() {
     GuardedGate.of(alwaysAdmits(), target -> inFlight, holding -> 0)
         .request(REQUEST, decisions::add);
     Admission.Refused refused = assertInstanceOf(Admission.Refused.class, decisions.get(0));
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void unconfirmedVmUsesOnlyTheHalfThatTheGuardLeaves() {
+  void unconfirmedVmUsesOnlyTheSlotsThatTheGuardAllows() {
     GuardedGate gate = GuardedGate.of(alwaysAdmits(), target -> inFlight, holding -> 2);
     for (int i = 0; i < 3; i++) {
       gate.request(REQUEST, decisions::add);
@@ -47,12 +47,12 @@
   private Gate alwaysAdmits() {
     return (request, whenDecided) -> {
       inFlight++;
-      whenDecided.accept(new Admission.Admitted(new SlotFake()));
+      whenDecided.accept(new Admission.Admitted(new FakeSlot()));
       return () -> false;
     };
   }
 
-  private final class SlotFake implements Admission.Slot {
+  private final class FakeSlot implements Admission.Slot {
     @Override
     public Holding target() {
       return TARGET;
--- a/sageladder-entry/src/test/java/org/sageladder/entry/quarantine/CrashDetectorTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/quarantine/CrashDetectorTest.java
@@ -30,16 +30,16 @@
   private final List<Runnable> timers = new ArrayList<>();
   private final List<RequestSender.Listener> loadProbes = new ArrayList<>();
   private final List<PeerMessages.Receiver> receivers = new ArrayList<>();
-  private final ScheduledExecutorService executor = new Recorder();
-  private final CrashDetector first = watch();
-  private final CrashDetector second = watch();
+  private final ScheduledExecutorService executor = new TaskRecorder();
+  private final CrashDetector first = detector();
+  private final CrashDetector second = detector();
 
   @AfterEach
   void stop() {
     executor.shutdownNow();
   }
 
-  private CrashDetector watch() {
+  private CrashDetector detector() {
     return CrashDetector.start(
         "kannelkoda",
         Quarantine.create(Quarantine.Limits.standard()),
@@ -70,7 +70,7 @@
    * saw one crash only; without telling each other both would let it crash a second target.
    */
   @Test
-  void twoVmsThatSawOneCrashEachHoldTheRequestBack() {
+  void crashesSeenByDifferentVmsQuarantineTheRequestOnBoth() {
     first.recordConnectionFailure(target("t-1"), CRASHING_FINGERPRINT);
     runTimersAndGetLastProbe().onFailure(false, new IOException("connection refused"));
     second.recordConnectionFailure(target("t-2"), CRASHING_FINGERPRINT);
@@ -81,7 +81,7 @@
 
   /** Network trouble cuts a long export twice while its targets live on: nothing crashed. */
   @Test
-  void aCutConnectionToALivingTargetIsNoCrash() {
+  void brokenConnectionToRunningTargetIsNoCrash() {
     for (String name : List.of("t-1", "t-2")) {
       first.recordConnectionFailure(target(name), CRASHING_FINGERPRINT);
       String load = "{\"slots\":3,\"busy\":1,\"draining\":false,\"incarnation\":4}";
@@ -94,7 +94,7 @@
 
   /** The target crashed and was back before it was asked: only its incarnation shows it. */
   @Test
-  void aTargetThatCameBackAtOnceHasCrashed() {
+  void targetWithLaterIncarnationHasCrashed() {
     for (String name : List.of("t-1", "t-2")) {
       first.recordConnectionFailure(target(name), CRASHING_FINGERPRINT);
       String load = "{\"slots\":3,\"busy\":0,\"draining\":false,\"incarnation\":5}";
@@ -107,7 +107,7 @@
 
   /** A crash cuts three connections one by one: one question, one report, all three on it. */
   @Test
-  void requestsCutOneByOneAreReportedTogether() {
+  void requestsThatFailTogetherAreReportedTogether() {
     first.recordConnectionFailure(target("t-1"), 1);
     first.recordConnectionFailure(target("t-1"), 2);
     first.recordConnectionFailure(target("t-1"), CRASHING_FINGERPRINT);
@@ -144,8 +144,8 @@
   }
 
   /** Keeps what is scheduled until the test lets it run. */
-  private final class Recorder extends ScheduledThreadPoolExecutor {
-    Recorder() {
+  private final class TaskRecorder extends ScheduledThreadPoolExecutor {
+    TaskRecorder() {
       super(1);
     }
 
--- a/sageladder-entry/src/test/java/org/sageladder/entry/request/NotRunOutcomeTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/request/NotRunOutcomeTest.java
@@ -36,7 +36,7 @@
   // permit is answered "not run": the dealer bids again and wins two sheets. The cause was a check
   // for the end of the flow and the sending of the request that were not one step.
   @Test
-  void aCallerThatGoesWhileTheGateAdmitsIsNotRecordedAsNotRunOnceTheBidWasSent() throws Exception {
+  void disconnectDuringAdmissionIsNotRecordedAsNotRunOnceRequestWasSent() throws Exception {
     ScheduledExecutorService timers = Executors.newScheduledThreadPool(1);
     AtomicReference<@Nullable CallerExchange> exchange = new AtomicReference<>();
     EventSink callerGoesAtDispatch =
@@ -67,7 +67,8 @@
     CallerExchange caller =
         CallerExchange.create(
             begun ->
-                RequestFlow.startPermitted(parts, begun, head(), bids(), run).admitThrough(gate()));
+                RequestFlow.startPermitted(parts, begun, head(), bids(), run)
+                    .admitThrough(admittingGate()));
     exchange.set(caller);
     // The body is still on its way, so the flow may not go on without its caller.
     caller.handleRequest(
@@ -90,7 +91,7 @@
         "bid", RequestClass.CRITICAL, false, 1, 3, 10, 20, 5, LONG, LONG, LONG, 0, cap, cap);
   }
 
-  private static Gate gate() {
+  private static Gate admittingGate() {
     Holding holding =
         new Holding("t-1", "kalnins-dauge", "bid", "127.0.0.1", 1, 1, "entry-1", 3, false);
     Admission.Slot slot =
--- a/sageladder-entry/src/test/java/org/sageladder/entry/request/PermitEnforcerTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/request/PermitEnforcerTest.java
@@ -30,9 +30,9 @@
   private static final Duration LONG = Duration.ofSeconds(20);
 
   private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(1);
-  private final List<String> sentTo = new ArrayList<>();
-  private final RecordingResponseChannel answers = new RecordingResponseChannel();
-  private final PermitHome other = PermitHome.of("entry-2", 4, PermitHome.Limits.standard());
+  private final List<String> requestedHosts = new ArrayList<>();
+  private final RecordingResponseChannel responses = new RecordingResponseChannel();
+  private final PermitHome otherIssuer = PermitHome.of("entry-2", 4, PermitHome.Limits.standard());
 
   @AfterEach
   void stopTimers() {
@@ -43,36 +43,36 @@
   // just been replaced by the platform, or has been silent for a moment, so no view names it yet
   // or any more; the dealer was told "home lost" of a bid that the home had run and could answer.
   @Test
-  void aRepeatReachesAHomeThatNoViewNames() throws IOException {
+  void repeatReachesIssuerThatNoViewContains() throws IOException {
     PermitCodec codec = PermitCodec.of(() -> KeyRing.of(List.of(key("k1"))));
-    repeat(codec, codec.seal(minted().withIssuerAddress("127.0.0.1:8442")));
-    assertEquals(List.of("127.0.0.1:8442"), sentTo);
-    assertEquals(List.of(), answers.headers(Headers.RESULT));
+    sendWithPermit(codec, codec.seal(minted().withIssuerAddress("127.0.0.1:8442")));
+    assertEquals(List.of("127.0.0.1:8442"), requestedHosts);
+    assertEquals(List.of(), responses.headers(Headers.RESULT));
   }
 
   // A stranger makes up a permit with a key nobody has, whose home is a machine of its choice. An
   // entry VM that followed the address would send requests wherever strangers like.
   @Test
-  void anAddressThatNobodyVouchesForIsNotFollowed() throws IOException {
+  void addressUnderUnknownKeyIsNotFollowed() throws IOException {
     PermitCodec strangers = PermitCodec.of(() -> KeyRing.of(List.of(key("k2"))));
     PermitCodec codec = PermitCodec.of(() -> KeyRing.of(List.of(key("k1"))));
-    repeat(codec, strangers.seal(minted().withIssuerAddress("127.0.0.1:8442")));
-    assertEquals(List.of(), sentTo);
-    assertEquals(List.of("52 HOME_LOST"), answers.headers(Headers.RESULT));
+    sendWithPermit(codec, strangers.seal(minted().withIssuerAddress("127.0.0.1:8442")));
+    assertEquals(List.of(), requestedHosts);
+    assertEquals(List.of("52 HOME_LOST"), responses.headers(Headers.RESULT));
   }
 
   private Permit minted() {
-    return other.mint("kalnins-dauge", "bid", System.currentTimeMillis()).orElseThrow();
+    return otherIssuer.mint("kalnins-dauge", "bid", System.currentTimeMillis()).orElseThrow();
   }
 
   private static KeyRing.Key key(String id) {
     return new KeyRing.Key(id, 0, KeyRing.Secret.of(new byte[32]));
   }
 
-  private void repeat(PermitCodec codec, String permit) throws IOException {
+  private void sendWithPermit(PermitCodec codec, String permit) throws IOException {
     PermitEnforcer permits =
         new PermitEnforcer(
-            parts(),
+            context(),
             new FixedState(List.of()),
             codec,
             PermitHome.of("entry-1", 1, PermitHome.Limits.standard()),
@@ -83,14 +83,14 @@
         .handleRequest(
             new BasicHttpRequest("POST", "/v1/request/kalnins-dauge/bid/x"),
             null,
-            answers,
+            responses,
             HttpCoreContext.create());
   }
 
-  private FlowContext parts() {
+  private FlowContext context() {
     RequestSender outbound =
         (host, request, details, body, connectTimeout, listener) -> {
-          sentTo.add(host.toHostString());
+          requestedHosts.add(host.toHostString());
           return () -> {};
         };
     return new FlowContext(
--- a/sageladder-entry/src/test/java/org/sageladder/entry/request/RequestFlowTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/request/RequestFlowTest.java
@@ -36,21 +36,21 @@
   private static final int MEAN_SERVICE_MILLIS = 20;
 
   private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(1);
-  private final List<RequestSender.Listener> sent = new ArrayList<>();
+  private final List<RequestSender.Listener> listeners = new ArrayList<>();
   private final List<Integer> cancelled = new ArrayList<>();
-  private final RecordingResponseChannel answers = new RecordingResponseChannel();
-  private final List<String> runs = new ArrayList<>();
+  private final RecordingResponseChannel responses = new RecordingResponseChannel();
+  private final List<String> recordedOutcomes = new ArrayList<>();
 
   @AfterEach
   void stopTimers() {
     timers.shutdownNow();
   }
 
-  private FlowContext parts() {
+  private FlowContext context() {
     RequestSender outbound =
         (host, request, details, body, connectTimeout, listener) -> {
-          int number = sent.size();
-          sent.add(listener);
+          int number = listeners.size();
+          listeners.add(listener);
           return () -> cancelled.add(number);
         };
     return new FlowContext(
@@ -65,12 +65,12 @@
         EmptyCrashDetector.create(timers));
   }
 
-  private CallerExchange arrive(CallerExchange.Handler handler) throws IOException {
+  private CallerExchange receiveRequest(CallerExchange.Handler handler) throws IOException {
     CallerExchange caller = CallerExchange.create(handler);
     caller.handleRequest(
         new BasicHttpRequest("GET", "/v1/request/kalnins-dauge/lots/x"),
         null,
-        answers,
+        responses,
         HttpCoreContext.create());
     return caller;
   }
@@ -98,7 +98,7 @@
         cap);
   }
 
-  private static Gate openGate() {
+  private static Gate admittingGate() {
     return (request, whenDecided) -> {
       whenDecided.accept(new Admission.Admitted(new FreeSlot()));
       return () -> false;
@@ -106,7 +106,7 @@
   }
 
   private String outcome() {
-    return answers.headers(Headers.OUTCOME).get(0);
+    return responses.headers(Headers.OUTCOME).get(0);
   }
 
   /**
@@ -115,11 +115,12 @@
    * noted as what to end.
    */
   @Test
-  void aCallerThatGoesCancelsTheTargetsWorkAlsoWhereTheGateWasOpen() throws IOException {
+  void disconnectCancelsExchangeThatWasAdmittedAtOnce() throws IOException {
     CallerExchange caller =
-        arrive(
+        receiveRequest(
             begun ->
-                RequestFlow.start(parts(), begun, head(), service(true)).admitThrough(openGate()));
+                RequestFlow.start(context(), begun, head(), service(true))
+                    .admitThrough(admittingGate()));
     caller.failed(new IOException("the collector closed the page"));
     assertEquals(List.of(0), cancelled);
   }
@@ -129,16 +130,18 @@
    * false: the first target may have run it.
    */
   @Test
-  void aRefusalAfterALostTryIsNotToldAsNotRun() throws IOException {
-    arrive(
-        begun -> RequestFlow.start(parts(), begun, head(), service(true)).admitThrough(openGate()));
-    sent.get(0).onFailure(true, new IOException("reset"));
-    for (int i = 1; i < sent.size(); i++) {
+  void refusalAfterLostAttemptIsReportedAsUnknown() throws IOException {
+    receiveRequest(
+        begun ->
+            RequestFlow.start(context(), begun, head(), service(true))
+                .admitThrough(admittingGate()));
+    listeners.get(0).onFailure(true, new IOException("reset"));
+    for (int i = 1; i < listeners.size(); i++) {
       BasicHttpResponse refusal = new BasicHttpResponse(503);
       refusal.setHeader(Headers.TARGET_REFUSED, "shedding");
-      sent.get(i).onResponse(refusal, null, BodyPipe.of(new byte[0]));
+      listeners.get(i).onResponse(refusal, null, BodyPipe.of(new byte[0]));
     }
-    assertTrue(sent.size() > 1, "no second try");
+    assertTrue(listeners.size() > 1, "no second try");
     assertEquals("unknown", outcome());
   }
 
@@ -147,11 +150,11 @@
    * permit's home. The first copy may be running there, so "not run" could be false.
    */
   @Test
-  void aHomeThatCannotBeReachedIsToldAsUnknown() throws IOException {
+  void unreachableIssuerIsReportedAsUnknown() throws IOException {
     Member home = new Member("entry-2", "riga-1", 1, "127.0.0.1", 1, 2, false);
-    arrive(
-        begun -> RequestFlow.start(parts(), begun, head(), service(false)).forwardToIssuer(home));
-    sent.get(0).onFailure(false, new IOException("connection refused"));
+    receiveRequest(
+        begun -> RequestFlow.start(context(), begun, head(), service(false)).forwardToIssuer(home));
+    listeners.get(0).onFailure(false, new IOException("connection refused"));
     assertEquals("unknown", outcome());
   }
 
@@ -159,7 +162,7 @@
    * The same where the entry VM itself refuses: it is not the home, and its word covers one copy.
    */
   @Test
-  void onlyTheHomeSaysNotRunOfARequestWithAPermit() {
+  void onlyIssuerReportsNotRunOfRequestWithPermit() {
     Result refusal = Result.notRun(ResultCode.NO_CONTRACT_IN_FORCE, "just started");
     assertEquals(ResultCode.HOME_LOST, PermitEnforcer.unknownUnlessIssuer(refusal).code());
   }
@@ -169,18 +172,19 @@
    * good; it goes on, and the repeat of the permit gets the answer that came.
    */
   @Test
-  void aPermittedRunGoesOnWithoutItsCallerAndItsAnswerIsRecorded() throws IOException {
+  void permittedRunContinuesWithoutCallerAndRecordsResponse() throws IOException {
     CallerExchange caller =
-        arrive(
+        receiveRequest(
             begun ->
-                RequestFlow.startPermitted(parts(), begun, head(), service(false), new RunList())
-                    .admitThrough(openGate()));
+                RequestFlow.startPermitted(
+                        context(), begun, head(), service(false), new RecordingRun())
+                    .admitThrough(admittingGate()));
     caller.failed(new IOException("the dealer's line dropped"));
     BodyPipe body = BodyPipe.of(new byte[0]);
-    sent.get(0).onResponse(new BasicHttpResponse(201), null, body);
-    sent.get(0).onComplete();
+    listeners.get(0).onResponse(new BasicHttpResponse(201), null, body);
+    listeners.get(0).onComplete();
     assertEquals(List.of(), cancelled);
-    assertEquals(List.of("ran 201"), runs);
+    assertEquals(List.of("ran 201"), recordedOutcomes);
   }
 
   /**
@@ -188,15 +192,15 @@
    * without pretending to have the answer.
    */
   @Test
-  void anAnswerCutShortProvesTheRunButIsNotKept() throws IOException {
-    arrive(
+  void truncatedResponseProvesRunButIsNotKept() throws IOException {
+    receiveRequest(
         begun ->
-            RequestFlow.startPermitted(parts(), begun, head(), service(false), new RunList())
-                .admitThrough(openGate()));
+            RequestFlow.startPermitted(context(), begun, head(), service(false), new RecordingRun())
+                .admitThrough(admittingGate()));
     BodyPipe body = BodyPipe.open();
-    sent.get(0).onResponse(new BasicHttpResponse(200), null, body);
-    sent.get(0).onFailure(true, new IOException("reset"));
-    assertEquals(List.of("ran, answer not kept"), runs);
+    listeners.get(0).onResponse(new BasicHttpResponse(200), null, body);
+    listeners.get(0).onFailure(true, new IOException("reset"));
+    assertEquals(List.of("ran, answer not kept"), recordedOutcomes);
   }
 
   /**
@@ -206,7 +210,7 @@
    * work.
    */
   @Test
-  void aSlotIsNotAwaitedUntilItComesTooLateForTheWork() throws IOException {
+  void slotWaitEndsWhileThereIsTimeForTheRun() throws IOException {
     List<Long> until = new ArrayList<>();
     Gate noting =
         (request, whenDecided) -> {
@@ -214,27 +218,28 @@
           return () -> false;
         };
     long before = System.nanoTime();
-    arrive(begun -> RequestFlow.start(parts(), begun, head(), service(true)).admitThrough(noting));
+    receiveRequest(
+        begun -> RequestFlow.start(context(), begun, head(), service(true)).admitThrough(noting));
     long after = System.nanoTime();
     long wait = LONG.minusMillis(2 * MEAN_SERVICE_MILLIS).toNanos();
     assertTrue(until.get(0) - before >= wait, "gives up earlier than it must");
     assertTrue(until.get(0) - after <= wait, "waits until there is no time for the work");
   }
 
-  private final class RunList implements PermitRun {
+  private final class RecordingRun implements PermitRun {
     @Override
     public void recordRan(RecordedAnswer answer) {
-      runs.add(answer.kept() ? "ran " + answer.status() : "ran, answer not kept");
+      recordedOutcomes.add(answer.kept() ? "ran " + answer.status() : "ran, answer not kept");
     }
 
     @Override
     public void recordNotRun() {
-      runs.add("not run");
+      recordedOutcomes.add("not run");
     }
 
     @Override
     public void recordUnknown() {
-      runs.add("unknown");
+      recordedOutcomes.add("unknown");
     }
 
     @Override
--- a/sageladder-entry/src/test/java/org/sageladder/entry/stop/PlannedStopTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/stop/PlannedStopTest.java
@@ -40,10 +40,10 @@
       new PlannedStop.Limits(SHORT, SHORT, Duration.ofMillis(2), LONG, LONG);
 
   private final InFlightCounter inFlight = InFlightCounter.create();
-  private final PermitHome home = PermitHome.of("entry-1", 1, PermitHome.Limits.standard());
+  private final PermitHome issuer = PermitHome.of("entry-1", 1, PermitHome.Limits.standard());
   private final PermitHome successor = PermitHome.of("entry-2", 1, PermitHome.Limits.standard());
-  private final CallerExchange open = CallerExchange.create(exchange -> {}, inFlight);
-  private final List<String> told = new ArrayList<>();
+  private final CallerExchange openExchange = CallerExchange.create(exchange -> {}, inFlight);
+  private final List<String> requestedPaths = new ArrayList<>();
   private final TimeSource time = TimeSource.system();
 
   private PlannedStop stop(RequestSender outbound, Member... peers) {
@@ -56,12 +56,12 @@
             "riga-1",
             "kalnins-dauge",
             control,
-            home,
+            issuer,
             PermitCodec.of(() -> ring),
             PermitHome.Limits.standard(),
             outbound,
             time);
-    return PlannedStop.of(control, inFlight, home, handOver, time, LIMITS);
+    return PlannedStop.of(control, inFlight, issuer, handOver, time, LIMITS);
   }
 
   private static Member member(String vm, boolean leaving) {
@@ -71,10 +71,10 @@
   /** Takes what a successor would, and ends the open exchange once it has the states. */
   private RequestSender peer() {
     return (host, request, details, body, connectTimeout, listener) -> {
-      told.add(request.getPath());
+      requestedPaths.add(request.getPath());
       if (request.getPath().equals(PeerRequestHandler.HAND_OVER_PATH)) {
         BodyCollector.collect(body, 1 << 20, this::adopt);
-        open.releaseResources();
+        openExchange.releaseResources();
       }
       listener.onResponse(new BasicHttpResponse(204), null, BodyPipe.of(new byte[0]));
       return () -> {};
@@ -91,7 +91,7 @@
   }
 
   private void beginExchange() throws IOException {
-    open.handleRequest(
+    openExchange.handleRequest(
         new BasicHttpRequest("GET", "/x"),
         null,
         new RecordingResponseChannel(),
@@ -103,25 +103,25 @@
    * must wait for it, and a permit given before the stop must be decided on by the successor.
    */
   @Test
-  void whatIsInFlightEndsAndPermitsAreAnsweredByTheSuccessor() throws Exception {
+  void inFlightRequestsEndAndSuccessorDecidesOnPermits() throws Exception {
     beginExchange();
-    Permit permit = home.mint("kalnins-dauge", "bids", time.wallMillis()).orElseThrow();
+    Permit permit = issuer.mint("kalnins-dauge", "bids", time.wallMillis()).orElseThrow();
     PlannedStop.Outcome outcome =
         stop(peer(), member("entry-1", true), member("entry-2", false)).run();
     assertEquals(0, outcome.exchangesCut());
     assertTrue(outcome.handedOver());
     assertEquals(
-        new Decision.Moved("entry-2"), home.beginExecution(permit, "bid", time.wallMillis()));
+        new Decision.Moved("entry-2"), issuer.beginExecution(permit, "bid", time.wallMillis()));
     assertInstanceOf(
         Decision.Execute.class, successor.beginExecution(permit, "bid", time.wallMillis()));
   }
 
   /** All entry VMs leave together: a successor that stops next would lose the states again. */
   @Test
-  void aLeavingVmIsNoSuccessor() throws Exception {
+  void leavingVmIsNotChosenAsSuccessor() throws Exception {
     PlannedStop.Outcome outcome = stop(peer(), member("entry-2", true)).run();
     assertFalse(outcome.handedOver());
-    assertEquals(List.of(), told);
+    assertEquals(List.of(), requestedPaths);
   }
 
   /**
@@ -129,7 +129,7 @@
    * decide on its permits; so the next candidate is asked first.
    */
   @Test
-  void aCandidateThatDoesNotAnswerIsNotNamed() throws Exception {
+  void unresponsiveCandidateIsNotChosenAsSuccessor() throws Exception {
     RequestSender peer = peer();
     RequestSender firstIsDead =
         (host, request, details, body, connectTimeout, listener) -> {
@@ -143,6 +143,6 @@
     assertTrue(stop(firstIsDead, dead, member("entry-2", false)).run().handedOver());
     Permit permit = new Permit("entry-1", 1, 1, Long.MAX_VALUE, "kalnins-dauge", "bids", "", "");
     assertEquals(
-        new Decision.Moved("entry-2"), home.beginExecution(permit, "bid", time.wallMillis()));
+        new Decision.Moved("entry-2"), issuer.beginExecution(permit, "bid", time.wallMillis()));
   }
 }
