--- a/sageladder-core/src/main/java/org/sageladder/core/contract/Contract.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/contract/Contract.java
@@ -6,14 +6,14 @@
 import java.util.function.UnaryOperator;
 
 /**
- * What one customer was promised; every limit that sageladder enforces follows from it.
+ * The contract of one customer. Every limit that sageladder enforces is derived from it.
  *
- * <p>Immutable. The revision is the store's revision of the write that was accepted, 0 for a
+ * <p>Immutable. The revision is the store's revision of the write that was accepted, or 0 for a
  * contract that has not been accepted yet.
  *
- * @param customer short name, lower case letters, digits and hyphens
+ * @param customer short name of lower-case letters, digits and hyphens
  * @param regions at least one, each with at least one availability zone
- * @param clientBlocks which region's callers each block of clients counts as
+ * @param clientBlocks the region to which each block of clients is assigned
  */
 public record Contract(
     String customer,
@@ -24,7 +24,7 @@
     List<LinkLimit> linkLimits,
     List<Service> services) {
 
-  /** Copies the lists, so that the contract cannot change. */
+  /** Copies the lists to keep the contract immutable. */
   public Contract {
     regions = List.copyOf(regions);
     clientBlocks = List.copyOf(clientBlocks);
@@ -34,7 +34,7 @@
 
   /** A region and its availability zones, nearest first. */
   public record Region(String name, List<String> zones) {
-    /** Copies the list, so that the region cannot change. */
+    /** Copies the list to keep the region immutable. */
     public Region {
       zones = List.copyOf(zones);
     }
@@ -44,17 +44,20 @@
   public record Delays(
       double betweenZonesMillis, double betweenRegionsMillis, double toClientsMillis) {}
 
-  /** Blocks {@code first} to {@code last}, both included, have their callers near a region. */
+  /**
+   * The clients of the blocks {@code first} to {@code last}, both included, are near {@code
+   * region}.
+   */
   public record ClientBlocks(int first, int last, String region) {}
 
-  /** Most requests a second that may be sent from one region to another. */
+  /** Maximum requests per second that may be sent from one region to another. */
   public record LinkLimit(String from, String to, double requestsPerSecond) {}
 
   /**
-   * Cap on a shift of traffic.
+   * Limit on how fast traffic may shift to a region or target.
    *
-   * @param gainFraction most that the admitted rate may grow within one window, as a fraction of
-   *     the capacity of the place it shifts to, above 0 and at most 1
+   * @param gainFraction maximum growth of the admitted requests from one window to the next, as a
+   *     fraction of the capacity of the region or target that gains them; above 0 and at most 1
    * @param window length of the sliding window
    */
   public record ShiftCap(double gainFraction, Duration window) {}
@@ -62,16 +65,16 @@
   /**
    * One service and its limits.
    *
-   * @param repeatable false where a request must run at most once; such requests need a permit
-   * @param targets planned number of targets over all zones
-   * @param slotsPerTarget requests a target runs at the same time
-   * @param connectionsPerTarget most connections to one target from all entry VMs together
-   * @param meanServiceMillis planned time a request holds a slot
-   * @param queuePerTarget most requests waiting at a gate for each target it holds
-   * @param queueWait longest wait at a gate
-   * @param longestDeadline largest deadline a caller may ask for
-   * @param drainLimit how long a leaving target may finish work
-   * @param retryFraction retries allowed as a fraction of first tries, 0 to 1
+   * @param repeatable false if a request must run at most once; such requests need a permit
+   * @param targets planned number of targets in all zones
+   * @param slotsPerTarget requests that a target runs at the same time
+   * @param connectionsPerTarget maximum connections to one target from all entry VMs together
+   * @param meanServiceMillis planned mean service time, during which a request holds a slot
+   * @param queuePerTarget maximum length of a gate's queue for each target it holds
+   * @param queueWait maximum wait in a gate's queue
+   * @param longestDeadline maximum deadline that a caller may ask for
+   * @param drainLimit time that a draining target has to finish its requests
+   * @param retryFraction retries allowed as a fraction of first attempts, 0 to 1
    */
   public record Service(
       String name,
@@ -89,12 +92,12 @@
       ShiftCap regionShiftCap,
       ShiftCap targetShiftCap) {
 
-    /** Requests a second that one target carries with all slots busy. */
+    /** Requests per second that one target can handle with all slots busy. */
     public double targetCapacity() {
       return slotsPerTarget * 1000.0 / meanServiceMillis;
     }
 
-    /** The same service whose leaving targets may finish work for {@code newLimit}. */
+    /** Returns the same service with another time for draining targets to finish. */
     public Service withDrainLimit(Duration newLimit) {
       return new Service(
           name,
@@ -113,7 +116,7 @@
           targetShiftCap);
     }
 
-    /** The same service with other caps on shifts toward a region and toward a target. */
+    /** Returns the same service with other shift caps for a region and for a target. */
     public Service withShiftCaps(ShiftCap newRegionCap, ShiftCap newTargetCap) {
       return new Service(
           name,
@@ -133,29 +136,29 @@
     }
   }
 
-  /** The same contract, accepted at {@code acceptedRevision}. */
+  /** Returns the same contract, accepted at {@code acceptedRevision}. */
   public Contract atRevision(long acceptedRevision) {
     return new Contract(
         customer, acceptedRevision, regions, delays, clientBlocks, linkLimits, services);
   }
 
-  /** The same contract with each of its services changed. */
+  /** Returns the same contract with {@code change} applied to each service. */
   public Contract withServices(UnaryOperator<Service> change) {
     List<Service> changed = services.stream().map(change).toList();
     return new Contract(customer, revision, regions, delays, clientBlocks, linkLimits, changed);
   }
 
-  /** The service with that name. */
+  /** The service named {@code name}. */
   public Optional<Service> service(String name) {
     return services.stream().filter(service -> service.name().equals(name)).findFirst();
   }
 
-  /** The region that has that zone. */
+  /** The region that contains {@code zone}. */
   public Optional<Region> regionOfZone(String zone) {
     return regions.stream().filter(region -> region.zones().contains(zone)).findFirst();
   }
 
-  /** The region whose callers {@code block} counts as. */
+  /** The region to which the clients of {@code block} are assigned. */
   public Optional<String> regionOfBlock(int block) {
     for (ClientBlocks range : clientBlocks) {
       if (range.first() <= block && block <= range.last()) {
@@ -165,7 +168,7 @@
     return Optional.empty();
   }
 
-  /** All zones in the order of their regions. */
+  /** The zones of all regions, in the order of the regions. */
   public List<String> zones() {
     return regions.stream().flatMap(region -> region.zones().stream()).toList();
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/contract/ContractCheck.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/contract/ContractCheck.java
@@ -13,15 +13,15 @@
 import org.sageladder.core.contract.Contract.ShiftCap;
 
 /**
- * Checks the limits of a contract against one another before it is accepted.
+ * Checks the consistency of a contract before it is accepted.
  *
  * <pre>{@code
  * List<Problem> problems = ContractCheck.problems(contract);
  * if (problems.isEmpty()) { apply(contract); }
  * }</pre>
  *
- * <p>It finds what a check of single values cannot: names that no region or zone has, ranges that
- * overlap or leave gaps, sums that do not add up, and caps or limits that can never be reached.
+ * <p>It finds what checking single values cannot: names that no region or zone has, ranges that
+ * overlap or leave gaps, sums that do not match, and caps or limits that can never be reached.
  */
 public final class ContractCheck {
   private final Contract contract;
@@ -32,9 +32,9 @@
   }
 
   /**
-   * One reason not to accept a contract.
+   * One reason to reject a contract.
    *
-   * @param key place in the contract's file
+   * @param key path of the setting in the contract file
    * @param message what is wrong, with the values concerned and what would be accepted
    */
   public record Problem(String key, String message) {
@@ -44,7 +44,7 @@
     }
   }
 
-  /** All problems in the order of the contract's parts; empty where it may be accepted. */
+  /** Returns all problems in the order of the contract's sections; empty if it may be accepted. */
   public static List<Problem> problems(Contract contract) {
     ContractCheck check = new ContractCheck(contract);
     check.checkRegions();
@@ -85,12 +85,12 @@
           delays.betweenZonesMillis()
               + " ms is longer than betweenRegions, "
               + delays.betweenRegionsMillis()
-              + " ms; zones of one region are nearer than regions");
+              + " ms; zones of one region must be closer to each other than regions");
     }
   }
 
   /**
-   * Look-ups index a table by block, so every block from 0 to the last needs exactly one region.
+   * A look-up indexes a table by block, so every block from 0 to the last needs exactly one region.
    */
   private void checkClientBlocks() {
     if (contract.clientBlocks().isEmpty()) {
@@ -141,11 +141,11 @@
           formatNumber(deadlineMillis)
               + " ms is shorter than meanService, "
               + formatNumber(service.meanServiceMillis())
-              + " ms; most requests would end at their deadline");
+              + " ms; most requests would miss their deadline");
     }
     if (service.queueWait().compareTo(service.longestDeadline()) > 0) {
       addProblem(
-          key + ".queueWait", "it is longer than longestDeadline; no request waits that long");
+          key + ".queueWait", "it is longer than longestDeadline; no request may wait that long");
     }
     double drainMillis = service.drainLimit().toNanos() / 1e6;
     if (drainMillis < 2 * service.meanServiceMillis()) {
@@ -208,7 +208,7 @@
     }
   }
 
-  /** A ceiling that gains less than one request in a window never leaves zero. */
+  /** If a cap allowed less than one more request per window, traffic could never grow from zero. */
   private void checkCapAllowsGrowth(String key, ShiftCap cap, double capacity) {
     double gained = cap.gainFraction() * capacity * cap.window().toNanos() / 1e9;
     if (gained < 1) {
@@ -227,20 +227,20 @@
       checkRegionKnown(key + ".from", limit.from());
       checkRegionKnown(key + ".to", limit.to());
       if (limit.from().equals(limit.to())) {
-        addProblem(key, "a link joins two different regions");
+        addProblem(key, "a link must connect two different regions");
       }
       if (!links.add(limit.from() + " " + limit.to())) {
         addProblem(key, "the link is given twice; give each direction once");
       }
-      double carried = regionCapacity(limit.to());
-      if (carried > 0 && limit.requestsPerSecond() > carried) {
+      double capacity = regionCapacity(limit.to());
+      if (capacity > 0 && limit.requestsPerSecond() > capacity) {
         addProblem(
             key + ".requestsPerSecond",
             formatNumber(limit.requestsPerSecond())
                 + " is more than the sum that the targets of '"
                 + limit.to()
                 + "' carry, "
-                + formatNumber(carried)
+                + formatNumber(capacity)
                 + "; the limit could never hold");
       }
     }
--- a/sageladder-core/src/main/java/org/sageladder/core/contract/RequestClass.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/contract/RequestClass.java
@@ -1,11 +1,11 @@
 package org.sageladder.core.contract;
 
-/** How urgent a service's requests are, most urgent first; shedding begins at the end. */
+/** Urgency of a service's requests, most urgent first; load shedding starts with the last. */
 public enum RequestClass {
-  /** Must not be lost or repeated: donations, bids. */
+  /** Must be neither lost nor repeated: donations, bids. */
   CRITICAL,
-  /** A person waits; a slow answer annoys. */
+  /** A user is waiting, so the response should be fast. */
   INTERACTIVE,
-  /** May wait overnight but must finish whole: exports, catalogue pulls. */
+  /** May be delayed overnight but must complete: exports, catalogue pulls. */
   BACKGROUND
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/contract/package-info.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/contract/package-info.java
@@ -1,4 +1,6 @@
-/** Contracts: what an operator promises one customer, and the limits that follow. */
+/**
+ * Contracts: the service that an operator guarantees one customer, and the limits derived from it.
+ */
 @NullMarked
 package org.sageladder.core.contract;
 
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/Admission.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/Admission.java
@@ -3,12 +3,14 @@
 import org.sageladder.core.membership.Holding;
 import org.sageladder.core.result.Result;
 
-/** A gate's answer. */
+/** The decision of a gate on a request. */
 public sealed interface Admission {
-  /** One slot of one target; release it exactly once with what happened there. */
+  /**
+   * The request got a slot of a target. The slot must be released exactly once, with what happened.
+   */
   record Admitted(Slot slot) implements Admission {}
 
-  /** No slot: no target saw the request. */
+  /** The request got no slot, and no target received it. */
   record Refused(Result.NotRun result) implements Admission {}
 
   /** A slot in use. */
@@ -16,25 +18,25 @@
     /** The target that the slot belongs to. */
     Holding target();
 
-    /** Gives the slot back; later calls have no effect. */
+    /** Releases the slot; further calls have no effect. */
     void release(Completion completion);
   }
 
-  /** What the holder of a slot saw of the target. */
+  /** How the use of a slot ended. */
   enum Completion {
-    /** A whole answer came. */
+    /** The target sent a complete response. */
     ANSWERED,
-    /** The target refused before running: it sheds load or leaves. */
+    /** The target refused the request before running it: it sheds load or is draining. */
     REFUSED,
-    /** The target refused because it is leaving. */
+    /** The target refused the request because it is draining. */
     LEAVING,
-    /** The connection failed or the answer was cut. */
+    /** The connection failed or the response was incomplete. */
     LOST,
-    /** No answer by the deadline. */
+    /** No response arrived by the deadline. */
     TIMEOUT,
-    /** The caller gave up. */
+    /** The caller cancelled the request. */
     CANCELLED,
-    /** Nothing was sent. */
+    /** Nothing was sent to the target. */
     UNUSED
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/AdmissionRequest.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/AdmissionRequest.java
@@ -1,11 +1,11 @@
 package org.sageladder.core.limits;
 
 /**
- * What a gate must know of a request.
+ * The properties of a request that decide on its admission.
  *
- * @param deadlineNanos monotonic time by which the answer is wanted
- * @param excludedTarget target a retry must not go to, or empty
- * @param fromRegion region that sent the request, or empty for this one
+ * @param deadlineNanos monotonic time by which the response is needed
+ * @param excludedTarget target that a retry must not go to, or empty
+ * @param fromRegion region that forwarded the request, or empty for this one
  */
 public record AdmissionRequest(
     String requestId, long deadlineNanos, String excludedTarget, String fromRegion) {}
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/Gate.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/Gate.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /**
- * The one place that lets work onto the targets of one service that this entry VM holds.
+ * Admits requests to the targets of one service that this entry VM holds; nothing else does.
  *
  * <pre>{@code
  * Cancellable wait = gate.request(new AdmissionRequest("r-17", deadlineNanos, "", ""), admission -> {
@@ -14,28 +14,29 @@
  */
 public interface Gate {
   /**
-   * Asks for a slot. {@code whenDecided} is called exactly once, at once or later, from any thread
-   * and without a lock held, unless the wait is cancelled first.
+   * Asks for a slot. {@code onDecision} is called exactly once, immediately or later, from any
+   * thread and without a lock held, unless the wait is cancelled first.
    */
-  Cancellable request(AdmissionRequest request, Consumer<Admission> whenDecided);
+  Cancellable request(AdmissionRequest request, Consumer<Admission> onDecision);
 
   /**
-   * Spends one retry of the service's budget; false where none is left and the request must end as
-   * it is. Work that no target ran counts too: it also costs a target something to refuse.
+   * Takes one retry from the service's retry budget. If it returns false, the budget is used up and
+   * the request must end with the result it has. A request that no target ran needs budget too,
+   * since refusing it also costs a target work.
    */
   default boolean tryAcquireRetry() {
     return true;
   }
 
-  /** When a request that is refused now is worth sending again. */
+  /** Time after which a request that is refused now is worth sending again. */
   default Duration retryAfter() {
     return Duration.ofSeconds(1);
   }
 
-  /** A wait that can be given up; cancelling after the decision has no effect. */
+  /** A wait that can be cancelled; cancelling after the decision has no effect. */
   @FunctionalInterface
   interface Cancellable {
-    /** Gives the wait up; true where no decision will be delivered. */
+    /** Cancels the wait; true if no decision will be delivered. */
     boolean cancel();
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/GateStats.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/GateStats.java
@@ -1,18 +1,18 @@
 package org.sageladder.core.limits;
 
 /**
- * What one gate reports of itself, for its zone's summary.
+ * Counts and rates of one gate, for the summary of its zone.
  *
  * @param usableSlots slots that may be used now
- * @param busySlots slots in use, those of targets no longer held included
- * @param queuedCount requests waiting
- * @param offeredCount requests that asked for a slot since the gate was made
- * @param admittedCount requests that got a slot since the gate was made
- * @param refusedCount requests refused since the gate was made
- * @param offeredPerSecond requests a second wanted here of late; a refused one counts as a quarter,
- *     since its caller asks four places
- * @param admittedPerSecond requests admitted a second of late
- * @param ceilingPerSecond most the gate will admit a second now, by cap and capacity
+ * @param busySlots slots in use, including those of targets no longer held
+ * @param queuedCount requests in the queue
+ * @param offeredCount requests that asked for a slot since the gate was created
+ * @param admittedCount requests that got a slot since the gate was created
+ * @param refusedCount requests refused since the gate was created
+ * @param offeredPerSecond recent rate of offered requests; a refused request counts as a quarter,
+ *     since its client tries four entry VMs
+ * @param admittedPerSecond recent rate of admitted requests
+ * @param ceilingPerSecond maximum rate that the gate can admit now, by shift caps and slots
  */
 public record GateStats(
     int usableSlots,
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/LinkRateLimiter.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/LinkRateLimiter.java
@@ -4,19 +4,20 @@
 import org.sageladder.core.contract.RequestClass;
 
 /**
- * One entry VM's share of the limit of a link from another region, which it keeps at the
- * destination whatever steering and callers' caches send.
+ * Rate limiter for requests that arrive over the link from another region: one entry VM's share of
+ * the link's limit. It is enforced at the destination, whatever the senders' steering and the
+ * clients' cached look-ups send.
  *
- * <p>A bucket holds what the share lets through in a second. Background work leaves half of it
- * untouched and interactive work a fifth, so that critical requests still pass a link that others
- * keep full.
+ * <p>A token bucket that holds one second's worth of requests. Background requests leave half of
+ * the tokens untouched and interactive requests a fifth, so that critical requests still pass a
+ * saturated link.
  *
  * <pre>{@code
- * LinkShare share = LinkShare.of(300.0 / 4, time.nanos());
- * boolean passes = share.take(RequestClass.INTERACTIVE, time.nanos());
+ * LinkRateLimiter limiter = LinkRateLimiter.of(300.0 / 4, time.nanos());
+ * boolean passes = limiter.tryAcquire(RequestClass.INTERACTIVE, time.nanos());
  * }</pre>
  *
- * <p>Safe for use by several threads; its lock is the last in any order.
+ * <p>Thread-safe. No other lock is taken while its lock is held.
  */
 public final class LinkRateLimiter {
   private static final double NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
@@ -27,25 +28,27 @@
   private double tokens;
   private long lastRefillNanos;
 
-  private LinkRateLimiter(double perSecond, long nowNanos) {
-    this.ratePerSecond = perSecond;
+  private LinkRateLimiter(double ratePerSecond, long nowNanos) {
+    this.ratePerSecond = ratePerSecond;
     this.tokens = capacity();
     this.lastRefillNanos = nowNanos;
   }
 
-  /** A share of {@code perSecond} requests, 0 or more, that has let nothing through yet. */
-  public static LinkRateLimiter of(double perSecond, long nowNanos) {
-    return new LinkRateLimiter(perSecond, nowNanos);
+  /**
+   * Creates a limiter with a full bucket for {@code ratePerSecond} requests per second, 0 or more.
+   */
+  public static LinkRateLimiter of(double ratePerSecond, long nowNanos) {
+    return new LinkRateLimiter(ratePerSecond, nowNanos);
   }
 
-  /** Puts another share in force; what was let through of late still counts. */
-  public synchronized void updateRate(double newPerSecond, long nowNanos) {
+  /** Changes the rate; tokens used so far stay used. */
+  public synchronized void updateRate(double newRatePerSecond, long nowNanos) {
     refill(nowNanos);
-    ratePerSecond = newPerSecond;
+    ratePerSecond = newRatePerSecond;
     tokens = Math.min(capacity(), tokens);
   }
 
-  /** Lets one request through; false where its class must wait. */
+  /** Takes one token; false if too few are left for the request's class. */
   public synchronized boolean tryAcquire(RequestClass requestClass, long nowNanos) {
     refill(nowNanos);
     if (tokens < requiredTokens(requestClass)) {
@@ -55,27 +58,30 @@
     return true;
   }
 
-  /** How long until a request of that class would pass if nothing else did. */
+  /** Time until a request of that class would be admitted if no other were. */
   public synchronized Duration retryAfter(RequestClass requestClass, long nowNanos) {
     refill(nowNanos);
-    double missing = Math.max(0, requiredTokens(requestClass) - tokens);
+    double missingTokens = Math.max(0, requiredTokens(requestClass) - tokens);
     return Duration.ofNanos(
-        (long) (NANOS_PER_SECOND * missing / Math.max(ratePerSecond, 1.0 / 60)));
+        (long) (NANOS_PER_SECOND * missingTokens / Math.max(ratePerSecond, 1.0 / 60)));
   }
 
   private double requiredTokens(RequestClass requestClass) {
     if (ratePerSecond <= 0) {
       return Double.MAX_VALUE;
     }
-    double spare = capacity() - 1;
+    double reservableTokens = capacity() - 1;
     return switch (requestClass) {
       case CRITICAL -> 1;
-      case INTERACTIVE -> 1 + INTERACTIVE_RESERVE_FRACTION * spare;
-      case BACKGROUND -> 1 + BACKGROUND_RESERVE_FRACTION * spare;
+      case INTERACTIVE -> 1 + INTERACTIVE_RESERVE_FRACTION * reservableTokens;
+      case BACKGROUND -> 1 + BACKGROUND_RESERVE_FRACTION * reservableTokens;
     };
   }
 
-  /** A link of less than one request a second still lets one through now and then. */
+  /**
+   * At least one token, so that a link limited to less than one request per second still admits
+   * some.
+   */
   private double capacity() {
     return Math.max(1, ratePerSecond);
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/QueueBudget.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/QueueBudget.java
@@ -4,11 +4,11 @@
 import org.sageladder.core.contract.RequestClass;
 
 /**
- * Bounds the requests that wait at all gates of one entry VM together, so that background work is
- * shed first and critical work last.
+ * Limits the number of requests queued at all gates of one entry VM together, and sheds background
+ * requests first and critical ones last.
  *
- * <p>Background requests may fill half of the places, interactive ones four fifths, critical ones
- * all. Safe for use by several threads.
+ * <p>Background requests may fill half of the queue places, interactive requests four fifths and
+ * critical requests all of them. Thread-safe.
  */
 public final class QueueBudget {
   private static final double BACKGROUND_FRACTION = 0.5;
@@ -17,28 +17,28 @@
   private final int maxWaiting;
   private final AtomicInteger waiting = new AtomicInteger();
 
-  private QueueBudget(int most) {
-    this.maxWaiting = most;
+  private QueueBudget(int maxWaiting) {
+    this.maxWaiting = maxWaiting;
   }
 
-  /** A budget of {@code most} waiting requests. */
-  public static QueueBudget of(int most) {
-    if (most < 1) {
+  /** Creates a budget of {@code maxWaiting} queued requests, at least 1. */
+  public static QueueBudget of(int maxWaiting) {
+    if (maxWaiting < 1) {
       throw new IllegalArgumentException(
-          "cannot bound waiting requests by " + most + ": use 1 or more, for instance 1000");
+          "maximum number of queued requests is " + maxWaiting + "; must be at least 1, e.g. 1000");
     }
-    return new QueueBudget(most);
+    return new QueueBudget(maxWaiting);
   }
 
-  /** Takes one place for a request of that class; false where its class must not wait now. */
+  /** Takes one queue place for a request of that class; false if the class has none left. */
   boolean tryAcquire(RequestClass requestClass) {
     int limit = maxWaitingOf(requestClass);
-    int now = waiting.get();
-    while (now < limit) {
-      if (waiting.compareAndSet(now, now + 1)) {
+    int current = waiting.get();
+    while (current < limit) {
+      if (waiting.compareAndSet(current, current + 1)) {
         return true;
       }
-      now = waiting.get();
+      current = waiting.get();
     }
     return false;
   }
@@ -47,7 +47,7 @@
     waiting.decrementAndGet();
   }
 
-  /** Requests waiting at all gates. */
+  /** Requests queued at all gates. */
   public int waitingCount() {
     return waiting.get();
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/RateHistory.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/RateHistory.java
@@ -5,33 +5,36 @@
 import java.util.List;
 
 /**
- * Counts admissions in steps of a fiftieth of a window, far enough back to compare one window with
- * the window before it.
+ * Counts admissions in steps of a fiftieth of a sliding window, over two windows, so that one
+ * window can be compared with the window before it.
  *
- * <p>The growth at a moment is the requests of the window that ends then, less those of the window
- * before. Growth may rise later without any admission, because the older window loses a busy step;
- * so {@link #maxProjectedGrowth()} looks ahead over the steps to come and says the largest growth
- * that no abstaining could avert. A place that keeps that below its allowance keeps its cap at each
- * step.
+ * <p>The growth at a moment is the number of requests in the window that ends then minus the number
+ * in the window before. Growth can rise later without any further admission, because the older
+ * window loses a busy step. {@link #maxProjectedGrowth()} therefore looks ahead over the coming
+ * steps and returns the largest growth that admitting nothing more would still lead to. A target or
+ * gate that keeps this below its gain limit keeps its shift cap at every step.
  *
- * <p>Not safe for use by several threads; its owner's lock guards it.
+ * <p>Not thread-safe; guarded by its owner's lock.
  */
 final class RateHistory {
   /**
-   * Steps in one window. An observer whose windows begin within a step may see the requests of one
-   * step more than the cap: a fiftieth of a window at an even pace, and the pace of a tenth where a
-   * burst falls into one step.
+   * Steps per window. An observer whose windows begin within a step may see the requests of one
+   * step more than the cap allows: a fiftieth of a window at an even rate, and up to the pace limit
+   * of a tenth of a window if a burst falls into one step.
    */
   static final int STEPS_PER_WINDOW = 50;
 
   private static final int KEPT_STEPS = 2 * STEPS_PER_WINDOW;
 
-  /** Parts of a window whose pace is bounded; long enough that chance arrivals do not bind. */
+  /**
+   * Intervals of a window whose request count is limited; long enough that random arrivals alone do
+   * not reach the limit.
+   */
   private static final int INTERVALS_PER_WINDOW = 10;
 
   private static final int STEPS_PER_INTERVAL = STEPS_PER_WINDOW / INTERVALS_PER_WINDOW;
 
-  /** Multiple of a part's even share that may be used in one part. */
+  /** Maximum count of an interval, as a multiple of its even share of the window. */
   private static final double MAX_PACE_FACTOR = 1.25;
 
   private final long stepNanos;
@@ -43,50 +46,50 @@
     this.currentStep = step;
   }
 
-  /** A place that has admitted nothing yet. */
+  /** Creates a history without admissions. */
   static RateHistory create(Duration window, long nowNanos) {
     long stepNanos = Math.max(1, window.toNanos() / STEPS_PER_WINDOW);
     return new RateHistory(stepNanos, Math.floorDiv(nowNanos, stepNanos));
   }
 
-  /** Forgets what has grown too old; true where a new step has begun. */
+  /** Drops counts that are too old; true if a new step has begun. */
   boolean advanceTo(long nowNanos) {
     long newStep = Math.floorDiv(nowNanos, stepNanos);
     if (newStep <= currentStep) {
       return false;
     }
-    long fresh = Math.min(KEPT_STEPS, newStep - currentStep);
-    for (long i = 1; i <= fresh; i++) {
-      counts[bufferIndex(newStep - fresh + i)] = 0;
+    long newSteps = Math.min(KEPT_STEPS, newStep - currentStep);
+    for (long i = 1; i <= newSteps; i++) {
+      counts[bufferIndex(newStep - newSteps + i)] = 0;
     }
     currentStep = newStep;
     return true;
   }
 
   /**
-   * Most requests in a tenth of a window, so that a cold place is not hit by a whole window's gain
-   * at once.
+   * Maximum requests in a tenth of a window, so that a cold target does not get the gain of a whole
+   * window at once.
    *
-   * <p>A tenth may always hold its even part of the gain more than the same tenth one window ago.
-   * Without that a place that uses its gain early in each window, as it must under full demand,
-   * would have to start each window at the slow pace of the one before, and lose a part of its
-   * gain.
+   * <p>A tenth may always have its even share of the gain more than the same tenth one window ago.
+   * Without that, a target that uses its gain early in each window, as it must under full demand,
+   * would start each window at the low rate of the window before and lose part of its gain.
    *
-   * @param before requests of the window before the one that ends now
-   * @param windowAgo requests of the same tenth one window ago
-   * @param units requests by which a window may outgrow the one before
+   * @param previousWindow requests in the window before the one that ends now
+   * @param intervalOneWindowAgo requests in the same tenth one window ago
+   * @param gainLimit requests by which a window may exceed the one before
    */
-  static int paceLimit(int before, int windowAgo, int units) {
-    double evenPart = MAX_PACE_FACTOR * (before + units) / INTERVALS_PER_WINDOW;
-    double grown = windowAgo + MAX_PACE_FACTOR * units / INTERVALS_PER_WINDOW;
-    return Math.max(1, (int) Math.ceil(Math.max(evenPart, grown)));
+  static int paceLimit(int previousWindow, int intervalOneWindowAgo, int gainLimit) {
+    double evenShare = MAX_PACE_FACTOR * (previousWindow + gainLimit) / INTERVALS_PER_WINDOW;
+    double previousPlusShare =
+        intervalOneWindowAgo + MAX_PACE_FACTOR * gainLimit / INTERVALS_PER_WINDOW;
+    return Math.max(1, (int) Math.ceil(Math.max(evenShare, previousPlusShare)));
   }
 
   long stepNanos() {
     return stepNanos;
   }
 
-  /** Admissions step by step, newest first. */
+  /** Admissions per step, newest first. */
   List<Integer> steps() {
     List<Integer> steps = new ArrayList<>(KEPT_STEPS);
     for (int back = 0; back < KEPT_STEPS; back++) {
@@ -95,7 +98,9 @@
     return steps;
   }
 
-  /** Adds admissions made elsewhere, the newest of them {@code stepsAgo} steps before this one. */
+  /**
+   * Adds the admissions of another gate, the newest of them {@code stepsAgo} steps before this one.
+   */
   void addSteps(List<Integer> steps, int stepsAgo) {
     for (int back = stepsAgo; back < KEPT_STEPS && back - stepsAgo < steps.size(); back++) {
       counts[bufferIndex(currentStep - back)] += steps.get(back - stepsAgo);
@@ -106,69 +111,72 @@
     counts[bufferIndex(currentStep)]++;
   }
 
-  /** Requests of the tenth of a window that ends with this step. */
+  /** Requests in the tenth of a window that ends with this step. */
   int intervalCount() {
     return sum(0, STEPS_PER_INTERVAL - 1);
   }
 
-  /** Requests of the tenth that lies one window before {@link #intervalCount()}. */
+  /** Requests in the tenth that lies one window before {@link #intervalCount()}. */
   int intervalCountOneWindowAgo() {
     return sum(STEPS_PER_WINDOW, STEPS_PER_WINDOW + STEPS_PER_INTERVAL - 1);
   }
 
-  /** Requests of the window that ends with this step. */
+  /** Requests in the window that ends with this step. */
   int windowCount() {
     return sum(0, STEPS_PER_WINDOW - 1);
   }
 
-  /** Requests of the window before {@link #windowCount()}. */
+  /** Requests in the window before {@link #windowCount()}. */
   int previousWindowCount() {
     return sum(STEPS_PER_WINDOW, KEPT_STEPS - 1);
   }
 
-  /**
-   * Growth {@code ahead} steps from now, 0 to twice {@link #STEPS_PER_WINDOW}, if nothing more
-   * comes.
-   */
+  /** Growth at each coming step, as many as in two windows, if nothing more is admitted. */
   int[] projectedGrowths() {
-    int[] newest = new int[KEPT_STEPS + 1];
+    int[] cumulative = new int[KEPT_STEPS + 1];
     for (int back = 0; back < KEPT_STEPS; back++) {
-      newest[back + 1] = newest[back] + counts[bufferIndex(currentStep - back)];
+      cumulative[back + 1] = cumulative[back] + counts[bufferIndex(currentStep - back)];
     }
     int[] growths = new int[KEPT_STEPS];
     for (int ahead = 0; ahead < KEPT_STEPS; ahead++) {
-      int recent = newest[Math.max(0, STEPS_PER_WINDOW - ahead)];
-      growths[ahead] = recent - (newest[KEPT_STEPS - ahead] - recent);
+      int newerWindow = cumulative[Math.max(0, STEPS_PER_WINDOW - ahead)];
+      growths[ahead] = newerWindow - (cumulative[KEPT_STEPS - ahead] - newerWindow);
     }
     return growths;
   }
 
-  /** Largest growth of this and the steps to come if nothing more is admitted. */
+  /** Largest growth at this and the coming steps if nothing more is admitted. */
   int maxProjectedGrowth() {
     return maxGrowth(projectedGrowths(), 0);
   }
 
-  /** Largest of a window of {@code growths} that begins {@code from} steps from now, 0 to 50. */
+  /** Maximum of one window of {@code growths} that begins {@code from} steps from now, 0 to 50. */
   static int maxGrowth(int[] growths, int from) {
-    int worst = Integer.MIN_VALUE;
+    int max = Integer.MIN_VALUE;
     for (int ahead = from; ahead < from + STEPS_PER_WINDOW; ahead++) {
-      worst = Math.max(worst, growths[ahead]);
+      max = Math.max(max, growths[ahead]);
     }
-    return worst;
+    return max;
   }
 
-  /** Steps from now after which a place that may grow by {@code units} may admit one more. */
-  static int stepsUntilAdmission(int[] growths, int units) {
+  /**
+   * Steps from now until one more request may be admitted if the window may grow by {@code
+   * gainLimit}.
+   */
+  static int stepsUntilAdmission(int[] growths, int gainLimit) {
     int steps = 1;
-    while (steps < STEPS_PER_WINDOW && maxGrowth(growths, steps) >= units) {
+    while (steps < STEPS_PER_WINDOW && maxGrowth(growths, steps) >= gainLimit) {
       steps++;
     }
     return steps;
   }
 
-  /** Monotonic time at which a place that may grow by {@code units} may admit one more. */
-  long nextAdmissionNanos(int units) {
-    return nextStepNanos() + (stepsUntilAdmission(projectedGrowths(), units) - 1) * stepNanos;
+  /**
+   * Monotonic time at which one more request may be admitted if the window may grow by {@code
+   * gainLimit}.
+   */
+  long nextAdmissionNanos(int gainLimit) {
+    return nextStepNanos() + (stepsUntilAdmission(projectedGrowths(), gainLimit) - 1) * stepNanos;
   }
 
   /** Monotonic time at which the next step begins. */
@@ -176,18 +184,19 @@
     return (currentStep + 1) * stepNanos;
   }
 
-  /** The same rates counted in steps of another window. */
+  /** Converts the counts to the steps of another window, at the same rates. */
   RateHistory resampled(Duration window, long nowNanos) {
-    RateHistory other = create(window, nowNanos);
+    RateHistory converted = create(window, nowNanos);
     for (int back = 0; back < KEPT_STEPS; back++) {
-      long here = back * other.stepNanos / stepNanos;
-      if (here >= KEPT_STEPS) {
+      long sourceBack = back * converted.stepNanos / stepNanos;
+      if (sourceBack >= KEPT_STEPS) {
         break;
       }
-      double perNano = (double) counts[bufferIndex(currentStep - here)] / stepNanos;
-      other.counts[other.bufferIndex(other.currentStep - back)] = (int) (perNano * other.stepNanos);
+      double perNano = (double) counts[bufferIndex(currentStep - sourceBack)] / stepNanos;
+      converted.counts[converted.bufferIndex(converted.currentStep - back)] =
+          (int) (perNano * converted.stepNanos);
     }
-    return other;
+    return converted;
   }
 
   private int sum(int newestBack, int oldestBack) {
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/RetryBudget.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/RetryBudget.java
@@ -1,20 +1,20 @@
 package org.sageladder.core.limits;
 
 /**
- * Bounds retries to a fraction of first tries, so that retries cannot multiply an overload.
+ * Limits retries to a fraction of first attempts, so that retries cannot amplify an overload.
  *
  * <pre>{@code
- * budget.firstTry();
- * if (failedInAWayThatMayBeRepeated && budget.takeRetry()) { ... }
+ * budget.recordFirstAttempt();
+ * if (failureIsRetryable && budget.tryAcquireRetry()) { ... }
  * }</pre>
  *
- * <p>Each first try earns {@code fraction} of a retry, each retry spends one; at most {@link
- * #MAX_SAVED_RETRIES} are saved up, so that a quiet hour does not pay for a storm. Over any time
- * the retries are at most {@code fraction} of the first tries, plus what had been saved. Safe for
- * use by several threads.
+ * <p>Each first attempt adds {@code fraction} of a retry to the balance and each retry takes one.
+ * The balance is limited to {@link #MAX_SAVED_RETRIES}, so that a long quiet period does not allow
+ * a retry storm. Over any period there are at most {@code fraction} retries per first attempt, plus
+ * the balance at its start. Thread-safe.
  */
 public final class RetryBudget {
-  /** Retries that may be saved up. */
+  /** Maximum balance, in retries. */
   public static final int MAX_SAVED_RETRIES = 10;
 
   private double fraction;
@@ -28,9 +28,9 @@
   }
 
   /**
-   * A budget with one retry saved.
+   * Creates a budget with a balance of one retry.
    *
-   * @param fraction retries allowed as a part of first tries, 0 to 1
+   * @param fraction retries allowed per first attempt, 0 to 1
    */
   public static RetryBudget of(double fraction) {
     checkFraction(fraction);
@@ -40,23 +40,23 @@
   private static void checkFraction(double fraction) {
     if (!(fraction >= 0 && fraction <= 1)) {
       throw new IllegalArgumentException(
-          "retry fraction " + fraction + " must be from 0 to 1, for instance 0.1");
+          "retry fraction " + fraction + " is out of range; must be between 0 and 1, e.g. 0.1");
     }
   }
 
-  /** Puts the fraction of a new contract revision in force; what was saved stays. */
+  /** Puts the fraction of a new contract revision in force; the balance is kept. */
   public synchronized void updateFraction(double newFraction) {
     checkFraction(newFraction);
     fraction = newFraction;
   }
 
-  /** Counts a request that is sent to a target for the first time. */
+  /** Records a request that is sent to a target for the first time. */
   public synchronized void recordFirstAttempt() {
     firstAttempts++;
     savedRetries = Math.min(MAX_SAVED_RETRIES, savedRetries + fraction);
   }
 
-  /** Spends one retry; false where none is left, and the request must fail instead. */
+  /** Takes one retry; false if none is left and the request must fail instead. */
   public synchronized boolean tryAcquireRetry() {
     if (savedRetries < 1) {
       deniedRetries++;
@@ -67,15 +67,15 @@
     return true;
   }
 
-  /** First tries, retries and denied retries since the start. */
+  /** First attempts, retries and denied retries since the start. */
   public synchronized Counts counts() {
     return new Counts(firstAttempts, retries, deniedRetries);
   }
 
   /**
-   * What a budget counted.
+   * Totals of a budget.
    *
-   * @param deniedRetries retries that were wanted and not allowed
+   * @param deniedRetries retries that were requested but not allowed
    */
   public record Counts(long firstAttempts, long retries, long deniedRetries) {}
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/Scheduler.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/Scheduler.java
@@ -5,7 +5,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs a task later; a gate uses it to end waits and to go on when its caps allow more.
+ * Runs a task after a delay. A gate uses it to end waits, and to admit queued requests once its
+ * caps allow more.
  *
  * <pre>{@code
  * Scheduler scheduler = Scheduler.of(executor);
@@ -14,7 +15,7 @@
  */
 @FunctionalInterface
 public interface Scheduler {
-  /** Runs {@code task} once, on any thread, not before {@code delay} has passed. */
+  /** Runs {@code task} once, on any thread, not before {@code delay} has elapsed. */
   void runAfter(Duration delay, Runnable task);
 
   /** A scheduler that uses the threads of {@code executor}. */
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/ServiceGate.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/ServiceGate.java
@@ -19,28 +19,30 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * The gate of one service in one entry VM: counts the slots of the targets that this VM holds and
- * lets requests wait, bounded by number and time, where no slot is free.
+ * Admission control of one service in one entry VM: counts the slots in use on the targets that
+ * this VM holds and queues requests while no slot is free. The queue is bounded in length and
+ * waiting time.
  *
  * <pre>{@code
  * ServiceGate gate = ServiceGate.create(customer, service, time, Scheduler.of(executor), events);
- * gate.holdings(view.holdings().stream().filter(h -> h.holder().equals(self)).toList());
+ * gate.updateHoldings(view.holdings().stream().filter(h -> h.holder().equals(self)).toList());
  * gate.request(new AdmissionRequest("r-17", deadlineNanos, "", ""), admission -> send(admission));
  * }</pre>
  *
- * <p>One lock guards everything; nothing is called while it is held, so it comes last in any lock
- * order but for the retry budget's, which is taken inside it. All methods may be called from any
- * thread.
+ * <p>Thread-safe. One lock guards the whole state. Callbacks are never called while it is held, and
+ * the only lock taken inside it is that of the retry budget, so it comes last in any other lock
+ * order.
  */
 public final class ServiceGate implements Gate, AutoCloseable {
   /**
-   * What a refused request counts as demand: an answer names four places, so its caller is refused
-   * four times before it is lost, and is then counted once over all.
+   * Weight of a refused request in the offered rate. A look-up answer names four entry VMs, and a
+   * client that is refused by one tries the next: a request that finds no slot anywhere is refused
+   * four times and so counts as one.
    */
   private static final double REFUSED_DEMAND_WEIGHT = 1.0 / 4;
 
   private static final String TAKEN_OVER_DETAIL =
-      "another entry VM held the targets a moment ago, and may have used their gain";
+      "the targets were taken over from another entry VM, which may have used their shift cap";
 
   private static final double NON_REPEATABLE_RETRY_FRACTION = 0.1;
   private static final double NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
@@ -84,8 +86,9 @@
   }
 
   /**
-   * Work that must not repeat is sent on only where a target refused it before running; such
-   * retries are bounded by a tenth, whatever the contract says of repeats.
+   * Fraction of retries allowed. A request that must not run twice is retried only where a target
+   * refused it before running it; such retries are limited to a tenth, whatever retry fraction the
+   * contract states.
    */
   private static double retryFraction(Contract.Service service) {
     return service.repeatable() ? service.retryFraction() : NON_REPEATABLE_RETRY_FRACTION;
@@ -96,12 +99,12 @@
     return retryBudget.tryAcquireRetry();
   }
 
-  /** First tries, retries and denied retries of this service here. */
+  /** Counts of first attempts, retries and denied retries of this service in this entry VM. */
   public RetryBudget.Counts retryCounts() {
     return retryBudget.counts();
   }
 
-  /** A gate that holds no targets yet and so refuses all work. */
+  /** Creates a gate that holds no targets yet and so refuses every request. */
   public static ServiceGate create(
       String customer,
       Contract.Service service,
@@ -119,10 +122,10 @@
   }
 
   /**
-   * As above, for a gate in an entry VM.
+   * Creates a gate that shares the queue limit of its entry VM.
    *
-   * @param budget bounds the requests that wait at all gates of the entry VM together
-   * @param guard says which part of its holdings this entry VM may use now
+   * @param budget limit on the requests queued at all gates of the entry VM together
+   * @param guard limits how many slots of each holding this entry VM may use now
    */
   public static ServiceGate create(
       String customer,
@@ -136,9 +139,11 @@
   }
 
   /**
-   * Replaces the targets that this VM holds; none counts as taken over from another entry VM.
+   * Replaces the targets that this VM holds; none of them counts as taken over from another entry
+   * VM.
    *
-   * <p>Targets no longer named get no new work; slots in use stay valid until released.
+   * <p>Targets that are no longer listed get no new requests; their slots in use stay valid until
+   * released.
    */
   public void updateHoldings(List<Holding> holdings) {
     updateHoldings(holdings, Set.of());
@@ -147,9 +152,9 @@
   /**
    * Replaces the targets that this VM holds.
    *
-   * @param takenOver names of those that another entry VM, or an earlier incarnation of this one,
-   *     held until now; they get work one window later, or once {@link #importHistory} tells of
-   *     them
+   * @param takenOver names of the targets that another entry VM, or an earlier incarnation of this
+   *     one, held until now; they get requests one window later, or as soon as {@link
+   *     #importHistory} has their history
    */
   public void updateHoldings(List<Holding> holdings, Set<String> takenOver) {
     List<Decision> decisions = new ArrayList<>();
@@ -161,8 +166,9 @@
   }
 
   /**
-   * What this gate counted of a target that {@link #updateHoldings} took from it, to be sent to the
-   * entry VM that holds it now; empty where there is nothing to tell or it has been told.
+   * Returns what this gate counted of a target that {@link #updateHoldings} took from it, to be
+   * sent to the entry VM that holds the target now. Empty if nothing was counted or the history has
+   * already been exported.
    */
   public Optional<TargetHistory> exportHistory(String target) {
     synchronized (lock) {
@@ -171,22 +177,22 @@
   }
 
   /**
-   * Takes what the entry VM that held a target before counted of it; repeats have no effect.
+   * Takes over the counts of the entry VM that held a target before. Repeated calls have no effect.
    *
-   * @return true where the target is held here and waited for it
+   * @return true if the target is held here and was still waiting for its history
    */
   public boolean importHistory(TargetHistory history) {
     List<Decision> decisions = new ArrayList<>();
-    boolean taken;
+    boolean imported;
     synchronized (lock) {
-      taken = pool.importHistory(history, time.nanos(), time.wallMillis());
+      imported = pool.importHistory(history, time.nanos(), time.wallMillis());
       processQueue(decisions);
     }
     deliver(decisions);
-    return taken;
+    return imported;
   }
 
-  /** Puts the limits of a new revision in force; waiting requests keep their places. */
+  /** Puts the limits of a new contract revision in force; queued requests keep their places. */
   public void updateService(Contract.Service newService) {
     List<Decision> decisions = new ArrayList<>();
     retryBudget.updateFraction(retryFraction(newService));
@@ -198,28 +204,31 @@
   }
 
   /**
-   * Takes a target's own, possibly late or wrong, report.
+   * Processes a load report of a target. Reports may be late or wrong.
    *
-   * @param nowNanos monotonic time at which the report was taken
+   * @param reportedBusy slots in use according to the report
+   * @param reportedSlots slots that the target has according to the report
+   * @param draining true if the target announced that it is about to stop
+   * @param nowNanos monotonic time at which the report was received
    */
   public void onLoadReport(
       String target, int reportedBusy, int reportedSlots, boolean draining, long nowNanos) {
     synchronized (lock) {
-      TargetSlots known = pool.target(target);
-      if (known == null) {
+      TargetSlots slots = pool.target(target);
+      if (slots == null) {
         return;
       }
-      known.onLoadReport(reportedBusy, reportedSlots, nowNanos);
+      slots.onLoadReport(reportedBusy, reportedSlots, nowNanos);
       if (draining) {
-        known.markDraining();
+        slots.markDraining();
       }
     }
   }
 
   @Override
-  public Cancellable request(AdmissionRequest request, Consumer<Admission> whenDecided) {
+  public Cancellable request(AdmissionRequest request, Consumer<Admission> onDecision) {
     List<Decision> decisions = new ArrayList<>(1);
-    WaitingRequest waiting = new WaitingRequest(request, whenDecided, waitDeadlineNanos(request));
+    WaitingRequest waiting = new WaitingRequest(request, onDecision, waitDeadlineNanos(request));
     synchronized (lock) {
       offeredCount++;
       admitOrEnqueue(waiting, decisions);
@@ -229,8 +238,10 @@
   }
 
   private long waitDeadlineNanos(AdmissionRequest request) {
-    long longest = time.nanos() + service().queueWait().toNanos();
-    return longest - request.deadlineNanos() < 0 ? longest : request.deadlineNanos();
+    long queueLimitNanos = time.nanos() + service().queueWait().toNanos();
+    return queueLimitNanos - request.deadlineNanos() < 0
+        ? queueLimitNanos
+        : request.deadlineNanos();
   }
 
   private void admitOrEnqueue(WaitingRequest waiting, List<Decision> decisions) {
@@ -239,7 +250,11 @@
       return;
     }
     if (hasNoTargetFor(waiting)) {
-      refuse(waiting, ResultCode.NO_TARGET, "no target held here may take it", decisions);
+      refuse(
+          waiting,
+          ResultCode.NO_TARGET,
+          "this gate holds no target that may run the request",
+          decisions);
       return;
     }
     if (pool.earliestWorkNanos(time.nanos()) - waiting.waitDeadlineNanos >= 0) {
@@ -252,7 +267,7 @@
       return;
     }
     if (queue.size() >= pool.heldTargetCount() * pool.service().queuePerTarget()) {
-      String detail = queue.size() + " requests wait already";
+      String detail = queue.size() + " requests are already queued";
       refuse(
           waiting,
           choice.isCapped() ? ResultCode.SHIFT_CAP : ResultCode.QUEUE_FULL,
@@ -264,7 +279,7 @@
       refuse(
           waiting,
           shedCode(),
-          queueBudget.waitingCount() + " requests wait on this entry VM",
+          queueBudget.waitingCount() + " requests are queued on this entry VM",
           decisions);
       return;
     }
@@ -317,14 +332,14 @@
   }
 
   /**
-   * When one more request would find a slot: after those that wait, and not before a cap, a pause
-   * or the wait for a taken-over target ends.
+   * Estimates when one more request would get a slot: after the queued requests, and not before the
+   * shift cap allows one more, an ejection ends or the wait for a taken-over target is over.
    */
-  private Duration timeUntilSlot(boolean capped) {
+  private Duration timeUntilSlot(boolean isCapped) {
     long now = time.nanos();
     double perSecond = pool.ceilingPerSecond(now);
     long wait = perSecond > 0 ? (long) (NANOS_PER_SECOND * (queue.size() + 1) / perSecond) : 0;
-    if (capped) {
+    if (isCapped) {
       wait = Math.max(wait, pool.nextAdmissionNanos(now) - now);
     } else if (pool.usableSlots(now) == 0) {
       wait = Math.max(wait, pool.nextChangeNanos(now) - now);
@@ -333,36 +348,43 @@
   }
 
   /**
-   * Ends waits that are over and hands free slots to the others, oldest first.
+   * Refuses the queued requests whose wait limit has passed and gives free slots to the others,
+   * oldest first.
    *
-   * <p>Once no target takes a request that may go to any, none takes those behind it: each slot
-   * that comes free would otherwise cost a look at all targets for each request that waits.
+   * <p>If no target can take a request that may go to any target, none can take the requests behind
+   * it either. The result is reused for them, since each freed slot would otherwise cost a scan of
+   * all targets for every queued request.
    */
   private void processQueue(List<Decision> decisions) {
     long now = time.nanos();
-    TargetPool.Choice none = null;
+    TargetPool.Choice noTargetChoice = null;
     Iterator<WaitingRequest> oldestFirst = queue.iterator();
     while (oldestFirst.hasNext()) {
       WaitingRequest waiting = oldestFirst.next();
       if (waiting.waitDeadlineNanos - now <= 0) {
         removeFromQueue(oldestFirst);
         ResultCode code = waiting.capped ? ResultCode.SHIFT_CAP : ResultCode.QUEUE_DEADLINE;
-        refuse(waiting, code, "no slot came free in time", decisions);
+        refuse(waiting, code, "no slot became free within the wait limit", decisions);
         continue;
       }
       if (hasNoTargetFor(waiting)) {
         removeFromQueue(oldestFirst);
-        refuse(waiting, ResultCode.NO_TARGET, "no target held here may take it", decisions);
+        refuse(
+            waiting,
+            ResultCode.NO_TARGET,
+            "this gate holds no target that may run the request",
+            decisions);
         continue;
       }
-      String avoid = waiting.request.excludedTarget();
-      TargetPool.Choice choice = none == null ? pool.selectTarget(avoid, now) : none;
+      String excludedTarget = waiting.request.excludedTarget();
+      TargetPool.Choice choice =
+          noTargetChoice == null ? pool.selectTarget(excludedTarget, now) : noTargetChoice;
       waiting.capped = choice.isCapped();
       if (choice.target() != null) {
         removeFromQueue(oldestFirst);
         admit(waiting, choice.target(), decisions);
-      } else if (avoid.isEmpty()) {
-        none = choice;
+      } else if (excludedTarget.isEmpty()) {
+        noTargetChoice = choice;
       }
     }
     scheduleQueueCheck();
@@ -373,7 +395,10 @@
     queueBudget.release();
   }
 
-  /** Sees to it that waits end in time and that a cap or pause that gives way is noticed. */
+  /**
+   * Schedules the next queue check: when a wait limit passes, a cap may allow more or an ejection
+   * ends.
+   */
   private void scheduleQueueCheck() {
     if (queueCheckScheduled || queue.isEmpty()) {
       return;
@@ -428,29 +453,30 @@
 
   private void recordEvent(Decision decision) {
     String request = decision.waiting.request.requestId();
-    if (decision.admission instanceof Admission.Admitted yes) {
-      events.record(EventKind.ADMITTED, request, customer, yes.slot().target().target(), 0, "");
-    } else if (decision.admission instanceof Admission.Refused no) {
-      String reason = no.result().code() + ": " + no.result().detail();
+    if (decision.admission instanceof Admission.Admitted admitted) {
+      events.record(
+          EventKind.ADMITTED, request, customer, admitted.slot().target().target(), 0, "");
+    } else if (decision.admission instanceof Admission.Refused refused) {
+      String reason = refused.result().code() + ": " + refused.result().detail();
       events.record(EventKind.REFUSED, request, customer, service().name(), 0, reason);
     }
   }
 
-  /** Limits in force. */
+  /** The limits in force. */
   public Contract.Service service() {
     synchronized (lock) {
       return pool.service();
     }
   }
 
-  /** Slots in use, those of targets no longer held included. */
+  /** Slots in use, including those of targets that are no longer held. */
   public int busySlots() {
     synchronized (lock) {
       return pool.busySlots();
     }
   }
 
-  /** Requests in flight on {@code target} through this gate. */
+  /** Requests in flight on {@code target} that were admitted by this gate. */
   public int inFlight(String target) {
     synchronized (lock) {
       TargetSlots known = pool.target(target);
@@ -458,21 +484,21 @@
     }
   }
 
-  /** Requests waiting. */
+  /** Requests in the queue. */
   public int queuedCount() {
     synchronized (lock) {
       return queue.size();
     }
   }
 
-  /** The targets held here that are not leaving. */
+  /** The targets held by this gate that are not draining. */
   public List<Holding> heldTargets() {
     synchronized (lock) {
       return pool.held();
     }
   }
 
-  /** True while this gate holds a target that is not leaving, paused or not. */
+  /** True while this gate holds a target that is not draining, whether it is ejected or not. */
   public boolean holdsTargets() {
     synchronized (lock) {
       return pool.heldTargetCount() > 0;
@@ -486,7 +512,7 @@
     }
   }
 
-  /** All numbers of one moment. */
+  /** A consistent snapshot of all counts and rates. */
   public GateStats stats() {
     synchronized (lock) {
       long now = time.nanos();
@@ -503,7 +529,7 @@
     }
   }
 
-  /** Refuses all that wait and all that still come; slots in use stay valid. */
+  /** Refuses all queued and all later requests; slots in use stay valid. */
   @Override
   public void close() {
     List<Decision> decisions = new ArrayList<>();
@@ -525,10 +551,11 @@
     private boolean capped;
     private boolean decided;
 
-    WaitingRequest(AdmissionRequest request, Consumer<Admission> whenDecided, long giveUpAt) {
+    WaitingRequest(
+        AdmissionRequest request, Consumer<Admission> onDecision, long waitDeadlineNanos) {
       this.request = request;
-      this.onDecision = whenDecided;
-      this.waitDeadlineNanos = giveUpAt;
+      this.onDecision = onDecision;
+      this.waitDeadlineNanos = waitDeadlineNanos;
     }
   }
 
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/SmoothedRate.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/SmoothedRate.java
@@ -3,9 +3,10 @@
 import java.time.Duration;
 
 /**
- * Events a second, smoothed over the last few seconds; quick enough to follow a surge.
+ * Events per second, exponentially smoothed over the last few seconds; fast enough to follow a
+ * surge.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class SmoothedRate {
   private static final long NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/TargetHealth.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/TargetHealth.java
@@ -4,13 +4,14 @@
 import org.sageladder.core.contract.Contract;
 
 /**
- * What a gate learned of one target from its own requests, which counts for more than the target's
- * reports.
+ * Health of one target as seen by the requests of one gate. It takes precedence over the target's
+ * own load reports.
  *
- * <p>A cold target starts with one slot and gets one more with each whole answer. A refusal halves
- * the slots, failures in a row leave one; both stop new work for a pause that doubles while they
- * last. The request after a pause is the probe: a target said to be well that is not costs one
- * request a pause, not a slot full of them.
+ * <p>A cold target goes through a slow start: it begins with one slot and gets another with each
+ * complete response. A refusal halves the slots; consecutive failures reduce them to one. Both
+ * eject the target, that is, stop new requests, for a time that doubles while they continue. The
+ * first request after an ejection is a probe: a broken target that reports itself healthy costs one
+ * request per ejection, not one per slot.
  */
 final class TargetHealth {
   private static final long MAX_EJECTION_NANOS = Duration.ofSeconds(4).toNanos();
@@ -23,9 +24,9 @@
   private long ejectedUntilNanos;
   private boolean ejected;
 
-  private TargetHealth(long firstPauseNanos) {
-    this.initialEjectionNanos = firstPauseNanos;
-    this.ejectionNanos = firstPauseNanos;
+  private TargetHealth(long initialEjectionNanos) {
+    this.initialEjectionNanos = initialEjectionNanos;
+    this.ejectionNanos = initialEjectionNanos;
   }
 
   static TargetHealth ofColdTarget(Contract.Service service) {
@@ -33,17 +34,17 @@
     return new TargetHealth(Math.min(MAX_EJECTION_NANOS, (long) (millis * 1_000_000)));
   }
 
-  /** Skips the slow start: another gate gave the target work until now. */
+  /** Skips the slow start: the target is warm, since another gate sent it requests until now. */
   void skipSlowStart(int slots) {
     concurrencyLimit = Math.max(concurrencyLimit, slots);
   }
 
-  /** Slots of {@code most} that may be in use now. */
-  int concurrencyLimit(int most, long nowNanos) {
+  /** Slots out of {@code maxSlots} that may be in use now. */
+  int concurrencyLimit(int maxSlots, long nowNanos) {
     if (isEjected(nowNanos)) {
       return 0;
     }
-    return (int) Math.min(most, concurrencyLimit);
+    return (int) Math.min(maxSlots, concurrencyLimit);
   }
 
   boolean isEjected(long nowNanos) {
@@ -54,22 +55,22 @@
     return ejectedUntilNanos;
   }
 
-  void recordCompletion(Admission.Completion completion, int most, long nowNanos) {
+  void recordCompletion(Admission.Completion completion, int maxSlots, long nowNanos) {
     switch (completion) {
-      case ANSWERED -> recordSuccess(most);
+      case ANSWERED -> recordSuccess(maxSlots);
       case REFUSED -> eject(Math.max(1, concurrencyLimit / 2), nowNanos);
       case LOST, TIMEOUT -> recordFailure(nowNanos);
       default -> {
-        // The others say nothing about how well the target carries work.
+        // The other results say nothing about the health of the target.
       }
     }
   }
 
-  private void recordSuccess(int most) {
+  private void recordSuccess(int maxSlots) {
     consecutiveFailures = 0;
     ejectionNanos = initialEjectionNanos;
     ejected = false;
-    concurrencyLimit = Math.min(most, concurrencyLimit + 1);
+    concurrencyLimit = Math.min(maxSlots, concurrencyLimit + 1);
   }
 
   private void recordFailure(long nowNanos) {
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/TargetHistory.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/TargetHistory.java
@@ -3,21 +3,23 @@
 import java.util.List;
 
 /**
- * What a gate that lost a target tells the gate that has it now, so that a warm target need not
- * start as a cold one.
+ * What the previous gate of a target sends to the new one, so that a warm target need not go
+ * through a slow start again.
  *
- * <p>It is sent after the old gate has stopped giving the target work, at most once per loss. If it
- * is lost on the way, the new gate waits one window and starts the target as cold: headroom is
- * lost, no cap is broken.
+ * <p>It is sent after the previous gate has stopped giving the target requests, at most once per
+ * change of the holder. If it is lost on the way, the new gate waits one window and starts the
+ * target as cold: capacity goes unused for that time, but no cap is exceeded.
  *
- * @param takenAtMillis wall clock of the old gate when it counted
- * @param inFlight requests of the old gate that still run on the target
- * @param targetSteps admissions in steps of a fiftieth of the target cap's window, newest first
- * @param regionSteps the same in steps of the region cap's window
- * @param gainReleased true where the old gate does without the target's part of the region's gain
- *     from now on; otherwise the new gate may use that part one window later
- * @param waitMillis what was left of the old gate's own wait for the gate before it, which it has
- *     not given work since; then nothing was counted, and the new gate waits as long. 0 for none
+ * @param takenAtMillis wall-clock time of the previous gate when the counts were taken
+ * @param inFlight requests of the previous gate that still run on the target
+ * @param targetSteps admissions in steps of a fiftieth of the window of the target's cap, newest
+ *     first
+ * @param regionSteps the same in steps of the window of the region's cap
+ * @param gainReleased true if the previous gate no longer uses the target's part of the region's
+ *     gain; otherwise the new gate may use that part one window later
+ * @param waitMillis time that the previous gate still had to wait after its own take-over, 0 for
+ *     none. During such a wait it gave the target no requests and counted none, and the new gate
+ *     waits for the remaining time.
  */
 public record TargetHistory(
     String target,
@@ -28,13 +30,15 @@
     List<Integer> regionSteps,
     boolean gainReleased,
     long waitMillis) {
-  /** Copies the lists, so that the history cannot change. */
+  /** Copies the lists to keep the history immutable. */
   public TargetHistory {
     targetSteps = List.copyOf(targetSteps);
     regionSteps = List.copyOf(regionSteps);
   }
 
-  /** Of a target that got no work while its gate waited for the one before. */
+  /**
+   * History of a target that got no requests because its gate was itself waiting after a take-over.
+   */
   static TargetHistory stillWaiting(
       String target, long targetIncarnation, long takenAtMillis, int inFlight, long waitMillis) {
     return new TargetHistory(
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/TargetPool.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/TargetPool.java
@@ -13,17 +13,22 @@
 import org.sageladder.core.membership.HoldingGuard;
 
 /**
- * The targets that one gate holds, and how much their shift caps and this gate's share of the
- * region's shift cap still allow.
+ * The targets that one gate holds, and the number of requests that the shift caps still allow: the
+ * cap of each target, and this gate's share of the cap of the region.
  *
- * <p>Not safe for use by several threads; the gate's lock guards it.
+ * <p>A shift cap limits growth: a sliding window may have at most a gain, a fixed number of
+ * requests, more than the window before it.
+ *
+ * <p>Not thread-safe; guarded by the gate's lock.
  */
 final class TargetPool {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final Map<String, TargetSlots> targets = new HashMap<>();
 
-  /** Lost targets whose growth still counts here, because nobody else may know of it. */
+  /**
+   * Targets no longer held whose growth still counts here, because no other gate may know of it.
+   */
   private final List<TargetSlots> formerTargets = new ArrayList<>();
 
   private final HoldingGuard guard;
@@ -39,7 +44,12 @@
     this.stepClock = RateHistory.create(service.regionShiftCap().window(), nowNanos);
   }
 
-  /** Why no target could be chosen, or which was. */
+  /**
+   * Result of a selection.
+   *
+   * @param target the selected target, or null if there is none
+   * @param isCapped true if there is none because of a shift cap
+   */
   record Choice(@Nullable TargetSlots target, boolean isCapped) {}
 
   Contract.Service service() {
@@ -62,17 +72,18 @@
   /**
    * Replaces the targets held.
    *
-   * @param takenOver those that another entry VM held until now: they get work one window later,
-   *     since the other may have made them grow a moment ago, or as soon as their history is known
+   * @param takenOver names of the targets that another entry VM held until now. They get requests
+   *     one window later, since the other VM may have used their gain just before, or as soon as
+   *     their history is imported.
    */
   void updateHoldings(List<Holding> holdings, Set<String> takenOver, long nowNanos) {
-    Set<String> named = new HashSet<>();
+    Set<String> names = new HashSet<>();
     for (Holding holding : holdings) {
-      named.add(holding.target());
+      names.add(holding.target());
       updateHolding(holding, takenOver.contains(holding.target()), nowNanos);
     }
     for (TargetSlots target : List.copyOf(targets.values())) {
-      if (!named.contains(target.holding().target())) {
+      if (!names.contains(target.holding().target())) {
         target.markReleased(nowNanos);
       }
     }
@@ -80,24 +91,27 @@
   }
 
   private void updateHolding(Holding holding, boolean takenOver, long nowNanos) {
-    TargetSlots known = targets.get(holding.target());
+    TargetSlots slots = targets.get(holding.target());
     boolean sameIncarnation =
-        known != null && known.holding().targetIncarnation() == holding.targetIncarnation();
-    if (known != null && sameIncarnation && (known.isHeld() || !takenOver)) {
-      known.updateHolding(holding);
+        slots != null && slots.holding().targetIncarnation() == holding.targetIncarnation();
+    if (slots != null && sameIncarnation && (slots.isHeld() || !takenOver)) {
+      slots.updateHolding(holding);
       return;
     }
-    if (known != null) {
-      known.markReleased(nowNanos);
-      formerTargets.add(known);
+    if (slots != null) {
+      slots.markReleased(nowNanos);
+      formerTargets.add(slots);
     }
-    long workFrom = takenOver ? nowNanos + takeoverWaitNanos() : nowNanos;
+    long workAllowedFromNanos = takenOver ? nowNanos + takeoverWaitNanos() : nowNanos;
     targets.put(
         holding.target(),
-        new TargetSlots(holding, service, nowNanos, workFrom, sameIncarnation ? known : null));
+        new TargetSlots(
+            holding, service, nowNanos, workAllowedFromNanos, sameIncarnation ? slots : null));
   }
 
-  /** How long what another gate let through may still count in either cap's window. */
+  /**
+   * How long the requests that another gate admitted may still count in the window of either cap.
+   */
   private long takeoverWaitNanos() {
     long windowNanos =
         Math.max(
@@ -111,12 +125,12 @@
   }
 
   /**
-   * What this gate counted of a target that it no longer holds, or how long it still had to wait
-   * for the gate before it; null where it knows of none or has told.
+   * Returns what this gate counted of a target that it no longer holds, or how long it still had to
+   * wait after its own take-over. Null if it has no history or has already exported it.
    *
-   * <p>The target's part of the region's gain is released only where the targets left here keep to
-   * what is left of it, whatever the new gate does. Targets lost before count with what they have
-   * grown: their new gates may not have been told of it.
+   * <p>The target's part of the region's gain is released only if the remaining targets stay within
+   * the remaining gain whatever the new gate does. Targets that were reassigned earlier count with
+   * their growth, since their new gates may not have received it.
    */
   @Nullable TargetHistory exportHistory(String name, long nowNanos, long nowMillis) {
     TargetSlots target = targets.get(name);
@@ -125,18 +139,20 @@
     }
     target.markHistoryExported();
     if (target.isWaitingAfterTakeover(nowNanos)) {
-      // The next gate would else begin a whole wait of its own, one for each VM that joins.
-      long leftNanos = target.workAllowedFromNanos() - nowNanos;
+      // Without this the next gate would start a full wait of its own, and waits would add up with
+      // each VM that joins.
+      long remainingNanos = target.workAllowedFromNanos() - nowNanos;
       return TargetHistory.stillWaiting(
           name,
           target.holding().targetIncarnation(),
           nowMillis,
           target.maxInFlight(nowNanos),
-          Math.floorDiv(leftNanos, NANOS_PER_MILLI) + 1);
+          Math.floorDiv(remainingNanos, NANOS_PER_MILLI) + 1);
     }
     updateAllowances(nowNanos);
     int othersGrowth = RateHistory.maxGrowth(totalGrowthsExcept(target), 0);
-    boolean released = target.isGainAvailable(nowNanos) && othersGrowth <= gateGainLimit(nowNanos);
+    boolean gainReleased =
+        target.isGainAvailable(nowNanos) && othersGrowth <= gateGainLimit(nowNanos);
     return new TargetHistory(
         name,
         target.holding().targetIncarnation(),
@@ -144,28 +160,28 @@
         target.maxInFlight(nowNanos),
         target.history().steps(),
         target.regionHistory().steps(),
-        released,
+        gainReleased,
         0);
   }
 
-  /** Takes what the gate before counted of a target held here now. */
-  boolean importHistory(TargetHistory told, long nowNanos, long nowMillis) {
-    TargetSlots target = targets.get(told.target());
-    if (target == null || target.holding().targetIncarnation() != told.targetIncarnation()) {
+  /** Imports what the previous gate counted of a target that is held here now. */
+  boolean importHistory(TargetHistory history, long nowNanos, long nowMillis) {
+    TargetSlots target = targets.get(history.target());
+    if (target == null || target.holding().targetIncarnation() != history.targetIncarnation()) {
       return false;
     }
     updateAllowances(nowNanos);
-    long agoNanos = Math.max(0, nowMillis - told.takenAtMillis()) * 1_000_000;
-    int stepsAgo = (int) Math.min(10_000, agoNanos / target.history().stepNanos());
-    int regionStepsAgo = (int) Math.min(10_000, agoNanos / target.regionHistory().stepNanos());
-    boolean taken = target.importHistory(told, stepsAgo, regionStepsAgo, nowNanos);
+    long ageNanos = Math.max(0, nowMillis - history.takenAtMillis()) * 1_000_000;
+    int stepsAgo = (int) Math.min(10_000, ageNanos / target.history().stepNanos());
+    int regionStepsAgo = (int) Math.min(10_000, ageNanos / target.regionHistory().stepNanos());
+    boolean imported = target.importHistory(history, stepsAgo, regionStepsAgo, nowNanos);
     updateAllowances(nowNanos);
-    return taken;
+    return imported;
   }
 
-  boolean hasTargetOtherThan(String avoid) {
+  boolean hasTargetOtherThan(String excluded) {
     for (TargetSlots target : targets.values()) {
-      if (target.acceptsWork() && !target.holding().target().equals(avoid)) {
+      if (target.acceptsWork() && !target.holding().target().equals(excluded)) {
         return true;
       }
     }
@@ -180,11 +196,11 @@
   }
 
   int heldTargetCount() {
-    int held = 0;
+    int count = 0;
     for (TargetSlots target : targets.values()) {
-      held += target.acceptsWork() ? 1 : 0;
+      count += target.acceptsWork() ? 1 : 0;
     }
-    return held;
+    return count;
   }
 
   int usableSlots(long nowNanos) {
@@ -206,14 +222,17 @@
     return busy;
   }
 
-  /** The target with the largest free part of its slots that its cap lets grow. */
-  Choice selectTarget(String avoid, long nowNanos) {
+  /**
+   * Selects the target with the largest fraction of free slots among those whose shift cap allows
+   * one more request.
+   */
+  Choice selectTarget(String excluded, long nowNanos) {
     advanceTo(nowNanos);
     boolean gateCapped = gateAllowance <= 0 || gateIntervalCount >= gatePaceLimit;
     boolean capped = false;
     TargetSlots best = null;
     for (TargetSlots target : targets.values()) {
-      if (target.freeSlots(nowNanos) == 0 || target.holding().target().equals(avoid)) {
+      if (target.freeSlots(nowNanos) == 0 || target.holding().target().equals(excluded)) {
         continue;
       }
       if (gateCapped || target.isCapped()) {
@@ -238,8 +257,9 @@
   }
 
   /**
-   * What this gate may use of the target. Where the zone no longer confirms this entry VM another
-   * may have taken over the other half, and with it the other half of the gain.
+   * Requests per second that this gate may count on for the target. If the zone no longer confirms
+   * this entry VM, another one may have taken over the other half of the slots, and with it the
+   * other half of the gain.
    */
   private double capacityPerSecond(TargetSlots target) {
     return guard.usableSlots(target.holding()) * 1000.0 / service.meanServiceMillis();
@@ -264,8 +284,9 @@
   }
 
   /**
-   * Requests by which this gate may grow its window: its share of the region's gain, that of the
-   * targets it holds; at least one, or a slow service never starts.
+   * Requests by which this gate may grow the region's window: the part of the region's gain that
+   * belongs to the targets it holds. At least one, or a slow service would never get its first
+   * request.
    */
   int gateGainLimit(long nowNanos) {
     Contract.ShiftCap cap = service.regionShiftCap();
@@ -279,7 +300,7 @@
     return Math.max(1, (int) (cap.gainFraction() * sharedCapacity * seconds(cap.window())));
   }
 
-  /** Most requests a second that caps and slots allow now. */
+  /** Maximum requests per second that the caps and the slots allow now. */
   double ceilingPerSecond(long nowNanos) {
     advanceTo(nowNanos);
     double bySlots = usableSlots(nowNanos) * 1000.0 / service.meanServiceMillis();
@@ -290,17 +311,20 @@
     return Math.min(bySlots, windowLimit / seconds(service.regionShiftCap().window()));
   }
 
-  /** Requests a second over the last whole window. */
+  /** Admitted requests per second over the last whole window. */
   double admittedPerSecond(long nowNanos) {
     advanceTo(nowNanos);
-    int recent = 0;
+    int admitted = 0;
     for (TargetSlots target : targets.values()) {
-      recent += target.regionHistory().windowCount();
+      admitted += target.regionHistory().windowCount();
     }
-    return recent / seconds(service.regionShiftCap().window());
+    return admitted / seconds(service.regionShiftCap().window());
   }
 
-  /** Monotonic time at which a cap or a pause may next give way. */
+  /**
+   * Monotonic time of the next event that may allow another request: a step of a window, the end of
+   * an ejection or the end of a wait after a take-over.
+   */
   long nextChangeNanos(long nowNanos) {
     long next = stepClock.nextStepNanos();
     for (TargetSlots target : targets.values()) {
@@ -315,42 +339,51 @@
     return next;
   }
 
-  /** Monotonic time at which the caps let one more request in, if no other takes its place. */
+  /**
+   * Monotonic time at which the caps allow one more request, provided that no other is admitted
+   * first.
+   */
   long nextAdmissionNanos(long nowNanos) {
     advanceTo(nowNanos);
-    int units = gateGainLimit(nowNanos);
-    int steps = RateHistory.stepsUntilAdmission(totalGrowths(), units);
-    long gate = stepClock.nextStepNanos() + (steps - 1) * stepClock.stepNanos();
-    long earliestTarget = Long.MAX_VALUE;
+    int gainLimit = gateGainLimit(nowNanos);
+    int steps = RateHistory.stepsUntilAdmission(totalGrowths(), gainLimit);
+    long gateNanos = stepClock.nextStepNanos() + (steps - 1) * stepClock.stepNanos();
+    long earliestTargetNanos = Long.MAX_VALUE;
     for (TargetSlots target : targets.values()) {
       if (target.acceptsWork()) {
-        long freeAt =
+        long targetNanos =
             target.isCapped()
                 ? target.history().nextAdmissionNanos(targetGainLimit(target))
                 : nowNanos;
-        earliestTarget = Math.min(earliestTarget, Math.max(freeAt, target.workAllowedFromNanos()));
+        earliestTargetNanos =
+            Math.min(earliestTargetNanos, Math.max(targetNanos, target.workAllowedFromNanos()));
       }
     }
-    return earliestTarget == Long.MAX_VALUE ? gate : Math.max(gate, earliestTarget);
+    return earliestTargetNanos == Long.MAX_VALUE
+        ? gateNanos
+        : Math.max(gateNanos, earliestTargetNanos);
   }
 
-  /** Monotonic time before which no target held here may get work, in the past where one may. */
+  /**
+   * Monotonic time before which no target held here may get requests; in the past if one may
+   * already.
+   */
   long earliestWorkNanos(long nowNanos) {
-    long earliest = Long.MAX_VALUE;
+    long earliestNanos = Long.MAX_VALUE;
     for (TargetSlots target : targets.values()) {
       if (target.acceptsWork()) {
-        earliest = Math.min(earliest, target.workAllowedFromNanos());
+        earliestNanos = Math.min(earliestNanos, target.workAllowedFromNanos());
       }
     }
-    return earliest == Long.MAX_VALUE ? nowNanos : earliest;
+    return earliestNanos == Long.MAX_VALUE ? nowNanos : earliestNanos;
   }
 
   private void advanceTo(long nowNanos) {
-    boolean newStep = stepClock.advanceTo(nowNanos);
+    boolean isNewStep = stepClock.advanceTo(nowNanos);
     for (TargetSlots target : targets.values()) {
-      newStep |= target.advanceTo(nowNanos);
+      isNewStep |= target.advanceTo(nowNanos);
     }
-    if (newStep) {
+    if (isNewStep) {
       updateAllowances(nowNanos);
     }
   }
@@ -360,33 +393,35 @@
     targets.values().forEach(target -> target.advanceTo(nowNanos));
     formerTargets.forEach(target -> target.advanceTo(nowNanos));
     removeExpired(nowNanos);
-    int before = 0;
-    int windowAgo = 0;
+    int previousWindow = 0;
+    int intervalOneWindowAgo = 0;
     gateIntervalCount = 0;
     for (TargetSlots target : targets.values()) {
-      before += target.regionHistory().previousWindowCount();
-      windowAgo += target.regionHistory().intervalCountOneWindowAgo();
+      previousWindow += target.regionHistory().previousWindowCount();
+      intervalOneWindowAgo += target.regionHistory().intervalCountOneWindowAgo();
       gateIntervalCount += target.regionHistory().intervalCount();
       target.updateAllowance(targetGainLimit(target));
     }
     gateAllowance = gateGainLimit(nowNanos) - RateHistory.maxGrowth(totalGrowths(), 0);
-    gatePaceLimit = RateHistory.paceLimit(before, windowAgo, gateGainLimit(nowNanos));
+    gatePaceLimit =
+        RateHistory.paceLimit(previousWindow, intervalOneWindowAgo, gateGainLimit(nowNanos));
   }
 
   /**
-   * Growth of all targets together, step by step from now on.
+   * Projected growth of all targets together for the coming steps.
    *
-   * <p>A target no longer held counts only where it has grown: whoever holds it now may not know of
-   * that growth, and the base that it would bring if it had shrunk went with it.
+   * <p>A target that is no longer held counts only if it has grown: its new holder may not know of
+   * that growth. If it has shrunk, the lower base went with it to the new holder and must not be
+   * used here.
    */
   private int[] totalGrowths() {
     return totalGrowthsExcept(null);
   }
 
-  private int[] totalGrowthsExcept(@Nullable TargetSlots leftOut) {
+  private int[] totalGrowthsExcept(@Nullable TargetSlots excluded) {
     int[] sums = new int[2 * RateHistory.STEPS_PER_WINDOW];
     for (TargetSlots target : targets.values()) {
-      if (target != leftOut) {
+      if (target != excluded) {
         addGrowths(target, target.isHeld() ? Integer.MIN_VALUE : 0, sums);
       }
     }
@@ -394,28 +429,30 @@
     return sums;
   }
 
-  private static void addGrowths(TargetSlots target, int least, int[] sums) {
-    int[] own = target.regionHistory().projectedGrowths();
+  private static void addGrowths(TargetSlots target, int minGrowth, int[] sums) {
+    int[] growths = target.regionHistory().projectedGrowths();
     for (int ahead = 0; ahead < sums.length; ahead++) {
-      sums[ahead] += Math.max(least, own[ahead]);
+      sums[ahead] += Math.max(minGrowth, growths[ahead]);
     }
   }
 
   /**
-   * Forgets what no longer counts.
+   * Removes targets whose counts no longer matter.
    *
-   * <p>A target that moves without having had work is kept until its new gate can be told so, for a
-   * window at most; otherwise that gate would wait a window for a history that never comes.
+   * <p>A target that was reassigned without having had any requests is kept until its history has
+   * been exported, for one window at most. Otherwise its new gate would wait a whole window for a
+   * history that never arrives.
    */
   private void removeExpired(long nowNanos) {
-    long toldUntil = nowNanos - takeoverWaitNanos();
+    long exportLimitNanos = nowNanos - takeoverWaitNanos();
     targets
         .values()
         .removeIf(
             target ->
                 !target.isHeld()
                     && isExpired(target)
-                    && (target.isHistoryExported() || target.releasedNanos() - toldUntil < 0));
+                    && (target.isHistoryExported()
+                        || target.releasedNanos() - exportLimitNanos < 0));
     formerTargets.removeIf(TargetPool::isExpired);
   }
 
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/TargetSlots.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/TargetSlots.java
@@ -7,9 +7,10 @@
 import org.sageladder.core.membership.Holding;
 
 /**
- * One incarnation of one target as its gate counts it: slots in use, shift cap and experience.
+ * The counts that a gate keeps for one incarnation of one target: slots in use, shift caps and
+ * health.
  *
- * <p>Not safe for use by several threads; the gate's lock guards it.
+ * <p>Not thread-safe; guarded by the gate's lock.
  */
 final class TargetSlots {
   private static final long MAX_REPORT_AGE_NANOS = Duration.ofSeconds(2).toNanos();
@@ -36,46 +37,51 @@
   private long lastReportNanos;
 
   /**
-   * @param workFromNanos from when on the target may get work and add to the gate's gain
-   * @param earlier the same target as this gate held it before another did, or null
+   * Creates the counts of a target that has just been assigned to this gate.
+   *
+   * @param workAllowedFromNanos monotonic time from which the target may get requests and its gain
+   *     may be used
+   * @param previousHold the counts of an earlier time when this gate held the same target, or null
    */
   TargetSlots(
       Holding holding,
       Contract.Service service,
       long nowNanos,
-      long workFromNanos,
-      @Nullable TargetSlots earlier) {
-    this.previousHold = earlier;
+      long workAllowedFromNanos,
+      @Nullable TargetSlots previousHold) {
+    this.previousHold = previousHold;
     this.holding = holding;
     this.draining = holding.isDraining();
     this.health = TargetHealth.ofColdTarget(service);
     this.history = RateHistory.create(service.targetShiftCap().window(), nowNanos);
     this.regionHistory = RateHistory.create(service.regionShiftCap().window(), nowNanos);
-    this.startedCold = workFromNanos - nowNanos <= 0;
-    this.workAllowedFromNanos = workFromNanos;
-    this.gainAvailableFromNanos = workFromNanos;
+    this.startedCold = workAllowedFromNanos - nowNanos <= 0;
+    this.workAllowedFromNanos = workAllowedFromNanos;
+    this.gainAvailableFromNanos = workAllowedFromNanos;
   }
 
   Holding holding() {
     return holding;
   }
 
-  /** Requests in flight of this hold alone. */
+  /** Requests in flight that were admitted since the target was last assigned to this gate. */
   int ownInFlight() {
     return inFlight;
   }
 
-  /** Requests in flight from this gate, those of an earlier hold of the target included. */
+  /**
+   * Requests in flight from this gate, including those of an earlier time when it held the target.
+   */
   int inFlight() {
     return inFlight + (previousHold == null ? 0 : previousHold.inFlight());
   }
 
-  /** Admissions in steps of the target's own window. */
+  /** Admissions in steps of the window of the target's shift cap. */
   RateHistory history() {
     return history;
   }
 
-  /** Admissions in steps of the region's window. */
+  /** Admissions in steps of the window of the region's shift cap. */
   RateHistory regionHistory() {
     return regionHistory;
   }
@@ -84,25 +90,27 @@
     return Math.min(history.nextStepNanos(), regionHistory.nextStepNanos());
   }
 
-  /** Moves the counts on to {@code nowNanos}; true where a step of either window has begun. */
+  /** Advances both histories to {@code nowNanos}; true if a step of either window has begun. */
   boolean advanceTo(long nowNanos) {
-    boolean newStep = history.advanceTo(nowNanos);
-    boolean newRegionStep = regionHistory.advanceTo(nowNanos);
-    return newStep || newRegionStep;
+    boolean isNewStep = history.advanceTo(nowNanos);
+    boolean isNewRegionStep = regionHistory.advanceTo(nowNanos);
+    return isNewStep || isNewRegionStep;
   }
 
-  /** Counts in steps of the windows of a new revision. */
+  /** Converts the counts to the window lengths of a new contract revision. */
   void resample(Contract.Service service, long nowNanos) {
     history = history.resampled(service.targetShiftCap().window(), nowNanos);
     regionHistory = regionHistory.resampled(service.regionShiftCap().window(), nowNanos);
   }
 
-  /** Works out what this step still allows where the target's window may grow by {@code units}. */
-  void updateAllowance(int units) {
-    allowance = units - history.maxProjectedGrowth();
+  /**
+   * Recomputes what this step still allows if the target's window may grow by {@code gainLimit}.
+   */
+  void updateAllowance(int gainLimit) {
+    allowance = gainLimit - history.maxProjectedGrowth();
     paceLimit =
         RateHistory.paceLimit(
-            history.previousWindowCount(), history.intervalCountOneWindowAgo(), units);
+            history.previousWindowCount(), history.intervalCountOneWindowAgo(), gainLimit);
   }
 
   boolean isCapped() {
@@ -118,9 +126,9 @@
   }
 
   /**
-   * True where its part of the region's gain may be used here: once the gain of the window before
-   * the take-over can no longer be in use elsewhere, and as long as the target is held. While it
-   * leaves, its work goes to the gate's other targets, and its part of the gain has to go with it.
+   * True if this gate may use the target's part of the region's gain: the target is held, and the
+   * gain of the window before the take-over can no longer be in use at another gate. A draining
+   * target still contributes, since its requests go to the gate's other targets.
    */
   boolean contributesGain(long nowNanos) {
     return held && isGainAvailable(nowNanos);
@@ -130,40 +138,40 @@
     return nowNanos - gainAvailableFromNanos >= 0;
   }
 
-  /** True while the gate that had the target may still be the cause of growth at the target. */
+  /** True while requests admitted by the previous gate may still count as growth of the target. */
   boolean isWaitingAfterTakeover(long nowNanos) {
     return nowNanos - workAllowedFromNanos < 0;
   }
 
-  /** When the wait for the window of the gate before is over. */
+  /** Monotonic time at which the wait after a take-over ends. */
   long workAllowedFromNanos() {
     return workAllowedFromNanos;
   }
 
-  /** Takes what the gate before counted; only a target that still waits for it accepts it. */
-  boolean importHistory(TargetHistory told, int stepsAgo, int regionStepsAgo, long nowNanos) {
+  /** Imports what the previous gate counted. Accepted only while the target still waits for it. */
+  boolean importHistory(TargetHistory imported, int stepsAgo, int regionStepsAgo, long nowNanos) {
     if (startedCold || !isWaitingAfterTakeover(nowNanos)) {
       return false;
     }
-    if (told.waitMillis() > 0) {
-      long until = nowNanos + TimeUnit.MILLISECONDS.toNanos(told.waitMillis());
-      workAllowedFromNanos = Math.min(workAllowedFromNanos, until);
-      gainAvailableFromNanos = Math.min(gainAvailableFromNanos, until);
+    if (imported.waitMillis() > 0) {
+      long untilNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(imported.waitMillis());
+      workAllowedFromNanos = Math.min(workAllowedFromNanos, untilNanos);
+      gainAvailableFromNanos = Math.min(gainAvailableFromNanos, untilNanos);
       return true;
     }
-    history.addSteps(told.targetSteps(), stepsAgo);
+    history.addSteps(imported.targetSteps(), stepsAgo);
     workAllowedFromNanos = nowNanos;
     health.skipSlowStart(holding.slots());
-    previousGateInFlight = told.inFlight();
+    previousGateInFlight = imported.inFlight();
     historyImportedNanos = nowNanos;
-    if (told.gainReleased()) {
-      regionHistory.addSteps(told.regionSteps(), regionStepsAgo);
+    if (imported.gainReleased()) {
+      regionHistory.addSteps(imported.regionSteps(), regionStepsAgo);
       gainAvailableFromNanos = nowNanos;
     }
     return true;
   }
 
-  /** Takes a newer holding of the same incarnation; leaving is never undone. */
+  /** Replaces the holding by a newer one of the same incarnation. Draining is never undone. */
   void updateHolding(Holding newer) {
     holding = newer;
     held = true;
@@ -185,7 +193,10 @@
     }
   }
 
-  /** When another gate, or none, got the target; only where it is no longer held. */
+  /**
+   * Monotonic time at which the target was taken from this gate; valid only if it is no longer
+   * held.
+   */
   long releasedNanos() {
     return releasedNanos;
   }
@@ -202,31 +213,36 @@
     return held && !draining;
   }
 
-  /** Slots that may be used by view, report and experience together. */
+  /** Slots that holding, load report and health together allow to be in use. */
   int usableSlots(long nowNanos) {
     if (!acceptsWork() || isWaitingAfterTakeover(nowNanos)) {
       return 0;
     }
-    int allowed =
+    int slotLimit =
         Math.min(reportedSlotLimit(nowNanos), health.concurrencyLimit(holding.slots(), nowNanos));
-    return Math.max(0, Math.min(allowed, holding.slots() - previousGateInFlight(nowNanos)));
+    return Math.max(0, Math.min(slotLimit, holding.slots() - previousGateInFlight(nowNanos)));
   }
 
-  /** Requests of the gate before that may still run, until a report is newer than its word. */
+  /**
+   * Requests of the previous gate that may still run, until a load report is newer than the
+   * history.
+   */
   private int previousGateInFlight(long nowNanos) {
     return nowNanos - historyImportedNanos > MAX_REPORT_AGE_NANOS ? 0 : previousGateInFlight;
   }
 
-  /** Requests that may run on the target by way of this gate or the one before. */
+  /**
+   * Upper bound of the requests that this gate and the previous one have in flight on the target.
+   */
   int maxInFlight(long nowNanos) {
     return inFlight() + previousGateInFlight(nowNanos);
   }
 
   /**
-   * Slots by view and report alone.
+   * Slots that holding and load report allow.
    *
-   * <p>Reports lag and mislead, so one alone never takes the last slot: a target that reported
-   * "full" for ever would otherwise get no work and so could never show that it is well.
+   * <p>Reports may be stale or wrong, so a report never removes the last slot. Otherwise a target
+   * that reported "full" forever would get no requests and could never prove the report wrong.
    */
   private int reportedSlotLimit(long nowNanos) {
     if (nowNanos - lastReportNanos > MAX_REPORT_AGE_NANOS) {
@@ -235,12 +251,15 @@
     return Math.max(1, Math.min(holding.slots(), reportedSlots) - otherBusySlots);
   }
 
-  /** Takes the target's report; busy slots beyond those in flight here belong to somebody else. */
-  void onLoadReport(int busy, int slots, long takenNanos) {
-    otherBusySlots = Math.max(0, busy - inFlight());
+  /**
+   * Processes a load report. Busy slots in excess of this gate's requests in flight are in use by
+   * others.
+   */
+  void onLoadReport(int reportedBusy, int slots, long reportNanos) {
+    otherBusySlots = Math.max(0, reportedBusy - inFlight());
     reportedSlots = slots;
-    lastReportNanos = takenNanos;
-    if (takenNanos - historyImportedNanos > 0) {
+    lastReportNanos = reportNanos;
+    if (reportNanos - historyImportedNanos > 0) {
       previousGateInFlight = 0;
     }
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/package-info.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/package-info.java
@@ -1,4 +1,4 @@
-/** Gates, queues, caps on shifts and retry budgets. */
+/** Admission control: gates, queues, shift caps, rate limits and retry budgets. */
 @NullMarked
 package org.sageladder.core.limits;
 
--- a/sageladder-core/src/main/java/org/sageladder/core/platform/ListedVm.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/platform/ListedVm.java
@@ -1,17 +1,17 @@
 package org.sageladder.core.platform;
 
 /**
- * One line of the platform's lagging list.
+ * One entry of the platform's list of VMs, which may be stale.
  *
  * @param id stable name of the VM
- * @param customer customer it belongs to; a customer's entry VMs carry only that customer
- * @param service service a target runs; empty for an entry VM
+ * @param customer customer that the VM belongs to; entry VMs are not shared between customers
+ * @param service service that a target runs; empty for an entry VM
  * @param zone availability zone
- * @param host IP number
- * @param port TCP port that takes requests
- * @param innerPort TCP port of the inner protocol; 0 for a target
- * @param incarnation grows each time the VM is started anew; 0 where the platform does not know
- * @param leaving true once the platform has announced its end
+ * @param host IP address
+ * @param port TCP port for requests
+ * @param innerPort TCP port of the inner protocol between entry VMs; 0 for a target
+ * @param incarnation increases with each restart of the VM; 0 if the platform does not report it
+ * @param leaving true once the platform has announced the end of the VM
  */
 public record ListedVm(
     VmRole role,
@@ -25,7 +25,7 @@
     long incarnation,
     boolean leaving) {
 
-  /** The same line once the platform has announced the VM's end. */
+  /** Returns the same entry with the end of the VM announced. */
   public ListedVm asLeaving() {
     return new ListedVm(
         role, id, customer, service, zone, host, port, innerPort, incarnation, true);
--- a/sageladder-core/src/main/java/org/sageladder/core/platform/VmList.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/platform/VmList.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import org.sageladder.core.store.StoreException;
 
-/** The platform's list of live and leaving VMs, which lags behind the truth by seconds. */
+/** The platform's list of VMs that are running or about to stop. It lags by seconds. */
 @FunctionalInterface
 public interface VmList {
-  /** The list as the platform has it now; counts as one call. */
+  /** Fetches the current list; counts as one call to the platform. */
   List<ListedVm> fetch() throws StoreException;
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/platform/VmRole.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/platform/VmRole.java
@@ -1,9 +1,9 @@
 package org.sageladder.core.platform;
 
-/** What a listed VM is for. */
+/** Role of a listed VM. */
 public enum VmRole {
   /** Runs the entry daemon. */
   ENTRY,
-  /** Runs one service of one customer; nothing of sageladder runs there. */
+  /** Runs one service of one customer, and no part of sageladder. */
   TARGET
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/platform/package-info.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/platform/package-info.java
@@ -1,4 +1,4 @@
-/** What sageladder needs of the platform's list of VMs. */
+/** Access to the platform's list of VMs. */
 @NullMarked
 package org.sageladder.core.platform;
 
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaCoordinator.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaCoordinator.java
@@ -7,30 +7,35 @@
 import org.sageladder.core.routing.Quota;
 
 /**
- * Counts one workspace's use over all entry VMs, and hands out tokens once it nears its quota.
+ * Counts the requests of one workspace over all entry VMs and hands out tokens once the workspace
+ * nears its quota.
  *
- * <p>Up to the quota and half of what the contract lets lie over it, VMs only report, so that no
- * request waits. The reports may be as old as {@link #REACTION_MILLIS}; what could run in that time
- * at the present rate counts as used. From then on VMs need tokens, as many in a window. The other
- * half of the tolerance covers what is let run unseen: by VMs that are cut off, or by requests that
- * are sent again.
+ * <p>Up to the admission ceiling, which is the quota plus half of the tolerance, VMs only report
+ * their use, so that no request waits. Reports may be up to {@link #REACTION_MILLIS} old; the
+ * requests that could run in that time at the current rate count as used. Above the ceiling VMs
+ * need a token for each request, and get as many tokens per window as the ceiling allows. The other
+ * half of the tolerance covers requests that are not counted in time: those of disconnected VMs and
+ * those that are sent again.
  *
- * <p>Where the contract leaves no room over a quota, VMs need tokens at any time.
+ * <p>If the tolerance is zero, VMs always need tokens.
  *
- * <p>Keeps nothing that must last: a VM's first report to another coordinator has what it let run
- * in the last window, so that this one knows as much after one report of each.
+ * <p>Keeps no state that must be persisted: a VM's first report to a new coordinator contains what
+ * it admitted in the last window, so the new coordinator is up to date after one report of each VM.
  */
 final class QuotaCoordinator {
-  /** From a request's admission until all VMs know that tokens are needed. */
+  /** Time from the admission of a request until all VMs know that tokens are required. */
   static final long REACTION_MILLIS = 600;
 
-  /** Without a refusal for this long, and with room, VMs go back to reporting. */
+  /** VMs go back to reporting after this time without a refusal, if the use is low enough. */
   private static final long MIN_QUIET_MILLIS = 2_000;
 
-  /** Share of the quota's window below which VMs go back to reporting. */
+  /** Fraction of the requests allowed per window below which VMs go back to reporting. */
   private static final double RESUME_REPORTING_FRACTION = 0.8;
 
-  /** Tokens of a VM that has not reported for so long have run out there or count as used. */
+  /**
+   * Maximum age of the report from which a VM's held tokens are counted. After that time the tokens
+   * have expired at the VM, or have been used and are counted as requests.
+   */
   private static final long MAX_HELD_TOKENS_AGE_MILLIS = 2_000;
 
   private static final double MILLIS_PER_SECOND = 1_000;
@@ -55,70 +60,71 @@
   private long nextRetryMillis;
 
   /**
-   * A coordinator that has no report yet.
+   * Creates a coordinator that has no reports yet.
    *
-   * @param countedSince since when its VM knows what ran
+   * @param countedSinceMillis time since which its VM knows which requests ran
    */
-  QuotaCoordinator(QuotaTolerance bounds, Quota quota, long countedSince) {
-    this.tolerance = bounds;
-    this.countedSinceMillis = countedSince;
+  QuotaCoordinator(QuotaTolerance tolerance, Quota quota, long countedSinceMillis) {
+    this.tolerance = tolerance;
+    this.countedSinceMillis = countedSinceMillis;
     this.quota = quota;
-    this.windowCount = new SlidingWindowCounter(bounds.windowMillis());
+    this.windowCount = new SlidingWindowCounter(tolerance.windowMillis());
     this.lastSecondCount = new SlidingWindowCounter((long) MILLIS_PER_SECOND);
-    this.tokensRequired = bounds.isExact();
+    this.tokensRequired = tolerance.isExact();
   }
 
   /** Puts a changed quota in force. */
-  void updateQuota(Quota newer) {
-    quota = newer;
+  void updateQuota(Quota newQuota) {
+    quota = newQuota;
   }
 
-  /** True while VMs need tokens. */
+  /** True while VMs need a token for each request. */
   boolean requiresTokens() {
     return tokensRequired;
   }
 
-  /** Takes a VM's report in and answers it. */
-  TokenGrant answerReport(String vm, UsageReport report, long now) {
-    recordReport(vm, report, now);
-    double used = usedRequests(now);
-    updateTokensRequired(used, now);
+  /** Records a VM's report and answers it. */
+  TokenGrant answerReport(String vm, UsageReport report, long nowMillis) {
+    recordReport(vm, report, nowMillis);
+    double usedRequests = usedRequests(nowMillis);
+    updateTokensRequired(usedRequests, nowMillis);
     if (!tokensRequired) {
       return new TokenGrant(
           report.workspace(), report.reportNumber(), false, report.wantedTokens(), 0);
     }
-    double room = tolerance.admissionCeiling(quota) - used;
-    int tokens = (int) Math.max(0, Math.min(report.wantedTokens(), Math.floor(room)));
+    double available = tolerance.admissionCeiling(quota) - usedRequests;
+    int tokens = (int) Math.max(0, Math.min(report.wantedTokens(), Math.floor(available)));
     setHeldTokens(reporters.get(vm), report.heldTokens() + tokens);
-    long retry = 0;
+    long retryAfterMillis = 0;
     if (tokens < report.wantedTokens()) {
-      retry = retryAfterMillis(report.wantedTokens() - tokens, now);
+      retryAfterMillis = retryAfterMillis(report.wantedTokens() - tokens, nowMillis);
     }
-    return new TokenGrant(report.workspace(), report.reportNumber(), true, tokens, retry);
+    return new TokenGrant(
+        report.workspace(), report.reportNumber(), true, tokens, retryAfterMillis);
   }
 
-  private void recordReport(String vm, UsageReport report, long now) {
-    Reporter known = reporters.computeIfAbsent(vm, name -> new Reporter());
-    int ran = admittedSinceLastReport(known, report);
-    windowCount.add(ran, now);
-    lastSecondCount.add(ran, now);
-    setHeldTokens(known, report.heldTokens());
-    known.lastReportNumber = report.reportNumber();
-    known.totalAdmitted = report.totalAdmitted();
-    known.admittedInWindow = report.admittedInWindow();
-    known.lastReportMillis = now;
+  private void recordReport(String vm, UsageReport report, long nowMillis) {
+    Reporter reporter = reporters.computeIfAbsent(vm, name -> new Reporter());
+    int admitted = admittedSinceLastReport(reporter, report);
+    windowCount.add(admitted, nowMillis);
+    lastSecondCount.add(admitted, nowMillis);
+    setHeldTokens(reporter, report.heldTokens());
+    reporter.lastReportNumber = report.reportNumber();
+    reporter.totalAdmitted = report.totalAdmitted();
+    reporter.admittedInWindow = report.admittedInWindow();
+    reporter.lastReportMillis = nowMillis;
   }
 
   /**
-   * Requests that ran since the VM's last report here. Of a VM that reports here for the first
-   * time, or that has started again, all of the last window count; and never more than these, since
-   * a VM may have reported to another coordinator meanwhile.
+   * Requests that the VM admitted since its last report to this coordinator. If this is its first
+   * report here, or it has restarted, all requests of its last window count. The result is never
+   * larger than that number, since the VM may have reported to another coordinator in between.
    */
-  private static int admittedSinceLastReport(Reporter known, UsageReport report) {
-    boolean continues =
-        known.lastReportNumber > 0 && report.reportNumber() > known.lastReportNumber;
-    return continues
-        ? Math.min(report.totalAdmitted() - known.totalAdmitted, report.admittedInWindow())
+  private static int admittedSinceLastReport(Reporter reporter, UsageReport report) {
+    boolean isNextReport =
+        reporter.lastReportNumber > 0 && report.reportNumber() > reporter.lastReportNumber;
+    return isNextReport
+        ? Math.min(report.totalAdmitted() - reporter.totalAdmitted, report.admittedInWindow())
         : report.admittedInWindow();
   }
 
@@ -128,73 +134,78 @@
   }
 
   /**
-   * Requests of the last window, and tokens that may add to it. Where all VMs are killed at once
-   * nobody knows what ran before: of the part of the window before this VM's start the whole quota
-   * counts as used.
+   * Requests of the last window plus the tokens that may still be used. If all VMs were killed at
+   * once, none of them knows what ran before: for the part of the window before this VM's start the
+   * whole quota counts as used.
    */
-  private double usedRequests(long now) {
-    double unknown =
-        Math.max(0, 1 - (double) (now - countedSinceMillis) / tolerance.windowMillis());
-    return Math.max(windowCount.count(now), reportedRequests())
+  private double usedRequests(long nowMillis) {
+    double unknownFraction =
+        Math.max(0, 1 - (double) (nowMillis - countedSinceMillis) / tolerance.windowMillis());
+    return Math.max(windowCount.count(nowMillis), reportedRequests())
         + heldTokens
-        + unknown * tolerance.allowedRequests(quota);
+        + unknownFraction * tolerance.allowedRequests(quota);
   }
 
   /**
-   * Sum of what each VM reported last. While tokens are needed VMs report as long as their own
-   * window has requests: one that falls silent is cut off, and may be let run as much by another
-   * coordinator on its side of the cut.
+   * Sum of the last reports of all VMs. While tokens are required, a VM reports as long as its own
+   * window contains requests. A VM that stops reporting is disconnected, and a coordinator on its
+   * side of the network partition may let it admit as many requests as it reported last.
    */
   private int reportedRequests() {
     int sum = 0;
     if (tokensRequired) {
-      for (Reporter known : reporters.values()) {
-        sum += known.admittedInWindow;
+      for (Reporter reporter : reporters.values()) {
+        sum += reporter.admittedInWindow;
       }
     }
     return sum;
   }
 
-  private void updateTokensRequired(double used, long now) {
-    double unseen = lastSecondCount.count(now) * REACTION_MILLIS / MILLIS_PER_SECOND;
+  private void updateTokensRequired(double usedRequests, long nowMillis) {
+    double unreportedRequests =
+        lastSecondCount.count(nowMillis) * REACTION_MILLIS / MILLIS_PER_SECOND;
     if (!tokensRequired) {
-      tokensRequired = used + unseen > tolerance.admissionCeiling(quota);
+      tokensRequired = usedRequests + unreportedRequests > tolerance.admissionCeiling(quota);
       if (tokensRequired) {
-        lastRefusalMillis = now;
-        nextRetryMillis = now;
+        lastRefusalMillis = nowMillis;
+        nextRetryMillis = nowMillis;
       }
       return;
     }
     if (tolerance.isExact()) {
       return;
     }
-    boolean quiet = now - lastRefusalMillis > MIN_QUIET_MILLIS;
+    boolean isQuiet = nowMillis - lastRefusalMillis > MIN_QUIET_MILLIS;
     tokensRequired =
-        !(quiet && used + unseen < RESUME_REPORTING_FRACTION * tolerance.allowedRequests(quota));
+        !(isQuiet
+            && usedRequests + unreportedRequests
+                < RESUME_REPORTING_FRACTION * tolerance.allowedRequests(quota));
   }
 
-  /** Refused requests may come back one after the other, at the quota's rate. */
-  private long retryAfterMillis(int refused, long now) {
-    lastRefusalMillis = now;
-    double each = MILLIS_PER_SECOND / quota.ratePerSecond();
-    nextRetryMillis = Math.max(nextRetryMillis, now) + (long) Math.ceil(refused * each);
-    nextRetryMillis = Math.min(nextRetryMillis, now + tolerance.windowMillis());
-    return nextRetryMillis - now;
+  /** Spreads the retries of refused requests one after the other at the rate of the quota. */
+  private long retryAfterMillis(int refusedCount, long nowMillis) {
+    lastRefusalMillis = nowMillis;
+    double millisPerRequest = MILLIS_PER_SECOND / quota.ratePerSecond();
+    nextRetryMillis =
+        Math.max(nextRetryMillis, nowMillis) + (long) Math.ceil(refusedCount * millisPerRequest);
+    nextRetryMillis = Math.min(nextRetryMillis, nowMillis + tolerance.windowMillis());
+    return nextRetryMillis - nowMillis;
   }
 
-  /** Forgets tokens that have run out, and VMs that have not reported for two windows. */
-  void removeStale(long now) {
-    for (Reporter known : reporters.values()) {
-      if (known.heldTokens > 0 && now - known.lastReportMillis > MAX_HELD_TOKENS_AGE_MILLIS) {
-        setHeldTokens(known, 0);
+  /** Removes expired tokens, and VMs that have not reported for two windows. */
+  void removeStale(long nowMillis) {
+    for (Reporter reporter : reporters.values()) {
+      if (reporter.heldTokens > 0
+          && nowMillis - reporter.lastReportMillis > MAX_HELD_TOKENS_AGE_MILLIS) {
+        setHeldTokens(reporter, 0);
       }
     }
     reporters
         .values()
-        .removeIf(known -> now - known.lastReportMillis > 2 * tolerance.windowMillis());
+        .removeIf(reporter -> nowMillis - reporter.lastReportMillis > 2 * tolerance.windowMillis());
   }
 
-  /** True where no VM has reported lately, so that nothing is known that a new one would not. */
+  /** True if no VM has reported recently, so that a new coordinator would know as much. */
   boolean isIdle() {
     return reporters.isEmpty();
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaDecision.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaDecision.java
@@ -1,18 +1,18 @@
 package org.sageladder.core.quota;
 
-/** Whether a request of a workspace may run. */
+/** Decision whether a request of a workspace may run. */
 public sealed interface QuotaDecision {
-  /** It may, and counts. */
+  /** The request may run and counts against the quota. */
   record Granted() implements QuotaDecision {}
 
   /**
-   * The workspace has used its quota.
+   * The workspace has used up its quota.
    *
-   * @param retryAfterMillis when there is room again
-   * @param detail what it was decided by, for the log
+   * @param retryAfterMillis time after which a retry may be admitted
+   * @param detail what the decision is based on, for the log
    */
   record Refused(long retryAfterMillis, String detail) implements QuotaDecision {}
 
-  /** Its coordinator is asked; the decision comes later. */
+  /** The coordinator has to be asked; the decision is delivered later. */
   record Pending() implements QuotaDecision {}
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaMessage.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaMessage.java
@@ -1,18 +1,18 @@
 package org.sageladder.core.quota;
 
-/** Messages between entry VMs on the use of quotas. */
+/** Messages that entry VMs exchange about the use of quotas. */
 public sealed interface QuotaMessage {
-  /** Name of the workspace that it is about. */
+  /** Name of the workspace concerned. */
   String workspace();
 
   /**
-   * A VM reports its use to the workspace's coordinator, and asks for tokens.
+   * Report of a VM to the coordinator of a workspace, which also requests tokens.
    *
-   * @param reportNumber number of the report; the answer repeats it
-   * @param totalAdmitted requests that it has let run since its start
-   * @param admittedInWindow requests that it let run in the last window
-   * @param wantedTokens tokens that it asks for
-   * @param heldTokens tokens that it has not used yet
+   * @param reportNumber sequence number of the report; the answer repeats it
+   * @param totalAdmitted requests that the VM has admitted since its start
+   * @param admittedInWindow requests that the VM has admitted in the last window
+   * @param wantedTokens tokens requested
+   * @param heldTokens tokens that the VM has not used yet
    */
   record UsageReport(
       String workspace,
@@ -24,17 +24,17 @@
       implements QuotaMessage {}
 
   /**
-   * The coordinator's answer, or its notice to all VMs.
+   * Answer of the coordinator to a report, or its notice to all VMs.
    *
-   * @param reportNumber number of the report that it answers, or 0 for a notice
-   * @param tokensRequired true where requests need tokens for now
-   * @param tokens requests that the VM may let run
-   * @param retryAfterMillis when a request that got no token may come back
+   * @param reportNumber number of the report that is answered, or {@link #NOTICE}
+   * @param tokensRequired true if each request needs a token for now
+   * @param tokens tokens granted to the VM
+   * @param retryAfterMillis time after which a request that got no token may be retried
    */
   record TokenGrant(
       String workspace, int reportNumber, boolean tokensRequired, int tokens, long retryAfterMillis)
       implements QuotaMessage {
-    /** Number of a grant that answers no report. */
+    /** Report number of a grant that answers no report. */
     public static final int NOTICE = 0;
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaTolerance.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaTolerance.java
@@ -3,35 +3,35 @@
 import org.sageladder.core.routing.Quota;
 
 /**
- * How exactly the contract wants quotas kept.
+ * How far the contract allows the requests of a workspace to exceed its quota.
  *
- * @param windowMillis span over which requests that ran are counted
- * @param excessFraction share by which the count of a span may lie over the quota
- * @param excessRequests requests by which it may lie over it besides
+ * @param windowMillis length of the window over which requests are counted
+ * @param excessFraction fraction by which the count of a window may exceed the quota
+ * @param excessRequests requests by which it may exceed the quota in addition
  */
 public record QuotaTolerance(long windowMillis, double excessFraction, double excessRequests) {
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** Refuses bounds that cannot be counted by. */
+  /** Rejects invalid values. */
   public QuotaTolerance {
     if (windowMillis <= 0 || excessFraction < 0 || excessRequests < 0) {
       throw new IllegalArgumentException(
-          "quota bounds are "
+          "quota tolerance is "
               + windowMillis
               + " ms, "
               + excessFraction
               + ", "
               + excessRequests
-              + "; accepted is a window above 0, and 0 or more");
+              + "; the window must be above 0 and the excess values 0 or more");
     }
   }
 
-  /** Bounds of a contract that does not state them: five seconds, exactly. */
+  /** Tolerance of a contract that states none: a window of five seconds and no excess. */
   public static QuotaTolerance exact() {
     return new QuotaTolerance(5_000, 0, 0);
   }
 
-  /** True where nothing may lie over a quota, so that no request may run before it is counted. */
+  /** True if no excess is allowed, so that each request must be counted before it may run. */
   boolean isExact() {
     return excessFraction == 0 && excessRequests == 0;
   }
@@ -41,12 +41,12 @@
     return quota.ratePerSecond() * windowMillis / MILLIS_PER_SECOND + quota.capacity();
   }
 
-  /** Requests in a window that are let run where all of them are counted before. */
+  /** Requests per window that may run if all of them are counted before they run. */
   double admissionCeiling(Quota quota) {
     return (allowedRequests(quota) + maxRequests(quota)) / 2;
   }
 
-  /** Requests in a window beyond which the contract is broken. */
+  /** Requests per window above which the contract is violated. */
   double maxRequests(Quota quota) {
     return allowedRequests(quota) * (1 + excessFraction) + excessRequests;
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/Quotas.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/Quotas.java
@@ -17,42 +17,46 @@
 import org.sageladder.core.routing.Workspace;
 
 /**
- * The quotas of all workspaces, as one entry VM keeps them together with the others.
+ * Enforces the quotas of all workspaces in one entry VM, together with the other entry VMs.
  *
- * <p>Each workspace has a coordinator among the live VMs, by rendezvous hashing; this class is both
- * the VM that reports and the coordinator for some. Where the coordinator does not answer the next
- * in order is asked; where none does, the VM goes on alone.
+ * <p>Each workspace has a coordinator among the live VMs, chosen by rendezvous hashing. This class
+ * implements both roles: the VM that reports its use and the coordinator of some workspaces. If the
+ * coordinator does not answer, the next in order is asked. If none answers, the VM is isolated and
+ * decides alone.
  *
  * <pre>{@code
- * Quotas quotas = Quotas.of("e-1", bounds, contactMillis, peers, now);
- * QuotaDecision decision = quotas.admit(workspace, now, later -> ...);
+ * Quotas quotas = Quotas.of("e-1", tolerance, discoveryMillis, peers, nowMillis);
+ * QuotaDecision decision = quotas.admit(workspace, nowMillis, later -> ...);
  * }</pre>
  *
- * <p>A contract without quotas sends no message. Not safe for use by several threads.
+ * <p>Sends no messages for a contract without quotas. Not thread-safe.
  */
 public final class Quotas {
-  /** How often open reports, waiting requests and idle tokens are looked at. */
+  /** Interval at which unanswered reports, waiting requests and unused tokens are checked. */
   public static final long TICK_MILLIS = 100;
 
-  /** A path to another region and back, and a VM that is busy for a moment. */
+  /** Allows for a cross-region round trip and a VM that is briefly busy. */
   private static final long ANSWER_TIMEOUT_MILLIS = 250;
 
-  /** Reports without an answer before another coordinator is asked: datagrams may be lost. */
+  /**
+   * Unanswered reports before another coordinator is asked; more than one, since datagrams may be
+   * lost.
+   */
   private static final int MAX_REPORT_ATTEMPTS = 3;
 
-  /** VMs that are asked one after the other before a VM goes on alone. */
+  /** VMs that are tried as coordinator, one after the other, before a VM is isolated. */
   private static final int MAX_COORDINATORS = 3;
 
-  /** A coordinator that did not answer is asked again after this time. */
+  /** Time after which a coordinator that did not answer is tried again. */
   private static final long COORDINATOR_RETRY_MILLIS = 3_000;
 
-  /** Notices are repeated, since a datagram may be lost and VMs may start. */
+  /** Interval of the notices, which are repeated since datagrams may be lost and VMs may start. */
   private static final long NOTICE_INTERVAL_MILLIS = 1_000;
 
-  /** The first notice is repeated after this time. */
+  /** Time after which the first notice is repeated. */
   private static final long FIRST_NOTICE_REPEAT_MILLIS = 200;
 
-  /** What the table needs of its surroundings. */
+  /** Connection to the other entry VMs, and the timer. */
   public interface Peers {
     /** Sends a message to the VM of that name; it may be lost. */
     void send(String vm, QuotaMessage message);
@@ -60,7 +64,7 @@
     /** Calls {@link Quotas#tick} after {@link #TICK_MILLIS}. */
     void scheduleTick();
 
-    /** No VM is reached, and nothing is looked at later. */
+    /** Peers of a VM without connections: nothing is sent and no tick is scheduled. */
     static Peers none() {
       return new Peers() {
         @Override
@@ -110,100 +114,102 @@
   private boolean hasBeenAnswered;
   private long countedSinceMillis;
 
-  private Quotas(String self, QuotaTolerance bounds, long contactMillis, Peers peers, long now) {
+  private Quotas(
+      String self, QuotaTolerance tolerance, long discoveryMillis, Peers peers, long nowMillis) {
     this.self = self;
-    this.tolerance = bounds;
-    this.discoveryMillis = contactMillis;
+    this.tolerance = tolerance;
+    this.discoveryMillis = discoveryMillis;
     this.peers = peers;
-    this.startedMillis = now;
-    this.countedSinceMillis = now;
+    this.startedMillis = nowMillis;
+    this.countedSinceMillis = nowMillis;
     this.liveVms = List.of(self);
   }
 
   /**
-   * Quotas of a VM that has just started.
+   * Creates the quotas of a VM that has just started.
    *
-   * @param self its name
-   * @param contactMillis time in which a VM that has started is known to all others
+   * @param self name of the VM
+   * @param discoveryMillis time after which all other VMs know a VM that has started
    */
   public static Quotas of(
-      String self, QuotaTolerance bounds, long contactMillis, Peers peers, long now) {
-    return new Quotas(self, bounds, contactMillis, peers, now);
+      String self, QuotaTolerance tolerance, long discoveryMillis, Peers peers, long nowMillis) {
+    return new Quotas(self, tolerance, discoveryMillis, peers, nowMillis);
   }
 
-  /** Keeps the quotas together with these VMs from now on. */
-  public void connectPeers(Peers others) {
-    peers = others;
+  /** Enforces the quotas together with the VMs reached through {@code newPeers} from now on. */
+  public void connectPeers(Peers newPeers) {
+    peers = newPeers;
     tickScheduled = false;
     scheduleTick();
   }
 
-  /** The whole system starts for the first time: nothing has run before. */
+  /** Records that the whole system starts for the first time, so no request ran before. */
   public void assumeNoPriorUse() {
     countedSinceMillis = startedMillis - tolerance.windowMillis();
   }
 
-  /** Puts newer bounds in force for workspaces that are counted from now on. */
-  public void updateTolerance(QuotaTolerance newer) {
-    tolerance = newer;
+  /** Puts a new tolerance in force for the workspaces that are counted from now on. */
+  public void updateTolerance(QuotaTolerance newTolerance) {
+    tolerance = newTolerance;
   }
 
-  /** Follows the list of live VMs. */
+  /** Updates the list of live VMs. */
   public void updateLiveVms(Collection<String> names) {
     liveVms = List.copyOf(names);
-    metered.values().forEach(known -> known.coordinatorOrder = List.of());
+    metered.values().forEach(entry -> entry.coordinatorOrder = List.of());
   }
 
-  /** Puts the workspaces of newer rules in force; what they have used counts on. */
-  public void updateWorkspaces(Map<String, Workspace> newer) {
-    workspaces = newer;
-    metered.keySet().removeIf(name -> !newer.containsKey(name));
-    active.removeIf(known -> !newer.containsKey(known.workspace.name()));
-    coordinated.keySet().removeIf(name -> !newer.containsKey(name));
-    coordinated.forEach((name, known) -> known.coordinator.updateQuota(quota(name)));
+  /** Puts the workspaces of newer rules in force; their counts are kept. */
+  public void updateWorkspaces(Map<String, Workspace> newWorkspaces) {
+    workspaces = newWorkspaces;
+    metered.keySet().removeIf(name -> !newWorkspaces.containsKey(name));
+    active.removeIf(entry -> !newWorkspaces.containsKey(entry.workspace.name()));
+    coordinated.keySet().removeIf(name -> !newWorkspaces.containsKey(name));
+    coordinated.forEach((name, entry) -> entry.coordinator.updateQuota(quota(name)));
   }
 
   private Quota quota(String workspace) {
-    Workspace known = workspaces.get(workspace);
-    return known == null ? Quota.unlimited() : known.quota();
+    Workspace found = workspaces.get(workspace);
+    return found == null ? Quota.unlimited() : found.quota();
   }
 
   /**
-   * Decides whether a request may run. It counts from the decision on; see {@link
+   * Decides whether a request may run. An admitted request counts from the decision on; see {@link
    * #cancelAdmission}.
    *
-   * @param later called with the decision where it is {@link QuotaDecision.Pending} at first
+   * @param onDecision called with the decision if the result is {@link QuotaDecision.Pending}
    */
-  public QuotaDecision admit(Workspace workspace, long now, Consumer<QuotaDecision> later) {
+  public QuotaDecision admit(
+      Workspace workspace, long nowMillis, Consumer<QuotaDecision> onDecision) {
     Quota quota = quota(workspace.name());
     if (!quota.isLimited()) {
       return new QuotaDecision.Granted();
     }
-    MeteredWorkspace known = meteredWorkspace(workspace);
-    QuotaDecision decision = known.meter.admit(quota, now);
+    MeteredWorkspace entry = meteredWorkspace(workspace);
+    QuotaDecision decision = entry.meter.admit(quota, nowMillis);
     if (decision instanceof QuotaDecision.Pending) {
-      known.meter.enqueue(later, now);
+      entry.meter.enqueue(onDecision, nowMillis);
     }
-    reportIfDue(known, now);
-    trackIfActive(known, now);
+    reportIfDue(entry, nowMillis);
+    trackIfActive(entry, nowMillis);
     return decision;
   }
 
-  /** A request that was admitted is sent once more, having maybe run before. */
-  public void recordResend(Workspace workspace, long now) {
-    adjustCount(workspace, 1, now);
+  /** Counts an admitted request that is sent again and may have run before. */
+  public void recordResend(Workspace workspace, long nowMillis) {
+    adjustCount(workspace, 1, nowMillis);
   }
 
-  /** A request that was admitted has not run and will not. */
-  public void cancelAdmission(Workspace workspace, long now) {
-    adjustCount(workspace, -1, now);
+  /** Takes back the count of an admitted request that has not run and will not run. */
+  public void cancelAdmission(Workspace workspace, long nowMillis) {
+    adjustCount(workspace, -1, nowMillis);
   }
 
-  private void adjustCount(Workspace workspace, int requests, long now) {
+  private void adjustCount(Workspace workspace, int requests, long nowMillis) {
     if (quota(workspace.name()).isLimited()) {
-      MeteredWorkspace known = meteredWorkspace(workspace);
-      known.meter.adjustCount(requests, now);
-      trackIfActive(known, now);
+      MeteredWorkspace entry = meteredWorkspace(workspace);
+      entry.meter.adjustCount(requests, nowMillis);
+      trackIfActive(entry, nowMillis);
     }
   }
 
@@ -213,9 +219,9 @@
         name -> new MeteredWorkspace(workspace, new WorkspaceMeter(name, tolerance)));
   }
 
-  private void trackIfActive(MeteredWorkspace known, long now) {
-    if (known.meter.isActive(now)) {
-      active.add(known);
+  private void trackIfActive(MeteredWorkspace entry, long nowMillis) {
+    if (entry.meter.isActive(nowMillis)) {
+      active.add(entry);
     }
     scheduleTick();
   }
@@ -227,82 +233,84 @@
     }
   }
 
-  /** Looks at what is open: sends reports that are due, goes to other coordinators, notices. */
-  public void tick(long now) {
+  /** Sends due reports and notices, and tries other coordinators after timeouts. */
+  public void tick(long nowMillis) {
     tickScheduled = false;
-    for (MeteredWorkspace known : new ArrayList<>(active)) {
-      checkReport(known, now);
+    for (MeteredWorkspace entry : new ArrayList<>(active)) {
+      checkReport(entry, nowMillis);
     }
-    active.removeIf(known -> !known.meter.isActive(now));
-    for (Map.Entry<String, CoordinatedWorkspace> known : coordinated.entrySet()) {
-      known.getValue().coordinator.removeStale(now);
-      sendNotice(known.getKey(), known.getValue(), now);
+    active.removeIf(entry -> !entry.meter.isActive(nowMillis));
+    for (Map.Entry<String, CoordinatedWorkspace> entry : coordinated.entrySet()) {
+      entry.getValue().coordinator.removeStale(nowMillis);
+      sendNotice(entry.getKey(), entry.getValue(), nowMillis);
     }
-    coordinated.values().removeIf(known -> known.coordinator.isIdle());
+    coordinated.values().removeIf(entry -> entry.coordinator.isIdle());
     scheduleTick();
   }
 
-  private void checkReport(MeteredWorkspace known, long now) {
-    long since = known.meter.awaitingAnswerSince();
-    if (since >= 0 && now - since >= ANSWER_TIMEOUT_MILLIS) {
-      known.meter.onReportTimeout(now);
-      known.failedAttempts++;
-      if (known.failedAttempts >= MAX_REPORT_ATTEMPTS) {
-        known.failedAttempts = 0;
-        tryNextCoordinator(known, now);
+  private void checkReport(MeteredWorkspace entry, long nowMillis) {
+    long sinceMillis = entry.meter.awaitingAnswerSince();
+    if (sinceMillis >= 0 && nowMillis - sinceMillis >= ANSWER_TIMEOUT_MILLIS) {
+      entry.meter.onReportTimeout(nowMillis);
+      entry.failedAttempts++;
+      if (entry.failedAttempts >= MAX_REPORT_ATTEMPTS) {
+        entry.failedAttempts = 0;
+        tryNextCoordinator(entry, nowMillis);
       }
     }
-    known.meter.decideOverdue(now);
-    reportIfDue(known, now);
+    entry.meter.decideOverdue(nowMillis);
+    reportIfDue(entry, nowMillis);
   }
 
-  /** Goes to the next coordinator in order; behind the last one, on without any for a while. */
-  private void tryNextCoordinator(MeteredWorkspace known, long now) {
-    int last = coordinatorOrder(known).size() - 1;
-    known.retryFirstCoordinatorMillis = now + COORDINATOR_RETRY_MILLIS;
-    if (known.coordinatorIndex < last) {
-      known.coordinatorIndex++;
+  /**
+   * Moves on to the next coordinator in order; after the last one, isolates the VM and starts over.
+   */
+  private void tryNextCoordinator(MeteredWorkspace entry, long nowMillis) {
+    int last = coordinatorOrder(entry).size() - 1;
+    entry.retryFirstCoordinatorMillis = nowMillis + COORDINATOR_RETRY_MILLIS;
+    if (entry.coordinatorIndex < last) {
+      entry.coordinatorIndex++;
       return;
     }
-    known.coordinatorIndex = 0;
-    // The others do not know a VM that has just started, and pass its reports over.
-    if (hasBeenAnswered || now - startedMillis >= discoveryMillis) {
-      known.meter.enterIsolation(quota(known.workspace.name()), now);
+    entry.coordinatorIndex = 0;
+    // The other VMs ignore the reports of a VM that has just started until they know it.
+    if (hasBeenAnswered || nowMillis - startedMillis >= discoveryMillis) {
+      entry.meter.enterIsolation(quota(entry.workspace.name()), nowMillis);
     }
   }
 
-  private List<String> coordinatorOrder(MeteredWorkspace known) {
-    if (known.coordinatorOrder.isEmpty()) {
-      List<String> all = Rendezvous.rank(known.workspace.name(), liveVms);
-      known.coordinatorOrder = List.copyOf(all.subList(0, Math.min(MAX_COORDINATORS, all.size())));
+  private List<String> coordinatorOrder(MeteredWorkspace entry) {
+    if (entry.coordinatorOrder.isEmpty()) {
+      List<String> all = Rendezvous.rank(entry.workspace.name(), liveVms);
+      entry.coordinatorOrder = List.copyOf(all.subList(0, Math.min(MAX_COORDINATORS, all.size())));
     }
-    return known.coordinatorOrder;
+    return entry.coordinatorOrder;
   }
 
-  private void reportIfDue(MeteredWorkspace known, long now) {
-    if (!known.meter.isReportDue(now)) {
+  private void reportIfDue(MeteredWorkspace entry, long nowMillis) {
+    if (!entry.meter.isReportDue(nowMillis)) {
       return;
     }
-    if (known.coordinatorIndex > 0 && now >= known.retryFirstCoordinatorMillis) {
-      known.coordinatorIndex = 0;
+    if (entry.coordinatorIndex > 0 && nowMillis >= entry.retryFirstCoordinatorMillis) {
+      entry.coordinatorIndex = 0;
     }
-    List<String> order = coordinatorOrder(known);
-    String coordinator = order.get(Math.min(known.coordinatorIndex, order.size() - 1));
-    UsageReport report = known.meter.createReport(now);
+    List<String> order = coordinatorOrder(entry);
+    String coordinator = order.get(Math.min(entry.coordinatorIndex, order.size() - 1));
+    UsageReport report = entry.meter.createReport(nowMillis);
     if (coordinator.equals(self)) {
-      TokenGrant answer = answerReport(self, report, now);
+      TokenGrant answer = answerReport(self, report, nowMillis);
       if (answer != null) {
-        applyGrant(known, answer, now);
+        applyGrant(entry, answer, nowMillis);
       }
       return;
     }
     peers.send(coordinator, report);
   }
 
-  /** Takes a message of the VM of that name. */
-  public void onMessage(String from, QuotaMessage message, long now) {
+  /** Processes a message from the VM named {@code from}. */
+  public void onMessage(String from, QuotaMessage message, long nowMillis) {
     if (message instanceof UsageReport report) {
-      TokenGrant answer = answerReport(from, report, now);
+      TokenGrant answer = answerReport(from, report, nowMillis);
       if (answer != null) {
         peers.send(from, answer);
       }
@@ -313,49 +321,49 @@
       Workspace workspace = workspaces.get(grant.workspace());
       if (workspace != null) {
         hasBeenAnswered = true;
-        MeteredWorkspace known = meteredWorkspace(workspace);
-        applyGrant(known, grant, now);
-        trackIfActive(known, now);
+        MeteredWorkspace entry = meteredWorkspace(workspace);
+        applyGrant(entry, grant, nowMillis);
+        trackIfActive(entry, nowMillis);
       }
     }
   }
 
-  private static void applyGrant(MeteredWorkspace known, TokenGrant grant, long now) {
+  private static void applyGrant(MeteredWorkspace entry, TokenGrant grant, long nowMillis) {
     if (grant.reportNumber() != TokenGrant.NOTICE) {
-      known.failedAttempts = 0;
+      entry.failedAttempts = 0;
     }
-    known.meter.applyGrant(grant, known.coordinatorIndex == 0, now);
+    entry.meter.applyGrant(grant, entry.coordinatorIndex == 0, nowMillis);
   }
 
-  /** Answers a report; null where the workspace is not known here, or has no quota any more. */
-  private @Nullable TokenGrant answerReport(String from, UsageReport report, long now) {
+  /** Answers a report; null if the workspace is unknown here or no longer has a quota. */
+  private @Nullable TokenGrant answerReport(String from, UsageReport report, long nowMillis) {
     Quota quota = quota(report.workspace());
     if (!quota.isLimited()) {
       return null;
     }
-    CoordinatedWorkspace known =
+    CoordinatedWorkspace entry =
         coordinated.computeIfAbsent(
             report.workspace(),
             name ->
                 new CoordinatedWorkspace(
                     new QuotaCoordinator(tolerance, quota, countedSinceMillis)));
-    TokenGrant answer = known.coordinator.answerReport(from, report, now);
-    sendNotice(report.workspace(), known, now);
+    TokenGrant answer = entry.coordinator.answerReport(from, report, nowMillis);
+    sendNotice(report.workspace(), entry, nowMillis);
     return answer;
   }
 
-  private void sendNotice(String workspace, CoordinatedWorkspace known, long now) {
-    if (!known.coordinator.requiresTokens()) {
-      known.noticeSent = false;
-      known.nextNoticeMillis = Long.MIN_VALUE;
+  private void sendNotice(String workspace, CoordinatedWorkspace entry, long nowMillis) {
+    if (!entry.coordinator.requiresTokens()) {
+      entry.noticeSent = false;
+      entry.nextNoticeMillis = Long.MIN_VALUE;
       return;
     }
-    if (tolerance.isExact() || now < known.nextNoticeMillis) {
+    if (tolerance.isExact() || nowMillis < entry.nextNoticeMillis) {
       return;
     }
-    known.nextNoticeMillis =
-        now + (known.noticeSent ? NOTICE_INTERVAL_MILLIS : FIRST_NOTICE_REPEAT_MILLIS);
-    known.noticeSent = true;
+    entry.nextNoticeMillis =
+        nowMillis + (entry.noticeSent ? NOTICE_INTERVAL_MILLIS : FIRST_NOTICE_REPEAT_MILLIS);
+    entry.noticeSent = true;
     TokenGrant notice = new TokenGrant(workspace, TokenGrant.NOTICE, true, 0, 0);
     for (String vm : liveVms) {
       if (!vm.equals(self)) {
@@ -364,7 +372,7 @@
     }
     Workspace own = workspaces.get(workspace);
     if (own != null) {
-      applyGrant(meteredWorkspace(own), notice, now);
+      applyGrant(meteredWorkspace(own), notice, nowMillis);
     }
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/SlidingWindowCounter.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/SlidingWindowCounter.java
@@ -1,6 +1,6 @@
 package org.sageladder.core.quota;
 
-/** Events of the last window, counted in slots. Not safe for use by several threads. */
+/** Counts the events of the last window in buckets. Not thread-safe. */
 final class SlidingWindowCounter {
   private static final int BUCKETS = 25;
 
@@ -13,25 +13,25 @@
     this.bucketMillis = Math.max(1, windowMillis / BUCKETS);
   }
 
-  /** Counts {@code events}, which may be negative to take earlier ones back. */
-  void add(int events, long now) {
-    advanceTo(now);
-    int slot = (int) (lastBucket % buckets.length);
-    int before = buckets[slot];
-    buckets[slot] = Math.max(0, before + events);
-    sum += buckets[slot] - before;
+  /** Adds {@code events}; a negative number cancels earlier events. */
+  void add(int events, long nowMillis) {
+    advanceTo(nowMillis);
+    int index = (int) (lastBucket % buckets.length);
+    int before = buckets[index];
+    buckets[index] = Math.max(0, before + events);
+    sum += buckets[index] - before;
   }
 
-  int count(long now) {
-    advanceTo(now);
+  int count(long nowMillis) {
+    advanceTo(nowMillis);
     return sum;
   }
 
-  private void advanceTo(long now) {
-    long current = Math.max(lastBucket, now / bucketMillis);
+  private void advanceTo(long nowMillis) {
+    long current = Math.max(lastBucket, nowMillis / bucketMillis);
     long from = Math.max(lastBucket + 1, current - BUCKETS);
-    for (long slot = from; slot <= current; slot++) {
-      int index = (int) (slot % buckets.length);
+    for (long bucket = from; bucket <= current; bucket++) {
+      int index = (int) (bucket % buckets.length);
       sum -= buckets[index];
       buckets[index] = 0;
     }
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/WorkspaceMeter.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/WorkspaceMeter.java
@@ -8,37 +8,43 @@
 import org.sageladder.core.routing.Quota;
 
 /**
- * One workspace at one entry VM: what it let run, its tokens, and the requests that wait for some.
+ * State of one workspace in one entry VM: the requests it admitted, its tokens, and the requests
+ * that wait for a token.
  *
- * <p>Requests are let run and reported. Once the coordinator announces that the quota is near, each
- * needs a token. A VM that reaches no coordinator lets run a part of what it did before.
+ * <p>Requests are admitted at once and reported. Once the coordinator announces that the quota is
+ * nearly used up, each request needs a token. A VM that reaches no coordinator is isolated and
+ * admits a fraction of what it admitted before.
  */
 final class WorkspaceMeter {
-  /** How long a coordinator's notice that tokens are needed holds; it is repeated each second. */
+  /**
+   * How long a coordinator's notice that tokens are required is valid; it is repeated each second.
+   */
   private static final long NOTICE_VALIDITY_MILLIS = 3_000;
 
-  /** Tokens not used in this time are given back: another VM may need them. */
+  /** Unused tokens are returned after this time, since another VM may need them. */
   private static final long TOKEN_LIFETIME_MILLIS = 1_000;
 
-  /** Tokens asked for beyond the requests that wait cover the requests of this time. */
+  /** Tokens are also requested in advance, for the requests expected in this time. */
   private static final long PREFETCH_MILLIS = 200;
 
-  /** While tokens are needed, VMs that let requests run report at least this often. */
+  /** While tokens are required, VMs that admit requests report at least this often. */
   private static final long KEEP_ALIVE_MILLIS = 1_000;
 
-  /** Reports are put together for this long while requests need no tokens. */
+  /**
+   * While no tokens are required, requests are collected for this time before they are reported.
+   */
   private static final long REPORT_BATCH_MILLIS = 400;
 
-  /** Longest time for which a refusal is repeated without asking again. */
+  /** Maximum time for which a refusal is reused without asking the coordinator again. */
   private static final long MAX_CACHED_REFUSAL_MILLIS = 200;
 
   /**
-   * Part of what it let run in a window that a VM without coordinator goes on letting run. The
-   * others take up what it leaves, so that both together have to stay within the tolerance.
+   * Fraction of the requests it admitted in a window that an isolated VM goes on admitting. The
+   * other VMs take up what it does not use, so both together must stay within the tolerance.
    */
   private static final double ISOLATED_FRACTION = 0.5;
 
-  /** A request waits for the coordinator's answer no longer than this. */
+  /** Maximum time that a request waits for the coordinator's answer. */
   private static final long MAX_WAIT_MILLIS = 500;
 
   private record Waiter(long sinceMillis, Consumer<QuotaDecision> onDecision) {}
@@ -61,126 +67,136 @@
   private boolean isolated;
   private int isolatedAllowance;
 
-  WorkspaceMeter(String workspace, QuotaTolerance bounds) {
+  WorkspaceMeter(String workspace, QuotaTolerance tolerance) {
     this.workspace = workspace;
-    this.tolerance = bounds;
-    this.admittedInWindow = new SlidingWindowCounter(bounds.windowMillis());
+    this.tolerance = tolerance;
+    this.admittedInWindow = new SlidingWindowCounter(tolerance.windowMillis());
   }
 
-  /** Decides at once where that can be done; {@link QuotaDecision.Pending} where it cannot. */
-  QuotaDecision admit(Quota quota, long now) {
-    expireTokens(now);
+  /** Decides at once if possible, otherwise returns {@link QuotaDecision.Pending}. */
+  QuotaDecision admit(Quota quota, long nowMillis) {
+    expireTokens(nowMillis);
     if (isolated) {
-      return admittedInWindow.count(now) < isolatedAllowance
-          ? grant(now)
+      return admittedInWindow.count(nowMillis) < isolatedAllowance
+          ? grant(nowMillis)
           : refusedWhileIsolated(quota);
     }
-    if (!requiresTokens(now)) {
-      return grant(now);
+    if (!requiresTokens(nowMillis)) {
+      return grant(nowMillis);
     }
     if (tokens > 0 && waiting.isEmpty()) {
       tokens--;
-      return grant(now);
+      return grant(nowMillis);
     }
-    if (now < cachedRefusalUntilMillis) {
-      return refused(cachedRetryAfterMillis, now);
+    if (nowMillis < cachedRefusalUntilMillis) {
+      return refused(cachedRetryAfterMillis, nowMillis);
     }
     return new QuotaDecision.Pending();
   }
 
-  private boolean requiresTokens(long now) {
-    return now < tokensRequiredUntilMillis || tolerance.isExact();
+  private boolean requiresTokens(long nowMillis) {
+    return nowMillis < tokensRequiredUntilMillis || tolerance.isExact();
   }
 
-  private QuotaDecision grant(long now) {
-    adjustCount(1, now);
+  private QuotaDecision grant(long nowMillis) {
+    adjustCount(1, nowMillis);
     return new QuotaDecision.Granted();
   }
 
-  private QuotaDecision refused(long retryMillis, long now) {
+  private QuotaDecision refused(long retryAfterMillis, long nowMillis) {
     return new QuotaDecision.Refused(
-        retryMillis, admittedInWindow.count(now) + " here in the window, no tokens left");
+        retryAfterMillis,
+        admittedInWindow.count(nowMillis)
+            + " requests admitted here in the window, no tokens left");
   }
 
   private QuotaDecision refusedWhileIsolated(Quota quota) {
-    long retry = (long) Math.ceil(1_000 / Math.max(1, quota.ratePerSecond()));
+    long retryAfterMillis = (long) Math.ceil(1_000 / Math.max(1, quota.ratePerSecond()));
     return new QuotaDecision.Refused(
-        retry, isolatedAllowance + " in the window while no coordinator answers");
+        retryAfterMillis,
+        isolatedAllowance + " requests allowed in the window while no coordinator answers");
   }
 
-  /** Keeps a request whose decision is pending. */
-  void enqueue(Consumer<QuotaDecision> then, long now) {
-    waiting.addLast(new Waiter(now, then));
+  /** Queues a request whose decision is pending. */
+  void enqueue(Consumer<QuotaDecision> onDecision, long nowMillis) {
+    waiting.addLast(new Waiter(nowMillis, onDecision));
   }
 
-  /** A request was sent once more, or will not run after all. */
-  void adjustCount(int requests, long now) {
-    admittedInWindow.add(requests, now);
+  /** Corrects the count for a request that is sent again, or that will not run after all. */
+  void adjustCount(int requests, long nowMillis) {
+    admittedInWindow.add(requests, nowMillis);
     totalAdmitted += requests;
     hasUnreported = true;
   }
 
-  /** True where a report is due now. */
-  boolean isReportDue(long now) {
+  /** True if a report is due. */
+  boolean isReportDue(long nowMillis) {
     if (awaitingAnswer) {
       return false;
     }
-    if (isKeepAliveDue(now)) {
+    if (isKeepAliveDue(nowMillis)) {
       return true;
     }
-    boolean asks = !waiting.isEmpty();
-    boolean gathered =
-        now - lastReportMillis >= (requiresTokens(now) ? PREFETCH_MILLIS : REPORT_BATCH_MILLIS);
-    return asks || (hasUnreported && gathered);
+    boolean hasWaiting = !waiting.isEmpty();
+    boolean isBatchComplete =
+        nowMillis - lastReportMillis
+            >= (requiresTokens(nowMillis) ? PREFETCH_MILLIS : REPORT_BATCH_MILLIS);
+    return hasWaiting || (hasUnreported && isBatchComplete);
   }
 
-  private boolean isKeepAliveDue(long now) {
-    return requiresTokens(now)
+  private boolean isKeepAliveDue(long nowMillis) {
+    return requiresTokens(nowMillis)
         && lastReportedCount > 0
-        && now - lastReportMillis >= KEEP_ALIVE_MILLIS;
+        && nowMillis - lastReportMillis >= KEEP_ALIVE_MILLIS;
   }
 
-  /** True where it has to be looked at again soon. */
-  boolean isActive(long now) {
-    boolean open = hasUnreported || awaitingAnswer || tokens > 0 || !waiting.isEmpty();
-    return open || (requiresTokens(now) && lastReportedCount > 0);
+  /** True if the workspace must be checked again at the next tick. */
+  boolean isActive(long nowMillis) {
+    boolean hasOpenWork = hasUnreported || awaitingAnswer || tokens > 0 || !waiting.isEmpty();
+    return hasOpenWork || (requiresTokens(nowMillis) && lastReportedCount > 0);
   }
 
-  /** Since when a report is unanswered; -1 where none is. */
+  /** Time since which a report is unanswered; -1 if none is. */
   long awaitingAnswerSince() {
     return awaitingAnswer ? lastReportMillis : -1;
   }
 
-  /** The report that is due. */
-  UsageReport createReport(long now) {
-    expireTokens(now);
+  /** Creates the report that is due. */
+  UsageReport createReport(long nowMillis) {
+    expireTokens(nowMillis);
     lastReportNumber = lastReportNumber == Integer.MAX_VALUE ? 1 : lastReportNumber + 1;
     hasUnreported = false;
     awaitingAnswer = true;
-    lastReportMillis = now;
-    int recent = admittedInWindow.count(now);
-    lastReportedCount = recent;
+    lastReportMillis = nowMillis;
+    int windowCount = admittedInWindow.count(nowMillis);
+    lastReportedCount = windowCount;
     return new UsageReport(
-        workspace, lastReportNumber, totalAdmitted, recent, wantedTokens(recent, now), tokens);
+        workspace,
+        lastReportNumber,
+        totalAdmitted,
+        windowCount,
+        wantedTokens(windowCount, nowMillis),
+        tokens);
   }
 
-  private int wantedTokens(int recent, long now) {
-    if (!requiresTokens(now)) {
+  private int wantedTokens(int windowCount, long nowMillis) {
+    if (!requiresTokens(nowMillis)) {
       return waiting.size();
     }
-    int ahead = (int) (recent * PREFETCH_MILLIS / tolerance.windowMillis());
-    return Math.max(0, waiting.size() + ahead - tokens);
+    int prefetchTokens = (int) (windowCount * PREFETCH_MILLIS / tolerance.windowMillis());
+    return Math.max(0, waiting.size() + prefetchTokens - tokens);
   }
 
   /**
-   * Takes the answer to the last report, or a notice.
+   * Applies the answer to the last report, or a notice.
    *
-   * @param mayLift true where the coordinator is the workspace's first; one that has just taken
-   *     over does not have the reports of all VMs yet
+   * @param isFirstCoordinator true if the grant comes from the workspace's first coordinator. Only
+   *     then may it end the need for tokens: a coordinator that has just taken over does not have
+   *     the reports of all VMs yet.
    */
-  void applyGrant(TokenGrant grant, boolean mayLift, long now) {
+  void applyGrant(TokenGrant grant, boolean isFirstCoordinator, long nowMillis) {
     if (grant.reportNumber() == TokenGrant.NOTICE) {
-      tokensRequiredUntilMillis = now + NOTICE_VALIDITY_MILLIS;
+      tokensRequiredUntilMillis = nowMillis + NOTICE_VALIDITY_MILLIS;
       return;
     }
     if (!awaitingAnswer || grant.reportNumber() != lastReportNumber) {
@@ -189,65 +205,68 @@
     awaitingAnswer = false;
     isolated = false;
     if (grant.tokensRequired()) {
-      tokensRequiredUntilMillis = now + NOTICE_VALIDITY_MILLIS;
-    } else if (mayLift) {
-      tokensRequiredUntilMillis = now;
+      tokensRequiredUntilMillis = nowMillis + NOTICE_VALIDITY_MILLIS;
+    } else if (isFirstCoordinator) {
+      tokensRequiredUntilMillis = nowMillis;
     }
     tokens += grant.tokens();
-    tokensExpireMillis = now + TOKEN_LIFETIME_MILLIS;
+    tokensExpireMillis = nowMillis + TOKEN_LIFETIME_MILLIS;
     if (grant.retryAfterMillis() > 0) {
       cachedRetryAfterMillis = grant.retryAfterMillis();
       cachedRefusalUntilMillis =
-          now + Math.min(MAX_CACHED_REFUSAL_MILLIS, grant.retryAfterMillis());
+          nowMillis + Math.min(MAX_CACHED_REFUSAL_MILLIS, grant.retryAfterMillis());
     }
-    decideWaiting(grant, now);
+    decideWaiting(grant, nowMillis);
   }
 
-  private void decideWaiting(TokenGrant grant, long now) {
+  private void decideWaiting(TokenGrant grant, long nowMillis) {
     while (!waiting.isEmpty()) {
-      Consumer<QuotaDecision> then = waiting.removeFirst().onDecision();
-      if (!requiresTokens(now)) {
-        then.accept(grant(now));
+      Consumer<QuotaDecision> onDecision = waiting.removeFirst().onDecision();
+      if (!requiresTokens(nowMillis)) {
+        onDecision.accept(grant(nowMillis));
       } else if (tokens > 0) {
         tokens--;
-        then.accept(grant(now));
+        onDecision.accept(grant(nowMillis));
       } else {
-        then.accept(refused(Math.max(1, grant.retryAfterMillis()), now));
+        onDecision.accept(refused(Math.max(1, grant.retryAfterMillis()), nowMillis));
       }
     }
   }
 
-  /** The report got no answer; another coordinator is asked next. */
-  void onReportTimeout(long now) {
+  /** Records that the last report got no answer, so that it is sent again. */
+  void onReportTimeout(long nowMillis) {
     awaitingAnswer = false;
     hasUnreported = true;
-    lastReportMillis = now - REPORT_BATCH_MILLIS;
+    lastReportMillis = nowMillis - REPORT_BATCH_MILLIS;
   }
 
-  /** No coordinator answers: until one does, the VM lets run a part of what it did before. */
-  void enterIsolation(Quota quota, long now) {
+  /**
+   * Isolates the VM: until a coordinator answers, it admits a fraction of what it admitted before.
+   */
+  void enterIsolation(Quota quota, long nowMillis) {
     if (!isolated) {
       isolated = true;
-      isolatedAllowance = Math.max(1, (int) (ISOLATED_FRACTION * admittedInWindow.count(now)));
+      isolatedAllowance =
+          Math.max(1, (int) (ISOLATED_FRACTION * admittedInWindow.count(nowMillis)));
     }
-    decideWaitingIsolated(quota, now);
+    decideWaitingIsolated(quota, nowMillis);
   }
 
-  private void decideWaitingIsolated(Quota quota, long now) {
+  private void decideWaitingIsolated(Quota quota, long nowMillis) {
     while (!waiting.isEmpty()) {
-      waiting.removeFirst().onDecision().accept(admit(quota, now));
+      waiting.removeFirst().onDecision().accept(admit(quota, nowMillis));
     }
   }
 
-  /** Decides what has waited for too long, by what the VM knows itself. */
-  void decideOverdue(long now) {
-    while (!waiting.isEmpty() && now - waiting.peekFirst().sinceMillis() >= MAX_WAIT_MILLIS) {
-      waiting.removeFirst().onDecision().accept(refused(MAX_WAIT_MILLIS, now));
+  /** Refuses the requests that have waited too long for the coordinator's answer. */
+  void decideOverdue(long nowMillis) {
+    while (!waiting.isEmpty() && nowMillis - waiting.peekFirst().sinceMillis() >= MAX_WAIT_MILLIS) {
+      waiting.removeFirst().onDecision().accept(refused(MAX_WAIT_MILLIS, nowMillis));
     }
   }
 
-  private void expireTokens(long now) {
-    if (tokens > 0 && now >= tokensExpireMillis) {
+  private void expireTokens(long nowMillis) {
+    if (tokens > 0 && nowMillis >= tokensExpireMillis) {
       tokens = 0;
       hasUnreported = true;
     }
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/package-info.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Quotas of workspaces that all entry VMs keep together: who counts, what is reported, when a
- * request may run. Decisions only, without a network.
+ * Workspace quotas that all entry VMs enforce together: which VM counts, what is reported and when
+ * a request may run. Contains the decisions only, no networking.
  */
 @NullMarked
 package org.sageladder.core.quota;
--- a/sageladder-core/src/main/java/org/sageladder/core/result/Result.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/result/Result.java
@@ -2,9 +2,9 @@
 
 import java.time.Duration;
 
-/** How a request ended: it ran, it did not run, or that is not known. */
+/** Result of a request: it ran, it did not run, or that is unknown. */
 public sealed interface Result {
-  /** The numbered code that says why. */
+  /** The numbered code that gives the reason. */
   ResultCode code();
 
   /** The target ran the request. */
@@ -13,14 +13,15 @@
   /**
    * No target ran the request.
    *
-   * @param retryAfter when a new try is worth making; zero where a new try would fail the same way
+   * @param retryAfter time after which a retry is worthwhile; zero if a retry would fail the same
+   *     way
    */
   record NotRun(ResultCode code, Duration retryAfter, String detail) implements Result {}
 
   /** The request may have run. */
   record Unknown(ResultCode code, String detail) implements Result {}
 
-  /** A refusal with no advice on when to come back. */
+  /** Creates a refusal without a retry time. */
   static NotRun notRun(ResultCode code, String detail) {
     return new NotRun(code, Duration.ZERO, detail);
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/result/ResultCode.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/result/ResultCode.java
@@ -4,10 +4,11 @@
 import java.util.Optional;
 
 /**
- * Numbered results that callers and operators see, with the outcome each one asserts.
+ * Numbered results that callers and operators see, with the outcome that each one guarantees.
  *
- * <p>Example: {@code ResultCode.QUEUE_FULL.outcome() == Outcome.NOT_RUN}, so a caller may resend.
- * The table in {@code docs/RESULT-CODES.md} lists the same numbers; a test keeps the two alike.
+ * <p>Example: {@code ResultCode.QUEUE_FULL.outcome() == Outcome.NOT_RUN}, so a caller may send the
+ * request again. The table in {@code docs/RESULT-CODES.md} lists the same codes; a test compares
+ * the two.
  */
 public enum ResultCode {
   OK(0, 200, Outcome.RAN),
@@ -68,17 +69,17 @@
     return number;
   }
 
-  /** HTTP status sent with this result where sageladder itself answers. */
+  /** HTTP status of this result if sageladder itself responds. */
   public int httpStatus() {
     return httpStatus;
   }
 
-  /** What this result asserts about the request having run. */
+  /** What this result guarantees about whether the request ran. */
   public Outcome outcome() {
     return outcome;
   }
 
-  /** The code with {@code number}, or empty where no code has it. */
+  /** The code with {@code number}, or empty if there is none. */
   public static Optional<ResultCode> ofNumber(int number) {
     return Arrays.stream(values()).filter(code -> code.number == number).findFirst();
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/result/package-info.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/result/package-info.java
@@ -1,4 +1,4 @@
-/** Numbered result codes and the three outcomes a request can have. */
+/** Numbered result codes and the three possible outcomes of a request. */
 @NullMarked
 package org.sageladder.core.result;
 
--- a/sageladder-core/src/main/java/org/sageladder/core/routing/ApiKeys.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/routing/ApiKeys.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * The API keys of one version of the configuration, and the workspace that holds each.
+ * The API keys of one version of the configuration and the workspace that each belongs to.
  *
  * <pre>{@code
  * ApiKeys keys = ApiKeys.builder().add(workspace, List.of("k1", "k2")).build();
- * keys.workspace("k1"); // the workspace, or empty where nobody holds the key
+ * keys.workspaceOf("k1"); // the workspace, or empty if the key is unknown
  * }</pre>
  *
- * <p>Keys are secrets: no text of this class, its errors included, contains one.
+ * <p>Keys are secrets: neither {@link #toString} nor any error message of this class contains one.
  */
 public final class ApiKeys {
   private static final ApiKeys NONE = new ApiKeys(Map.of(), Map.of());
@@ -27,22 +27,22 @@
     this.byKey = byKey;
   }
 
-  /** A configuration without workspaces: requests carry no key. */
+  /** The keys of a configuration without workspaces: requests carry no key. */
   public static ApiKeys none() {
     return NONE;
   }
 
-  /** Collects the workspaces of a configuration. */
+  /** Creates a builder for the workspaces of a configuration. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** True where a request has to carry a key, unless its route is anonymous. */
+  /** True if a request must carry a key, unless its route is anonymous. */
   public boolean areRequired() {
     return !byName.isEmpty();
   }
 
-  /** The workspace that holds {@code key}. */
+  /** The workspace that {@code key} belongs to, or empty if the key is unknown. */
   public Optional<Workspace> workspaceOf(String key) {
     return Optional.ofNullable(byKey.get(key));
   }
@@ -57,7 +57,7 @@
     return byKey.size() + " keys of " + byName.size() + " workspaces";
   }
 
-  /** Workspaces and keys, checked one by one. */
+  /** Builds {@link ApiKeys}; each workspace and key is checked when it is added. */
   public static final class Builder {
     private final Map<String, Workspace> byName = new LinkedHashMap<>();
     private final Map<String, Workspace> byKey = new HashMap<>();
@@ -65,14 +65,14 @@
     private Builder() {}
 
     /**
-     * Adds a workspace and the keys that it holds.
+     * Adds a workspace and its keys.
      *
-     * @throws IllegalArgumentException where the name is taken, or a key is empty or held by
+     * @throws IllegalArgumentException if the name is already used, or a key is empty or belongs to
      *     another workspace
      */
     public Builder add(Workspace workspace, List<String> keys) {
       if (byName.putIfAbsent(workspace.name(), workspace) != null) {
-        throw new IllegalArgumentException("two workspaces are named " + workspace.name());
+        throw new IllegalArgumentException("more than one workspace is named " + workspace.name());
       }
       for (String key : keys) {
         addKey(workspace, key);
@@ -84,14 +84,14 @@
       if (key.isEmpty()) {
         throw new IllegalArgumentException("a key of workspace " + workspace.name() + " is empty");
       }
-      Workspace holder = byKey.putIfAbsent(key, workspace);
-      if (holder != null && !holder.equals(workspace)) {
+      Workspace owner = byKey.putIfAbsent(key, workspace);
+      if (owner != null && !owner.equals(workspace)) {
         throw new IllegalArgumentException(
-            "workspaces " + holder.name() + " and " + workspace.name() + " hold the same key");
+            "workspaces " + owner.name() + " and " + workspace.name() + " have the same key");
       }
     }
 
-    /** The keys added so far. */
+    /** Returns the keys added so far. */
     public ApiKeys build() {
       return new ApiKeys(Map.copyOf(byName), Map.copyOf(byKey));
     }
--- a/sageladder-core/src/main/java/org/sageladder/core/routing/Quota.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/routing/Quota.java
@@ -1,21 +1,21 @@
 package org.sageladder.core.routing;
 
 /**
- * How many requests a workspace may have run: a token bucket over all entry VMs together.
+ * Rate limit of a workspace: a token bucket that all entry VMs share.
  *
- * @param ratePerSecond tokens added each second; 0 means no limit
- * @param burst most tokens that are kept
+ * @param ratePerSecond tokens added per second; 0 means no limit
+ * @param burst maximum number of tokens in the bucket
  */
 public record Quota(double ratePerSecond, double burst) {
-  /** Refuses numbers that bound nothing. */
+  /** Rejects negative, infinite and NaN values. */
   public Quota {
     if (!isAmount(ratePerSecond) || !isAmount(burst)) {
       throw new IllegalArgumentException(
           "quota is "
               + ratePerSecond
-              + " a second with burst "
+              + " per second with burst "
               + burst
-              + "; accepted is 0 or more");
+              + "; both must be finite and 0 or more");
     }
   }
 
@@ -28,12 +28,12 @@
     return new Quota(0, 0);
   }
 
-  /** True where requests are counted. */
+  /** True if requests are counted and limited. */
   public boolean isLimited() {
     return ratePerSecond > 0;
   }
 
-  /** Most tokens in the bucket: one at least, or no request would ever run. */
+  /** Size of the bucket: at least one token, or no request could ever run. */
   public double capacity() {
     return Math.max(1, burst);
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/routing/RouteRule.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/routing/RouteRule.java
@@ -4,20 +4,21 @@
 import java.util.Set;
 
 /**
- * Where the requests of one host and path prefix go and what may be done with them.
+ * Rule for the requests of one host and path prefix: the services they go to and how they may be
+ * handled.
  *
- * @param name the operator's name of the route
- * @param host host that callers name, in lower case
- * @param prefix beginning of the path; begins and ends with a slash
- * @param idempotent true where a request may run more than once
- * @param timeoutMillis longest time that a request may be kept waiting, from its arrival
- * @param latencyGoalMillis time within which an answer is worth its full credit
- * @param priority rank; 0 is the highest
- * @param services services among which the requests are divided, with weights
- * @param maxTargets most targets to which one request may be sent
- * @param hasObjectAffinity true where a target that has handled the object recently is faster
- * @param regions regions in which requests may run; empty means all
- * @param anonymous true where requests need no API key
+ * @param name name of the route, given by the operator
+ * @param host host name in the request, in lower case
+ * @param prefix prefix of the path; begins and ends with a slash
+ * @param idempotent true if a request may run more than once
+ * @param timeoutMillis maximum time that a request may be kept waiting, from its arrival
+ * @param latencyGoalMillis time within which a response earns its full credit
+ * @param priority priority of the requests; 0 is the highest
+ * @param services weighted services among which the requests are divided
+ * @param maxTargets maximum number of targets to which one request may be sent
+ * @param hasObjectAffinity true if a target that has recently handled the same object is faster
+ * @param regions regions in which requests may run; empty for all
+ * @param anonymous true if requests need no API key
  */
 public record RouteRule(
     String name,
@@ -32,19 +33,19 @@
     boolean hasObjectAffinity,
     Set<String> regions,
     boolean anonymous) {
-  /** Copies the collections, so that the rule cannot change. */
+  /** Copies the collections to keep the rule immutable. */
   public RouteRule {
     services = List.copyOf(services);
     regions = Set.copyOf(regions);
   }
 
-  /** True where requests of this route may run in {@code region}. */
+  /** True if requests of this route may run in {@code region}. */
   public boolean allows(String region) {
     return regions.isEmpty() || regions.contains(region);
   }
 
-  /** The same route, to other services. */
-  public RouteRule withServices(List<ServiceShare> others) {
+  /** Returns the same rule with other services. */
+  public RouteRule withServices(List<ServiceShare> newServices) {
     return new RouteRule(
         name,
         host,
@@ -53,7 +54,7 @@
         timeoutMillis,
         latencyGoalMillis,
         priority,
-        others,
+        newServices,
         maxTargets,
         hasObjectAffinity,
         regions,
--- a/sageladder-core/src/main/java/org/sageladder/core/routing/RoutingRules.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/routing/RoutingRules.java
@@ -8,15 +8,16 @@
 import java.util.stream.Collectors;
 
 /**
- * One version of the operator's configuration, ready to be asked for each request.
+ * The routing rules of one version of the operator's configuration, indexed for look-ups per
+ * request.
  *
  * <pre>{@code
  * RoutingRules rules = RoutingRules.of(7, routes, services, CallerLimits.standard());
  * rules.match("shop.example", "/lots/2f"); // the route with the longest prefix, or empty
  * }</pre>
  *
- * <p>Immutable. A look-up takes one map access for each slash of the path, however many routes
- * there are.
+ * <p>Immutable. A look-up takes at most one map access per slash of the path, regardless of the
+ * number of routes.
  */
 public final class RoutingRules {
   private final long version;
@@ -38,7 +39,7 @@
     this.keys = keys;
   }
 
-  /** The rules of one version without workspaces. */
+  /** Creates the rules of a version without workspaces. */
   public static RoutingRules of(
       long version,
       Collection<RouteRule> routes,
@@ -47,7 +48,10 @@
     return of(version, routes, services, limits, ApiKeys.none());
   }
 
-  /** The rules of one version; of two routes with one host and prefix the later one counts. */
+  /**
+   * Creates the rules of a version. If two routes have the same host and prefix, the later one
+   * wins.
+   */
   public static RoutingRules of(
       long version,
       Collection<RouteRule> routes,
@@ -65,7 +69,7 @@
     return new RoutingRules(version, byHost, byName, limits, keys);
   }
 
-  /** Number of the configuration; a newer one has a higher number. */
+  /** Version of the configuration; a newer one has a higher number. */
   public long version() {
     return version;
   }
@@ -78,32 +82,35 @@
         .collect(Collectors.toSet());
   }
 
-  /** What callers may send. */
+  /** Limits on callers' requests. */
   public CallerLimits limits() {
     return limits;
   }
 
-  /** The API keys, and who holds them. */
+  /** The API keys and their workspaces. */
   public ApiKeys keys() {
     return keys;
   }
 
-  /** What is said of {@code service}, or empty where the configuration does not name it. */
+  /** The rule of {@code service}, or empty if the configuration does not contain it. */
   public Optional<ServiceRule> service(String service) {
     return Optional.ofNullable(services.get(service));
   }
 
-  /** Longest time that any service's targets stay cold; 0 without services. */
+  /** Maximum time for which the targets of any service stay cold; 0 without services. */
   public long maxColdMillis() {
     return services.values().stream().mapToLong(ServiceRule::coldMillis).max().orElse(0);
   }
 
-  /** How many routes there are. */
+  /** Number of routes. */
   public int routeCount() {
     return routes.values().stream().mapToInt(Map::size).sum();
   }
 
-  /** The route of {@code host} with the longest prefix that begins {@code path}, without query. */
+  /**
+   * The route of {@code host} with the longest prefix of {@code path}, which is given without
+   * query.
+   */
   public Optional<RouteRule> match(String host, String path) {
     Map<String, RouteRule> ofHost = routes.get(host);
     if (ofHost == null) {
--- a/sageladder-core/src/main/java/org/sageladder/core/routing/ServiceShare.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/routing/ServiceShare.java
@@ -1,9 +1,9 @@
 package org.sageladder.core.routing;
 
 /**
- * One of the services among which a route's requests are divided.
+ * One of the services among which the requests of a route are divided.
  *
  * @param service name of the service
- * @param weight its part; only the ratio to the route's other weights has meaning
+ * @param weight relative weight; the service gets this weight over the sum of the route's weights
  */
 public record ServiceShare(String service, int weight) {}
--- a/sageladder-core/src/main/java/org/sageladder/core/routing/package-info.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/routing/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which requests a configuration allows, to which services they go and what callers may send: the
- * immutable rules that an entry VM follows until it sees a newer version.
+ * Routing rules: which requests a configuration allows, the services they go to and the limits on
+ * callers. The rules are immutable; an entry VM applies them until it receives a newer version.
  */
 @NullMarked
 package org.sageladder.core.routing;
--- a/sageladder-core/src/main/java/org/sageladder/core/time/TimeSource.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/time/TimeSource.java
@@ -1,14 +1,14 @@
 package org.sageladder.core.time;
 
-/** Monotonic and wall time, so that decisions can be run on a virtual clock. */
+/** Source of monotonic and wall-clock time, replaceable by a virtual clock. */
 public interface TimeSource {
-  /** Nanoseconds on a clock that never goes back; only differences have meaning. */
+  /** Monotonic time in nanoseconds; only differences are meaningful. */
   long nanos();
 
-  /** Milliseconds since the Unix epoch; may jump. */
+  /** Wall-clock time in milliseconds since the Unix epoch; may jump. */
   long wallMillis();
 
-  /** The clocks of this machine. */
+  /** The system clocks. */
   static TimeSource system() {
     return new TimeSource() {
       @Override
--- a/sageladder-core/src/main/java/org/sageladder/core/time/VirtualTime.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/time/VirtualTime.java
@@ -3,7 +3,10 @@
 import java.time.Duration;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A clock that stands still until told to advance, for tests and benchmarks of decisions. */
+/**
+ * A clock that advances only when {@link #advance} is called, for tests and benchmarks of
+ * decisions.
+ */
 public final class VirtualTime implements TimeSource {
   private final AtomicLong nanos = new AtomicLong();
   private final long startWallMillis;
@@ -12,15 +15,15 @@
     this.startWallMillis = startWallMillis;
   }
 
-  /** A clock whose wall time starts at {@code wallMillis} since the Unix epoch. */
+  /** Creates a clock whose wall time starts at {@code wallMillis} since the Unix epoch. */
   public static VirtualTime startingAt(long wallMillis) {
     return new VirtualTime(wallMillis);
   }
 
-  /** Moves both clocks forward by {@code step}, which must not be negative. */
+  /** Advances monotonic and wall time by {@code step}, which must not be negative. */
   public void advance(Duration step) {
     if (step.isNegative()) {
-      throw new IllegalArgumentException("a clock cannot go back by " + step);
+      throw new IllegalArgumentException("cannot advance a clock by the negative duration " + step);
     }
     nanos.addAndGet(step.toNanos());
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/time/package-info.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/time/package-info.java
@@ -1,4 +1,4 @@
-/** Time sources, so that tests run on a virtual clock. */
+/** Time sources: the system clocks, and a virtual clock for tests. */
 @NullMarked
 package org.sageladder.core.time;
 
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/GateFixture.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/GateFixture.java
@@ -23,7 +23,7 @@
     tasks.add(new Task(time.nanos() + delay.toNanos(), task));
   }
 
-  /** Lets time pass and runs what falls due on the way, in order. */
+  /** Advances time and runs the tasks that become due, in order. */
   void advance(Duration step) {
     long end = time.nanos() + step.toNanos();
     while (!tasks.isEmpty() && tasks.peek().dueNanos() <= end) {
@@ -50,7 +50,9 @@
     return holdings;
   }
 
-  /** A service of 100 ms requests, 4 waits a target and a cap that never binds. */
+  /**
+   * A service with a service time of 100 ms, a queue of 4 per target and a cap that never limits.
+   */
   static Contract.Service service(RequestClass requestClass) {
     return service(requestClass, new Contract.ShiftCap(1, Duration.ofSeconds(100)));
   }
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/LinkRateLimiterTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/LinkRateLimiterTest.java
@@ -11,45 +11,46 @@
 class LinkRateLimiterTest {
   private static final long NANOS_PER_MILLI = Duration.ofMillis(1).toNanos();
 
-  private final LinkRateLimiter share = LinkRateLimiter.of(100, 0);
+  private final LinkRateLimiter limiter = LinkRateLimiter.of(100, 0);
 
   @Test
   void criticalRequestsPassASaturatedLink() {
-    // Overnight pulls and a rush of browsing fill a link far beyond its limit; then a lot closes
-    // and bids come from the same region. They must not queue behind what can wait.
-    int critical = 0;
-    int others = 0;
-    for (int milli = 0; milli < 10_000; milli++) {
-      others += share.tryAcquire(RequestClass.BACKGROUND, milli * NANOS_PER_MILLI) ? 1 : 0;
-      others += share.tryAcquire(RequestClass.INTERACTIVE, milli * NANOS_PER_MILLI) ? 1 : 0;
-      boolean bid = milli >= 5_000 && milli % 20 == 0;
-      critical += bid && share.tryAcquire(RequestClass.CRITICAL, milli * NANOS_PER_MILLI) ? 1 : 0;
+    // Background and interactive requests saturate the link; then critical requests arrive from the
+    // same region. They must pass without waiting behind requests that can wait.
+    int criticalCount = 0;
+    int otherCount = 0;
+    for (int millis = 0; millis < 10_000; millis++) {
+      otherCount += limiter.tryAcquire(RequestClass.BACKGROUND, millis * NANOS_PER_MILLI) ? 1 : 0;
+      otherCount += limiter.tryAcquire(RequestClass.INTERACTIVE, millis * NANOS_PER_MILLI) ? 1 : 0;
+      boolean isCritical = millis >= 5_000 && millis % 20 == 0;
+      criticalCount +=
+          isCritical && limiter.tryAcquire(RequestClass.CRITICAL, millis * NANOS_PER_MILLI) ? 1 : 0;
     }
-    assertEquals(250, critical, "50 a second fit into a limit of 100");
-    assertTrue(critical + others <= 1_100, "passed " + (critical + others));
-    assertTrue(critical + others >= 1_000, "passed " + (critical + others));
+    assertEquals(250, criticalCount, "50 per second fit into a limit of 100");
+    assertTrue(criticalCount + otherCount <= 1_100, "passed " + (criticalCount + otherCount));
+    assertTrue(criticalCount + otherCount >= 1_000, "passed " + (criticalCount + otherCount));
   }
 
   @Test
   void backgroundYieldsToInteractive() {
-    int background = 0;
-    for (int milli = 0; milli < 10_000; milli++) {
-      boolean late = milli >= 2_000;
-      boolean passed = share.tryAcquire(RequestClass.BACKGROUND, milli * NANOS_PER_MILLI);
-      background += late && passed ? 1 : 0;
-      share.tryAcquire(RequestClass.INTERACTIVE, milli * NANOS_PER_MILLI);
+    int passedCount = 0;
+    for (int millis = 0; millis < 10_000; millis++) {
+      boolean isSteadyState = millis >= 2_000;
+      boolean passed = limiter.tryAcquire(RequestClass.BACKGROUND, millis * NANOS_PER_MILLI);
+      passedCount += isSteadyState && passed ? 1 : 0;
+      limiter.tryAcquire(RequestClass.INTERACTIVE, millis * NANOS_PER_MILLI);
     }
-    assertEquals(0, background);
+    assertEquals(0, passedCount);
   }
 
   @Test
   void retryAfterIsWhenTheNextRequestIsAdmitted() {
-    while (share.tryAcquire(RequestClass.INTERACTIVE, 0)) {
-      assertEquals(Duration.ZERO, share.retryAfter(RequestClass.CRITICAL, 0));
+    while (limiter.tryAcquire(RequestClass.INTERACTIVE, 0)) {
+      assertEquals(Duration.ZERO, limiter.retryAfter(RequestClass.CRITICAL, 0));
     }
-    long hint = share.retryAfter(RequestClass.INTERACTIVE, 0).toNanos();
-    assertFalse(share.tryAcquire(RequestClass.INTERACTIVE, hint - NANOS_PER_MILLI));
-    assertTrue(share.tryAcquire(RequestClass.INTERACTIVE, hint + NANOS_PER_MILLI));
+    long retryAfterNanos = limiter.retryAfter(RequestClass.INTERACTIVE, 0).toNanos();
+    assertFalse(limiter.tryAcquire(RequestClass.INTERACTIVE, retryAfterNanos - NANOS_PER_MILLI));
+    assertTrue(limiter.tryAcquire(RequestClass.INTERACTIVE, retryAfterNanos + NANOS_PER_MILLI));
   }
 
   @Test
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/RateHistoryTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/RateHistoryTest.java
@@ -13,9 +13,10 @@
 
   @Test
   void wholeGainIsUsedInEachWindowUnderFullDemand() {
-    // A service starts cold under more demand than its cap lets in. It uses the gain of a window
-    // in the first eight steps; the pace of the next window once began at that of the one before,
-    // so each window lost a part of its gain and the climb to full load took longer than the cap.
+    // A service starts cold under more demand than its cap admits and uses the gain of a window in
+    // the first eight steps. Guards against a pace limit that starts each window at the rate at
+    // which the one before began: each window then lost part of its gain, and reaching full load
+    // took longer than the cap requires.
     RateHistory history =
         RateHistory.create(Duration.ofNanos(STEP_NANOS * RateHistory.STEPS_PER_WINDOW), 0);
     for (int window = 1; window <= WINDOW_COUNT; window++) {
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/RetryBudgetTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/RetryBudgetTest.java
@@ -9,8 +9,8 @@
 class RetryBudgetTest {
   @Test
   void retriesDoNotMultiplyAnOverload() {
-    // All targets fail, and each of 1000 requests wants three retries. Without a bound the targets
-    // would see 4000 requests at the very moment they can carry least.
+    // All targets fail, and each of 1000 requests wants three retries. Without a limit the targets
+    // would get 4000 requests while they can handle the least.
     RetryBudget budget = RetryBudget.of(0.1);
     int sent = 0;
     for (int i = 0; i < 1000; i++) {
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/ServiceGateTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/ServiceGateTest.java
@@ -25,8 +25,9 @@
 
   @Test
   void slotLimitAndQueueLimitHold() {
-    // A caller burst of 20 meets one target of 3 slots: were the gate to count wrongly, the target
-    // would run more than its slots and shed work that had already been told it was admitted.
+    // A burst of 20 requests arrives for one target with 3 slots. If the gate counted wrongly, the
+    // target would get more requests than it has slots and refuse requests that were already
+    // admitted.
     holdWarm(1, 3);
     for (int i = 0; i < 20; i++) {
       gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
@@ -64,8 +65,9 @@
 
   @Test
   void drainingTargetGetsNoNewWorkAndKeepsRequestsInFlight() {
-    // The platform announces a stop while two requests run: the list still names the target later
-    // on, and a gate that believed it again would send work to a VM about to end.
+    // The platform announces the stop of a target while requests run on it, but its list still
+    // names the target afterwards. The gate must not use the list to send new requests to a VM that
+    // is about to end.
     holdWarm(1, 3);
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     gate.onLoadReport("t0", 1, 3, true, gates.time.nanos());
@@ -79,9 +81,9 @@
 
   @Test
   void retryAfterIsWhenTheCapAllowsTheRequest() {
-    // A cold service has used its gain for this window. Callers were told to come back after what
-    // the queue takes, a few milliseconds, and so asked hundreds of times in vain until the cap
-    // gave way seconds later.
+    // A cold service has used its gain for this window. Guards against a retry-after that covers
+    // only the queue, a few milliseconds: callers retried in vain hundreds of times until the cap
+    // allowed a request seconds later.
     ServiceGate capped =
         ServiceGate.create(
             "c",
@@ -91,19 +93,22 @@
             gates,
             EventSink.none());
     capped.updateHoldings(GateFixture.holdings(1, 3));
-    Duration hint = fillUntilCapped(capped);
-    assertTrue(hint.compareTo(Duration.ofSeconds(1)) > 0, "the cap opens seconds later: " + hint);
-    gates.advance(hint.minusMillis(1_001));
-    assertEquals(ResultCode.SHIFT_CAP, requestOnce(capped), "a step sooner it is still shut");
+    Duration retryAfter = fillUntilCapped(capped);
+    assertTrue(
+        retryAfter.compareTo(Duration.ofSeconds(1)) > 0,
+        "the cap allows a request seconds later: " + retryAfter);
+    gates.advance(retryAfter.minusMillis(1_001));
+    assertEquals(
+        ResultCode.SHIFT_CAP, requestOnce(capped), "one step earlier the cap still applies");
     gates.advance(Duration.ofMillis(1_002));
     assertEquals(ResultCode.OK, requestOnce(capped));
   }
 
   @Test
   void gainOfDrainingTargetGoesToOtherTargets() {
-    // An operator drains a target while bids surge. All bids of the gate go to its other target,
-    // which had only its own part of the region's gain: dealers waited a second each and were
-    // refused, though the region used two thirds of what its contract allows.
+    // A target is drained during a surge, so all requests go to the gate's other target. Guards
+    // against that target having only its own part of the region's gain: requests waited a second
+    // and were refused although the region used only two thirds of what the contract allows.
     ServiceGate surging =
         ServiceGate.create(
             "c",
@@ -128,10 +133,11 @@
 
   @Test
   void unconfirmedHolderUsesHalfOfTheGain() {
-    // A zone is cut in two: the relay gives half of a target's slots to another entry VM, and this
-    // one goes on with the other half. Both used the whole gain, and the target grew by 1.5 gains.
+    // During a network partition within a zone the relay gives half of a target's slots to another
+    // entry VM, and this one goes on with the other half. Guards against both using the whole gain:
+    // the target then grew by 1.5 gains.
     Contract.ShiftCap cap = new Contract.ShiftCap(0.1, Duration.ofSeconds(10));
-    ServiceGate cutOff =
+    ServiceGate unconfirmed =
         ServiceGate.create(
             "c",
             GateFixture.service(RequestClass.INTERACTIVE, cap),
@@ -140,10 +146,10 @@
             EventSink.none(),
             QueueBudget.of(10),
             holding -> holding.slots() / 2);
-    cutOff.updateHoldings(GateFixture.holdings(1, 4));
+    unconfirmed.updateHoldings(GateFixture.holdings(1, 4));
     int admitted = 0;
     for (int second = 0; second < 10; second++) {
-      while (requestOnce(cutOff) == ResultCode.OK) {
+      while (requestOnce(unconfirmed) == ResultCode.OK) {
         admitted++;
       }
       gates.advance(Duration.ofSeconds(1));
@@ -153,8 +159,8 @@
 
   @Test
   void requestThatCannotOutlastATakeoverIsRefusedAtOnce() {
-    // A target has moved here and may get no work for a window. Requests were let wait for their
-    // whole queue time, though it was certain from the start that none would be served.
+    // A target was taken over and may get no requests for a window. Guards against requests that
+    // waited for the whole queue time although it was certain that none of them could be served.
     gate.updateHoldings(GateFixture.holdings(1, 3), Set.of("t0"));
     gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
     assertEquals(1, refusalCount(ResultCode.SHIFT_CAP));
@@ -164,7 +170,10 @@
     assertEquals(1, gate.busySlots());
   }
 
-  /** Uses up what the caps let in, with an answer after each; the hint of the refusal at last. */
+  /**
+   * Uses up what the caps allow, completing each request at once; returns the refusal's
+   * retry-after.
+   */
   private Duration fillUntilCapped(ServiceGate capped) {
     for (int second = 0; second < 10; second++) {
       while (requestOnce(capped) == ResultCode.OK) {
@@ -179,11 +188,11 @@
     return Duration.ZERO;
   }
 
-  /** Asks with a deadline so near that the gate has to decide; what it said. */
-  private ResultCode requestOnce(ServiceGate asked) {
+  /** Sends a request whose deadline forces an immediate decision; returns the result code. */
+  private ResultCode requestOnce(ServiceGate requestedGate) {
     int before = decisions.size();
     AdmissionRequest request = new AdmissionRequest("r", gates.time.nanos(), "", "");
-    asked.request(request, decisions::add);
+    requestedGate.request(request, decisions::add);
     if (decisions.size() == before) {
       gates.advance(Duration.ofMillis(1));
     }
@@ -200,7 +209,7 @@
     AdmissionRequest retry =
         new AdmissionRequest("r", gates.time.nanos() + 1_000_000_000L, "t0", "");
     gate.request(retry, decisions::add);
-    assertEquals(1, refusalCount(ResultCode.NO_TARGET), "waiting for the one target is no use");
+    assertEquals(1, refusalCount(ResultCode.NO_TARGET), "waiting for the only target is useless");
     gate.updateHoldings(GateFixture.holdings(2, 3));
     gate.request(retry, decisions::add);
     assertEquals("t1", slot(1).target().target());
@@ -253,11 +262,11 @@
 
   @Test
   void refusalsOverrideAReportOfIdle() {
-    // The target's load endpoint answers "idle" from a cache while the target sheds all work. A
-    // gate that believed the report would send it request after request, each refused.
+    // A target's load endpoint returns "idle" from a cache while the target sheds all requests. A
+    // gate that trusted the report would keep sending requests that are all refused.
     holdWarm(1, 3);
     gate.onLoadReport("t0", 0, 3, false, gates.time.nanos());
-    int sent = decisions.size();
+    int sentBefore = decisions.size();
     for (int i = 0; i < 50; i++) {
       gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
       releaseLast(Admission.Completion.REFUSED);
@@ -265,55 +274,57 @@
       gate.onLoadReport("t0", 0, 3, false, gates.time.nanos());
     }
     assertTrue(
-        admissionCount() - sent <= 5, "sent to a shedding target: " + (admissionCount() - sent));
+        admissionCount() - sentBefore <= 5,
+        "sent to a shedding target: " + (admissionCount() - sentBefore));
   }
 
   @Test
   void reportOfFullLeavesOneSlot() {
-    // A target reports all slots busy for ever although it is idle. Were the report believed whole,
-    // the target would get nothing, and nothing would ever show that the report is wrong.
+    // An idle target reports all slots busy forever. If the gate trusted the report fully, the
+    // target would get no requests and nothing would show that the report is wrong.
     holdWarm(1, 3);
     gate.onLoadReport("t0", 3, 3, false, gates.time.nanos());
     assertEquals(1, gate.usableSlots());
     gates.advance(Duration.ofSeconds(3));
-    assertEquals(3, gate.usableSlots(), "an old report must lose its weight");
+    assertEquals(3, gate.usableSlots(), "a stale report must be ignored");
   }
 
   @Test
   void targetThatCutsAnswersIsOnlyProbed() {
     holdWarm(2, 3);
-    int sent = decisions.size();
-    int toBroken = 0;
+    int sentBefore = decisions.size();
+    int sentToBroken = 0;
     for (int i = 0; i < 100; i++) {
       gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
       boolean broken = lastSlot().target().target().equals("t0");
-      toBroken += broken ? 1 : 0;
+      sentToBroken += broken ? 1 : 0;
       releaseLast(broken ? Admission.Completion.LOST : Admission.Completion.ANSWERED);
       gates.advance(Duration.ofMillis(10));
     }
-    assertEquals(sent + 100, decisions.size());
-    assertTrue(toBroken <= 6, "sent to the broken target: " + toBroken);
+    assertEquals(sentBefore + 100, decisions.size());
+    assertTrue(sentToBroken <= 6, "sent to the broken target: " + sentToBroken);
   }
 
   @Test
   void backgroundRequestsAreShedBeforeCriticalOnes() {
-    // One entry VM carries overnight pulls and bids. The pulls fill its waiting places; a bid that
-    // came next would be turned away for work that could as well run hours later.
+    // One entry VM handles background and critical requests. Guards against background requests
+    // that fill its queue places, so that a critical request is refused in favour of work that
+    // could run hours later.
     QueueBudget budget = QueueBudget.of(4);
-    ServiceGate pulls = gateOf(RequestClass.BACKGROUND, budget);
-    ServiceGate bids = gateOf(RequestClass.CRITICAL, budget);
-    for (ServiceGate each : List.of(pulls, bids)) {
+    ServiceGate background = gateOf(RequestClass.BACKGROUND, budget);
+    ServiceGate critical = gateOf(RequestClass.CRITICAL, budget);
+    for (ServiceGate each : List.of(background, critical)) {
       each.updateHoldings(GateFixture.holdings(1, 1));
       for (int i = 0; i < 4; i++) {
         each.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
       }
     }
-    assertEquals(2, pulls.queuedCount());
+    assertEquals(2, background.queuedCount());
     assertEquals(1, refusalCount(ResultCode.BACKGROUND_SHED));
-    assertEquals(2, bids.queuedCount());
-    bids.close();
-    pulls.close();
-    assertEquals(0, budget.waitingCount(), "places of refused waits must come back");
+    assertEquals(2, critical.queuedCount());
+    critical.close();
+    background.close();
+    assertEquals(0, budget.waitingCount(), "queue places of refused requests must be released");
   }
 
   private ServiceGate gateOf(RequestClass requestClass, QueueBudget budget) {
@@ -327,7 +338,7 @@
         HoldingGuard.unrestricted());
   }
 
-  /** Holds targets that have answered often enough to be given all their slots. */
+  /** Assigns targets and completes requests until all their slots may be used. */
   private void holdWarm(int targets, int slots) {
     gate.updateHoldings(GateFixture.holdings(targets, slots));
     for (int i = 0; i < targets * slots; i++) {
@@ -348,8 +359,8 @@
         gate.request(gates.requestWithin(Duration.ofSeconds(5)), decisions::add);
       }
       for (Admission decision : List.copyOf(decisions)) {
-        if (decision instanceof Admission.Admitted yes) {
-          taken.add(yes.slot());
+        if (decision instanceof Admission.Admitted admitted) {
+          taken.add(admitted.slot());
         }
       }
       taken.forEach(slot -> slot.release(Admission.Completion.ANSWERED));
@@ -363,8 +374,8 @@
 
   private void releaseLast(Admission.Completion completion) {
     if (!decisions.isEmpty()
-        && decisions.get(decisions.size() - 1) instanceof Admission.Admitted yes) {
-      yes.slot().release(completion);
+        && decisions.get(decisions.size() - 1) instanceof Admission.Admitted admitted) {
+      admitted.slot().release(completion);
     }
   }
 
@@ -378,7 +389,7 @@
 
   private long refusalCount(ResultCode code) {
     return decisions.stream()
-        .filter(d -> d instanceof Admission.Refused no && no.result().code() == code)
+        .filter(d -> d instanceof Admission.Refused refused && refused.result().code() == code)
         .count();
   }
 }
