--- a/sageladder-core/src/test/java/org/sageladder/core/limits/ShiftCapProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/ShiftCapProperties.java
@@ -19,9 +19,9 @@
 import org.sageladder.core.event.EventSink;
 import org.sageladder.core.membership.Holding;
 
-/** The caps on shifts, checked by a counter that is slow and plainly right. */
+/** Checks the shift caps against a slow but simple count of all admissions. */
 class ShiftCapProperties {
-  /** Parts of a window in which demand is steady, and parts of such a part. */
+  /** Steps of constant demand per window, and ticks per step. */
   private static final int TICKS_PER_STEP = 10;
 
   private static final int TARGET_COUNT = 4;
@@ -35,17 +35,16 @@
   private Random deliveryRandom = new Random(0);
 
   /**
-   * A region of two gates meets random demand, slow and fast, while targets move between the gates,
-   * histories of moved targets arrive, get lost or come twice, and gates start anew. A counter of
-   * all admissions must never find a window with more requests than the window before it plus the
-   * gain that the contract allows.
+   * Two gates of a region get random demand while targets move between the gates, histories of
+   * moved targets are delivered, lost or duplicated, and gates restart. No window of all admissions
+   * may contain more requests than the window before it plus the gain that the contract allows.
    */
   @Property(tries = 60, seed = "20461")
   void windowGrowthStaysWithinCap(
       @ForAll long seed,
       @ForAll @DoubleRange(min = 0.1, max = 0.5) double gain,
       @ForAll @IntRange(min = 1, max = 10) int windowSeconds) {
-    // One object serves all tries of a property, so each try gets a region of its own.
+    // jqwik uses one object for all tries of a property, so each try creates its own region.
     new ShiftCapProperties().runRegion(seed, gain, windowSeconds);
   }
 
@@ -60,10 +59,10 @@
     String[] holderOf = new String[TARGET_COUNT];
     moveTargets(region, holderOf, random);
     int steps = 60 * TICKS_PER_STEP;
-    double perStep = 1;
+    double requestsPerStep = 1;
     for (int step = 0; step < steps; step++) {
       if (random.nextInt(40) == 0) {
-        perStep =
+        requestsPerStep =
             random.nextDouble()
                 * TARGET_COUNT
                 * TARGET_CAPACITY_PER_SECOND
@@ -77,16 +76,16 @@
       if (random.nextInt(150) == 0) {
         restart(region, holderOf, random.nextInt(2), service);
       }
-      sendRequests(region, perStep, random, windowSeconds);
+      sendRequests(region, requestsPerStep, random, windowSeconds);
     }
     double targetGain = 2 * gain * TARGET_CAPACITY_PER_SECOND * windowSeconds;
     for (Map.Entry<String, List<Long>> target : admissions.entrySet()) {
       assertCap(target.getValue(), (int) targetGain, windowSeconds, "a target");
     }
-    List<Long> all = new ArrayList<>();
-    admissions.values().forEach(all::addAll);
+    List<Long> allAdmissions = new ArrayList<>();
+    admissions.values().forEach(allAdmissions::addAll);
     int regionGain = (int) (gain * TARGET_COUNT * TARGET_CAPACITY_PER_SECOND * windowSeconds);
-    assertCap(all, regionGain, windowSeconds, "the region");
+    assertCap(allAdmissions, regionGain, windowSeconds, "the region");
   }
 
   private ServiceGate gate(Contract.Service service) {
@@ -103,10 +102,10 @@
   }
 
   private void restart(
-      ServiceGate[] region, String[] holderOf, int which, Contract.Service service) {
-    region[which].close();
-    region[which] = gate(service);
-    updateHoldings(region, holderOf, which);
+      ServiceGate[] region, String[] holderOf, int index, Contract.Service service) {
+    region[index].close();
+    region[index] = gate(service);
+    updateHoldings(region, holderOf, index);
   }
 
   private void updateHoldings(ServiceGate[] region, String[] holderOf, int restarted) {
@@ -146,10 +145,10 @@
   }
 
   private void sendRequests(
-      ServiceGate[] region, double perStep, Random random, int windowSeconds) {
+      ServiceGate[] region, double requestsPerStep, Random random, int windowSeconds) {
     Duration tick = Duration.ofMillis(10L * windowSeconds);
     for (int i = 0; i < TICKS_PER_STEP; i++) {
-      int arrivals = (int) (perStep / TICKS_PER_STEP + random.nextDouble());
+      int arrivals = (int) (requestsPerStep / TICKS_PER_STEP + random.nextDouble());
       for (int n = 0; n < arrivals; n++) {
         region[random.nextInt(2)].request(
             gates.requestWithin(Duration.ofMillis(500)), this::recordAdmission);
@@ -159,14 +158,14 @@
   }
 
   private void recordAdmission(Admission admission) {
-    if (admission instanceof Admission.Admitted yes) {
+    if (admission instanceof Admission.Admitted admitted) {
       admissions
-          .computeIfAbsent(yes.slot().target().target(), name -> new ArrayList<>())
+          .computeIfAbsent(admitted.slot().target().target(), name -> new ArrayList<>())
           .add(gates.time.nanos());
-      String target = yes.slot().target().target();
+      String target = admitted.slot().target().target();
       int running = inFlight.merge(target, 1, Integer::sum);
       assertTrue(running <= SLOTS_PER_TARGET, target + " runs " + running + " requests");
-      gates.runAfter(Duration.ofMillis(100), () -> complete(yes.slot()));
+      gates.runAfter(Duration.ofMillis(100), () -> complete(admitted.slot()));
     }
   }
 
@@ -175,25 +174,25 @@
     slot.release(Admission.Completion.ANSWERED);
   }
 
-  /** Counts every window that ends with a step, and the one before it. */
-  private static void assertCap(List<Long> times, int gain, int windowSeconds, String place) {
+  /** Compares every window that ends with a step with the window before it. */
+  private static void assertCap(List<Long> times, int gain, int windowSeconds, String scope) {
     long stepNanos = windowSeconds * 1_000_000_000L / RateHistory.STEPS_PER_WINDOW;
-    Map<Long, Integer> perStep = new HashMap<>();
+    Map<Long, Integer> countPerStep = new HashMap<>();
     long lastStep = 0;
     for (long time : times) {
-      perStep.merge(time / stepNanos, 1, Integer::sum);
+      countPerStep.merge(time / stepNanos, 1, Integer::sum);
       lastStep = Math.max(lastStep, time / stepNanos);
     }
     for (long end = 0; end <= lastStep + RateHistory.STEPS_PER_WINDOW; end++) {
       int window = 0;
-      int before = 0;
+      int previousWindow = 0;
       for (int back = 0; back < RateHistory.STEPS_PER_WINDOW; back++) {
-        window += perStep.getOrDefault(end - back, 0);
-        before += perStep.getOrDefault(end - back - RateHistory.STEPS_PER_WINDOW, 0);
+        window += countPerStep.getOrDefault(end - back, 0);
+        previousWindow += countPerStep.getOrDefault(end - back - RateHistory.STEPS_PER_WINDOW, 0);
       }
       assertTrue(
-          window <= before + gain,
-          place + " took " + window + " after " + before + ", allowed gain " + gain);
+          window <= previousWindow + gain,
+          scope + " admitted " + window + " after " + previousWindow + ", allowed gain " + gain);
     }
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/quota/QuotaModel.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/quota/QuotaModel.java
@@ -11,17 +11,19 @@
 import org.sageladder.core.routing.Quota;
 import org.sageladder.core.routing.Workspace;
 
-/** Entry VMs in three regions that keep one workspace's quota together, on virtual time. */
+/**
+ * Simulates entry VMs in three regions that enforce the quota of one workspace, in virtual time.
+ */
 final class QuotaModel {
   static final QuotaTolerance TOLERANCE = new QuotaTolerance(5_000, 0.1, 20);
 
   private static final long CROSS_REGION_MILLIS = 55;
   private static final int REGION_COUNT = 3;
 
-  /** Decides at one VM: the ways that are compared. */
+  /** Decides on requests at one VM; the compared strategies implement it. */
   @FunctionalInterface
   interface Admitter {
-    void admit(int vm, long now, java.util.function.Consumer<QuotaDecision> then);
+    void admit(int vm, long nowMillis, java.util.function.Consumer<QuotaDecision> onDecision);
   }
 
   private record Event(long atMillis, long order, Runnable task) {}
@@ -44,18 +46,19 @@
   final List<Long> admittedMillis = new ArrayList<>();
   long totalWaitMillis;
 
-  QuotaModel(int vmCount, QuotaTolerance bounds, Quota quota, double lost, long seed) {
+  QuotaModel(
+      int vmCount, QuotaTolerance tolerance, Quota quota, double lossProbability, long seed) {
     this.vmCount = vmCount;
     this.random = new Random(seed);
-    this.lossProbability = lost;
-    this.tolerance = bounds;
+    this.lossProbability = lossProbability;
+    this.tolerance = tolerance;
     this.workspace = new Workspace("choir", OptionalInt.empty(), quota, Set.of());
     List<String> names = new ArrayList<>();
     for (int vm = 0; vm < vmCount; vm++) {
       names.add("e-" + vm);
     }
     for (int vm = 0; vm < vmCount; vm++) {
-      vms.add(Quotas.of("e-" + vm, bounds, 4_000, peersOf(vm), 0));
+      vms.add(Quotas.of("e-" + vm, tolerance, 4_000, peersOf(vm), 0));
     }
     vms.forEach(each -> each.updateLiveVms(names));
     updateQuota(quota);
@@ -63,7 +66,7 @@
 
   void updateQuota(Quota quota) {
     workspace = new Workspace("choir", OptionalInt.empty(), quota, Set.of());
-    vms.forEach(each -> each.updateWorkspaces(Map.of("choir", workspace)));
+    vms.forEach(vm -> vm.updateWorkspaces(Map.of("choir", workspace)));
   }
 
   private Quotas.Peers peersOf(int vm) {
@@ -75,9 +78,9 @@
         if (random.nextDouble() < lossProbability) {
           return;
         }
-        long way = vm % REGION_COUNT == other % REGION_COUNT ? 1 : CROSS_REGION_MILLIS;
+        long delayMillis = vm % REGION_COUNT == other % REGION_COUNT ? 1 : CROSS_REGION_MILLIS;
         schedule(
-            nowMillis + way,
+            nowMillis + delayMillis,
             () -> {
               if (!disconnected.contains(vm) && !disconnected.contains(other)) {
                 vms.get(other).onMessage("e-" + vm, message, nowMillis);
@@ -92,17 +95,17 @@
     };
   }
 
-  void schedule(long time, Runnable task) {
-    events.add(new Event(time, nextOrder++, task));
+  void schedule(long timeMillis, Runnable task) {
+    events.add(new Event(timeMillis, nextOrder++, task));
   }
 
-  /** Cuts a VM off from all others; its callers still reach it. */
+  /** Disconnects a VM from all others; its callers still reach it. */
   void disconnect(int vm) {
     disconnected.add(vm);
   }
 
-  /** Kills all VMs at once; they start again, and know nothing, after {@code millis}. */
-  void restartAll(long millis) {
+  /** Kills all VMs at once and restarts them without any state after {@code downMillis}. */
+  void restartAll(long downMillis) {
     List<String> names = new ArrayList<>();
     for (int vm = 0; vm < vmCount; vm++) {
       names.add("e-" + vm);
@@ -110,7 +113,7 @@
     }
     allDown = true;
     schedule(
-        nowMillis + millis,
+        nowMillis + downMillis,
         () -> {
           allDown = false;
           disconnected.clear();
@@ -122,7 +125,7 @@
         });
   }
 
-  /** The VM that coordinates, at first. */
+  /** The first coordinator of the workspace. */
   int coordinator() {
     List<String> names = new ArrayList<>();
     for (int vm = 0; vm < vmCount; vm++) {
@@ -132,103 +135,107 @@
     return Integer.parseInt(first.substring(2));
   }
 
-  /** Together, as the product does it. */
+  /** The implementation under test: all VMs enforce the quota together. */
   Admitter coordinated() {
-    return (vm, time, then) -> {
-      QuotaDecision decision = vms.get(vm).admit(workspace, time, then);
+    return (vm, timeMillis, onDecision) -> {
+      QuotaDecision decision = vms.get(vm).admit(workspace, timeMillis, onDecision);
       if (!(decision instanceof QuotaDecision.Pending)) {
-        then.accept(decision);
+        onDecision.accept(decision);
       }
     };
   }
 
-  /** Each VM with an equal part of the quota, without talk. */
+  /** Each VM enforces an equal share of the quota, without communication. */
   Admitter equalShares() {
-    double[] level = new double[vmCount];
-    long[] at = new long[vmCount];
+    double[] tokens = new double[vmCount];
+    long[] lastMillis = new long[vmCount];
     double rate = workspace.quota().ratePerSecond() / vmCount;
-    double most = Math.max(1, workspace.quota().burst() / vmCount);
-    java.util.Arrays.fill(level, most);
-    return (vm, time, then) -> {
-      level[vm] = Math.min(most, level[vm] + (time - at[vm]) / 1_000.0 * rate);
-      at[vm] = time;
-      boolean grants = level[vm] >= 1;
-      level[vm] -= grants ? 1 : 0;
-      then.accept(
-          grants ? new QuotaDecision.Granted() : new QuotaDecision.Refused(100, "own part"));
+    double capacity = Math.max(1, workspace.quota().burst() / vmCount);
+    java.util.Arrays.fill(tokens, capacity);
+    return (vm, timeMillis, onDecision) -> {
+      tokens[vm] = Math.min(capacity, tokens[vm] + (timeMillis - lastMillis[vm]) / 1_000.0 * rate);
+      lastMillis[vm] = timeMillis;
+      boolean isGranted = tokens[vm] >= 1;
+      tokens[vm] -= isGranted ? 1 : 0;
+      onDecision.accept(
+          isGranted
+              ? new QuotaDecision.Granted()
+              : new QuotaDecision.Refused(100, "own share used up"));
     };
   }
 
-  /** Sends requests by chance, {@code perSecond} on the mean, at VMs drawn anew for each. */
-  void offer(Admitter way, double perSecond, long from, long until) {
-    double next = from;
+  /**
+   * Schedules requests as a Poisson process of mean rate {@code perSecond}, each to a random VM.
+   */
+  void offer(Admitter admitter, double perSecond, long fromMillis, long untilMillis) {
+    double next = fromMillis;
     while (true) {
       next += -Math.log(1 - random.nextDouble()) * 1_000 / perSecond;
-      if (next >= until) {
+      if (next >= untilMillis) {
         return;
       }
-      long time = (long) next;
+      long timeMillis = (long) next;
       int vm = random.nextInt(vmCount);
-      schedule(time, () -> request(way, vm, time));
+      schedule(timeMillis, () -> request(admitter, vm, timeMillis));
     }
   }
 
-  private void request(Admitter way, int vm, long asked) {
+  private void request(Admitter admitter, int vm, long arrivalMillis) {
     if (allDown) {
       return;
     }
-    offeredMillis.add(asked);
-    way.admit(
+    offeredMillis.add(arrivalMillis);
+    admitter.admit(
         vm,
-        asked,
+        arrivalMillis,
         decision -> {
-          totalWaitMillis += nowMillis - asked;
+          totalWaitMillis += nowMillis - arrivalMillis;
           if (decision instanceof QuotaDecision.Granted) {
             admittedMillis.add(nowMillis);
           }
         });
   }
 
-  void run(long until) {
-    while (!events.isEmpty() && events.peek().atMillis() <= until) {
+  void run(long untilMillis) {
+    while (!events.isEmpty() && events.peek().atMillis() <= untilMillis) {
       Event next = events.remove();
       nowMillis = Math.max(nowMillis, next.atMillis());
       next.task().run();
     }
   }
 
-  /** Most admitted in any window that begins with one of them. */
+  /** Maximum number of admissions in any window that begins with an admission. */
   int maxAdmittedInWindow() {
     List<Long> times = new ArrayList<>(admittedMillis);
     times.sort(Long::compare);
-    int most = 0;
+    int max = 0;
     int first = 0;
     for (int last = 0; last < times.size(); last++) {
       while (times.get(last) - times.get(first) >= TOLERANCE.windowMillis()) {
         first++;
       }
-      most = Math.max(most, last - first + 1);
+      max = Math.max(max, last - first + 1);
     }
-    return most;
+    return max;
   }
 
-  /** Requests that one token bucket, asked at once by all, would have let run. */
+  /** Requests that a single token bucket for all VMs would have admitted. */
   int tokenBucketAdmissions() {
-    double level = workspace.quota().capacity();
-    long at = 0;
-    int owed = 0;
-    for (long time : offeredMillis) {
-      level =
+    double tokens = workspace.quota().capacity();
+    long lastMillis = 0;
+    int admissions = 0;
+    for (long timeMillis : offeredMillis) {
+      tokens =
           Math.min(
               workspace.quota().capacity(),
-              level + (time - at) / 1_000.0 * workspace.quota().ratePerSecond());
-      at = time;
-      if (level >= 1) {
-        level--;
-        owed++;
+              tokens + (timeMillis - lastMillis) / 1_000.0 * workspace.quota().ratePerSecond());
+      lastMillis = timeMillis;
+      if (tokens >= 1) {
+        tokens--;
+        admissions++;
       }
     }
-    return owed;
+    return admissions;
   }
 
   long maxRequestsInWindow() {
--- a/sageladder-core/src/test/java/org/sageladder/core/quota/QuotasTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/quota/QuotasTest.java
@@ -6,7 +6,9 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.routing.Quota;
 
-/** Quotas that 84 entry VMs keep together: never exceeded, and little refused below them. */
+/**
+ * Quotas enforced together by 84 entry VMs: never exceeded, and few requests below them refused.
+ */
 class QuotasTest {
   private static final int VM_COUNT = 84;
   private static final Quota LARGE_QUOTA = new Quota(279, 279);
@@ -14,20 +16,23 @@
   private static final double USUAL_LOAD_FRACTION = 1 / 1.6;
   private static final long END_MILLIS = 30_000;
 
-  private static QuotaModel model(Quota quota, double lost, long seed) {
-    return new QuotaModel(VM_COUNT, QuotaModel.TOLERANCE, quota, lost, seed);
+  private static QuotaModel model(Quota quota, double lossProbability, long seed) {
+    return new QuotaModel(VM_COUNT, QuotaModel.TOLERANCE, quota, lossProbability, seed);
   }
 
   private static void assertQuotaKept(QuotaModel model) {
     assertTrue(
         model.maxAdmittedInWindow() <= model.maxRequestsInWindow(),
-        model.maxAdmittedInWindow() + " of " + model.maxRequestsInWindow());
+        model.maxAdmittedInWindow() + " admitted, allowed " + model.maxRequestsInWindow());
   }
 
-  private static void assertAdmittedFraction(QuotaModel model, double share) {
+  private static void assertAdmittedFraction(QuotaModel model, double minFraction) {
     assertTrue(
-        model.admittedMillis.size() >= share * model.tokenBucketAdmissions(),
-        model.admittedMillis.size() + " of " + model.tokenBucketAdmissions() + " owed");
+        model.admittedMillis.size() >= minFraction * model.tokenBucketAdmissions(),
+        model.admittedMillis.size()
+            + " admitted, a token bucket admits "
+            + model.tokenBucketAdmissions()
+            + " requests");
   }
 
   @Test
@@ -41,7 +46,7 @@
     }
   }
 
-  /** Guards against a workspace at many times its usual that runs beyond its quota. */
+  /** Guards against exceeding the quota when a workspace sends a multiple of its usual load. */
   @Test
   void surgeStaysWithinTheQuota() {
     for (long seed = 1; seed <= 5; seed++) {
@@ -58,7 +63,10 @@
     }
   }
 
-  /** Guards against a coordinator that is gone in the middle of a surge. */
+  /**
+   * Guards against exceeding the quota or refusing too much when the coordinator fails during a
+   * surge.
+   */
   @Test
   void quotaHoldsWhenTheCoordinatorFails() {
     for (long seed = 1; seed <= 5; seed++) {
@@ -71,7 +79,7 @@
     }
   }
 
-  /** Guards against a quota that starts anew where all VMs are killed in the middle of a surge. */
+  /** Guards against a fresh quota after all VMs are killed during a surge. */
   @Test
   void quotaHoldsWhenAllVmsRestart() {
     for (long seed = 1; seed <= 5; seed++) {
@@ -86,22 +94,22 @@
     }
   }
 
-  /** Guards against VMs cut off from all others that each spend the whole quota. */
+  /** Guards against disconnected VMs that each use the whole quota. */
   @Test
   void quotaHoldsWhenVmsAreDisconnected() {
     for (long seed = 1; seed <= 5; seed++) {
       QuotaModel model = model(LARGE_QUOTA, 0, seed);
       model.offer(model.coordinated(), 800, 0, END_MILLIS);
       for (int vm = 0; vm < VM_COUNT * 0.35; vm++) {
-        int gone = vm;
-        model.schedule(9_000, () -> model.disconnect(gone));
+        int disconnected = vm;
+        model.schedule(9_000, () -> model.disconnect(disconnected));
       }
       model.run(END_MILLIS);
       assertQuotaKept(model);
     }
   }
 
-  /** Guards against a lowered quota that VMs go on exceeding. */
+  /** Guards against VMs that keep using the old quota after it was lowered. */
   @Test
   void loweredQuotaHoldsOneWindowLater() {
     QuotaModel model = model(LARGE_QUOTA, 0.02, 3);
@@ -115,26 +123,27 @@
 
   @Test
   void equalSharesServeASmallWorkspaceWorseThanCoordination() {
-    QuotaModel equal = model(SMALL_QUOTA, 0, 1);
-    equal.offer(equal.equalShares(), 8, 0, END_MILLIS);
-    equal.run(END_MILLIS);
-    QuotaModel together = model(SMALL_QUOTA, 0, 1);
-    together.offer(together.coordinated(), 8, 0, END_MILLIS);
-    together.run(END_MILLIS);
+    QuotaModel equalShares = model(SMALL_QUOTA, 0, 1);
+    equalShares.offer(equalShares.equalShares(), 8, 0, END_MILLIS);
+    equalShares.run(END_MILLIS);
+    QuotaModel coordinated = model(SMALL_QUOTA, 0, 1);
+    coordinated.offer(coordinated.coordinated(), 8, 0, END_MILLIS);
+    coordinated.run(END_MILLIS);
     assertTrue(
-        equal.maxAdmittedInWindow() > equal.maxRequestsInWindow()
-            || equal.admittedMillis.size() < equal.tokenBucketAdmissions());
-    assertQuotaKept(together);
-    assertAdmittedFraction(together, 0.9);
+        equalShares.maxAdmittedInWindow() > equalShares.maxRequestsInWindow()
+            || equalShares.admittedMillis.size() < equalShares.tokenBucketAdmissions());
+    assertQuotaKept(coordinated);
+    assertAdmittedFraction(coordinated, 0.9);
   }
 
-  /** Guards against a bound without room that reports of late would break. */
+  /** Guards against late reports, which would exceed a quota without tolerance. */
   @Test
   void exactToleranceRequiresATokenForEachRequest() {
     QuotaModel model = new QuotaModel(VM_COUNT, QuotaTolerance.exact(), SMALL_QUOTA, 0, 2);
     model.offer(model.coordinated(), 14, 0, END_MILLIS);
     model.run(END_MILLIS);
-    assertTrue(model.maxAdmittedInWindow() <= 18, "in a window: " + model.maxAdmittedInWindow());
+    assertTrue(
+        model.maxAdmittedInWindow() <= 18, "admitted in a window: " + model.maxAdmittedInWindow());
     assertAdmittedFraction(model, 0.8);
   }
 
--- a/sageladder-core/src/test/java/org/sageladder/core/result/ResultCodesTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/result/ResultCodesTest.java
@@ -12,14 +12,13 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** The table of result codes that callers read. */
+/** The documented table of result codes. */
 class ResultCodesTest {
   private static final Pattern ROW =
       Pattern.compile("\\| (\\d+) \\| ([A-Z_]+) \\| (\\d+) \\| ([a-z-]+) \\|.*");
 
-  // A caller reads in the manual that a code means "not-run" and sends a bid again; the code says
-  // "unknown" and the bid is doubled. The cause would be a table that was not changed with the
-  // code.
+  // Guards against a table that was not updated with the code: if it says "not-run" where the code
+  // means "unknown", a caller sends a bid again and the bid runs twice.
   @Test
   void documentedTableMatchesEnum() throws IOException {
     List<String> documented =
@@ -28,7 +27,7 @@
             .filter(Matcher::matches)
             .map(row -> row.group(1) + " " + row.group(2) + " " + row.group(3) + " " + row.group(4))
             .toList();
-    List<String> coded =
+    List<String> expected =
         Arrays.stream(ResultCode.values())
             .map(
                 code ->
@@ -40,7 +39,7 @@
                         + " "
                         + code.outcome().name().toLowerCase(Locale.ROOT).replace('_', '-'))
             .toList();
-    assertEquals(coded, documented);
+    assertEquals(expected, documented);
   }
 
   @Test
--- a/sageladder-core/src/test/java/org/sageladder/core/routing/ApiKeysTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/routing/ApiKeysTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which workspace holds a key. */
+/** Assignment of API keys to workspaces. */
 class ApiKeysTest {
   private static Workspace workspace(String name) {
     return new Workspace(name, OptionalInt.empty(), Quota.unlimited(), Set.of());
@@ -34,7 +34,9 @@
     assertFalse(ApiKeys.none().areRequired());
   }
 
-  /** Guards against a key that two workspaces hold: whose request it opens would be chance. */
+  /**
+   * Guards against a key of two workspaces: it would be undefined to which one its requests belong.
+   */
   @Test
   void sharedKeyIsRejectedWithoutQuotingIt() {
     ApiKeys.Builder keys = ApiKeys.builder().add(workspace("choir"), List.of("secret"));
--- a/sageladder-core/src/test/java/org/sageladder/core/routing/RoutingRulesTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/routing/RoutingRulesTest.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which route a request belongs to. */
+/** Matching of requests to routes. */
 class RoutingRulesTest {
   private static RouteRule route(String host, String prefix) {
     return new RouteRule(
@@ -40,8 +40,8 @@
   }
 
   /**
-   * A caller that asks for a path which only looks like a route's is told that there is none:
-   * prefixes end with a slash, so that neither /lotsmore nor /lots belongs to /lots/.
+   * Guards against matching part of a path segment: prefixes end with a slash, so that neither
+   * /lotsmore nor /lots belongs to /lots/.
    */
   @Test
   void partialPathSegmentDoesNotMatch() {
--- a/sageladder-core/src/test/java/org/sageladder/core/routing/SmoothWeightedRoundRobinProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/routing/SmoothWeightedRoundRobinProperties.java
@@ -11,32 +11,32 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** The parts of a split. */
+/** Shares of a weighted split. */
 class SmoothWeightedRoundRobinProperties {
   /**
-   * An operator who sends a tenth of the requests to a new service would see another part in each
-   * short time if chance decided: the parts have to hold over any run of requests, not in the long
-   * run.
+   * Shares must hold over any run of requests, not only in the long run. With random selection, an
+   * operator who sends a tenth of the requests to a new service would see another share in each
+   * short period.
    */
   @Property(seed = "4711", tries = 200)
   void eachShareIsExactWithinOneRequestPerService(
       @ForAll @Size(min = 2, max = 4) List<@IntRange(min = 1, max = 100) Integer> weights,
       @ForAll @IntRange(min = 1, max = 300) int requests) {
     List<ServiceShare> shares = new ArrayList<>();
-    int sum = 0;
+    int totalWeight = 0;
     for (int i = 0; i < weights.size(); i++) {
       shares.add(new ServiceShare("s" + i, weights.get(i)));
-      sum += weights.get(i);
+      totalWeight += weights.get(i);
     }
-    SmoothWeightedRoundRobin turns = SmoothWeightedRoundRobin.create();
-    Map<String, Integer> got = new HashMap<>();
+    SmoothWeightedRoundRobin roundRobin = SmoothWeightedRoundRobin.create();
+    Map<String, Integer> counts = new HashMap<>();
     for (int i = 0; i < requests; i++) {
-      got.merge(turns.next(shares), 1, Integer::sum);
+      counts.merge(roundRobin.next(shares), 1, Integer::sum);
     }
     for (ServiceShare share : shares) {
-      double exact = (double) requests * share.weight() / sum;
-      double off = Math.abs(got.getOrDefault(share.service(), 0) - exact);
-      assertTrue(off <= shares.size(), share + " is " + off + " off");
+      double exact = (double) requests * share.weight() / totalWeight;
+      double deviation = Math.abs(counts.getOrDefault(share.service(), 0) - exact);
+      assertTrue(deviation <= shares.size(), share + " deviates by " + deviation + " requests");
     }
   }
 }
