--- a/sageladder-core/src/main/java/org/sageladder/core/placing/ColdTargetLimiter.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/ColdTargetLimiter.java
@@ -11,21 +11,29 @@
 import java.util.Set;
 
 /**
- * Bounds what cold targets get from all entry VMs together, without any talk between these.
+ * Limits the requests that all entry VMs together send to a cold target, without communication
+ * between them.
  *
- * <p>A cold target crashes well above its rate, and so do its successors, one after the other. The
- * bound is a count in each second over all entry VMs; each target therefore has a few entry VMs,
- * chosen alike everywhere, that alone may send to it while it is cold, each with an equal whole
- * part of the bound. Near entry VMs come first.
+ * <p>A target that gets well above its cold-start rate crashes, and so do its replacements, one
+ * after the other. The limit is a number of requests in any second, over all entry VMs. Each target
+ * therefore has a few entry VMs, the same in every VM's computation, which alone may send to it
+ * while it is cold. Each of them gets an equal whole share of the limit. Entry VMs near the target
+ * come first.
  */
 public final class ColdTargetLimiter {
-  /** Span of one count; a little over the second that counts, for what is on its way. */
+  /** Length of the window: the second that the limit covers plus a margin for network delay. */
   private static final long WINDOW_MILLIS = 1_100;
 
-  /** Requests that stay unused, for a target seen by two views of the entry VMs at once. */
+  /**
+   * Requests held in reserve, since entry VMs may use two different views of the list of entry VMs
+   * at the same time.
+   */
   private static final int RESERVED_REQUESTS = 1;
 
-  /** Longer than the store's outages that the users tell of, by far. */
+  /**
+   * How long an entry VM that is missing from the list keeps its share: far longer than the store
+   * outages that users report.
+   */
   private static final long MISSING_VM_GRACE_MILLIS = 60_000;
 
   private double rateFactor;
@@ -36,7 +44,7 @@
   private final Map<String, Deque<Long>> sentTimes = new HashMap<>();
 
   /**
-   * Where an entry VM is.
+   * Location of an entry VM.
    *
    * @param name its name
    */
@@ -49,7 +57,8 @@
   }
 
   /**
-   * An allowance of {@code rate * over + slack} requests a second for each cold target.
+   * Creates a limiter of {@code rate * rateFactor + extraRequests} requests a second for each cold
+   * target.
    *
    * @param self name of this entry VM
    */
@@ -57,19 +66,20 @@
     return new ColdTargetLimiter(self, rateFactor, extraRequests);
   }
 
-  /** Puts newer bounds in force. */
+  /** Replaces the limits. */
   public void updateLimits(double newRateFactor, int newExtraRequests) {
     rateFactor = newRateFactor;
     extraRequests = newExtraRequests;
   }
 
   /**
-   * Follows the list of live entry VMs; while it was never told, nothing may be sent.
+   * Updates the list of live entry VMs. Before the first call, no request is permitted.
    *
-   * <p>A VM that is missing from the list goes on counting for a while. Registrations lapse while
-   * the store is away, though the VMs live and go on sending: if those left in the list shared the
-   * bound among themselves, each believing to be nearly alone, a cold target would get it several
-   * times over. What a VM that has really gone leaves unused is little, and cold times are short.
+   * <p>A VM that is missing from the list keeps its share for a while. Registrations expire during
+   * a store outage although the VMs stay alive and go on sending. If the VMs left in the list
+   * divided the limit among themselves, each assuming that it is nearly alone, a cold target would
+   * get several times the limit. The share that a stopped VM leaves unused is small, and targets
+   * are cold only briefly.
    */
   public void updateEntryVms(Collection<EntryVmLocation> live, long now) {
     Set<String> liveNames = new HashSet<>();
@@ -92,7 +102,7 @@
     return since != null && now - since >= MISSING_VM_GRACE_MILLIS;
   }
 
-  /** True where this entry VM may send one more request to a cold target now. */
+  /** Returns true if this entry VM may send one more request to a cold target now. */
   public boolean permits(TargetFacts target, double coldPerSecond, long now) {
     int totalLimit =
         (int) Math.floor(coldPerSecond * rateFactor + extraRequests) - RESERVED_REQUESTS;
@@ -110,12 +120,12 @@
     return times.size() < ownLimit;
   }
 
-  /** Counts a request that is sent to a cold target. */
+  /** Records a request sent to a cold target. */
   public void recordSent(TargetFacts target, long now) {
     sentTimes.computeIfAbsent(target.id(), id -> new ArrayDeque<>()).addLast(now);
   }
 
-  /** Forgets a target that is gone. */
+  /** Discards the counts of a removed target. */
   public void removeTarget(String target) {
     sentTimes.remove(target);
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/CrossRegionCostFactor.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/CrossRegionCostFactor.java
@@ -1,28 +1,28 @@
 package org.sageladder.core.placing;
 
 /**
- * How much a run in another region counts for each object, as a part of the mean price.
+ * Factor by which the cost of a run in another region differs between objects.
  *
- * <p>Guards against all objects of a route changing region in the same second. The price of another
+ * <p>Guards against all objects of a route changing region in the same second. The cost of another
  * region is weighed against run times, which all entry VMs learn at about the same time. With one
- * price for all objects, their choices flip together as a learnt time passes it; with a price for
- * each object, they flip one after the other, as far as the learnt time moves. The price follows
- * from the object alone, so that all entry VMs agree on it without communication.
+ * cost for all objects, all their choices would change at once when a learned run time passes it.
+ * With a different cost for each object, they change gradually, following the learned run time. The
+ * factor is derived from the object alone, so that all entry VMs agree without communication.
  *
  * <pre>{@code
- * double millis = RegionPrice.of(object) * weights.otherRegionMillis();
+ * double millis = CrossRegionCostFactor.of(object) * weights.crossRegionCostMillis();
  * }</pre>
  */
 final class CrossRegionCostFactor {
-  /** Keeps prices independent of the order of targets, which follows from the same hash. */
+  /** Keeps the factors independent of the order of targets, which derives from the same hash. */
   private static final long SALT = 1;
 
-  /** Prices lie this far below and above their mean, as a part of it. */
+  /** Factors lie at most this far from their mean of 1. */
   private static final double SPREAD = 0.5;
 
   private CrossRegionCostFactor() {}
 
-  /** The price for an object, by its hash; 1 on average over all objects. */
+  /** Returns the factor for an object, by its hash; 1 on average over all objects. */
   static double of(long object) {
     return 1 + SPREAD * (2 * ObjectHash.uniform(object, SALT) - 1);
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/LoadReport.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/LoadReport.java
@@ -1,7 +1,7 @@
 package org.sageladder.core.placing;
 
 /**
- * A target's load as it says it in an answer.
+ * A target's load as it reports it in an answer.
  *
  * @param running requests that run
  * @param waiting requests that wait at the target
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/Placement.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/Placement.java
@@ -14,45 +14,52 @@
 import org.sageladder.core.routing.Workspace;
 
 /**
- * Chooses the target on which a request ends soonest, counting what its run costs the others.
+ * Chooses the target with the earliest expected completion, including the delay that the run causes
+ * to other requests.
  *
- * <p>A target that has handled an object runs it in about a third of the time, and slots are too
- * few for work on unknown objects. So each object has a first choice among all targets and one in
- * each region, by rendezvous hashing, which all entry VMs agree on without talking and which moves
- * little when targets come and go. A request goes to wherever waiting, way and run together are
- * shortest: to the first choice of all where the way is short, else to that of its own region; to
- * the others as these fill up.
+ * <p>A target that has handled an object before runs it in about a third of the time, and there are
+ * too few slots to run most requests on targets that are cold for their object. Each object
+ * therefore has a preferred target among all targets and one in each region. These are chosen by
+ * rendezvous hashing, so that all entry VMs agree without communication and few objects change
+ * target when targets are added or removed. A request goes where queue wait, round-trip time and
+ * run time together are shortest: to the preferred target of all if its round-trip time is short,
+ * otherwise to that of its own region, and to other targets as these fill up.
  *
  * <pre>{@code
- * PlacingDecision decision = placement.place(order, rule, Set.of(), now);
- * if (decision instanceof PlacingDecision.Send send) { ... }
+ * PlacementDecision decision = placement.place(request, rule, Set.of(), now);
+ * if (decision instanceof PlacementDecision.Send send) { ... }
  * }</pre>
  */
 public final class Placement {
-  /** What a target that is to be avoided counts as, in waiting: more than any goal. */
+  /** Cost of a target that is to be avoided: more than any latency goal. */
   private static final double AVOIDED_COST_MILLIS = 20_000;
 
-  /** Waiting counted for a share of slots in use of 1, so that equals share the work. */
+  /**
+   * Cost of a target whose slots are all in use, in proportion for fewer, so that otherwise equal
+   * targets share the load.
+   */
   private static final double FULL_LOAD_COST_MILLIS = 4;
 
   /**
-   * Runs of a route before a target's speed is judged by their mean: about as many as count in the
-   * speed. By the guess of a route just added, a target that is well seems slow or fast, and the
-   * requests of all routes leave it or crowd it.
+   * Minimum number of measured runs of a route before their mean is used to judge a target's
+   * slowness: about as many as the slowness averages over. Judged by the default estimate of a new
+   * route, a healthy target would seem slow or fast, and the requests of all routes would avoid it
+   * or overload it.
    */
   private static final int MIN_MEASURED_RUNS = 5;
 
-  /** Least time until a refused caller is told to come back. */
+  /** Minimum retry-after time of a refused request. */
   private static final long MIN_RETRY_AFTER_MILLIS = 100;
 
   /**
-   * A request that asks for a target.
+   * A request for which a target is to be chosen.
    *
    * @param route its route
-   * @param service the service whose turn it is
-   * @param object hash of the object that it concerns; requests of no object have one each
-   * @param remainingMillis time until it must be answered
-   * @param workspace whose request it is, or null where the route needs no API key
+   * @param service the service to which this request is assigned
+   * @param object hash of the object that it concerns; a request without an object has a value of
+   *     its own
+   * @param remainingMillis time left until its deadline
+   * @param workspace the workspace that sent it, or null where the route needs no API key
    */
   public record PlacementRequest(
       RouteRule route,
@@ -60,18 +67,20 @@
       long object,
       long remainingMillis,
       @Nullable Workspace workspace) {
-    /** A request of no workspace. */
+    /** A request without a workspace. */
     public PlacementRequest(RouteRule route, String service, long object, long remainingMillis) {
       this(route, service, object, remainingMillis, null);
     }
 
-    /** True where route and workspace both let the request run in {@code region}. */
+    /**
+     * Returns true if both the route and the workspace allow the request to run in {@code region}.
+     */
     boolean allowsRegion(String region) {
       return route.allows(region) && (workspace == null || workspace.allows(region));
     }
   }
 
-  /** What is worked out once for an order, whatever the target. */
+  /** Values of a request that are the same for all targets, computed once. */
   private record RequestContext(
       PlacementRequest request,
       PreferredTargets preferredTargets,
@@ -105,7 +114,7 @@
     this.regionShare = RegionObjectShare.create(shiftLimiter::settleMillis);
   }
 
-  /** A choice among the targets of {@code targets}. */
+  /** Creates a placement among the targets of {@code targets}. */
   public static Placement among(
       TargetTable targets,
       RoundTripTimes roundTripTimes,
@@ -117,7 +126,7 @@
   }
 
   /**
-   * Chooses a target, or says why none will do.
+   * Chooses a target, or returns the reason why there is none.
    *
    * @param tried ids of the targets that must not be chosen again
    */
@@ -145,9 +154,9 @@
       if (needsFirstRequest(target, context.preferredTargets(), now)) {
         return send;
       }
-      // What the run costs those who come behind it. Not the wait: by that, queues at the targets
-      // that know the object count for more, and work goes to those that run it three times as
-      // long.
+      // Delay that the run adds to the requests queued behind it. The expected wait is left out: it
+      // would weigh queues at warm targets more heavily and send work to cold targets, which take
+      // three times as long to run it.
       double queueCostMillis = queueRoundsAhead(target, now) * send.expectedRunMillis();
       double costMillis = costMillis(context, send, now) + queueCostMillis;
       best.consider(send, costMillis);
@@ -161,9 +170,10 @@
   }
 
   /**
-   * The best choice, or that of the region where the request would run if nothing waited anywhere:
-   * where work moves to another region only since targets are crowded, all entry VMs move theirs at
-   * the same moment.
+   * Returns the cheapest target if the shift limit permits it. Otherwise returns the cheapest one
+   * in the region that would be chosen if all queues were empty. The limit is needed because all
+   * entry VMs would move their requests at the same moment when the targets of a region are
+   * overloaded.
    */
   private CheapestSend limitShift(
       PlacementRequest request,
@@ -189,7 +199,7 @@
     return best;
   }
 
-  /** The cheapest of the choices looked at. */
+  /** The cheapest of the targets considered. */
   private static final class CheapestSend {
     private @Nullable Send send;
     private double costMillis = Double.MAX_VALUE;
@@ -201,7 +211,10 @@
       }
     }
 
-    /** True where it serves: the bound on shifts never costs a caller its answer. */
+    /**
+     * Returns true if the request is expected to end before its deadline: the shift limit must
+     * never make a request fail.
+     */
     boolean canAnswerInTime(PlacementRequest request, long now) {
       Send current = send;
       return current != null
@@ -224,9 +237,10 @@
   }
 
   /**
-   * True where a request that waits there would be cut off before its run ends, by runs that were
-   * measured: its caller would wait for nothing, and the slot would work for nothing. Where a slot
-   * is free it is tried in any case, since runs differ and nobody waits for that slot.
+   * Returns true if a request that waits at the target would time out before its run ends, by
+   * measured run times: the caller would wait in vain and the slot would do useless work. If a slot
+   * is free the request is always tried, since run times vary and no other request waits for that
+   * slot.
    */
   private boolean wouldTimeOut(PlacementRequest request, Send send) {
     double runMillis =
@@ -240,13 +254,13 @@
   }
 
   /**
-   * True where the wait follows from something measured. An entry VM that has started in the middle
-   * of a rush has no answer yet; by guesses it would turn away what its targets could serve. Those
-   * that are full refuse by themselves.
+   * Returns true if the expected wait is based on measurements. An entry VM that was started under
+   * heavy load has no answer yet; by default estimates it would refuse requests that its targets
+   * could serve. Full targets refuse requests themselves.
    *
-   * <p>The queue must have been reported within the route's whole time, or hold requests from here
-   * that will report it. Where all VMs refuse by older reports, nothing is sent, nothing newer is
-   * ever reported, and a service that stands idle is refused for good.
+   * <p>The queue length must have been reported within the route's timeout, or requests of this
+   * entry VM that will report it must be in flight. If all VMs refused by older reports, no request
+   * would be sent and no newer report received, and an idle service would be refused indefinitely.
    */
   private boolean isWaitMeasured(PlacementRequest request, TargetState target, long now) {
     boolean isQueueKnown =
@@ -261,9 +275,9 @@
   }
 
   /**
-   * True where the target has joined lately and has had nothing from here, though it is its
-   * region's first choice for the object. The targets before it know the object, so that by cost
-   * alone it would stay without work for as long as they have room.
+   * Returns true if the target has newly joined and has had no request from this entry VM although
+   * it is its region's preferred target for the object. The older targets are warm for the object,
+   * so that by cost alone the new one would stay idle as long as they have free slots.
    */
   private boolean needsFirstRequest(
       TargetState target, PreferredTargets preferredTargets, long now) {
@@ -292,7 +306,10 @@
         runTimes.estimateMillis(request.service(), route, false));
   }
 
-  /** What a run in this VM's region costs besides: nothing for the objects that it keeps. */
+  /**
+   * Returns the additional cost of a run in this entry VM's region: 0 for the objects that the
+   * region retains.
+   */
   private double ownRegionCostMillis(PlacementRequest request, List<TargetState> usable, long now) {
     if (!request.route().hasObjectAffinity() || isRetainedInOwnRegion(request, now)) {
       return 0;
@@ -315,7 +332,10 @@
         request.object(), service, slotShare, targets.utilization(service), now);
   }
 
-  /** Sets which share of all zones this VM's region has; until then it keeps all objects. */
+  /**
+   * Sets the fraction of all zones that are in this entry VM's region. Until the first call the
+   * region retains all objects.
+   */
   public void updateZoneShare(double zoneShare) {
     regionShare.updateZoneShare(zoneShare);
   }
@@ -333,9 +353,10 @@
   }
 
   /**
-   * How long a request waits for a slot there. What stands ahead of it are requests of all routes
-   * of the service: where its own run is a guess far above theirs, as that of a route just added, a
-   * wait by its own run would keep it from targets that serve the others in time.
+   * Returns the expected wait for a slot. The requests ahead in the queue belong to all routes of
+   * the service. If the wait were computed from the request's own run time, and that is a default
+   * estimate far above the others, as for a new route, the request would be kept from targets that
+   * serve the other routes in time.
    */
   private double estimateWaitMillis(
       PlacementRequest request, TargetState target, double ownRunMillis, long now) {
@@ -343,7 +364,7 @@
     return queueRoundsAhead(target, now) * slotHoldMillis * target.slowness();
   }
 
-  /** Requests ahead of one more that is sent there, for each slot; 0 where a slot is free. */
+  /** Returns the requests ahead of one more that is sent there, per slot; 0 if a slot is free. */
   private static double queueRoundsAhead(TargetState target, long now) {
     double excessRequests = target.load(now) + 1 - target.facts().slots();
     return Math.max(0, excessRequests / target.facts().slots());
@@ -366,11 +387,12 @@
     return target.isAvoided(now) ? costMillis + AVOIDED_COST_MILLIS : costMillis;
   }
 
-  /** What the network path to a target counts as: its time, and what the bytes on it are worth. */
+  /** Returns the cost of the network path to a target: its round-trip time and its traffic cost. */
   private double pathCostMillis(RequestContext context, TargetState target) {
     double costMillis = weights.roundTripFactor() * roundTripTimes.millis(target.facts());
     if (roundTripTimes.isOtherRegion(target.facts())) {
-      // By a guessed path no object leaves its region sooner than others.
+      // With a default round-trip time the factor is the same for all objects, so that none leaves
+      // its region earlier than others.
       double factor =
           roundTripTimes.isMeasured(target.facts()) ? context.crossRegionCostFactor() : 1;
       return factor * (costMillis + weights.crossRegionCostMillis());
@@ -381,7 +403,7 @@
         : costMillis;
   }
 
-  /** Notes that a request was sent as decided. */
+  /** Records that a request was sent as decided. */
   public void recordSent(Send send, long now) {
     send.target().startRequest();
     if (send.target().isCold(now)) {
@@ -390,10 +412,10 @@
   }
 
   /**
-   * Learns from an answer.
+   * Updates the estimates from an answer.
    *
    * @param millis from sending to the end of the answer
-   * @param load what the target reported of its load, or null
+   * @param load the load that the target reported, or null
    */
   public void recordAnswer(
       PlacementRequest request, Send send, double millis, @Nullable LoadReport load, long now) {
@@ -422,7 +444,7 @@
     slotHoldTimes.recordAnswer(request.service(), millis / target.slowness(), queueRounds);
   }
 
-  /** Requests that waited there behind an answer, for each slot. */
+  /** Returns the requests that waited in the queue behind the answered request, per slot. */
   private static double queueRoundsBehind(TargetState target, LoadReport load) {
     return Math.max(0.0, load.waiting()) / target.facts().slots();
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/PlacementDecision.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/PlacementDecision.java
@@ -2,51 +2,52 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** What becomes of a request that asks for a target. */
+/** The result of choosing a target for a request. */
 public sealed interface PlacementDecision {
   /**
-   * It goes to a target.
+   * The request is sent to a target.
    *
    * @param target the target
-   * @param isWarm true where the target is believed to know the object
-   * @param expectedRunMillis how long the run is expected to take
-   * @param expectedWaitMillis how long it is expected to wait for a slot
+   * @param isWarm true if the target is assumed to be warm for the object
+   * @param expectedRunMillis expected run time
+   * @param expectedWaitMillis expected wait for a slot
    */
   record Send(
       TargetState target, boolean isWarm, double expectedRunMillis, double expectedWaitMillis)
       implements PlacementDecision {}
 
   /**
-   * No target can take it in time.
+   * No target can take the request in time.
    *
-   * @param reason why, for logs and metrics
-   * @param retryAfterMillis when there will be room by what is known, before it is spread
-   * @param bestCandidate what the best target was refused by, or null where none was looked at
+   * @param reason the reason, for logs and metrics
+   * @param retryAfterMillis time until capacity is expected, before jitter is added
+   * @param bestCandidate the estimate by which the best target was refused, or null if none was
+   *     estimated
    */
   record Refuse(Reason reason, long retryAfterMillis, @Nullable CandidateEstimate bestCandidate)
       implements PlacementDecision {}
 
   /**
-   * What was believed of the best target when it was judged too late.
+   * The estimate for the best target when it was judged too late.
    *
-   * @param send the target with the wait and the run that were expected
-   * @param slotHoldMillis how long requests of the service hold a slot, by what was measured
-   * @param targetLoad requests believed to be there, of all entry VMs
-   * @param measuredRunCount runs of the route that the expected run follows from; 0 where it is a
-   *     guess
+   * @param send the target with the expected wait and run time
+   * @param slotHoldMillis measured time for which a request of the service holds a slot
+   * @param targetLoad estimated number of requests at the target, from all entry VMs
+   * @param measuredRunCount measured runs of the route behind the expected run time; 0 if it is a
+   *     default estimate
    */
   record CandidateEstimate(
       Send send, double slotHoldMillis, double targetLoad, long measuredRunCount) {}
 
-  /** Why no target was chosen. */
+  /** The reason why no target was chosen. */
   enum Reason {
-    /** No target of the service is known, in a region that the route allows. */
+    /** No target of the service is known in a region that the route allows. */
     NO_TARGET,
-    /** All that could take it were tried already. */
+    /** All targets that could take the request were tried already. */
     ALL_TRIED,
-    /** Those that are left are cold and get as much as they bear. */
+    /** The remaining targets are cold and already get as many requests as they can handle. */
     ALL_COLD,
-    /** The wait for a slot is longer than the time that is left. */
+    /** The expected wait for a slot is longer than the remaining time. */
     TOO_LATE
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/PreferredTargets.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/PreferredTargets.java
@@ -8,23 +8,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The targets that an object's requests go to first: one of all, and two in each region.
+ * The preferred targets of an object: one among all targets, and two in each region.
  *
- * <p>By rendezvous hashing over the targets that take work, so that all entry VMs agree without
- * talking, and little moves when targets come and go.
+ * <p>They are chosen by rendezvous hashing over the targets that accept requests, so that all entry
+ * VMs agree without communication and few objects change target when targets are added or removed.
  *
  * <pre>{@code
- * Homes homes = Homes.of(object, usable);
- * double surely = homes.knows(target, weights);
+ * PreferredTargets preferredTargets = PreferredTargets.of(object, usable);
+ * double probability = preferredTargets.warmProbability(target, weights);
  * }</pre>
  */
 final class PreferredTargets {
   private static final Hasher64 HASHER = Hashing.komihash5_0();
 
-  /** A target and its place in the order of targets for an object; the highest comes first. */
+  /** A target with its rendezvous hash weight for an object; the highest weight is preferred. */
   private record Ranked(TargetState target, long weight) {}
 
-  /** The first two targets of a region. */
+  /** The two targets of a region with the highest weights. */
   private record Choices(Ranked first, @Nullable Ranked second) {
     Choices withCandidate(Ranked other) {
       if (other.weight() > first.weight()) {
@@ -42,12 +42,12 @@
 
   private PreferredTargets() {}
 
-  /** No target is preferred: requests whose route does not go by object. */
+  /** No target is preferred: for routes that are not placed by object. */
   static PreferredTargets none() {
     return new PreferredTargets();
   }
 
-  /** The homes of an object, by its hash, among all targets that take work. */
+  /** The preferred targets of an object, by its hash, among all targets that accept requests. */
   static PreferredTargets of(long object, List<TargetState> usable) {
     PreferredTargets preferredTargets = new PreferredTargets();
     for (TargetState target : usable) {
@@ -67,13 +67,16 @@
         region, choices == null ? new Choices(ranked, null) : choices.withCandidate(ranked));
   }
 
-  /** True where {@code target} is the first of its region. */
+  /** Returns true if {@code target} is the first choice of its region. */
   boolean isRegionPreferred(TargetState target) {
     Choices choices = choicesByRegion.get(target.facts().region());
     return choices != null && choices.first().target() == target;
   }
 
-  /** How surely {@code target} is believed to know the object, by its place alone; 0 to 1. */
+  /**
+   * Returns the probability, 0 to 1, that {@code target} is warm for the object, estimated from its
+   * rank alone.
+   */
   double warmProbability(TargetState target, PlacementWeights weights) {
     Ranked first = preferred;
     if (first != null && first.target() == target) {
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RegionLoad.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RegionLoad.java
@@ -1,19 +1,20 @@
 package org.sageladder.core.placing;
 
 /**
- * Load that all other entry VMs put on the targets of one service in one region, for each slot.
+ * Estimated load, per slot, that all other entry VMs put on the targets of one service in one
+ * region.
  *
- * <p>An entry VM hears of a target's load only when that target answers it. Where sixty VMs share
- * forty targets that is once in ten seconds, and at the start of a day not before the first run has
- * ended: a target believed idle meanwhile is crowded by all of them. So what any target of the
- * region reported stands in for those without a recent report, and until one has reported the other
- * VMs are taken to send as this one does.
+ * <p>An entry VM learns a target's load only from that target's answers. With sixty VMs and forty
+ * targets that is once in ten seconds, and at the start of a day not before the first run has
+ * ended. A target assumed to be idle in between would be overloaded by all of them. Reports of
+ * other targets in the region are therefore used for those without a recent report, and until the
+ * first report the other VMs are assumed to send the same load as this one.
  */
 final class RegionLoad {
-  /** Reports of the region that count in its mean. */
+  /** Number of recent reports of the region that the mean covers. */
   private static final int REPORT_WINDOW = 20;
 
-  /** Reports of the region that weigh as much as the guess from this VM's own requests. */
+  /** Weight of the estimate from this VM's own requests, as a number of reports. */
   private static final double PRIOR_WEIGHT_REPORTS = 3;
 
   private final RunningMean reportedLoadPerSlot = RunningMean.ofLast(REPORT_WINDOW);
@@ -21,37 +22,42 @@
   private int ownRequestCount;
   private int peerCount;
 
-  /** Targets with that many slots have joined the region, or left it where it is negative. */
+  /** Adds the slots of targets that joined the region; negative for targets that left it. */
   void addSlots(int change) {
     slotCount += change;
   }
 
-  /** Requests believed to be at all targets of the region. */
+  /** Returns the estimated number of requests at all targets of the region. */
   double estimatedRequestCount() {
     return ownRequestCount + estimatePeerLoad(slotCount);
   }
 
-  /** Slots of the region's targets. */
+  /** The slots of the region's targets. */
   int slotCount() {
     return slotCount;
   }
 
-  /** This VM has sent a request there, or one has ended where {@code change} is negative. */
+  /** Counts requests that this VM started there; negative for requests that ended. */
   void addOwnRequests(int change) {
     ownRequestCount += change;
   }
 
-  /** Sets how many other entry VMs are assumed to send the same share there as this one. */
+  /** Sets the number of other entry VMs assumed to send the same load there as this one. */
   void updatePeerCount(int number) {
     peerCount = number;
   }
 
-  /** Records that others have {@code load} requests at a target with {@code ofSlots} slots. */
+  /**
+   * Records that other entry VMs have {@code load} requests at a target with {@code targetSlots}
+   * slots.
+   */
   void recordReport(double load, int targetSlots) {
     reportedLoadPerSlot.add(load / targetSlots);
   }
 
-  /** Requests of other entry VMs that a target with {@code ofSlots} slots has, as a guess. */
+  /**
+   * Returns the estimated requests of other entry VMs at a target with {@code targetSlots} slots.
+   */
   double estimatePeerLoad(int targetSlots) {
     double guessedPerSlot = slotCount == 0 ? 0 : (double) ownRequestCount * peerCount / slotCount;
     long reportCount = reportedLoadPerSlot.count();
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RegionObjectShare.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RegionObjectShare.java
@@ -5,27 +5,28 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Which objects a region with few slots keeps, and which it leaves to the others.
+ * Decides which objects a region with few slots retains and which it leaves to other regions.
  *
- * <p>Guards against a region whose callers outnumber its slots: all its targets have queues while
- * others stand idle, and what the queues push out moves to other regions and back with each wave of
- * traffic. Zones stand where callers are, so that a region's share of the zones is taken as its
- * share of the traffic. By that and by how busy a service's slots are everywhere follows how busy
- * the region's would be; where that is too much, it keeps as many objects as its slots bear, and
- * the others have no preferred region. Which ones follows from the object alone, so that all entry
- * VMs agree without communication, also while VMs come and go.
+ * <p>Guards against a region that has more callers than its slots can serve: all its targets would
+ * have queues while targets of other regions are idle, and the overflow would move to other regions
+ * and back with each burst of traffic. Zones are placed where callers are, so that a region's
+ * fraction of the zones is used as its fraction of the traffic. Together with the utilization of
+ * the service's slots over all regions, it gives the expected utilization of the region's slots. If
+ * that is too high, the region retains as many objects as its slots can serve, and the others have
+ * no preferred region. Which objects are retained is derived from the object alone, so that all
+ * entry VMs agree without communication, also while VMs are added or removed.
  *
- * <p>Until anything is known of the load, slots count as busy as they may be. From then on the
- * share moves no faster than requests may change region.
+ * <p>Until the load is known, slots are assumed to be at the maximum utilization. From then on the
+ * retained fraction changes no faster than requests may change region.
  */
 final class RegionObjectShare {
-  /** Keeps the choice independent of prices and of the order of targets. */
+  /** Keeps the choice independent of the cost factors and of the order of targets. */
   private static final long SALT = 2;
 
-  /** Part of the slots that may be busy on the mean: above, most requests wait. */
+  /** Maximum mean utilization of slots: above it, most requests wait. */
   private static final double MAX_UTILIZATION = 0.6;
 
-  /** Part of the bound on shifts that is used: other things move requests as well. */
+  /** Fraction of the shift limit that is used here: other causes move requests as well. */
   private static final double USED_FRACTION = 0.6;
 
   private static final class RetainedShare {
@@ -47,24 +48,24 @@
   }
 
   /**
-   * A share that keeps all objects until {@link #zoneShare} is called.
+   * Creates a share that retains all objects until {@link #updateZoneShare} is called.
    *
-   * @param settleMillis time in which all requests of a region may change region; 0 for no bound
+   * @param settleMillis time in which all requests of a region may change region; 0 for no limit
    */
   static RegionObjectShare create(DoubleSupplier settleMillis) {
     return new RegionObjectShare(settleMillis);
   }
 
-  /** Sets which share of all zones this VM's region has; 0 where that is not known. */
+  /** Sets the fraction of all zones that are in this VM's region; 0 if it is not known. */
   void updateZoneShare(double newZoneShare) {
     zoneShare = newZoneShare;
   }
 
   /**
-   * True where the region keeps the object.
+   * Returns true if the region retains the object.
    *
-   * @param slotShare share of the service's slots that the region has
-   * @param utilization part of all the service's slots that is busy
+   * @param slotShare fraction of the service's slots that are in the region
+   * @param utilization fraction of all the service's slots that are busy
    */
   boolean retains(long object, String service, double slotShare, double utilization, long now) {
     if (slotShare >= zoneShare) {
@@ -74,7 +75,7 @@
         < retainedFraction(service, slotShare, utilization, now);
   }
 
-  /** Part of the service's objects that the region keeps. */
+  /** Returns the fraction of the service's objects that the region retains. */
   double retainedFraction(String service, double slotShare, double utilization, long now) {
     double proportionalFraction = slotShare / zoneShare;
     RetainedShare retained =
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RegionShiftLimiter.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RegionShiftLimiter.java
@@ -1,42 +1,47 @@
 package org.sageladder.core.placing;
 
 /**
- * Bounds how fast the share of this entry VM's requests may grow that crowded targets move to
- * another region.
+ * Limits how fast the fraction of this entry VM's requests may grow that is sent to another region
+ * because targets are overloaded.
  *
- * <p>Guards against a rush: where targets of a region fill up, all entry VMs find so within the
- * same second and send elsewhere together; the other region is crowded by work that nobody
- * announced, and back it goes. Operators allow a part of a region's requests to change region
- * within a span. Each VM keeps the bound for its own requests, so that it holds for any sum of them
- * without talk: as many may move as in the last span plus a step, by a token bucket whose rate that
- * is. Where requests run when nothing waits is not bounded here: a VM's shares waver by the objects
- * that it happens to be asked for. What all VMs change together there is slowed by {@link RunTimes}
- * and {@link CrossRegionCostFactor}.
+ * <p>Guards against a thundering herd: when the targets of a region fill up, all entry VMs detect
+ * it within the same second and send their requests to another region together. That region is
+ * overloaded without warning, and the requests move back. Operators allow a certain fraction of a
+ * region's requests to change region within a span. Each VM keeps the limit for its own requests,
+ * so that it holds for the sum over any VMs without communication: as many requests may move as in
+ * the last span plus a step, by a token bucket with that rate. The region in which requests would
+ * run with empty queues is not limited here: a single VM's fractions vary by chance with the
+ * objects that are requested from it. Changes of that region that all VMs make together are slowed
+ * by {@link RunTimes} and {@link CrossRegionCostFactor}.
  *
- * <p>Requests come one by one: a bucket that lets one through early overshoots by one request a
- * span. Where a VM has few requests this takes up most of the bound, and the step is what it
- * leaves. The first span of a VM's requests is free: nothing moves where nothing ran before.
+ * <p>Requests are indivisible: a bucket that lets one through early exceeds the limit by one
+ * request per span. For a VM with few requests this takes up most of the limit, and the step is
+ * what remains of it. The first span of a VM's requests is not limited, since nothing can move
+ * before anything has run.
  *
  * <pre>{@code
- * ShiftBound bound = ShiftBound.of(0.15);
- * boolean moved = bound.permits(now) && isBetterElsewhere;
- * bound.placed(moved, now);
+ * RegionShiftLimiter limiter = RegionShiftLimiter.of(0.15);
+ * boolean isShifted = limiter.permitsShift(now) && isCheaperInOtherRegion;
+ * limiter.recordPlaced(isShifted, now);
  * }</pre>
  */
 public final class RegionShiftLimiter {
-  /** Span over which operators count, in milliseconds. */
+  /** Span in which operators count requests that change region, in milliseconds. */
   private static final long SPAN_MILLIS = 2_000;
 
-  /** Part of the bound that is used: requests run some time after they were placed. */
+  /** Fraction of the limit that is used: requests run some time after they were placed. */
   private static final double USED_FRACTION = 0.6;
 
-  /** Step where single requests take up all of the bound: shares must not stand still for good. */
+  /**
+   * Step for a VM whose single requests take up the whole limit: without it the fraction could
+   * never change.
+   */
   private static final double MIN_STEP = 0.02;
 
-  /** Requests that may move ahead of the rate. */
+  /** Capacity of the token bucket: requests that may move ahead of the rate. */
   private static final double BUCKET_DEPTH = 1.5;
 
-  /** Fewest requests that a span is taken to have: below, shares are chance. */
+  /** Minimum number of requests assumed for a span: with fewer, the fraction is mostly chance. */
   private static final double MIN_REQUESTS_PER_SPAN = 8;
 
   private double maxShiftFraction;
@@ -53,34 +58,37 @@
   }
 
   /**
-   * A bound with nothing placed yet.
+   * Creates a limiter with nothing placed yet.
    *
-   * @param maxShiftFraction part of a region's requests that may change region within a span; 1 for
-   *     no bound
+   * @param maxShiftFraction fraction of a region's requests that may change region within a span; 1
+   *     for no limit
    */
   public static RegionShiftLimiter of(double maxShiftFraction) {
     return new RegionShiftLimiter(maxShiftFraction);
   }
 
-  /** Puts a newer bound in force. */
+  /** Replaces the limit. */
   public void updateLimit(double newMaxShiftFraction) {
     maxShiftFraction = newMaxShiftFraction;
   }
 
   /**
-   * Lifts the bound until {@code until}: the room of regions has changed by more than traffic, and
-   * requests that were kept where it shrank would be lost.
+   * Suspends the limit until {@code until}. Called when the capacity of regions has changed
+   * independently of traffic: requests kept in a region that lost capacity would fail.
    */
   public void suspendUntil(long until) {
     suspendedUntilMillis = Math.max(suspendedUntilMillis, until);
   }
 
-  /** Time in which all requests of a region may change region, in milliseconds; 0 for no bound. */
+  /**
+   * Returns the time in which all requests of a region may change region, in milliseconds; 0 for no
+   * limit.
+   */
   public double settleMillis() {
     return maxShiftFraction >= 1 ? 0 : SPAN_MILLIS / maxShiftFraction;
   }
 
-  /** True where the next request may run in another region than it would if nothing waited. */
+  /** Returns true if the next request may run in another region than it would with empty queues. */
   public boolean permitsShift(long now) {
     boolean isFirstSpan = firstRequestAtMillis < 0 || now - firstRequestAtMillis < SPAN_MILLIS;
     return maxShiftFraction >= 1
@@ -96,7 +104,11 @@
     return Math.max(MIN_STEP, remaining);
   }
 
-  /** Counts a request; {@code moved} where it runs in another region than if nothing waited. */
+  /**
+   * Records a request.
+   *
+   * @param isShifted true if it runs in another region than it would with empty queues
+   */
   public void recordPlaced(boolean isShifted, long now) {
     if (firstRequestAtMillis < 0) {
       firstRequestAtMillis = now;
@@ -113,7 +125,9 @@
     shiftedShare += weight * (cost - shiftedShare);
   }
 
-  /** Requests in a span, fading: a VM's traffic may come and go. */
+  /**
+   * Updates the requests per span, with exponential decay, since a VM's traffic may start and stop.
+   */
   private void updateRequestRate(long now) {
     requestsPerSpan =
         requestsPerSpan * Math.exp(-(double) (now - lastRequestAtMillis) / SPAN_MILLIS) + 1;
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RoundTripTimes.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RoundTripTimes.java
@@ -4,13 +4,16 @@
 import java.util.Map;
 
 /**
- * How far each zone is: the shortest time that a connection took to be established lately.
+ * Round-trip time to each zone: the shortest time in which a connection was established.
  *
- * <p>The shortest of many is the way there and back without queues. Until one was seen, a zone
- * counts as far as zones and regions usually are.
+ * <p>The minimum of many connects is the round-trip time without queueing delay. A zone without a
+ * measurement has a default that is typical of zones and regions.
  */
 public final class RoundTripTimes {
-  /** Way there and back inside a zone, to another zone, to another region, until measured. */
+  /**
+   * Default round-trip times within a zone, to another zone of the region and to another region,
+   * until measured.
+   */
   private static final double DEFAULT_SAME_ZONE_MILLIS = 0.5;
 
   private static final double DEFAULT_SAME_REGION_MILLIS = 3;
@@ -25,17 +28,19 @@
     this.region = region;
   }
 
-  /** Distances from {@code zone}, none measured yet. */
+  /** Creates round-trip times from {@code zone}, none measured yet. */
   public static RoundTripTimes from(String zone, String region) {
     return new RoundTripTimes(zone, region);
   }
 
-  /** Notes that a connection to a target in {@code targetZone} took {@code millis}. */
+  /**
+   * Records that a connection to a target in {@code targetZone} was established in {@code millis}.
+   */
   public void recordConnect(String targetZone, double millis) {
     minMillisByZone.merge(targetZone, millis, Math::min);
   }
 
-  /** Way there and back, in milliseconds. */
+  /** Returns the round-trip time to the target, in milliseconds. */
   public double millis(TargetFacts target) {
     Double measured = minMillisByZone.get(target.zone());
     if (measured != null) {
@@ -49,22 +54,22 @@
         : DEFAULT_CROSS_REGION_MILLIS;
   }
 
-  /** The region that ways are measured from. */
+  /** The region from which round-trip times are measured. */
   String ownRegion() {
     return region;
   }
 
-  /** True where a connection to the target's zone was established before. */
+  /** Returns true if a connection to the target's zone was established before. */
   boolean isMeasured(TargetFacts target) {
     return minMillisByZone.containsKey(target.zone());
   }
 
-  /** True where the target is in another zone than this entry VM. */
+  /** Returns true if the target is in another zone than this entry VM. */
   public boolean isOtherZone(TargetFacts target) {
     return !target.zone().equals(zone);
   }
 
-  /** True where the target is in another region than this entry VM. */
+  /** Returns true if the target is in another region than this entry VM. */
   public boolean isOtherRegion(TargetFacts target) {
     return !target.region().equals(region);
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RunTimes.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RunTimes.java
@@ -8,20 +8,28 @@
 import org.sageladder.core.routing.RouteRule;
 
 /**
- * How long runs of each route take at each service, apart for objects that the target knew.
+ * Run times of each route at each service, separately for targets that are warm for the object and
+ * for cold ones.
  *
- * <p>Learnt from answers of targets that had a free slot, since a wait at the target is no run. In
- * a queue that never empties there are none; but runs take no longer than waits and runs together,
- * so that the mean of both bounds the guess of a run that was not measured yet.
+ * <p>They are measured from answers of targets that had a free slot, since a wait at the target is
+ * not part of the run. Behind a queue that never drains there are no such answers. But a run takes
+ * no longer than wait and run together, so that the mean of both is an upper bound for the default
+ * estimate of a run time that was not measured yet.
  */
 public final class RunTimes {
-  /** Run of an unknown object until measured, as a part of the route's latency goal. */
+  /**
+   * Default run time on a target that is cold for the object, as a multiple of the route's latency
+   * goal.
+   */
   private static final double DEFAULT_COLD_GOAL_FACTOR = 1.5;
 
-  /** Run of a known object until measured, as a part of the route's latency goal. */
+  /**
+   * Default run time on a target that is warm for the object, as a fraction of the route's latency
+   * goal.
+   */
   private static final double DEFAULT_WARM_GOAL_FACTOR = 0.5;
 
-  /** Runs that count in a mean. */
+  /** Number of recent runs that a mean covers. */
   private static final int RUN_WINDOW = 20;
 
   private static final long NEVER = -1;
@@ -66,7 +74,7 @@
       unqueuedRuns.add(millis);
     }
 
-    /** What was measured, with free slots where there were any, else behind queues. */
+    /** Returns the mean of runs with a free slot, or else that of runs behind a queue. */
     OptionalDouble measuredMillis(long minRuns) {
       if (unqueuedRuns.count() >= minRuns) {
         return OptionalDouble.of(unqueuedRuns.value());
@@ -77,7 +85,9 @@
     }
   }
 
-  /** A route at one of its services: another service may run its requests in another time. */
+  /**
+   * A route at one of its services. Another service may take another time to run the same requests.
+   */
   private record RouteAtService(String service, String route) {}
 
   private final Map<RouteAtService, RouteTimes> timesByRoute = new HashMap<>();
@@ -88,9 +98,10 @@
   }
 
   /**
-   * Run times with nothing measured yet.
+   * Creates run times with nothing measured yet.
    *
-   * @param settleMillis shortest time constant in which a mean follows newer runs; 0 for none
+   * @param settleMillis shortest time constant with which an estimate follows newer runs; 0 for
+   *     none
    */
   public static RunTimes create(DoubleSupplier settleMillis) {
     return new RunTimes(settleMillis);
@@ -102,34 +113,40 @@
         routeAtService -> new RouteTimes(route.latencyGoalMillis()));
   }
 
-  /** Forgets all routes but those of these names: operators add and remove them for years. */
+  /**
+   * Discards all routes except those with these names. Without this, the map would grow without
+   * bound as operators add and remove routes over years.
+   */
   public void retainRoutes(Set<String> routes) {
     timesByRoute.keySet().removeIf(routeAtService -> !routes.contains(routeAtService.route()));
   }
 
-  /** Mean time of a run, in milliseconds; an object that the target knows takes no longer. */
+  /**
+   * Returns the estimated run time in milliseconds. The default estimate for warm targets never
+   * exceeds the estimate for cold ones.
+   */
   public double estimateMillis(String service, RouteRule route, boolean isWarm) {
     RouteTimes times = routeTimes(service, route);
-    boolean isGuess = isWarm && times.warm.unqueuedRuns.count() == 0;
+    boolean isDefault = isWarm && times.warm.unqueuedRuns.count() == 0;
     double millis = times.of(isWarm).estimateMillis();
-    return isGuess ? Math.min(millis, times.cold.estimateMillis()) : millis;
+    return isDefault ? Math.min(millis, times.cold.estimateMillis()) : millis;
   }
 
-  /** Runs that the mean follows from; 0 where it is a guess. */
+  /** Returns the number of runs that the estimate is based on; 0 if it is the default. */
   public long measuredRunCount(String service, RouteRule route, boolean isWarm) {
     return routeTimes(service, route).of(isWarm).unqueuedRuns.count();
   }
 
-  /** Mean of the measured runs alone, without the guess before them; 0 where there are none. */
+  /** Returns the mean of the measured runs, without the default estimate; 0 if there are none. */
   public double measuredMillis(String service, RouteRule route, boolean isWarm) {
     return routeTimes(service, route).of(isWarm).unqueuedRuns.value();
   }
 
   /**
-   * Time of a run by what was measured alone, also behind queues; that of the other kind where only
-   * that was measured, and empty where neither was.
+   * Returns the run time by measured runs alone, including those behind queues. If only the other
+   * of warm and cold was measured, that one is returned; if neither was, the result is empty.
    *
-   * @param minRuns runs that a mean follows from
+   * @param minRuns minimum number of runs that a mean must cover
    */
   OptionalDouble estimateFromMeasured(
       String service, RouteRule route, boolean isWarm, long minRuns) {
@@ -138,17 +155,17 @@
     return requested.isPresent() ? requested : times.of(!isWarm).measuredMillis(minRuns);
   }
 
-  /** Takes the time of one run behind a queue, from which the wait was taken off. */
+  /** Records a run behind a queue, from whose time the wait was subtracted. */
   void recordQueuedRun(String service, RouteRule route, boolean isWarm, double millis) {
     routeTimes(service, route).of(isWarm).queuedRuns.add(millis);
   }
 
-  /** Takes the time of one run that ended at {@code now}. */
+  /** Records a run that ended at {@code now}. */
   public void recordRun(String service, RouteRule route, boolean isWarm, double millis, long now) {
     routeTimes(service, route).of(isWarm).recordRun(millis, settleMillis.getAsDouble(), now);
   }
 
-  /** Takes the time of a wait and the run after it, of which there is no other measure. */
+  /** Records a wait and the run after it, which could not be measured separately. */
   public void recordWaitAndRun(String service, RouteRule route, boolean isWarm, double millis) {
     routeTimes(service, route).of(isWarm).waitsAndRuns.add(millis);
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/RunningMean.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/RunningMean.java
@@ -1,7 +1,7 @@
 package org.sageladder.core.placing;
 
 /**
- * Mean of what was measured lately: that of all values at first, of the last ones later.
+ * Mean of recent values: the plain mean at first, an exponentially weighted moving average later.
  *
  * <pre>{@code
  * RunningMean mean = RunningMean.ofLast(20);
@@ -18,23 +18,23 @@
     this.minWeight = minWeight;
   }
 
-  /** A mean of nothing yet, in which about the last {@code values} count. */
+  /** Creates an empty mean that covers about the last {@code window} values. */
   static RunningMean ofLast(int window) {
     return new RunningMean(1.0 / window);
   }
 
-  /** Takes one more value in. */
+  /** Adds a value. */
   void add(double measured) {
     count++;
     value += Math.max(minWeight, 1.0 / count) * (measured - value);
   }
 
-  /** The mean; 0 where there is no value yet. */
+  /** The mean; 0 if there is no value yet. */
   double value() {
     return value;
   }
 
-  /** Values that were taken in. */
+  /** The number of values added. */
   long count() {
     return count;
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/ServiceRetryBudget.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/ServiceRetryBudget.java
@@ -6,16 +6,18 @@
 import java.util.Map;
 
 /**
- * This entry VM's part of the second sends that a service bears in any span of a window's length.
+ * This entry VM's share of the retries that a service can handle within a sliding window.
  *
- * <p>All entry VMs together may send {@code ratio} of the requests plus a fixed extra. The ratio's
- * part adds up by itself where each VM keeps it for its own requests; of the extra each VM has an
- * equal part, counted over as many VMs as were ever seen at once, since a VM that has left may have
- * spent its part within the window. A refused second send also counts: it has arrived.
+ * <p>All entry VMs together may retry {@code retryRatio} of the requests plus a fixed number of
+ * extra retries. The ratio holds overall if each VM keeps it for its own requests. The extra
+ * retries are divided equally among the VMs, by the highest number of VMs ever seen at once, since
+ * a VM that has left may have used its share within the window. A refused retry counts too: it has
+ * reached the service.
  */
 public final class ServiceRetryBudget {
   /**
-   * Part of the bound that is used; the rest covers sends and requests on either side of a span.
+   * Fraction of the limit that is used; the rest covers retries and requests that fall on different
+   * sides of a window boundary.
    */
   private static final double USED_FRACTION = 0.75;
 
@@ -36,31 +38,40 @@
     this.windowMillis = windowMillis;
   }
 
-  /** An allowance of {@code ratio} of the requests of a window plus a part of {@code extra}. */
+  /**
+   * Creates a budget of {@code retryRatio} of the requests of a window plus a share of {@code
+   * extraRetries}.
+   */
   public static ServiceRetryBudget of(double retryRatio, double extraRetries, long windowMillis) {
     return new ServiceRetryBudget(retryRatio, extraRetries, windowMillis);
   }
 
-  /** Puts newer bounds in force, also for what was counted before. */
+  /** Replaces the limits, also for requests counted before. */
   public void updateLimits(double newRetryRatio, double newExtraRetries, long newWindowMillis) {
     retryRatio = newRetryRatio;
     extraRetries = newExtraRetries;
     windowMillis = newWindowMillis;
   }
 
-  /** Notes how many entry VMs share the extra; a lower number than before has no effect. */
+  /**
+   * Updates the number of entry VMs that share the extra retries; a lower number than before has no
+   * effect.
+   */
   public void updateEntryVmCount(int liveCount) {
     entryVmCount = Math.max(entryVmCount, liveCount);
   }
 
-  /** Counts a caller's request for {@code service}. */
+  /** Records a caller's request for {@code service}. */
   public void recordRequest(String service, long now) {
     RetryWindow window = window(service);
     window.requestTimes.addLast(now);
     removeExpired(window.requestTimes, now);
   }
 
-  /** Spends one second send; false where none is left, and the request ends with what it has. */
+  /**
+   * Takes one retry from the budget; returns false if none is left, and the request then ends with
+   * the result it has.
+   */
   public boolean tryAcquire(String service, long now) {
     RetryWindow window = window(service);
     removeExpired(window.requestTimes, now);
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/SlotHoldTimes.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/SlotHoldTimes.java
@@ -5,37 +5,37 @@
 import java.util.OptionalDouble;
 
 /**
- * How long requests of each service hold a slot, whatever their route.
+ * Time for which requests of each service hold a slot, over all routes.
  *
- * <p>This is what those that wait in a target's queue wait for. Learnt from all answers, also of
- * targets with a queue: an answer has waited for those ahead of it, which are taken to have been as
- * many as wait behind it, since a queue that neither grows nor shrinks is met and left at the same
- * length.
+ * <p>Requests in a target's queue wait for as long as those ahead of them hold their slots. The
+ * time is estimated from all answers, including those of targets with a queue. The requests that
+ * were ahead of an answered request are assumed to be as many as wait behind it, since a queue in
+ * steady state has the same length on arrival and on departure.
  *
  * <pre>{@code
- * SlotTimes slotTimes = SlotTimes.create();
- * slotTimes.answered("search", 800, 3); // nine were ahead of it for three slots
- * slotTimes.millis("search"); // 200
+ * SlotHoldTimes slotHoldTimes = SlotHoldTimes.create();
+ * slotHoldTimes.recordAnswer("search", 800, 3); // nine requests were ahead of it for three slots
+ * slotHoldTimes.meanMillis("search"); // 200
  * }</pre>
  */
 final class SlotHoldTimes {
-  /** Answers that count in the mean of a service. */
+  /** Number of recent answers that the mean of a service covers. */
   private static final int ANSWER_WINDOW = 20;
 
   private final Map<String, RunningMean> meansByService = new HashMap<>();
 
   private SlotHoldTimes() {}
 
-  /** Slot times with nothing measured yet. */
+  /** Creates slot hold times with nothing measured yet. */
   static SlotHoldTimes create() {
     return new SlotHoldTimes();
   }
 
   /**
-   * Takes the time of one answer.
+   * Records the time of one answer.
    *
    * @param millis from its arrival at the target to its end
-   * @param queueRounds requests that waited there, for each slot
+   * @param queueRounds requests in the target's queue, per slot
    */
   void recordAnswer(String service, double millis, double queueRounds) {
     meansByService
@@ -43,7 +43,7 @@
         .add(millis / (1 + queueRounds));
   }
 
-  /** Mean time for which a request holds a slot; empty until one was answered. */
+  /** Returns the mean time for which a request holds a slot; empty until one was answered. */
   OptionalDouble meanMillis(String service) {
     RunningMean mean = meansByService.get(service);
     return mean == null ? OptionalDouble.empty() : OptionalDouble.of(mean.value());
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/TargetFacts.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/TargetFacts.java
@@ -1,19 +1,18 @@
 package org.sageladder.core.placing;
 
 /**
- * What a target says of itself in the platform's list.
+ * A target's registration in the platform's list.
  *
- * @param incarnation id and time of its start
- * @param sequence number of what it says of itself, growing from its start
+ * @param incarnation id and start time
+ * @param sequence number of the registration, increasing from the target's start
  * @param service the service it runs
- * @param host IP number
+ * @param host IP address
  * @param port TCP port
  * @param zone availability zone
  * @param region region of that zone
  * @param slots requests that it runs at once, at least 1
- * @param isDraining true where it takes nothing new
- * @param remainingColdMillis how much longer it stays cold, counted from when this was read; 0
- *     where warm
+ * @param isDraining true if it accepts no new requests
+ * @param remainingColdMillis time for which it stays cold, from when this was read; 0 if it is warm
  */
 public record TargetFacts(
     TargetIncarnation incarnation,
@@ -32,9 +31,9 @@
   }
 
   /**
-   * True where this is an older word of the same target than {@code known}: one that was held up on
-   * its way. Where the target does not say when it started, a lower sequence may as well be that of
-   * a new start, and counts.
+   * Returns true if this is an older registration of the same target than {@code known}, one that
+   * was delayed on its way. For a target that does not report its start time, a lower sequence may
+   * as well belong to a new incarnation and is not considered older.
    */
   boolean isOlderThan(TargetFacts current) {
     boolean isSameIncarnation =
@@ -43,18 +42,18 @@
         || (isSameIncarnation && sequence < current.sequence);
   }
 
-  /** True where service, region and slots are those of {@code other}. */
+  /** Returns true if service, region and slots equal those of {@code other}. */
   boolean hasSameServiceRegionAndSlots(TargetFacts other) {
     return service.equals(other.service) && region.equals(other.region) && slots == other.slots;
   }
 
-  /** The same target, leaving. */
+  /** Returns the same target, draining. */
   public TargetFacts asDraining() {
     return new TargetFacts(
         incarnation, sequence, service, host, port, zone, region, slots, true, remainingColdMillis);
   }
 
-  /** The same target, cold for another {@code millis}. */
+  /** Returns the same target, cold for another {@code millis}. */
   public TargetFacts coldFor(long millis) {
     return new TargetFacts(
         incarnation, sequence, service, host, port, zone, region, slots, isDraining, millis);
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/TargetIncarnation.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/TargetIncarnation.java
@@ -1,22 +1,25 @@
 package org.sageladder.core.placing;
 
 /**
- * One start of a target: what is believed of a target belongs to this, not to its id alone.
+ * One incarnation of a target: what was learned about a target is valid for this only, not for its
+ * id.
  *
- * <p>A target may start again under the id that it had. It then knows nothing of before: objects,
- * load, failures, connections and requests in flight there are those of the former start.
+ * <p>A target may be restarted under the same id. Its cached objects, load, failures, connections
+ * and in-flight requests then belong to the previous incarnation.
  *
  * <pre>{@code
- * TargetStart first = new TargetStart("t-1", 1_764_712_345_123L);
- * first.isBefore(new TargetStart("t-1", 1_764_712_399_000L)); // true
+ * TargetIncarnation first = new TargetIncarnation("t-1", 1_764_712_345_123L);
+ * first.isBefore(new TargetIncarnation("t-1", 1_764_712_399_000L)); // true
  * }</pre>
  *
  * @param id the target's id
- * @param startedAtMillis Unix time of the start in milliseconds, by the target's clock; 0 where the
- *     target does not say, so that the id alone tells starts apart
+ * @param startedAtMillis Unix time of the start in milliseconds, by the target's clock; 0 if the
+ *     target does not report it, so that only the id distinguishes incarnations
  */
 public record TargetIncarnation(String id, long startedAtMillis) {
-  /** True where both say when they started and {@code other} started later under the same id. */
+  /**
+   * Returns true if both start times are known and {@code other} started later under the same id.
+   */
   public boolean isBefore(TargetIncarnation other) {
     return id.equals(other.id)
         && startedAtMillis != 0
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/TargetState.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/TargetState.java
@@ -5,34 +5,35 @@
 import java.util.Set;
 
 /**
- * One target as this entry VM believes it to be: its facts, its load and what it was like lately.
+ * State of one target as estimated by this entry VM: its registration, load and recent behavior.
  *
- * <p>The load is this VM's own count, which is exact, plus what others have there, which the target
- * reports in its answers and which is believed less the older it is.
+ * <p>The load is the sum of this VM's own requests, which are counted exactly, and the requests of
+ * other VMs. The target reports these in its answers, and a report's weight decreases with its age.
  */
 public final class TargetState {
   /**
-   * Objects remembered for each target. Targets keep about 25 objects; remembering a few fewer errs
-   * toward believing a target cold, which costs a warm run elsewhere, not a cold run here.
+   * Objects remembered for each target. Targets cache about 25 objects. With slightly fewer, a warm
+   * target may be assumed cold, which costs a warm run on another target, but a cold target is not
+   * assumed warm, which would cost a cold run here.
    */
   private static final int MAX_REMEMBERED_OBJECTS = 24;
 
   /**
-   * What a load report says beyond the mean counts half after this time: about one run of a
-   * request, in milliseconds.
+   * Half-life of a load report's difference from the mean, in milliseconds: about one run of a
+   * request.
    */
   private static final double LOAD_HALF_LIFE_MILLIS = 400;
 
-  /** Reports that count in the mean of the load of others. */
+  /** Number of recent reports that the mean load of other entry VMs covers. */
   private static final int LOAD_REPORT_WINDOW = 10;
 
-  /** Reports of the target itself that weigh as much as what its region's targets reported. */
+  /** Weight of the region's estimate, as a number of the target's own reports. */
   private static final double REGION_PRIOR_WEIGHT_REPORTS = 2;
 
-  /** Part of a new outcome in the share of failures; about the last ten outcomes count. */
+  /** Weight of a new outcome in the share of failures; about the last ten outcomes count. */
   private static final double FAILURE_SMOOTHING = 0.1;
 
-  /** Part of a new run's time in the slowness; about the last five runs count. */
+  /** Weight of a new run's time in the slowness; about the last five runs count. */
   private static final double SLOWNESS_SMOOTHING = 0.2;
 
   private static final double MIN_SLOWNESS = 0.5;
@@ -63,12 +64,12 @@
     this.isNewlyJoined = isNewlyJoined;
   }
 
-  /** What the target says of itself. */
+  /** The target's registration. */
   public TargetFacts facts() {
     return facts;
   }
 
-  /** Hash of the target's id, for the order of targets for an object. */
+  /** Hash of the target's id, for rendezvous hashing. */
   long idHash() {
     return idHash;
   }
@@ -81,7 +82,7 @@
     }
   }
 
-  /** Treats the target as cold until {@code until} at least. */
+  /** Treats the target as cold at least until {@code until}. */
   public void markColdUntil(long until) {
     if (until > coldUntilMillis) {
       coldUntilMillis = until;
@@ -89,27 +90,30 @@
     }
   }
 
-  /** True where the target bears only a few requests a second. */
+  /** Returns true if the target can handle only a few requests a second. */
   public boolean isCold(long now) {
     return now < coldUntilMillis;
   }
 
-  /** Requests of this entry VM that are there now. */
+  /** Requests of this entry VM that are in flight at the target. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** True where this entry VM has sent a request there. */
+  /** Returns true if this entry VM has sent a request to the target. */
   boolean hasHadRequest() {
     return hasHadRequest;
   }
 
-  /** True where it joined others that had work, and has had no request from this entry VM. */
+  /**
+   * Returns true if it joined targets that already had requests, and has had none from this entry
+   * VM.
+   */
   boolean isNewlyJoined() {
     return isNewlyJoined;
   }
 
-  /** Counts a request that is sent there. */
+  /** Counts a request sent to the target. */
   public void startRequest() {
     isNewlyJoined = false;
     hasHadRequest = true;
@@ -117,15 +121,15 @@
     regionLoad.addOwnRequests(1);
   }
 
-  /** Counts a request that has ended there, however. */
+  /** Counts a request that has ended at the target, with any result. */
   public void endRequest() {
     inFlight--;
     regionLoad.addOwnRequests(-1);
   }
 
   /**
-   * Records the load that the target reported in an answer; that answer's request has ended
-   * already.
+   * Records the load that the target reported in an answer. The request of that answer must have
+   * been counted by {@link #endRequest} before.
    */
   public void recordReport(LoadReport load, long now) {
     peerLoad = Math.max(0, load.running() + load.waiting() - inFlight);
@@ -135,11 +139,11 @@
   }
 
   /**
-   * Requests believed to be there now, of all entry VMs.
+   * Returns the estimated number of requests at the target, from all entry VMs.
    *
-   * <p>An old report fades into the mean, not into nothing: where many VMs share a target each
-   * hears of it seldom, and a target believed idle between two reports would be crowded by all of
-   * them.
+   * <p>An old report decays towards the mean, not towards zero. Where many VMs share a target, each
+   * gets its reports rarely, and a target assumed to be idle between two reports would be
+   * overloaded by all of them.
    */
   public double load(long now) {
     double ageMillis = Math.max(0, now - lastReportAtMillis);
@@ -155,40 +159,42 @@
         + (reportCount == 0 ? 0 : (peerLoad - expectedPeerLoad) * freshness);
   }
 
-  /** True where the target has reported its load in the last {@code millis}. */
+  /** Returns true if the target has reported its load in the last {@code millis}. */
   boolean hasReportWithin(long millis, long now) {
     return meanPeerLoad.count() > 0 && now - lastReportAtMillis <= millis;
   }
 
-  /** Notes that the target served or failed a request. */
+  /** Records whether a request to the target succeeded. */
   public void recordOutcome(boolean isSuccess, long now) {
     failureShare =
         failureShare(now) + FAILURE_SMOOTHING * ((isSuccess ? 0 : 1) - failureShare(now));
     lastOutcomeAtMillis = now;
   }
 
-  /** Share of the latest requests that failed there, 0 to 1; forgotten by halves each second. */
+  /**
+   * Returns the share of recent requests to the target that failed, 0 to 1; it halves each second.
+   */
   public double failureShare(long now) {
     return failureShare * Math.pow(0.5, Math.max(0, now - lastOutcomeAtMillis) / 1_000.0);
   }
 
-  /** Notes that a run took {@code ratio} of the time that was expected. */
+  /** Records that a run took {@code ratio} times the expected time. */
   void recordRunTimeRatio(double ratio) {
     double boundedRatio = Math.max(MIN_SLOWNESS, Math.min(MAX_SLOWNESS, ratio));
     slowness += SLOWNESS_SMOOTHING * (boundedRatio - slowness);
   }
 
-  /** How much longer than expected runs take there; 1 is as expected. */
+  /** Returns the ratio of actual to expected run times; 1 is as expected. */
   public double slowness() {
     return slowness;
   }
 
-  /** Sends nothing there until {@code until} unless there is no other. */
+  /** Avoids the target until {@code until} unless there is no other. */
   public void avoidUntil(long until) {
     avoidUntilMillis = Math.max(avoidUntilMillis, until);
   }
 
-  /** Forgets that the target was to be avoided, since it answered. */
+  /** Stops avoiding the target, since it answered. */
   public void clearAvoidance() {
     avoidUntilMillis = 0;
   }
@@ -197,7 +203,7 @@
     return now < avoidUntilMillis;
   }
 
-  /** Notes that the target has run {@code object}. */
+  /** Records that the target has run {@code object}. */
   public void recordObject(long object) {
     recentObjects.remove(object);
     recentObjects.add(object);
@@ -206,7 +212,7 @@
     }
   }
 
-  /** True where this entry VM has had {@code object} run there lately. */
+  /** Returns true if this entry VM recently had {@code object} run on the target. */
   public boolean hasCached(long object) {
     return recentObjects.contains(object);
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/TargetTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/TargetTable.java
@@ -9,21 +9,24 @@
 import java.util.Set;
 
 /**
- * The targets that an entry VM knows, by id and by service, and the zones that operators emptied.
+ * The targets known to an entry VM, by id and by service, and the zones that operators evacuated.
  *
- * <p>A target that has once been seen to leave stays so: a late message cannot bring it back within
+ * <p>A target that was once seen draining stays so: a late message does not reactivate it within
  * its incarnation.
  */
 public final class TargetTable {
-  /** What became of a target's word on itself. */
+  /** The effect of a registration. */
   public enum Change {
     /** The target was not known. */
     JOINED,
-    /** It has started again under its id; all that was believed of it is forgotten. */
+    /**
+     * The target was restarted under the same id; everything learned about the previous incarnation
+     * is discarded.
+     */
     STARTED_AGAIN,
-    /** It was known, and its word counts. */
+    /** The target was known and its registration was updated. */
     CHANGED,
-    /** A later word of it is known already; this one has no effect. */
+    /** A newer registration of the target is known already; this one has no effect. */
     OUTDATED
   }
 
@@ -36,12 +39,12 @@
 
   private TargetTable() {}
 
-  /** A table that knows no target. */
+  /** Creates an empty table. */
   public static TargetTable create() {
     return new TargetTable();
   }
 
-  /** Takes what a target says of itself. */
+  /** Adds or updates a target from its registration. */
   public Change put(TargetFacts facts, long now) {
     TargetState current = byId.get(facts.id());
     if (current == null) {
@@ -76,10 +79,10 @@
   }
 
   /**
-   * True where a target that is added now joins others that have had work from here. Targets that
-   * register after this VM's first look at the list, all of them without work, have not newly
-   * joined: if all VMs sent each of them a first request, each VM's first requests would stay in
-   * its region, however few slots that has.
+   * Returns true if a target that is added now joins targets that have had requests from here.
+   * Targets that register after this VM first read the list, when none of them has had requests,
+   * are not newly joined: if all VMs sent each of them a first request, each VM's first requests
+   * would stay in its region, however few slots that has.
    */
   private static boolean joinsTargetsWithRequests(List<TargetState> others) {
     return others.stream().anyMatch(TargetState::hasHadRequest);
@@ -97,7 +100,9 @@
             });
   }
 
-  /** Sets how many other entry VMs are assumed to send the same share to each region. */
+  /**
+   * Sets the number of other entry VMs assumed to send the same load as this one to each region.
+   */
   public void updatePeerCounts(Map<String, Integer> countsByRegion) {
     peerCountsByRegion = Map.copyOf(countsByRegion);
     loadsByService
@@ -113,7 +118,7 @@
     return byService.computeIfAbsent(service, name -> new ArrayList<>());
   }
 
-  /** Removes a target at {@code at}, unless it is put again before. */
+  /** Schedules a target for removal at {@code at}, unless it is registered again before. */
   public void scheduleRemoval(String id, long at) {
     if (byId.containsKey(id)) {
       removalTimes.putIfAbsent(id, at);
@@ -129,7 +134,7 @@
     }
   }
 
-  /** Removes that start of a target now; a later start under the same id stays. */
+  /** Removes that incarnation of a target now; a later one under the same id stays. */
   public void remove(TargetIncarnation incarnation) {
     TargetState current = byId.get(incarnation.id());
     if (current != null && current.facts().incarnation().equals(incarnation)) {
@@ -137,25 +142,25 @@
     }
   }
 
-  /** Carries out the removals that are due and returns the starts of targets removed. */
+  /** Removes the targets whose removal is due and returns their incarnations. */
   public List<TargetIncarnation> removeDue(long now) {
     List<TargetIncarnation> due =
         removalTimes.entrySet().stream()
             .filter(removal -> removal.getValue() <= now)
             .map(removal -> byId.get(removal.getKey()).facts().incarnation())
             .toList();
-    due.forEach(start -> remove(start.id()));
+    due.forEach(incarnation -> remove(incarnation.id()));
     return due;
   }
 
-  /** Sends nothing more to the targets of {@code zone}. */
+  /** Evacuates {@code zone}: its targets get no more requests. */
   public void evacuateZone(String zone) {
     evacuatedZones.add(zone);
   }
 
   /**
-   * Takes a zone back. Its targets may have turned cold while they had no work, so that they count
-   * as cold for {@code coldMillis}.
+   * Ends the evacuation of a zone. Its targets may have turned cold while they had no requests, so
+   * they are treated as cold for {@code coldMillis}.
    */
   public void endEvacuation(String zone, long now, long coldMillis) {
     if (!evacuatedZones.remove(zone)) {
@@ -168,17 +173,20 @@
     }
   }
 
-  /** The target of that id. */
+  /** Returns the target of that id. */
   public Optional<TargetState> find(String id) {
     return Optional.ofNullable(byId.get(id));
   }
 
-  /** How many targets are known. */
+  /** The number of known targets. */
   public int size() {
     return byId.size();
   }
 
-  /** True where new work may go to {@code target}; a removal counts from its very moment. */
+  /**
+   * Returns true if new requests may be sent to {@code target}. A scheduled removal takes effect at
+   * its time, even before {@link #removeDue} is called.
+   */
   public boolean acceptsRequests(TargetState target, long now) {
     Long removalTime = removalTimes.get(target.facts().id());
     boolean isRemoved = removalTime != null && removalTime <= now;
@@ -187,7 +195,7 @@
         && !evacuatedZones.contains(target.facts().zone());
   }
 
-  /** Share of a service's slots that a region has; 1 where the service has none. */
+  /** Returns the fraction of a service's slots that a region has; 1 if the service has none. */
   double slotShare(String service, String region) {
     Map<String, RegionLoad> regions = loadsByService.getOrDefault(service, Map.of());
     int allSlots = 0;
@@ -199,7 +207,7 @@
     return allSlots == 0 ? 1 : (double) regionSlots / allSlots;
   }
 
-  /** Part of a service's slots, in all regions, that is believed to be busy; 0 to 1. */
+  /** Returns the estimated fraction of a service's slots that are busy over all regions, 0 to 1. */
   double utilization(String service) {
     double requests = 0;
     int slots = 0;
@@ -210,7 +218,7 @@
     return slots == 0 ? 0 : Math.min(1, requests / slots);
   }
 
-  /** The targets of a service that new work may go to. */
+  /** Returns the targets of a service to which new requests may be sent. */
   public List<TargetState> usable(String service, long now) {
     List<TargetState> usable = new ArrayList<>();
     for (TargetState target : byService.getOrDefault(service, List.of())) {
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/CustomerTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/CustomerTable.java
@@ -8,7 +8,7 @@
 import org.sageladder.core.membership.ClusterState;
 import org.sageladder.core.membership.ZoneSummary;
 
-/** The routes of all services of one contract. */
+/** The look-up tables of all services of one contract. */
 final class CustomerTable {
   private final RegionIndex regionIndex;
   private final Map<String, ServiceTable> tablesByService;
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/Damping.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/Damping.java
@@ -1,11 +1,13 @@
 package org.sageladder.core.steering;
 
 /**
- * Moves the parts in force toward those wanted, by as much as late readings allow.
+ * Moves the current traffic fractions toward the desired ones, limited because readings are
+ * delayed.
  *
- * <p>Callers are sent away from home at once but brought back by small steps: a reading that says
- * "home has room again" was taken while they were away, and to believe it whole would send them
- * back and forth. Away from a zone that can carry nothing any more all go at once.
+ * <p>Callers are sent from their own region to others at once but return in small steps. A reading
+ * that reports headroom in their region was taken while they were sent to other regions; acting on
+ * it fully would make them oscillate between regions. If a zone has no capacity left, all its
+ * callers are moved at once.
  */
 final class Damping {
   private static final double RETURN_STEP_FRACTION = 0.1;
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/DemandByOrigin.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/DemandByOrigin.java
@@ -5,12 +5,13 @@
 import org.sageladder.core.contract.Contract;
 
 /**
- * Works out which region's callers want how much, from what was asked of each region's gates.
+ * Estimates the demand of each region's callers from the demand received by each region's gates.
  *
- * <p>A gate cannot tell from where its callers were sent. But the parts by which they were sent are
- * known: what region h was asked is the sum over all regions r of r's demand times the part of r's
- * callers that goes to h. Without this step, callers sent away would count as demand of the region
- * that they were sent to, and no longer of their own, and steering would bring them back at once.
+ * <p>A gate cannot tell from which region its callers were sent. But the traffic fractions in force
+ * are known: the demand received by region h is the sum, over all regions r, of r's demand times
+ * the fraction of r's callers sent to h. Without this step, callers sent to another region would
+ * count as demand of that region and no longer of their own, and steering would bring them back at
+ * once.
  */
 final class DemandByOrigin {
   private static final int ITERATIONS = 8;
@@ -19,9 +20,9 @@
   private DemandByOrigin() {}
 
   /**
-   * Demand by region of the caller.
+   * Returns the demand by region of the caller.
    *
-   * @param fractions parts in force, by region of the caller and zone
+   * @param fractions traffic fractions in force, by region of the caller and zone
    */
   static double[] estimateDemand(Contract contract, List<ZoneReading> zones, double[][] fractions) {
     int regions = contract.regions().size();
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/FallbackOrder.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/FallbackOrder.java
@@ -9,12 +9,12 @@
 import org.sageladder.core.membership.Member;
 
 /**
- * Orders the entry VMs of one answer so that each next one survives what stopped the one before: a
- * VM's death, a zone's, a region's or its being full.
+ * Orders the entry VMs of one answer so that each remains reachable after the failure that made the
+ * previous one unusable: failure of a VM, a zone or a region, or a region at its capacity.
  *
- * <p>Places abroad are drawn in proportion to their room. Were each answer to name the one zone
- * with the most room, all callers whom a full region refuses would ask that zone at once, be
- * refused there too, and never learn of the room that is left elsewhere.
+ * <p>Remote zones are selected in proportion to their headroom. If each answer contained only the
+ * zone with the most headroom, all callers refused by a full region would ask that zone at once, be
+ * refused there too, and never be sent to the headroom left in other zones.
  */
 final class FallbackOrder {
   private static final double MIN_HEADROOM_PER_SECOND = 1e-3;
@@ -42,10 +42,10 @@
   }
 
   /**
-   * Fall-backs for the callers of {@code home}.
+   * Creates the fallback order for the callers of {@code callerRegion}.
    *
-   * @param isRegionFull true where steering sends some of these callers to other regions
-   * @param maxEntries entry VMs of one answer
+   * @param isRegionFull true if steering sends some of these callers to other regions
+   * @param maxEntries maximum number of entry VMs of one answer
    */
   static FallbackOrder forCallersOf(
       Contract.Region callerRegion, ServiceFacts facts, boolean isRegionFull, int maxEntries) {
@@ -53,9 +53,9 @@
   }
 
   /**
-   * {@code first} and the entry VMs to ask after it.
+   * Returns {@code first} followed by its fallbacks.
    *
-   * @param point where in the room of the other regions to look first, 0 to below 1
+   * @param point position in the total headroom of the remote zones that selects one, 0 to below 1
    */
   List<Member> startingWith(Member first, double point) {
     List<Member> entries = new ArrayList<>();
@@ -86,7 +86,10 @@
     return callerRegion.zones().contains(zone.name());
   }
 
-  /** The zone abroad at {@code point} of the room of all that pass {@code filter}, or null. */
+  /**
+   * Returns the remote zone at {@code point} of the total headroom of those that pass {@code
+   * filter}, or null if there is none.
+   */
   private ServiceFacts.@Nullable Zone drawRemoteZone(
       double point, Predicate<ServiceFacts.Zone> filter) {
     double totalHeadroom = 0;
@@ -112,7 +115,10 @@
     return Math.max(MIN_HEADROOM_PER_SECOND, zone.reading().headroomPerSecond());
   }
 
-  /** Adds one holder of the first zone that has a new one, not the same for all first entries. */
+  /**
+   * Adds one entry VM of the first zone that has one not yet in the list. The offset varies with
+   * the first entry, so that fallback traffic is spread over a zone's VMs.
+   */
   private void addOneHolder(
       List<Member> entries,
       List<ServiceFacts.Zone> zones,
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/LargestRemainder.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/LargestRemainder.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** Divides a whole number of places in proportion to weights, by largest remainder. */
+/** Divides a whole number in proportion to weights by the largest remainder method. */
 final class LargestRemainder {
   private LargestRemainder() {}
 
-  /** Places for each weight; they add up to {@code places} unless all weights are 0. */
+  /** Returns a number for each weight; they add up to {@code count} unless all weights are 0. */
   static int[] apportion(List<Double> weights, int count) {
     double sum = 0;
     for (double weight : weights) {
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/LookUpTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/LookUpTable.java
@@ -10,15 +10,15 @@
 import org.sageladder.core.membership.ZoneSummary;
 
 /**
- * Answers look-ups from arrays made beforehand.
+ * Answers look-ups from precomputed arrays.
  *
  * <pre>{@code
  * LookUpTable table = LookUpTable.build(state, SteeringInputs.at(time.wallMillis()));
  * Route route = table.lookUp("kannelkoda", "search", 4711, random.nextLong());
  * }</pre>
  *
- * <p>Immutable; a look-up takes no lock and makes no object. A build that is given the table before
- * takes over what has not changed.
+ * <p>Immutable; a look-up takes no lock and allocates no object. A build that is given the previous
+ * table reuses its unchanged parts.
  */
 public final class LookUpTable {
   private final Map<String, CustomerTable> tablesByCustomer;
@@ -27,7 +27,7 @@
     this.tablesByCustomer = tablesByCustomer;
   }
 
-  /** Makes the table for all contracts in {@code state}. */
+  /** Builds the table for all contracts in {@code state}. */
   public static LookUpTable build(ClusterState state, SteeringInputs inputs) {
     Map<String, Map<String, List<ZoneSummary>>> summaries = byCustomerAndService(state);
     Map<String, CustomerTable> tablesByCustomer = new HashMap<>();
@@ -57,10 +57,10 @@
   }
 
   /**
-   * The route for a caller in {@code block}.
+   * Returns the route for a caller in {@code block}.
    *
    * @param random any 64 bits; equal bits give equal answers
-   * @return null where the contract, the service or the block is unknown or no entry VM can serve
+   * @return null if the contract, the service or the block is unknown or no entry VM can serve it
    */
   public @Nullable Route lookUp(String customer, String service, int block, long random) {
     ServiceTable table = table(customer, service);
@@ -68,10 +68,10 @@
   }
 
   /**
-   * Part of the callers of one region that is sent to one zone, 0 to 1.
+   * Returns the fraction of the callers of one region that is sent to one zone, 0 to 1.
    *
-   * @param region position of the region in the contract
-   * @param zone position of the zone among all zones of the contract
+   * @param region index of the region in the contract
+   * @param zone index of the zone among all zones of the contract
    */
   public double trafficFraction(String customer, String service, int region, int zone) {
     ServiceTable table = table(customer, service);
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/ReadingAge.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/ReadingAge.java
@@ -1,14 +1,14 @@
 package org.sageladder.core.steering;
 
-/** How far a zone's reading may be trusted, by its age. */
+/** Age class of a zone's reading, which determines how far it is trusted. */
 public enum ReadingAge {
-  /** Up to 8 s old: free use within its ceiling. */
+  /** Up to 8 s old: usable without restriction up to its ceiling. */
   FRESH,
-  /** Up to 30 s old: no more toward the zone than it was known to admit. */
+  /** Up to 30 s old: the zone gets no more than it was known to admit. */
   AGEING,
-  /** Up to 2 minutes old: its own region's callers only, within the last ceiling. */
+  /** Up to 2 minutes old: callers of its own region only, up to the last ceiling. */
   OLD,
-  /** Older or never heard: its own region's callers only, as the contract plans. */
+  /** Older or never received: callers of its own region only, up to the planned capacity. */
   ABSENT;
 
   private static final long FRESH_MILLIS = 8_000;
@@ -16,9 +16,9 @@
   private static final long OLD_MILLIS = 120_000;
 
   /**
-   * The age class of a reading.
+   * Returns the age class of a reading.
    *
-   * @param ageMillis now less the time it was taken; below 0 where the other clock is ahead
+   * @param ageMillis now minus the time it was taken; negative if the other clock is ahead
    */
   public static ReadingAge of(long ageMillis) {
     if (ageMillis <= FRESH_MILLIS) {
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/RegionIndex.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/RegionIndex.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.sageladder.core.contract.Contract;
 
-/** Which region each block of clients counts as: one byte a block. */
+/** The region of each block of clients, stored as one byte per block. */
 final class RegionIndex {
   private static final int MAX_BLOCKS = 1 << 24;
 
@@ -19,7 +19,9 @@
     this.regionOfBlock = regionOfBlock;
   }
 
-  /** The index of {@code contract}; the first range that names a block counts. */
+  /**
+   * Creates the index of {@code contract}. If several ranges contain a block, the first is used.
+   */
   static RegionIndex of(Contract contract) {
     int last = -1;
     for (Contract.ClientBlocks range : contract.clientBlocks()) {
@@ -43,7 +45,7 @@
     return ranges.equals(contract.clientBlocks()) && regions.equals(contract.regions());
   }
 
-  /** Position of the block's region in the contract, or -1. */
+  /** Returns the index of the block's region in the contract, or -1. */
   int of(int block) {
     return block >= 0 && block < regionOfBlock.length ? regionOfBlock[block] : -1;
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/ServiceFacts.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/ServiceFacts.java
@@ -10,7 +10,7 @@
 import org.sageladder.core.membership.ZoneSummary;
 import org.sageladder.core.membership.ZoneView;
 
-/** All that the routes of one service rest on, taken from the cluster state. */
+/** The part of the cluster state that the routes of one service depend on. */
 record ServiceFacts(Contract contract, Contract.Service service, List<Zone> zones) {
 
   /** A zone with the entry VMs that hold targets of the service there. */
@@ -45,7 +45,9 @@
   }
 
   /**
-   * @param summaries those of this service
+   * Extracts the facts of one service.
+   *
+   * @param summaries the summaries of this service
    */
   static ServiceFacts of(
       Contract contract,
@@ -95,7 +97,10 @@
     return slots;
   }
 
-  /** Several summaries of one zone are parts of it and add up; the oldest gives the age. */
+  /**
+   * Combines the summaries of a zone. Each covers a part of the zone, so that their rates add up;
+   * the oldest determines the age.
+   */
   private static ZoneReading reading(
       String zone, String region, double capacity, List<ZoneSummary> summaries, long nowMillis) {
     double ceiling = 0;
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/ServiceTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/ServiceTable.java
@@ -10,12 +10,18 @@
 
 /** The routes of one service: for the callers of each region, an array that a look-up indexes. */
 final class ServiceTable {
-  /** Fewest answers in an array, so a zone's part is a whole number of 64ths or less. */
+  /**
+   * Minimum number of answers in an array, so that the resolution of a zone's fraction is 1/64 or
+   * finer.
+   */
   static final int MIN_ANSWERS = 64;
 
   private static final int MAX_ANSWERS = 1024;
 
-  /** Answers for each gate, so that gates of equal slots get equal parts to about a quarter. */
+  /**
+   * Minimum number of answers for each gate, so that gates with equal slots get equal traffic to
+   * within about a quarter.
+   */
   private static final int ANSWERS_PER_HOLDER = 4;
 
   private static final int MAX_ENTRIES = 4;
@@ -33,7 +39,7 @@
     this.answers = answers;
   }
 
-  /** Makes the table, or returns {@code previous} where nothing that it rests on has changed. */
+  /** Builds the table, or returns {@code previous} if nothing that it depends on has changed. */
   static ServiceTable build(
       ServiceFacts facts, RegionIndex regionIndex, int ttlMillis, @Nullable ServiceTable previous) {
     double[][] desired = desiredFractions(facts, previous);
@@ -84,7 +90,7 @@
     return choices.length == 0 ? null : choices[(int) random & (choices.length - 1)];
   }
 
-  /** Part of the callers of {@code region} that is sent to {@code zone}, both by index. */
+  /** Returns the fraction of the callers of {@code region} sent to {@code zone}, both by index. */
   double trafficFraction(int region, int zone) {
     return fractions[region][zone];
   }
@@ -123,8 +129,8 @@
   }
 
   /**
-   * A power of two, larger where many gates hold the service: with fewer answers than gates some
-   * would never be named, whatever their part.
+   * Returns the number of answers: a power of two, larger if many gates hold the service. With
+   * fewer answers than gates, some gates would never be returned, whatever their fraction.
    */
   private static int answerCount(int holders) {
     if (holders == 0) {
@@ -137,7 +143,10 @@
     return length;
   }
 
-  /** True where so many callers of {@code home} are sent abroad that an answer shows it. */
+  /**
+   * Returns true if so many callers of {@code callerRegion} are sent to other regions that it is
+   * visible in the answers.
+   */
   private static boolean isOverflowing(
       Contract.Region callerRegion, ServiceFacts facts, double[] fractions) {
     double remoteFraction = 0;
@@ -153,7 +162,10 @@
     String zone = entries.get(0).zone();
     boolean isLocal = callerRegion.zones().contains(zone);
     String reason =
-        (isLocal ? "in the caller's region, zone " : "home is full, headroom in zone ") + zone;
+        (isLocal
+                ? "in the caller's region, zone "
+                : "the caller's region is full, headroom in zone ")
+            + zone;
     return new Route(entries, facts.contract().revision(), ttlMillis, reason);
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/Waterfall.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/Waterfall.java
@@ -5,16 +5,17 @@
 import org.sageladder.core.contract.Contract;
 
 /**
- * Divides each region's demand for one service over the zones: at home first, the rest over the
- * other regions by what they have left, within the limits of the links.
+ * Divides each region's demand for one service over the zones: first over the region's own zones,
+ * the rest over other regions in proportion to their headroom, within the link limits.
  *
  * <pre>{@code
- * double[][] parts = Waterfall.divide(contract, readings);
- * double toZone = parts[homeRegionIndex][zoneIndex]; // parts of one region add up to 1
+ * double[][] fractions = Waterfall.divide(contract, readings);
+ * double toZone = fractions[callerRegionIndex][zoneIndex]; // fractions of one region add up to 1
  * }</pre>
  *
- * <p>A pure function of its arguments: entry VMs with the same readings come to the same parts, and
- * because it goes by demand and not by idle slots, they do not all run after the same idle zone.
+ * <p>A pure function of its arguments: entry VMs with the same readings compute the same fractions.
+ * Because these depend on demand and not on idle slots, the VMs do not all send to the same idle
+ * zone.
  */
 public final class Waterfall {
   private static final double MIN_DEMAND_PER_SECOND = 1e-6;
@@ -41,8 +42,9 @@
   }
 
   /**
-   * Parts by region of the caller (in the contract's order) and by zone (in the order of {@code
-   * zones}); each region's add up to 1, or are all 0 where no zone can carry anything.
+   * Returns the fractions by region of the caller (in the contract's order) and by zone (in the
+   * order of {@code zones}). The fractions of a region add up to 1, or are all 0 if no zone has
+   * capacity.
    */
   public static double[][] divide(Contract contract, List<ZoneReading> zones) {
     double[] demand = new double[contract.regions().size()];
@@ -55,7 +57,7 @@
     return divide(contract, zones, demand);
   }
 
-  /** As above, with the demand of each region's callers given. */
+  /** Like {@link #divide(Contract, List)}, with the demand of each region's callers given. */
   static double[][] divide(Contract contract, List<ZoneReading> zones, double[] demand) {
     Waterfall waterfall = new Waterfall(contract, zones, demand);
     int regions = contract.regions().size();
@@ -70,7 +72,10 @@
     return waterfall.toFractions();
   }
 
-  /** Serves the region's own callers at home as far as it can; answers what is left of them. */
+  /**
+   * Assigns the region's own callers to its zones as far as these have capacity; returns the rest
+   * of the demand.
+   */
   private double assignLocal(int region) {
     List<Integer> localZones = zonesOf(region);
     double localPerSecond = Math.min(demand[region], totalRemaining(localZones));
@@ -79,10 +84,11 @@
   }
 
   /**
-   * Sends what regions cannot serve to the others, by the headroom that these have left.
+   * Sends the demand that exceeds a region's capacity to the other regions, in proportion to their
+   * headroom.
    *
-   * <p>All regions pour together, each in proportion to its excess, so that the order of the
-   * contract's regions favours none.
+   * <p>All regions are served at once, each in proportion to its excess, so that the order of the
+   * contract's regions favors none.
    */
   private double[] spill(double[] excess) {
     double total = 0;
@@ -142,7 +148,10 @@
     return Double.MAX_VALUE;
   }
 
-  /** What nobody can carry stays at home, where it waits or is refused; abroad only if it must. */
+  /**
+   * Assigns demand that no zone has capacity for. It stays in its own region, where it is queued or
+   * refused, unless that region has no capacity at all.
+   */
   private void assignUnserved(int region, double unservedPerSecond) {
     if (unservedPerSecond <= 0) {
       return;
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/ZoneReading.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/ZoneReading.java
@@ -1,12 +1,12 @@
 package org.sageladder.core.steering;
 
 /**
- * What steering knows of one zone and one service; all rates in requests a second.
+ * The latest reading of one zone and one service; all rates in requests per second.
  *
- * @param capacityPerSecond what the zone's usable slots carry by the latest view
- * @param ceilingPerSecond most that the zone would admit when the reading was taken
- * @param admittedPerSecond what it admitted of late
- * @param demandPerSecond what was asked of its gates, admitted or not
+ * @param capacityPerSecond what the zone's usable slots can serve by the latest view
+ * @param ceilingPerSecond maximum that the zone would admit when the reading was taken
+ * @param admittedPerSecond what it admitted recently
+ * @param demandPerSecond demand received by its gates, admitted or not
  */
 public record ZoneReading(
     String zone,
@@ -18,14 +18,14 @@
     double demandPerSecond) {
 
   /**
-   * Part of a zone's capacity that steering fills before it spills.
+   * Fraction of a zone's capacity that steering fills before it uses other regions.
    *
-   * <p>Requests come unevenly: a zone filled to the brim refuses what a neighbour could carry. A
-   * ceiling below the capacity is filled whole, since it climbs only where it is used.
+   * <p>Arrivals are uneven: a zone filled to its capacity refuses requests that a neighbor could
+   * serve. A ceiling below the capacity is filled completely, since it rises only while it is used.
    */
   private static final double FILL_FRACTION = 0.9;
 
-  /** Most that steering reckons the zone to carry, of all callers. */
+  /** Returns the maximum rate that steering assigns to the zone, from all callers. */
   double usablePerSecond() {
     return switch (age) {
       case FRESH, OLD -> Math.min(FILL_FRACTION * capacityPerSecond, ceilingPerSecond);
@@ -36,12 +36,12 @@
     };
   }
 
-  /** What the zone could take besides what it admits. */
+  /** Returns the rate that the zone could admit in addition to its current one. */
   double headroomPerSecond() {
     return usablePerSecond() - admittedPerSecond;
   }
 
-  /** True where callers of other regions may be sent here. */
+  /** Returns true if callers of other regions may be sent to this zone. */
   boolean acceptsRemoteCallers() {
     return age == ReadingAge.FRESH || age == ReadingAge.AGEING;
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/package-info.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/package-info.java
@@ -1,4 +1,4 @@
-/** Decisions on which zone and entry VM serve a caller. */
+/** Decides which zone and entry VM serve a caller. */
 @NullMarked
 package org.sageladder.core.steering;
 
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/ColdTargetLimiterTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/ColdTargetLimiterTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.placing.ColdTargetLimiter.EntryVmLocation;
 
-/** What cold targets get from all entry VMs together. */
+/** Tests the limit on requests from all entry VMs together to cold targets. */
 class ColdTargetLimiterTest {
   private static final double COLD_REQUESTS_PER_SECOND = 3.1;
   private static final int MAX_REQUESTS_PER_SECOND = (int) (COLD_REQUESTS_PER_SECOND * 1.5 + 5);
@@ -22,9 +22,9 @@
   }
 
   /**
-   * Twelve entry VMs that each send what a cold target bears crash it, and its successor. Each
-   * sends as fast as it may for two seconds; no second may see more than the bound from all of them
-   * together.
+   * Guards against twelve entry VMs that each send as much as a cold target can handle and so crash
+   * it and its replacement. Each VM sends at its maximum rate for two seconds; no second may have
+   * more than the limit from all of them together.
    */
   @Test
   void combinedRequestsOfAllEntryVmsStayWithinLimit() {
@@ -58,8 +58,8 @@
   }
 
   /**
-   * An entry VM that has just started knows no other; until it does it sends nothing to cold
-   * targets.
+   * An entry VM that has just started has no list of the others yet; until then it sends nothing to
+   * cold targets.
    */
   @Test
   void permitsNothingBeforeFirstEntryVmList() {
@@ -69,9 +69,9 @@
   }
 
   /**
-   * The store falls silent, and all registrations lapse with it; when it is back, a zone's targets
-   * are cold. Each of twelve entry VMs sees only itself for most of a second, and each sent what
-   * the target bears from all of them: it got 14 requests in a second.
+   * During a store outage all registrations expire; when the store is back, a zone's targets are
+   * cold. Each of twelve entry VMs saw only itself for most of a second and used the whole limit: a
+   * target got 14 requests in a second.
    */
   @Test
   void vmThatSeesOnlyItselfAfterRegistrationsExpireKeepsItsShare() {
@@ -87,10 +87,10 @@
         sent++;
       }
     }
-    assertTrue(sent <= MAX_REQUESTS_PER_SECOND, "all together sent " + sent);
+    assertTrue(sent <= MAX_REQUESTS_PER_SECOND, "all VMs together sent " + sent);
   }
 
-  /** A VM that has been gone for a minute does not keep its part for ever. */
+  /** The share of a VM that has been missing for a minute goes to the others. */
   @Test
   void shareOfMissingVmIsReassignedAfterGracePeriod() {
     List<EntryVmLocation> entries = entryVms(2);
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/CrossRegionCostFactorTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/CrossRegionCostFactorTest.java
@@ -10,7 +10,10 @@
 import org.sageladder.core.placing.PlacementDecision.Send;
 import org.sageladder.core.routing.RouteRule;
 
-/** Guards against all objects of a route changing region as a learnt run time passes a price. */
+/**
+ * Guards against all objects of a route changing region at once when a learned run time passes the
+ * cost of another region.
+ */
 class CrossRegionCostFactorTest {
   private static final int OBJECT_COUNT = 2_000;
   private static final int ANSWER_COUNT = 60;
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/NewRouteTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/NewRouteTest.java
@@ -15,18 +15,18 @@
 import org.sageladder.core.routing.ServiceShare;
 
 /**
- * Callers of a route that was added in a busy hour got 503 at once, for as long as the hour lasted,
- * while those of the first routes were answered by the same targets.
+ * Guards against 503 answers to all callers of a route that was added under high load, while
+ * callers of existing routes were served by the same targets.
  *
- * <p>Order: targets are crowded; the operator adds a route whose goal is far above what its runs
- * take; a request on it is judged. The wait for a slot was worked out from the guessed run of the
- * request that asks, as if its like stood in the queue: longer than the time left, so it was not
- * sent, so its run was never measured.
+ * <p>Targets have queues, and an operator adds a route whose latency goal is far above its run
+ * time. The expected wait for a slot was computed from the default run time of the requesting
+ * route, as if requests of that route filled the queue. It exceeded the remaining time, so that the
+ * request was not sent and its run time was never measured.
  */
 class NewRouteTest {
   private static final List<String> TARGETS = List.of("n-1", "n-2", "s-1", "s-2");
 
-  /** The queues of the test are about this long for requests of the first route. */
+  /** In-flight requests per target. They give a queue in which the first route can still wait. */
   private static final int IN_FLIGHT = 7;
 
   private static final long FIRST_RUN_MILLIS = 250;
@@ -35,7 +35,7 @@
 
   private final PlacementFixture fixture = new PlacementFixture().withFourTargets();
 
-  /** Goal of 1,000 ms: without a run of it, its run is taken to be 1,500 ms. */
+  /** Latency goal of 1,000 ms: without a measured run, its run time is estimated as 1,500 ms. */
   private static RouteRule addedRoute() {
     RouteRule first = PlacementFixture.route(Set.of());
     return new RouteRule(
@@ -93,7 +93,10 @@
     }
   }
 
-  /** Where a request of the first route waits for 420 ms, one of the added route does so too. */
+  /**
+   * Where a request of the first route is expected to wait for 420 ms, so is one of the added
+   * route.
+   */
   @Test
   void estimatesSameWaitAsOtherRouteInSameQueue() {
     fillQueues();
@@ -109,8 +112,9 @@
   }
 
   /**
-   * Runs were measured only where nothing waited at the target: in a queue that never empties
-   * nothing is learnt of a new route, though an answer shows that its run was no longer than that.
+   * Run times were measured only from answers of targets without a queue. Behind a queue that never
+   * drains nothing was learned of a new route, although an answer gives an upper bound for its run
+   * time.
    */
   @Test
   void learnsRunTimeWhileQueueNeverDrains() {
@@ -126,8 +130,8 @@
   }
 
   /**
-   * An entry VM starts anew in the middle of the rush. It has measured nothing, so that any wait is
-   * a guess; targets that are really full refuse by themselves.
+   * An entry VM is restarted under high load. It has no measurements, so that any expected wait is
+   * a default estimate; targets that are really full refuse requests themselves.
    */
   @Test
   void vmWithoutMeasurementsDoesNotRefuse() {
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementFixture.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementFixture.java
@@ -29,7 +29,7 @@
     this(region, 1);
   }
 
-  /** The same, where {@code mostShift} of its requests may change region within a span. */
+  /** The same, where {@code maxShiftFraction} of its requests may change region within a span. */
   PlacementFixture(String region, double maxShiftFraction) {
     roundTripTimes = RoundTripTimes.from("n1", region);
     RegionShiftLimiter shiftLimiter = RegionShiftLimiter.of(maxShiftFraction);
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementTest.java
@@ -13,13 +13,13 @@
 import org.sageladder.core.placing.PlacementDecision.Refuse;
 import org.sageladder.core.placing.PlacementDecision.Send;
 
-/** Where a request goes. */
+/** Tests the choice of a target. */
 class PlacementTest {
   private final PlacementFixture fixture = new PlacementFixture().withFourTargets();
 
   /**
-   * Searchers of one song wait three times as long as they need where each of their requests meets
-   * a target that does not know it: two entry VMs that never talk must choose the same target.
+   * Two entry VMs must choose the same target for an object without communication. Otherwise
+   * requests for it reach targets that are cold for it and take three times as long.
    */
   @Test
   void twoEntryVmsChooseTheSameTargetForAnObject() {
@@ -38,8 +38,8 @@
   }
 
   /**
-   * A lot that everybody looks at fills its target's slots; the next request must not queue behind
-   * them while the other region's target, which knows the lot from its own callers, has slots free.
+   * A popular object fills its target's slots. The next request must not queue there while a target
+   * of another region, which is warm for the object, has free slots.
    */
   @Test
   void choosesAnotherTargetOnceSlotsAreFull() {
@@ -47,14 +47,12 @@
     fixture.roundTripTimes.recordConnect("s2", 20);
     for (int i = 0; i < 6; i++) {
       Send send = fixture.send(7);
-      assertTrue(send.target().load(fixture.now) < 3, "queues behind " + send.target().facts());
+      assertTrue(send.target().load(fixture.now) < 3, "queued at " + send.target().facts());
       fixture.placement.recordSent(send, fixture.now);
     }
   }
 
-  /**
-   * A contract that binds a customer's requests to a region holds also while that region is full.
-   */
+  /** The regions that a route allows are binding even while they are full. */
   @Test
   void neverLeavesTheAllowedRegions() {
     for (int i = 0; i < 40; i++) {
@@ -67,7 +65,7 @@
     assertInstanceOf(Refuse.class, fixture.place(1, Set.of(), Set.of("west")));
   }
 
-  /** A target that says it leaves, and a zone that operators empty, get nothing from then on. */
+  /** A draining target and an evacuated zone get no further requests. */
   @Test
   void drainingTargetsAndEvacuatedZonesGetNoRequests() {
     Send first = fixture.send(7);
@@ -80,9 +78,10 @@
   }
 
   /**
-   * An operator adds a route; its requests take 5 ms and have little time. Nothing is known of its
-   * runs, and the guess is one and a half goals: refused for a wait and a run that together seem
-   * too long, it is never served, and nothing is ever learnt. 31 of 32 were refused so.
+   * An operator adds a route; its requests take 5 ms and have little time. There is no measured
+   * run, and the default estimate is one and a half latency goals. If requests were refused because
+   * expected wait and estimated run exceed their time, the route would never be served and its run
+   * time never measured: 31 of 32 requests were refused this way.
    */
   @Test
   void guessedRunTimeDoesNotCauseRefusal() {
@@ -104,7 +103,7 @@
             && send.expectedWaitMillis() + send.expectedRunMillis() > remainingMillis);
   }
 
-  /** A caller whose request cannot begin before its time is up is told so at once. */
+  /** A request that cannot start before its deadline is refused at once. */
   @Test
   void refusesRequestThatCannotStartBeforeDeadline() {
     PlacementRequest request =
@@ -124,14 +123,13 @@
     Refuse refuse = (Refuse) decision;
     assertEquals(Reason.TOO_LATE, refuse.reason());
     assertTrue(sent > 12, "12 slots, but only " + sent + " were sent");
-    assertTrue(
-        refuse.retryAfterMillis() > 1_000, "told to come back after " + refuse.retryAfterMillis());
+    assertTrue(refuse.retryAfterMillis() > 1_000, "retry after " + refuse.retryAfterMillis());
   }
 
   /**
-   * Tartu's few targets were crowded by 22 entry VMs while Pärnu's had slots free: each VM heard of
-   * a target's load every few seconds and took it for idle in between. The mean of what it heard
-   * counts.
+   * Targets of one region were overloaded by 22 entry VMs while another region had free slots: each
+   * VM received a target's load report every few seconds and assumed that it was idle in between.
+   * The mean of the reports must count.
    */
   @Test
   void targetWithRepeatedFullReportsIsNotAssumedIdle() {
@@ -143,7 +141,7 @@
     assertTrue(target.load(fixture.now + 3_000) > 6, "load " + target.load(fixture.now + 3_000));
   }
 
-  /** A target that was not reached is left alone while there are others. */
+  /** An unreachable target is avoided while there are others. */
   @Test
   void avoidsUnreachableTarget() {
     Send first = fixture.send(7);
@@ -153,7 +151,7 @@
     assertEquals(first.target().facts().id(), fixture.send(7).target().facts().id());
   }
 
-  /** Requests that were tried everywhere are not sent a second time to the same target. */
+  /** A request is not sent to the same target twice. */
   @Test
   void neverChoosesTriedTarget() {
     Set<String> tried = new HashSet<>(Set.of("n-1", "n-2", "s-1", "s-2"));
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementUnderLoadTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementUnderLoadTest.java
@@ -16,19 +16,22 @@
 import org.sageladder.core.placing.PlacementDecision.Send;
 import org.sageladder.core.placing.TargetModel.Outcome;
 
-/** What callers get from placing, on the model of targets, beside policies that know less. */
+/** Compares placement with simpler policies in a simulation of targets. */
 class PlacementUnderLoadTest {
-  /** Load that targets can bear only if most runs are of objects they know: 80/s for 36 slots. */
+  /** Load that the 36 slots can serve only if most runs are on warm targets. */
   private static final int HEAVY_REQUESTS_PER_SECOND = 80;
 
   private static final int SECONDS = 30;
 
-  /** Draws of arrivals over which policies are compared that differ by few requests in a draw. */
+  /**
+   * Number of simulations with different arrivals, for policies whose results differ by few
+   * requests.
+   */
   private static final int DRAWS = 10;
 
   private static final long SHORT_TIMEOUT_MILLIS = 1_000;
 
-  /** The product's decisions, one set of tables for each entry VM. */
+  /** The placement under test, with separate tables for each entry VM. */
   private static class PlacementPolicy implements TargetModel.Policy {
     private final long timeoutMillis;
     private final List<PlacementFixture> vms = new ArrayList<>();
@@ -59,7 +62,7 @@
           PlacementFixture.route(Set.of()), "search", object, timeoutMillis);
     }
 
-    /** The target for what was refused, or null. */
+    /** Returns the target for a request that placement refuses, or null to refuse it. */
     @Nullable Send overrideRefusal(PlacementDecision.Refuse refusal) {
       return null;
     }
@@ -105,7 +108,7 @@
     }
   }
 
-  /** The same, but that it refuses by the wait alone, whatever the run behind it takes. */
+  /** The same, but requests are refused by the expected wait alone, whatever the run time. */
   private static final class RefusalByWaitPolicy extends PlacementPolicy {
     RefusalByWaitPolicy(long timeoutMillis) {
       super(timeoutMillis);
@@ -120,7 +123,10 @@
     }
   }
 
-  /** Least of own requests and reported load, near ones first among equals. */
+  /**
+   * Chooses the target with the lowest sum of own requests and reported load. A target of another
+   * region counts half a request more.
+   */
   private static final class LeastLoadedPolicy implements TargetModel.Policy {
     private final List<TargetTable> vms = new ArrayList<>();
 
@@ -162,7 +168,7 @@
     }
   }
 
-  /** Any target. */
+  /** Chooses a random target. */
   private static final class RandomPolicy implements TargetModel.Policy {
     private final Random random = new Random(99);
     private final List<TargetFacts> all = TargetModel.facts();
@@ -183,9 +189,9 @@
   }
 
   /**
-   * An auction closes and everybody looks at six dozen lots. Spread over all targets, each lot is
-   * unknown nearly everywhere for the first seconds, slots are held three times as long, queues
-   * grow. By object most runs are of lots that their target knows.
+   * Under a load peak six dozen objects are requested. Spread over all targets, each object meets
+   * cold targets nearly everywhere for the first seconds, slots are held three times as long, and
+   * queues grow. Placed by object, most runs are on warm targets.
    */
   @Test
   void answersMoreWithinGoalThanLeastLoadedOrRandom() {
@@ -194,16 +200,18 @@
     Outcome leastLoaded =
         TargetModel.simulate(new LeastLoadedPolicy(), HEAVY_REQUESTS_PER_SECOND, SECONDS);
     Outcome random = TargetModel.simulate(new RandomPolicy(), HEAVY_REQUESTS_PER_SECOND, SECONDS);
-    String figures = "ours " + placement + ", least used " + leastLoaded + ", any " + random;
+    String figures =
+        "placement " + placement + ", least loaded " + leastLoaded + ", random " + random;
     assertTrue(placement.inGoalFraction() >= leastLoaded.inGoalFraction() + 0.1, figures);
     assertTrue(placement.inGoalFraction() >= random.inGoalFraction() + 0.1, figures);
     assertTrue(placement.answeredFraction() >= 0.99, figures);
   }
 
   /**
-   * More is asked for than the slots bear, and requests are cut off after a second. Callers waited
-   * for most of it only to be cut off, some of them while they ran, so that slots had worked for
-   * nothing. Refused by wait and run together more of them know it at once, and more are answered.
+   * The demand exceeds the capacity, and requests time out after a second. Callers waited for most
+   * of that time only to time out, some of them during the run, so that slots did useless work. If
+   * requests are refused by expected wait and run time together, more callers get an early refusal
+   * and more requests are answered.
    */
   @Test
   void fewerTimeoutsAndMoreAnswersThanRefusalByWaitAlone() {
@@ -222,13 +230,14 @@
               SECONDS,
               SHORT_TIMEOUT_MILLIS,
               DRAWS);
-      String figures = perSecond + "/s: ours " + placement + ", by the wait alone " + byWaitAlone;
+      String figures =
+          perSecond + "/s: placement " + placement + ", by the wait alone " + byWaitAlone;
       assertTrue(placement.timedOutFraction() < byWaitAlone.timedOutFraction(), figures);
       assertTrue(placement.answeredFraction() > byWaitAlone.answeredFraction(), figures);
     }
   }
 
-  /** At a load that targets bear in any case nobody is refused for the sake of order. */
+  /** At a load that targets can handle with any policy, no request is refused. */
   @Test
   void refusesNothingAtLowLoad() {
     Outcome placement = TargetModel.simulate(new PlacementPolicy(), 20, SECONDS);
@@ -236,6 +245,6 @@
     assertTrue(placement.answeredFraction() == 1, "answered " + placement);
     assertTrue(
         placement.inGoalFraction() >= leastLoaded.inGoalFraction() + 0.1,
-        placement + ", least used " + leastLoaded);
+        placement + ", least loaded " + leastLoaded);
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/RegionLoadTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/RegionLoadTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What an entry VM believes of the load of targets that it has not heard of lately. */
+/** Tests the estimated load of targets without a recent report. */
 class RegionLoadTest {
   private final PlacementFixture fixture = new PlacementFixture().withFourTargets();
 
@@ -15,9 +15,9 @@
   }
 
   /**
-   * Sixty VMs share forty targets and a day begins: none has heard of any load, each believes all
-   * targets idle, and all send to the near ones. A quarter of the bookings are shed there after a
-   * second in a queue.
+   * Guards against overload of near targets at the start of a day. With sixty VMs and forty
+   * targets, no VM has a load report yet. Each assumed that all targets are idle and sent to the
+   * near ones, where a quarter of the requests were shed after a second in a queue.
    */
   @Test
   void beforeFirstReportPeersAreAssumedToSendTheSameLoad() {
@@ -30,8 +30,8 @@
   }
 
   /**
-   * A target told 12 requests, once, ten seconds ago. As a tenth of a mean that began at nothing it
-   * would count as 1.2 of them; weighed against what was guessed before it counts as half.
+   * A target reported 12 requests once, ten seconds ago. Averaged over a window of ten that started
+   * at zero it would count as 1.2; weighed against the prior estimate it counts as half.
    */
   @Test
   void firstReportWeighsAsMuchAsPriorEstimate() {
@@ -39,7 +39,7 @@
     assertEquals(6, target("n-1").load(10_000), 0.1);
   }
 
-  /** What one target of a region tells stands in for those that have told nothing. */
+  /** Reports of one target are used for targets of the same region that have not reported. */
   @Test
   void targetWithoutReportIsAssumedToMatchItsRegion() {
     for (int i = 0; i < 20; i++) {
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/RegionObjectShareTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/RegionObjectShareTest.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Which objects a region keeps. */
+/** Tests which objects a region retains. */
 class RegionObjectShareTest {
   private static final int OBJECT_COUNT = 10_000;
   private static final double THIRD = 1.0 / 3;
@@ -28,7 +28,7 @@
     return retained;
   }
 
-  /** Guards against a region whose few targets have queues while those of others stand idle. */
+  /** Guards against queues at the few targets of a region while those of other regions are idle. */
   @Test
   void regionWithFewSlotsRetainsOnlyWhatItsSlotsCanServe() {
     RegionObjectShare share = share(THIRD);
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/RegionShiftLimiterTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/RegionShiftLimiterTest.java
@@ -11,13 +11,13 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** How fast the requests of a region may move to others, over all entry VMs. */
+/** Tests how fast requests of a region move to other regions, over all entry VMs. */
 class RegionShiftLimiterTest {
   private static final double MAX_SHIFT_FRACTION = 0.15;
   private static final long SPAN_MILLIS = 2_000;
   private static final int SPAN_COUNT = 20;
 
-  /** One of many VMs: what it would like and what its bound makes of that. */
+  /** One of many VMs, with its limiter. */
   private static final class Vm {
     final RegionShiftLimiter limiter;
     final double requestsPerSecond;
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Requests that all VMs together sent to each region, by span. */
+  /** Returns the requests that all VMs together sent to each region, by span. */
   private static List<Map<String, Integer>> simulate(
       double maxShiftFraction, int vmCount, double requestsPerSecond) {
     Random random = new Random(11);
@@ -51,7 +51,7 @@
       while (vm.nextAtMillis < SPAN_COUNT * SPAN_MILLIS) {
         vm.nextAtMillis += -Math.log(1 - random.nextDouble()) * 1_000 / vm.requestsPerSecond;
         int span = (int) (vm.nextAtMillis / SPAN_MILLIS);
-        // All VMs find within the same moment that their own region is full.
+        // All VMs detect at the same moment that their own region is full.
         double south = vm.nextAtMillis < 3 * SPAN_MILLIS ? 0.2 : 0.85;
         String wantedRegion = random.nextDouble() < south ? "south" : "north";
         String actualRegion = vm.send(wantedRegion, (long) vm.nextAtMillis);
@@ -78,9 +78,10 @@
   }
 
   /**
-   * Cairo's targets fill up a second after the day has begun, and all of its VMs send abroad at
-   * once: a third of its requests change region within two seconds. With the bound in each VM the
-   * sum keeps it, whatever the number of VMs and however few requests each has.
+   * The targets of one region fill up a second after the day has begun, and all of its VMs send to
+   * other regions at once: a third of its requests change region within two seconds. With the limit
+   * in each VM the sum must stay within it, whatever the number of VMs and however few requests
+   * each has.
    */
   @Test
   void combinedShiftOfManyVmsStaysWithinLimit() {
@@ -92,13 +93,13 @@
     }
   }
 
-  /** The bound slows a shift; it does not forbid it. */
+  /** The limit slows a shift; it does not prevent it. */
   @Test
   void limitedShiftEventuallyCompletes() {
     assertTrue(southShare(simulate(MAX_SHIFT_FRACTION, 20, 8).get(SPAN_COUNT - 1)) > 0.75);
   }
 
-  /** The first span is free: nothing moves where nothing ran before. */
+  /** The first span is not limited: nothing can move before anything has run. */
   @Test
   void firstSpanIsNotLimited() {
     RegionShiftLimiter limiter = RegionShiftLimiter.of(MAX_SHIFT_FRACTION);
@@ -108,7 +109,7 @@
     }
   }
 
-  /** A zone is emptied: what it ran must go elsewhere at once. */
+  /** When a zone is evacuated, its requests must go to other regions at once. */
   @Test
   void limitIsSuspendedAfterCapacityChange() {
     RegionShiftLimiter limiter = RegionShiftLimiter.of(MAX_SHIFT_FRACTION);
@@ -123,7 +124,10 @@
     assertFalse(limiter.permitsShift(9_000));
   }
 
-  /** Once a few have moved, the next request stays in its region though others have more room. */
+  /**
+   * Once a few requests have moved, the next stays in its region although other regions have more
+   * free slots.
+   */
   @Test
   void requestStaysInRegionOnceShiftLimitIsReached() {
     assertEquals("south", regionOfNextRequestOnceNearTargetsAreFull(1));
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/RunTimesTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/RunTimesTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.routing.RouteRule;
 
-/** What is known of the runs of routes. */
+/** Tests the estimates of run times. */
 class RunTimesTest {
   private final RunTimes runTimes = RunTimes.create(() -> 0);
   private final RouteRule route = PlacementFixture.route(Set.of());
 
-  /** A route that is removed and added again years later starts with nothing known. */
+  /** A route that is removed and added again years later starts without measurements. */
   @Test
   void removedRouteIsDiscarded() {
     runTimes.recordRun("search", route, true, 150, 0);
@@ -22,7 +22,10 @@
     assertEquals(0, runTimes.measuredRunCount("search", route, true));
   }
 
-  /** In a queue that never empties no run is met with a free slot, yet its time can be told. */
+  /**
+   * Behind a queue that never drains no run meets a free slot; its time must be measured all the
+   * same.
+   */
   @Test
   void queuedRunsAreMeasured() {
     assertEquals(OptionalDouble.empty(), runTimes.estimateFromMeasured("search", route, true, 2));
@@ -34,7 +37,7 @@
     assertEquals(OptionalDouble.of(200), runTimes.estimateFromMeasured("search", route, true, 2));
   }
 
-  /** Guards against all entry VMs leaving their common guess within the same second. */
+  /** Guards against all entry VMs leaving their common default estimate within the same second. */
   @Test
   void estimateChangesNoFasterThanSettleTime() {
     RunTimes settling = RunTimes.create(() -> 10_000);
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/ServiceRetryBudgetTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/ServiceRetryBudgetTest.java
@@ -5,11 +5,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Second sends, over all entry VMs. */
+/** Tests the limit on retries from all entry VMs together. */
 class ServiceRetryBudgetTest {
   /**
-   * A service that refuses half of what arrives would get its refusals back from every entry VM at
-   * once. Each keeps its part: the ratio's of its own requests, the extra's by the number of VMs.
+   * Guards against all entry VMs retrying at once when a service refuses half of its requests. Each
+   * VM stays within its share: the ratio of its own requests, and the extra retries divided by the
+   * number of VMs.
    */
   @Test
   void entryVmUsesOnlyItsShareOfTheBudget() {
@@ -22,12 +23,12 @@
     while (budget.tryAcquire("s", 200)) {
       retries++;
     }
-    assertTrue(retries > 10 && retries <= 0.2 * 100 + 64.0 / 12, "took " + retries);
+    assertTrue(retries > 10 && retries <= 0.2 * 100 + 64.0 / 12, "retries: " + retries);
     assertEquals(false, budget.tryAcquire("s", 5_000));
-    assertTrue(budget.tryAcquire("s", 10_201), "the window is over");
+    assertTrue(budget.tryAcquire("s", 10_201), "the window has passed");
   }
 
-  /** A VM that leaves has spent its part already: the others do not inherit it. */
+  /** A VM that leaves may have used its share already: the others do not take it over. */
   @Test
   void shareDoesNotGrowWhenVmsLeave() {
     ServiceRetryBudget budget = ServiceRetryBudget.of(0, 48, 10_000);
@@ -37,6 +38,6 @@
     while (budget.tryAcquire("s", 0)) {
       retries++;
     }
-    assertTrue(retries <= 4, "took " + retries);
+    assertTrue(retries <= 4, "retries: " + retries);
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/StaleEstimatesTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/StaleEstimatesTest.java
@@ -12,7 +12,7 @@
 import org.sageladder.core.routing.RouteRule;
 import org.sageladder.core.routing.ServiceShare;
 
-/** What was guessed, or held once, gives way to what is measured now. */
+/** Tests that default and outdated estimates are replaced by newer measurements. */
 class StaleEstimatesTest {
   private static final LoadReport IDLE = new LoadReport(0, 0, 3);
   private static final LoadReport FULL = new LoadReport(3, 9, 3);
@@ -62,9 +62,9 @@
   }
 
   /**
-   * Bids have a second; after a rush each entry VM remembers the queues that it was told of last.
-   * Nothing is sent, so nothing newer is ever told: the service stands idle and everybody is
-   * refused for good.
+   * Guards against permanent refusal after a load peak. Requests with a timeout of a second were
+   * refused by the queue lengths reported last. Nothing was sent, so no newer report was received,
+   * and the idle service refused every request.
    */
   @Test
   void targetWithStaleFullReportIsTriedAgain() {
@@ -75,8 +75,9 @@
   }
 
   /**
-   * An operator adds a route with a goal of 1,000 ms whose runs take 5 ms. By the guess of 1,500 ms
-   * each target that ran it seemed twice as fast as it was, and drew the requests of all routes.
+   * An operator adds a route with a latency goal of 1,000 ms and runs of 5 ms. Compared with the
+   * default estimate of 1,500 ms, each target that ran it seemed twice as fast as it was and
+   * attracted the requests of all routes.
    */
   @Test
   void overestimatedRunTimeDoesNotMakeTargetSeemFast() {
@@ -86,7 +87,10 @@
     assertEquals(before, target("n-1").slowness(), 0.1);
   }
 
-  /** The same where the guess is too short: requests of all routes left targets that were well. */
+  /**
+   * The opposite case: with a default estimate that is too short, requests of all routes avoided
+   * healthy targets.
+   */
   @Test
   void underestimatedRunTimeDoesNotMakeTargetSeemSlow() {
     completeRequests(route("first", "search", 400), 100, 250, IDLE);
@@ -96,9 +100,9 @@
   }
 
   /**
-   * Operators move a route from a service that answers in 5 ms to one that takes 500 ms. The runs
-   * of the former service went on counting: targets of the latter seemed twelve times slower than
-   * usual after their first answer, and the requests of its other routes left them.
+   * Operators move a route from a service that answers in 5 ms to one that takes 500 ms. The old
+   * service's run times were still used: targets of the new one seemed twelve times slower than
+   * usual after their first answer, and requests of its other routes avoided them.
    */
   @Test
   void routeMovedToAnotherServiceIsMeasuredAnew() {
@@ -110,7 +114,8 @@
         new TargetFacts(incarnation, 0, "ledger", "10.0.0.2", 80, "n1", "north", 3, false, 0),
         fixture.now);
     assertTrue(
-        send(request(after, 1, 10_000)).expectedRunMillis() > 100, "runs of the former service");
+        send(request(after, 1, 10_000)).expectedRunMillis() > 100,
+        "run time of the former service");
     completeRequests(after, 5, 500, IDLE);
     assertEquals(1, target("l-1").slowness(), 0.1);
   }
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/TargetModel.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/TargetModel.java
@@ -13,11 +13,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A model of targets and callers on a virtual clock: slots, queues, memory of objects, sheds.
+ * A discrete-event simulation of targets and callers: slots, queues, cached objects, load shedding.
  *
- * <p>Six entry VMs in three regions send requests for objects to twelve targets of three slots. A
- * target runs an object that it remembers in 0.3 of the time. The same seed gives the same arrivals
- * whatever the policy, so that policies can be compared.
+ * <p>Six entry VMs in three regions send requests for objects to twelve targets with three slots
+ * each. A target runs an object that it has cached in 0.3 of the time. The same seed gives the same
+ * arrivals for every policy, so that policies can be compared.
  */
 final class TargetModel {
   static final String[] REGIONS = {"north", "south", "west"};
@@ -28,7 +28,7 @@
   private static final int MAX_QUEUE_LENGTH = 9;
   private static final int MAX_REMEMBERED_OBJECTS = 25;
 
-  /** Three kinds of request of 24 objects each share the service: more than a target remembers. */
+  /** Three kinds of request share the service, with 24 objects each: more than a target caches. */
   private static final int OBJECT_COUNT = 72;
 
   private static final long COLD_RUN_MILLIS = 640;
@@ -38,12 +38,15 @@
   private static final long ARRIVALS_SEED = 815;
   private static final long RUNS_SEED = 4711;
 
-  /** Chooses a target for a request, and is told of its end. */
+  /** Chooses a target for a request and is notified of its end. */
   interface Policy {
-    /** Id of the chosen target, or null where the request is refused. */
+    /** Returns the id of the chosen target, or null if the request is refused. */
     String choose(int vm, long object, long now);
 
-    /** The attempt ended; {@code load} is what the target told, null where it was cut off. */
+    /**
+     * Called when an attempt has ended; {@code load} is what the target reported, null if it timed
+     * out.
+     */
     void onAttemptEnded(
         int vm,
         long object,
@@ -53,7 +56,7 @@
         long now);
   }
 
-  /** What callers got: parts of all requests. Those neither answered nor cut off were refused. */
+  /** Results as fractions of all requests. Requests neither answered nor timed out were refused. */
   record Outcome(double inGoalFraction, double answeredFraction, double timedOutFraction) {}
 
   private static final class Request {
@@ -94,7 +97,7 @@
       }
     }
 
-    /** The caller waits no longer: the request leaves its slot or its place in the queue. */
+    /** The caller no longer waits: the request leaves its slot or its place in the queue. */
     void cancel(Request request) {
       if (!waiting.remove(request)) {
         running--;
@@ -156,7 +159,7 @@
     }
   }
 
-  /** The model's targets, as the platform's list would name them. */
+  /** The simulated targets, as registered in the platform's list. */
   static List<TargetFacts> facts() {
     List<TargetFacts> facts = new ArrayList<>();
     for (String region : REGIONS) {
@@ -183,12 +186,17 @@
     return REGIONS[vm % REGIONS.length];
   }
 
-  /** Plays {@code seconds} of {@code perSecond} requests of callers that wait for any time. */
+  /**
+   * Simulates {@code seconds} of {@code perSecond} requests of callers that wait without a timeout.
+   */
   static Outcome simulate(Policy policy, int perSecond, int seconds) {
     return simulate(policy, perSecond, seconds, Long.MAX_VALUE / 2, 0);
   }
 
-  /** The mean over so many draws, where requests are cut off after {@code timeoutMillis}. */
+  /**
+   * Returns the mean over {@code draws} simulations in which requests time out after {@code
+   * timeoutMillis}.
+   */
   static Outcome simulateMean(
       Supplier<Policy> policies, int perSecond, int seconds, long timeoutMillis, int draws) {
     List<Outcome> outcomes = new ArrayList<>();
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/TargetTableTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/TargetTableTest.java
@@ -8,13 +8,14 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.placing.TargetTable.Change;
 
-/** Which targets an entry VM knows. */
+/** Tests which targets an entry VM knows and uses. */
 class TargetTableTest {
   private final PlacementFixture fixture = new PlacementFixture().withFourTargets();
 
   /**
-   * The store was away and all entries lapsed; the targets live. Removed at once they would leave
-   * every caller without an answer for the two seconds until they are back.
+   * All registrations expire during a store outage although the targets are alive. Removed at once,
+   * they would leave every caller without an answer for the two seconds until they are registered
+   * again.
    */
   @Test
   void targetRegisteredAgainBeforeScheduledRemovalIsKept() {
@@ -28,8 +29,8 @@
   }
 
   /**
-   * A target that leaves got a request 2,533 ms after the store had said so, 33 ms too late: its
-   * removal was carried out at the next sweep, up to a quarter of a second after its time.
+   * A target got a request 2,533 ms after the store had reported that it leaves, 33 ms too late:
+   * its removal was carried out at the next sweep, up to a quarter of a second after its time.
    */
   @Test
   void scheduledRemovalTakesEffectBeforeSweep() {
@@ -38,7 +39,7 @@
     assertEquals(3, fixture.targets.usable("search", 3_000).size());
   }
 
-  /** Guards against a first request from each VM to each target of a small region at the start. */
+  /** Guards against a first request from each VM to each target of a small region at startup. */
   @Test
   void onlyTargetsThatJoinTargetsWithRequestsAreNewlyJoined() {
     fixture.withTarget("n-3", "n1", "north");
@@ -48,7 +49,9 @@
     assertTrue(fixture.targets.find("n-4").orElseThrow().isNewlyJoined());
   }
 
-  /** A heartbeat that was sent before the target said it leaves comes late: it is leaving still. */
+  /**
+   * A heartbeat sent before the target started draining arrives late: the target stays draining.
+   */
   @Test
   void drainingTargetStaysDraining() {
     TargetFacts ready = PlacementFixture.target("n-1", "n1", "north", 0);
@@ -86,9 +89,10 @@
   }
 
   /**
-   * A target crashed behind a cut and started again under its id; the entry never went. Believed to
-   * be the same, it gets requests for objects that it no longer knows, is passed over for failures
-   * of its former life, and is never used again where that was leaving.
+   * A target crashed while it was partitioned from the network and was restarted under the same id;
+   * its registration never expired. If it were taken for the previous incarnation, it would get
+   * requests for objects that it no longer has cached, be avoided because of earlier failures, and
+   * never be used again if it had been draining.
    */
   @Test
   void restartUnderSameIdResetsState() {
@@ -114,8 +118,8 @@
   }
 
   /**
-   * A heartbeat of the former start is held up and comes after that of the new one. Taken at its
-   * word, the target would be warm and without its new load.
+   * A delayed heartbeat of the previous incarnation arrives after that of the new one. If it were
+   * accepted, the target would be treated as warm and its new load would be lost.
    */
   @Test
   void olderRegistrationHasNoEffect() {
@@ -128,7 +132,7 @@
     assertFalse(table.find("n-1").orElseThrow().isCold(4));
   }
 
-  /** A target that does not say when it started is told apart by its id alone, as it always was. */
+  /** A target that does not report its start time is identified by its id alone. */
   @Test
   void withoutStartTimeOnlyIdDistinguishesIncarnations() {
     TargetTable table = TargetTable.create();
@@ -139,8 +143,8 @@
   }
 
   /**
-   * A request sent to the former start is answered "another target is there" after the new start
-   * was seen: the new one must stay.
+   * A request sent to the previous incarnation is answered "another target is there" after the new
+   * one was registered: the new one must stay.
    */
   @Test
   void onlyMatchingIncarnationIsRemoved() {
@@ -153,7 +157,7 @@
   }
 
   /**
-   * The targets of a zone that was empty for a while have turned cold: taken back, they get little.
+   * The targets of an evacuated zone have turned cold; after the evacuation they get few requests.
    */
   @Test
   void targetsAreColdAfterEvacuationEnds() {
--- a/sageladder-core/src/test/java/org/sageladder/core/steering/FallbackOrderTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/steering/FallbackOrderTest.java
@@ -22,9 +22,9 @@
 
   @Test
   void answersForFullRegionIncludeEveryRegionWithHeadroom() {
-    // South is asked for five times what it carries; north has twice the room of west. Were all
-    // answers to end with the one zone that has the most room, the refused callers would fill that
-    // zone, be refused there as well, and west would stand half idle.
+    // South receives five times the demand that it can serve; north has twice the headroom of west.
+    // If all answers ended with the zone with the most headroom, the refused callers would fill
+    // that zone and be refused there as well, while west is half idle.
     Map<String, Integer> firstRemoteCounts = new HashMap<>();
     for (Route route : answers(500, 20, 70)) {
       List<String> regions = regionsOf(route);
@@ -38,12 +38,14 @@
 
   @Test
   void answersForRegionWithHeadroomStartWithThreeLocalEntries() {
-    // A VM dies: its callers should find the next place at home, where answers are near and warm.
+    // When a VM fails, its callers should find the next entry VM in their own region, where answers
+    // are near and targets are warm.
     for (Route route : answers(60, 20, 20)) {
       List<String> regions = regionsOf(route);
       assertEquals(List.of("south", "south", "south"), regions.subList(0, 3));
       assertEquals(4, Set.copyOf(route.entries()).size());
-      assertTrue(!regions.get(3).equals("south"), "a region's loss must not strand its callers");
+      assertTrue(
+          !regions.get(3).equals("south"), "the last entry must survive the loss of the region");
     }
   }
 
@@ -54,7 +56,10 @@
         .collect(Collectors.toList());
   }
 
-  /** All answers for a caller of south, by the demand on each region; each carries 108. */
+  /**
+   * Returns all answers for a caller of south, for the given demand on each region. Each region can
+   * serve 108 requests per second.
+   */
   private static List<Route> answers(double south, double north, double west) {
     Contract contract = LookUpTableTest.contract();
     ClusterState withoutSummaries = LookUpTableTest.state(contract, "");
--- a/sageladder-core/src/test/java/org/sageladder/core/steering/LookUpTableTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/steering/LookUpTableTest.java
@@ -28,14 +28,14 @@
       Route route = table.lookUp("c", "s", 150, i);
       assertNotNull(route);
       assertEquals("north", regionOf(route.entries().get(0)));
-      assertTrue(route.entries().size() >= 2, "a caller needs somewhere to go when a VM dies");
+      assertTrue(route.entries().size() >= 2, "a caller needs a fallback when a VM fails");
     }
   }
 
   @Test
   void leavingEntryVmIsNeverReturned() {
-    // A VM begins its planned stop: an answer that still named it would send callers to a process
-    // that is about to end, and the stop would never see its last request.
+    // A VM has begun its planned shutdown. An answer with this VM would send callers to a process
+    // that is about to end, and the shutdown would never see its last request.
     LookUpTable table = LookUpTable.build(state(contract(), "north1-vm0"), SteeringInputs.at(NOW));
     for (int i = 0; i < 100; i++) {
       Route route = table.lookUp("c", "s", 150, i);
@@ -55,8 +55,8 @@
 
   @Test
   void everyGateOfLargeServiceIsReturnedFirst() {
-    // A service has more gates in a region than an answer array once had places: a third of them
-    // was never named, stood idle, and the callers of the others were refused.
+    // With more gates in a region than answers in an array, a third of the gates was never returned
+    // and had no requests, while the callers of the others were refused.
     LookUpTable table = LookUpTable.build(state(contract(), "", 60), SteeringInputs.at(NOW));
     Map<String, Integer> firstCounts = new HashMap<>();
     for (int i = 0; i < 1024; i++) {
@@ -65,9 +65,9 @@
       firstCounts.merge(route.entries().get(0).vm(), 1, Integer::sum);
     }
     assertEquals(120, firstCounts.size());
-    int most = firstCounts.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-    int fewest = firstCounts.values().stream().mapToInt(Integer::intValue).min().orElse(0);
-    assertTrue(4 * most <= 5 * fewest, "named " + fewest + " to " + most + " times");
+    int maxCount = firstCounts.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+    int minCount = firstCounts.values().stream().mapToInt(Integer::intValue).min().orElse(0);
+    assertTrue(4 * maxCount <= 5 * minCount, "returned " + minCount + " to " + maxCount + " times");
   }
 
   private static String regionOf(Member member) {
--- a/sageladder-core/src/test/java/org/sageladder/core/steering/WaterfallTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/steering/WaterfallTest.java
@@ -21,7 +21,7 @@
   @Test
   void overflowGoesToRegionsWithHeadroom() {
     double[][] fractions = Waterfall.divide(contract(List.of()), zones(ReadingAge.FRESH, 240, 20));
-    assertEquals(0.5, localFraction(fractions, 0), TOLERANCE, "120 of 240 fit at home");
+    assertEquals(0.5, localFraction(fractions, 0), TOLERANCE, "120 of 240 fit in their own region");
     assertEquals(
         0.5, fractions[0][2] + fractions[0][3] + fractions[0][4] + fractions[0][5], TOLERANCE);
     assertEquals(1, localFraction(fractions, 1), TOLERANCE);
@@ -39,8 +39,8 @@
 
   @Test
   void zonesWithStaleReadingsGetNoRemoteCallers() {
-    // The links to the other regions are cut and their last readings say "idle". Sent there, the
-    // overflow of the own region would run into a dead link, in place of a wait at home.
+    // The links to the other regions are cut and their last readings show idle zones. Overflow sent
+    // there would be lost on a dead link instead of waiting in its own region.
     for (ReadingAge age : List.of(ReadingAge.OLD, ReadingAge.ABSENT)) {
       double[][] fractions = Waterfall.divide(contract(List.of()), zones(age, 240, 20));
       assertEquals(1, localFraction(fractions, 0), TOLERANCE, "age " + age);
@@ -63,8 +63,9 @@
 
   @Test
   void overflowCountsAsDemandOfTheCallersOwnRegion() {
-    // South sends half of its 240 to the others. Counted where they arrive, south would seem to
-    // want 120 and steering would bring all of them home at once, then send them away again.
+    // South sends half of its 240 to other regions. If that were counted where it is received,
+    // south would seem to have a demand of 120, and steering would alternate between returning all
+    // of it and sending it away again.
     double[][] fractions = new double[3][6];
     fractions[0] = new double[] {0.25, 0.25, 0.125, 0.125, 0.125, 0.125};
     fractions[1] = new double[] {0, 0, 0.5, 0.5, 0, 0};
@@ -93,7 +94,8 @@
   }
 
   /**
-   * Two zones of 60 a second in each region; {@code age} is that of the regions after the first.
+   * Returns two zones in each region that serve 60 per second each; {@code age} is that of the
+   * regions after the first.
    */
   private static List<ZoneReading> zones(ReadingAge age, double south, double others) {
     List<ZoneReading> zones = new ArrayList<>();
