--- a/sageladder-core/src/main/java/org/sageladder/core/membership/ConfirmationGuard.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/ConfirmationGuard.java
@@ -21,7 +21,7 @@
   private volatile long lastTickNanos;
   private volatile long lastConfirmedNanos;
   private volatile long resumedNanos;
-  private volatile boolean awaitingConfirmation;
+  private volatile boolean isAwaitingConfirmation;
 
   private ConfirmationGuard(MembershipSettings settings, TimeSource time) {
     this.settings = settings;
@@ -30,7 +30,7 @@
     lastTickNanos = now;
     lastConfirmedNanos = now - settings.confirmationWindow().toNanos();
     resumedNanos = now;
-    awaitingConfirmation = true;
+    isAwaitingConfirmation = true;
   }
 
   /** A guard that allows nothing until the first confirmation. */
@@ -43,7 +43,7 @@
     long now = time.nanos();
     if (now - lastTickNanos > settings.maxPause().toNanos()) {
       resumedNanos = now;
-      awaitingConfirmation = true;
+      isAwaitingConfirmation = true;
     }
     lastTickNanos = now;
   }
@@ -54,7 +54,7 @@
       lastConfirmedNanos = sentNanos;
     }
     if (sentNanos - resumedNanos >= 0) {
-      awaitingConfirmation = false;
+      isAwaitingConfirmation = false;
     }
   }
 
@@ -64,7 +64,7 @@
     if (now - lastTickNanos > settings.maxPause().toNanos()) {
       return 0;
     }
-    if (awaitingConfirmation) {
+    if (isAwaitingConfirmation) {
       boolean alone = now - resumedNanos > settings.confirmationWindow().toNanos();
       return alone ? retainedSlots(holding.slots()) : 0;
     }
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/HoldingPlanner.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/HoldingPlanner.java
@@ -49,7 +49,7 @@
     private long takenOverNanos;
     // The zone without entry VMs that the target belongs to; empty for the own zone's.
     private String owningZone = "";
-    private boolean givingBack;
+    private boolean isGivingBack;
     private final List<FormerHolder> pendingReleases = new ArrayList<>();
 
     private Target(ListedVm line) {
@@ -132,7 +132,7 @@
           targets.computeIfAbsent(
               holding.target(), id -> new Target(toListing(holding, owningZone)));
       target.owningZone = owningZone;
-      target.givingBack = false;
+      target.isGivingBack = false;
       updateIncarnation(target, holding.targetIncarnation());
       target.isDraining |=
           holding.isDraining() && holding.targetIncarnation() == target.incarnation;
@@ -142,7 +142,7 @@
   /** Stops using the targets of {@code homeZone}, whose entry VMs are back. */
   void giveBack(String owningZone) {
     for (Target target : targets.values()) {
-      target.givingBack |= target.owningZone.equals(owningZone);
+      target.isGivingBack |= target.owningZone.equals(owningZone);
     }
   }
 
@@ -215,10 +215,10 @@
   List<Holding> holdings(long number, ToIntFunction<String> totalSlots) {
     List<String> eligible = members.eligibleVms();
     List<Holding> holdings = new ArrayList<>();
-    targets.values().removeIf(target -> target.givingBack && isGivenBack(target, number));
+    targets.values().removeIf(target -> target.isGivingBack && isGivenBack(target, number));
     for (Target target : targets.values()) {
       int total = usableSlots(target, totalSlots.applyAsInt(target.listing.service()));
-      if (target.givingBack) {
+      if (target.isGivingBack) {
         holdings.add(toHolding(target));
       } else if (total > 0) {
         updateHolder(target, total, number, eligible);
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/MemberTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/MemberTable.java
@@ -23,14 +23,14 @@
 
   static final class Entry {
     private Member member;
-    private long lastHeardNanos;
+    private long lastHeartbeatNanos;
     private int absentFetches;
     private boolean wasListed;
     private @Nullable Heartbeat lastHeartbeat;
 
     private Entry(Member member, long heardNanos) {
       this.member = member;
-      this.lastHeardNanos = heardNanos;
+      this.lastHeartbeatNanos = heardNanos;
     }
 
     Member member() {
@@ -76,7 +76,7 @@
       entries.put(sender.vm(), entry);
     }
     entry.member = entry.member.isDraining() ? asDraining(sender) : sender;
-    entry.lastHeardNanos = time.nanos();
+    entry.lastHeartbeatNanos = time.nanos();
     entry.lastHeartbeat = heartbeat;
     return true;
   }
@@ -111,7 +111,7 @@
     long gap = now - lastTickNanos;
     if (gap > settings.maxPause().toNanos()) {
       for (Entry entry : entries.values()) {
-        entry.lastHeardNanos += gap;
+        entry.lastHeartbeatNanos += gap;
       }
     }
     lastTickNanos = now;
@@ -176,7 +176,7 @@
   }
 
   private boolean isLive(Entry entry) {
-    return time.nanos() - entry.lastHeardNanos <= settings.takeOverTimeout().toNanos();
+    return time.nanos() - entry.lastHeartbeatNanos <= settings.takeOverTimeout().toNanos();
   }
 
   private static Member asDraining(Member member) {
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/HandOverCodec.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/HandOverCodec.java
@@ -114,7 +114,7 @@
 
   private static void write(DataOutputStream out, RecordedAnswer answer) throws IOException {
     out.writeShort(answer.status());
-    out.writeBoolean(answer.kept());
+    out.writeBoolean(answer.isKept());
     out.writeShort(answer.headers().size());
     for (RecordedAnswer.Header header : answer.headers()) {
       out.writeUTF(header.name());
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/PermitHome.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/PermitHome.java
@@ -27,14 +27,14 @@
   private final String vm;
   private final long incarnation;
   private final Limits limits;
-  private final PermitTable own;
-  private final Map<Incarnation, PermitTable> adopted = new ConcurrentHashMap<>();
+  private final PermitTable ownTable;
+  private final Map<Incarnation, PermitTable> adoptedTables = new ConcurrentHashMap<>();
 
   private PermitHome(String vm, long incarnation, Limits limits) {
     this.vm = vm;
     this.incarnation = incarnation;
     this.limits = limits;
-    this.own = new PermitTable(limits);
+    this.ownTable = new PermitTable(limits);
   }
 
   /** The home of the permits of {@code vm} in {@code incarnation}. */
@@ -73,7 +73,7 @@
    * @param binding digest of the idempotency key that the permit is for, or empty
    */
   public Optional<Permit> mint(String customer, String service, String binding, long nowMillis) {
-    PermitTable.Minted minted = own.mint(nowMillis);
+    PermitTable.Minted minted = ownTable.mint(nowMillis);
     if (minted == null) {
       return Optional.empty();
     }
@@ -117,7 +117,7 @@
   /** True where this home decides on the permits of that incarnation. */
   public boolean decidesFor(String issuer, long issuerIncarnation) {
     return isOwn(issuer, issuerIncarnation)
-        || adopted.containsKey(new Incarnation(issuer, issuerIncarnation));
+        || adoptedTables.containsKey(new Incarnation(issuer, issuerIncarnation));
   }
 
   /**
@@ -125,7 +125,7 @@
    * told "running", which asks its caller to come back when the successor decides.
    */
   public void startDraining() {
-    own.startDraining();
+    ownTable.startDraining();
   }
 
   /**
@@ -133,7 +133,7 @@
    * was named before; from then on every copy is told to ask the successor.
    */
   public Optional<HandOver> close(String successor, long nowMillis) {
-    return Optional.ofNullable(own.close(vm, incarnation, successor, nowMillis));
+    return Optional.ofNullable(ownTable.close(vm, incarnation, successor, nowMillis));
   }
 
   /**
@@ -141,20 +141,20 @@
    * nothing, so the sender may send again when the acknowledgement was lost.
    */
   public void adopt(HandOver handOver) {
-    adopted.computeIfAbsent(
+    adoptedTables.computeIfAbsent(
         new Incarnation(handOver.vm(), handOver.incarnation()),
         key -> PermitTable.restoredFrom(handOver, limits));
   }
 
   /** Drops the states of adopted incarnations whose permits have all expired. */
   public void dropExpired(long nowMillis) {
-    adopted.values().removeIf(table -> table.retainedCount(nowMillis) == 0);
+    adoptedTables.values().removeIf(table -> table.retainedCount(nowMillis) == 0);
   }
 
   /** Executions that have not ended. */
   public int runningCount() {
-    int running = own.runningCount();
-    for (PermitTable table : adopted.values()) {
+    int running = ownTable.runningCount();
+    for (PermitTable table : adoptedTables.values()) {
       running += table.runningCount();
     }
     return running;
@@ -162,8 +162,8 @@
 
   /** Permits whose state is held now, adopted ones included. */
   public long retainedCount(long nowMillis) {
-    long held = own.retainedCount(nowMillis);
-    for (PermitTable table : adopted.values()) {
+    long held = ownTable.retainedCount(nowMillis);
+    for (PermitTable table : adoptedTables.values()) {
       held += table.retainedCount(nowMillis);
     }
     return held;
@@ -172,19 +172,25 @@
   /** Its own table and the adopted ones, for operators. */
   @Override
   public String toString() {
-    return vm + "/" + incarnation + " own: " + own + " adopted: " + new TreeMap<>(adopted);
+    return vm
+        + "/"
+        + incarnation
+        + " own: "
+        + ownTable
+        + " adopted: "
+        + new TreeMap<>(adoptedTables);
   }
 
   /** Executions of its own permits that have not ended. */
   public int runningOwnCount() {
-    return own.runningCount();
+    return ownTable.runningCount();
   }
 
   private @Nullable PermitTable tableFor(Permit permit) {
     if (isOwn(permit.issuer(), permit.incarnation())) {
-      return own;
+      return ownTable;
     }
-    return adopted.get(new Incarnation(permit.issuer(), permit.incarnation()));
+    return adoptedTables.get(new Incarnation(permit.issuer(), permit.incarnation()));
   }
 
   private boolean isOwn(String issuer, long issuerIncarnation) {
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/PermitKeys.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/PermitKeys.java
@@ -32,7 +32,7 @@
 public final class PermitKeys {
   private static final int SECRET_BYTES = 32;
   private static final int MAX_ATTEMPTS = 3;
-  private static final int ROTATION_PERIODS_PER_PROPAGATION_DELAY = 48;
+  private static final int PROPAGATION_DELAYS_PER_ROTATION_PERIOD = 48;
 
   private final Store store;
   private final String storeKey;
@@ -131,7 +131,7 @@
 
   /** Time for which a new key is only verified with; refresh at least twice as often. */
   public Duration propagationDelay() {
-    return rotationPeriod.dividedBy(ROTATION_PERIODS_PER_PROPAGATION_DELAY);
+    return rotationPeriod.dividedBy(PROPAGATION_DELAYS_PER_ROTATION_PERIOD);
   }
 
   private KeyRing withLocalKey(List<KeyRing.Key> keys) {
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/PermitTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/PermitTable.java
@@ -27,7 +27,7 @@
   private long nextSequence = 1;
   private long maxSeenMillis;
   private @Nullable String successor;
-  private boolean draining;
+  private boolean isDraining;
 
   PermitTable(PermitHome.Limits limits) {
     this.limits = limits;
@@ -47,7 +47,7 @@
   /** Sequence and expiry of a new permit, or null once the table was handed over. */
   @Nullable Minted mint(long nowMillis) {
     synchronized (lock) {
-      if (successor != null || draining) {
+      if (successor != null || isDraining) {
         return null;
       }
       long now = advanceClock(nowMillis);
@@ -101,7 +101,7 @@
       segment.markNotRun(index, digest);
       return new Decision.NotRun();
     }
-    if (draining) {
+    if (isDraining) {
       return new Decision.Running();
     }
     segment.markRunning(index, digest);
@@ -116,7 +116,7 @@
   /** From now on mints none and begins none, so that what runs can end before the closing. */
   void startDraining() {
     synchronized (lock) {
-      draining = true;
+      isDraining = true;
     }
   }
 
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/RecordedAnswer.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/RecordedAnswer.java
@@ -8,10 +8,10 @@
  * @param status HTTP status of the answer, 100 to 999, or 0 where the answer is not kept
  * @param headers header lines as name and value
  * @param body whole body; empty where {@code bodyKept} is false
- * @param kept false where the answer is not kept; the request ran all the same
+ * @param isKept false where the answer is not kept; the request ran all the same
  */
 @SuppressWarnings("ArrayRecordComponent")
-public record RecordedAnswer(int status, List<Header> headers, byte[] body, boolean kept) {
+public record RecordedAnswer(int status, List<Header> headers, byte[] body, boolean isKept) {
   private static final int FIXED_BYTES = 64;
 
   /** Copies the list, so that the headers cannot change. */
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/RelayElection.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/RelayElection.java
@@ -49,13 +49,13 @@
   private final Backoff backoff;
   private State state = State.FOLLOWING;
   private Step step = Step.READ;
-  private boolean callInFlight;
+  private boolean isCallInFlight;
   private @Nullable Long lease;
   private long leaseRequestedNanos;
   private long leaseValidUntilNanos;
   private long nextCallNanos;
   private long fencingToken;
-  private boolean storeFailing;
+  private boolean isStoreFailing;
   private long failingSinceNanos;
 
   private RelayElection(
@@ -105,7 +105,7 @@
 
   /** Whether the last store call of the duty failed. */
   public boolean isStoreFailing() {
-    return storeFailing;
+    return isStoreFailing;
   }
 
   /**
@@ -116,7 +116,7 @@
    * @param isEligible false while this VM leaves or has no snapshot yet
    */
   public Optional<ElectionCall> nextCall(long silentNanos, int rank, boolean isEligible) {
-    if (callInFlight || time.nanos() - nextCallNanos < 0) {
+    if (isCallInFlight || time.nanos() - nextCallNanos < 0) {
       return Optional.empty();
     }
     long patience = settings.silenceTimeout().toNanos() + rank * settings.rankDelay().toNanos();
@@ -125,7 +125,7 @@
       step = Step.READ;
       return Optional.empty();
     }
-    callInFlight = true;
+    isCallInFlight = true;
     return Optional.of(startCall());
   }
 
@@ -158,7 +158,7 @@
     boolean abandoned =
         state == State.FOLLOWING
             && silentNanos >= patience
-            && storeFailing
+            && isStoreFailing
             && time.nanos() - failingSinceNanos >= settings.silenceTimeout().toNanos();
     if (abandoned) {
       state = State.ACTING;
@@ -222,9 +222,9 @@
    * answer was a success.
    */
   public void onFailure() {
-    callInFlight = false;
-    if (!storeFailing) {
-      storeFailing = true;
+    isCallInFlight = false;
+    if (!isStoreFailing) {
+      isStoreFailing = true;
       failingSinceNanos = time.nanos();
     }
     if (step != Step.RENEW) {
@@ -241,7 +241,7 @@
   }
 
   /** A relay that may be followed was heard; one that only acts gives way to it. */
-  public void onRelayHeard() {
+  public void onRelayMessage() {
     if (state == State.ACTING) {
       stepDown();
     }
@@ -269,8 +269,8 @@
   }
 
   private void onStoreAnswer() {
-    callInFlight = false;
-    storeFailing = false;
+    isCallInFlight = false;
+    isStoreFailing = false;
     backoff.recordSuccess();
     nextCallNanos = time.nanos();
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/SpreadMessage.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/SpreadMessage.java
@@ -29,10 +29,11 @@
   /**
    * All repaired versions that the sender has.
    *
-   * @param snapshot true where the sender is fresh and wants everything, summaries too, ended by a
-   *     {@link SnapshotEnd}
+   * @param isSnapshotRequest true where the sender is fresh and wants everything, summaries too,
+   *     ended by a {@link SnapshotEnd}
    */
-  record Versions(Map<ItemKey, VersionStamp> versions, boolean snapshot) implements SpreadMessage {
+  record Versions(Map<ItemKey, VersionStamp> versions, boolean isSnapshotRequest)
+      implements SpreadMessage {
     /** Copies the map. */
     public Versions {
       versions = Map.copyOf(versions);
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/Spreader.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/Spreader.java
@@ -300,12 +300,12 @@
       network.send(from, new SpreadMessage.Pull(missing));
     }
     for (Item item : table.items()) {
-      boolean wanted = item.key().kind().isRepaired() || theirs.snapshot();
+      boolean wanted = item.key().kind().isRepaired() || theirs.isSnapshotRequest();
       if (wanted && mayReplace(item, theirs.versions().get(item.key()))) {
         peer.pending.add(item.key());
       }
     }
-    peer.owesSnapshotEnd |= theirs.snapshot();
+    peer.owesSnapshotEnd |= theirs.isSnapshotRequest();
     flush(from, peer);
   }
 
--- a/sageladder-core/src/test/java/org/sageladder/core/event/EventBufferTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/event/EventBufferTest.java
@@ -32,7 +32,7 @@
   // Story: a reader comes back after a burst larger than the buffer and its time line would show a
   // quiet stretch where there was none. Cause: the oldest events gave way between two reads.
   @Test
-  void eventsThatGaveWayAreCounted() {
+  void overwrittenEventsAreCounted() {
     EventBuffer buffer = EventBuffer.withCapacity(4, time);
     for (int i = 1; i <= 11; i++) {
       record(buffer, String.valueOf(i));
@@ -47,7 +47,7 @@
   // Story: events vanish from the time line under load though the buffer is large enough. Cause: a
   // reader that steps over a slot whose writer has its number but has not stored its event yet.
   @Test
-  void underConcurrentWritersSeenAndLostAddUp() throws Exception {
+  void seenAndLostEventsAddUpWithConcurrentWriters() throws Exception {
     EventBuffer buffer = EventBuffer.withCapacity(256, time);
     int writers = 4;
     int each = 20_000;
--- a/sageladder-core/src/test/java/org/sageladder/core/membership/ConfirmationGuardTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/ConfirmationGuardTest.java
@@ -24,7 +24,7 @@
   // The relay no longer hears this VM and will give half of its slots away. Heartbeats leave and
   // nothing comes back; the count starts when the last confirmed one was sent.
   @Test
-  void givesUpHalfOnceUnconfirmedForTheWindow() {
+  void allowsHalfOnceUnconfirmedForTheWindow() {
     long sent = time.nanos();
     run(Duration.ofMillis(2_400));
     guard.onConfirmed(sent);
@@ -38,7 +38,7 @@
   // The process is stopped for a minute and goes on unaware. Its targets were given away meanwhile.
   // A request worker may run before the control thread does, and must not dispatch.
   @Test
-  void pausedVmDispatchesNothingUntilConfirmedAnew() {
+  void pausedVmDispatchesNothingUntilConfirmedAgain() {
     guard.onConfirmed(time.nanos());
     long sentBefore = time.nanos();
     time.advance(Duration.ofMinutes(1));
@@ -54,7 +54,7 @@
 
   // After a pause the VM finds itself cut off from its zone, while its targets still answer.
   @Test
-  void pausedAndThenAloneItServesWithItsHalf() {
+  void cutOffVmServesWithRetainedSlotsAfterPause() {
     guard.onConfirmed(time.nanos());
     time.advance(Duration.ofMinutes(1));
     run(Duration.ofMillis(2_400));
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void halvesMakeUpTheWholeAndNoMore() {
+  void retainedAndTakeOverSlotsAddUpToAllSlots() {
     for (int slots = 0; slots < 50; slots++) {
       assertEquals(
           slots, ConfirmationGuard.retainedSlots(slots) + ConfirmationGuard.takeOverSlots(slots));
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void refusesTimesThatLetATakeOverOvertakeAPause() {
+  void rejectsTakeOverTimeoutShorterThanWindowPlusPause() {
     Duration second = Duration.ofSeconds(1);
     assertThrows(
         IllegalArgumentException.class,
--- a/sageladder-core/src/test/java/org/sageladder/core/membership/HoldingSafetyProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/HoldingSafetyProperties.java
@@ -19,11 +19,11 @@
   // confirm window; what a longer one still uses of a silent member's target, only the target's own
   // load tells, and the next holder's gate minds it.
   @Property(tries = 60, seed = "20261202")
-  void membersTogetherNeverMayUseMoreSlotsThanATargetHas(
+  void membersTogetherNeverUseMoreSlotsThanTargetHas(
       @ForAll @LongRange(min = 0, max = 100_000) long seed) {
     Random random = new Random(seed);
     ZoneFake zone = new ZoneFake(4);
-    zone.members.values().forEach(member -> member.loadAgrees = false);
+    zone.members.values().forEach(member -> member.loadMatchesInFlight = false);
     zone.run(Duration.ofSeconds(10));
     long fencing = 1;
     StringBuilder story = new StringBuilder();
@@ -32,23 +32,23 @@
       int fault = random.nextInt(7);
       story.append(fault).append(member.vm).append(' ');
       switch (fault) {
-        case 0 -> member.cutOff = true;
-        case 1 -> member.cutOff = false;
-        case 2 -> member.paused = true;
-        case 3 -> member.paused = false;
-        case 4 -> member.dead = true;
+        case 0 -> member.isCutOff = true;
+        case 1 -> member.isCutOff = false;
+        case 2 -> member.isPaused = true;
+        case 3 -> member.isPaused = false;
+        case 4 -> member.isDead = true;
         case 5 -> {
-          if (member.dead) {
+          if (member.isDead) {
             member.restart();
           }
         }
         default -> {
           if (random.nextInt(4) == 0) {
-            zone.relay(++fencing);
+            zone.startRelay(++fencing);
           }
         }
       }
-      useSomeSlots(zone, random);
+      simulateRequests(zone, random);
       for (int step = random.nextInt(120); step >= 0; step--) {
         zone.step();
         check(zone, story);
@@ -56,13 +56,13 @@
     }
   }
 
-  private static void useSomeSlots(ZoneFake zone, Random random) {
+  private static void simulateRequests(ZoneFake zone, Random random) {
     for (ZoneFake.MemberFake member : List.copyOf(zone.members.values())) {
-      if (member.dead) {
+      if (member.isDead) {
         member.inFlight.clear();
-      } else if (!member.paused) {
+      } else if (!member.isPaused) {
         for (String target : zone.targetIncarnations.keySet()) {
-          int usable = member.usable(target);
+          int usable = member.usableSlots(target);
           member.inFlight.merge(
               target, 0, (old, zero) -> random.nextBoolean() ? old : random.nextInt(old + 1));
           int now = member.inFlight.getOrDefault(target, 0);
@@ -76,7 +76,7 @@
 
   private static void check(ZoneFake zone, StringBuilder story) {
     for (String target : zone.targetIncarnations.keySet()) {
-      int together = zone.usableTogether(target);
+      int together = zone.slotsInUseOrUsable(target);
       assertTrue(
           together <= ZoneFake.SLOTS,
           () ->
--- a/sageladder-core/src/test/java/org/sageladder/core/membership/RendezvousProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/RendezvousProperties.java
@@ -12,7 +12,7 @@
 
 class RendezvousProperties {
   @Property(tries = 100, seed = "20261202")
-  void onlyTargetsOfTheMemberThatWentMove(
+  void removingMemberMovesOnlyItsTargets(
       @ForAll @IntRange(min = 2, max = 30) int size, @ForAll @IntRange(max = 29) int gone) {
     List<String> members = IntStream.range(0, size).mapToObj(i -> "vm-" + i).toList();
     List<String> rest = new ArrayList<>(members);
@@ -28,7 +28,7 @@
   }
 
   @Property(tries = 20, seed = "20261202")
-  void noMemberGetsMuchMoreThanItsShare(@ForAll @IntRange(min = 2, max = 12) int size) {
+  void targetsAreSpreadEvenly(@ForAll @IntRange(min = 2, max = 12) int size) {
     List<String> members = IntStream.range(0, size).mapToObj(i -> "vm-" + i).toList();
     int[] counts = new int[size];
     for (int t = 0; t < 2_000; t++) {
--- a/sageladder-core/src/test/java/org/sageladder/core/membership/ZoneFake.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/ZoneFake.java
@@ -21,14 +21,14 @@
 
   final VirtualTime time = VirtualTime.startingAt(1_000_000);
   final Map<String, MemberFake> members = new TreeMap<>();
-  final Set<String> leavingTargets = new TreeSet<>();
+  final Set<String> drainingTargets = new TreeSet<>();
   final Map<String, Long> targetIncarnations = new TreeMap<>();
   final Map<String, String> targetsOfOtherZones = new TreeMap<>();
   private final MembershipSettings settings = MembershipSettings.standard();
-  private ZoneViewBuilder maker;
+  private ZoneViewBuilder builder;
   private ZoneView view = new ZoneView("tartu-a", 0, List.of(), List.of());
-  private final Map<String, List<String>> history = new TreeMap<>();
-  private @Nullable RelayedView relayed;
+  private final Map<String, List<String>> changesByTarget = new TreeMap<>();
+  private @Nullable RelayedView lastRelayedView;
   private int steps;
 
   ZoneFake(int size) {
@@ -38,21 +38,21 @@
     for (int t = 0; t < TARGETS; t++) {
       targetIncarnations.put("t-" + t, 1L);
     }
-    relay(1);
+    startRelay(1);
   }
 
   /** One entry VM as its guard and its last seen view make it act. */
   final class MemberFake {
     final String vm;
     long incarnation = 1;
-    boolean cutOff;
-    boolean paused;
-    boolean dead;
-    boolean leaving;
-    boolean unlisted;
-    boolean loadAgrees = true;
-    private long heardNanos = time.nanos();
-    ZoneView seen = new ZoneView("tartu-a", 0, List.of(), List.of());
+    boolean isCutOff;
+    boolean isPaused;
+    boolean isDead;
+    boolean isDraining;
+    boolean isUnlisted;
+    boolean loadMatchesInFlight = true;
+    private long lastConnectedNanos = time.nanos();
+    ZoneView currentView = new ZoneView("tartu-a", 0, List.of(), List.of());
     ConfirmationGuard guard = ConfirmationGuard.of(settings, time);
     final Map<String, Integer> inFlight = new TreeMap<>();
 
@@ -61,11 +61,11 @@
     }
 
     /** Slots of the target that this member's gate would use at this moment. */
-    int usable(String target) {
-      if (dead || paused) {
+    int usableSlots(String target) {
+      if (isDead || isPaused) {
         return 0;
       }
-      return seen.holdings().stream()
+      return currentView.holdings().stream()
           .filter(holding -> holding.target().equals(target) && holding.holder().equals(vm))
           .mapToInt(guard::usableSlots)
           .sum();
@@ -73,11 +73,11 @@
 
     void restart() {
       incarnation++;
-      dead = false;
-      paused = false;
-      leaving = false;
+      isDead = false;
+      isPaused = false;
+      isDraining = false;
       inFlight.clear();
-      seen = new ZoneView("tartu-a", 0, List.of(), List.of());
+      currentView = new ZoneView("tartu-a", 0, List.of(), List.of());
       guard = ConfirmationGuard.of(settings, time);
     }
 
@@ -87,15 +87,15 @@
           (target, now) ->
               reports.add(
                   new TargetReport(
-                      target, now, false, inFlight.getOrDefault(target, 0), loadAgrees)));
+                      target, now, false, inFlight.getOrDefault(target, 0), loadMatchesInFlight)));
       inFlight.forEach(
           (target, count) -> {
             if (!targetIncarnations.containsKey(target)) {
               reports.add(new TargetReport(target, 0, false, count, false));
             }
           });
-      Member self = new Member(vm, "tartu-a", incarnation, "127.0.0.1", 1, 2, leaving);
-      return new Heartbeat(self, time.nanos(), seen.number(), 5, reports, List.of());
+      Member self = new Member(vm, "tartu-a", incarnation, "127.0.0.1", 1, 2, isDraining);
+      return new Heartbeat(self, time.nanos(), currentView.number(), 5, reports, List.of());
     }
   }
 
@@ -106,21 +106,21 @@
   }
 
   /** A new relay with that fencing revision goes on from the last view. */
-  void relay(long fencing) {
-    maker =
+  void startRelay(long fencingToken) {
+    builder =
         ZoneViewBuilder.of(
             settings,
             time,
             "tartu-a",
             "vm-0",
-            fencing,
-            Optional.ofNullable(relayed),
+            fencingToken,
+            Optional.ofNullable(lastRelayedView),
             service -> SLOTS);
-    maker.onPlatformList(list());
+    builder.onPlatformList(platformList());
   }
 
-  ZoneViewBuilder maker() {
-    return maker;
+  ZoneViewBuilder builder() {
+    return builder;
   }
 
   ZoneView view() {
@@ -142,21 +142,21 @@
             text.append(vm)
                 .append('#')
                 .append(member.incarnation)
-                .append(member.dead ? " dead" : "")
-                .append(member.paused ? " paused" : "")
-                .append(member.cutOff ? " cut off" : "")
+                .append(member.isDead ? " dead" : "")
+                .append(member.isPaused ? " paused" : "")
+                .append(member.isCutOff ? " cut off" : "")
                 .append(" may use ")
-                .append(member.usable(target))
+                .append(member.usableSlots(target))
                 .append(", has in flight ")
                 .append(member.inFlight.getOrDefault(target, 0))
                 .append("; "));
-    return text + String.join(" ", history.getOrDefault(target, List.of()));
+    return text + String.join(" ", changesByTarget.getOrDefault(target, List.of()));
   }
 
-  int usableTogether(String target) {
+  int slotsInUseOrUsable(String target) {
     return members.values().stream()
         .mapToInt(
-            member -> Math.max(member.usable(target), member.inFlight.getOrDefault(target, 0)))
+            member -> Math.max(member.usableSlots(target), member.inFlight.getOrDefault(target, 0)))
         .sum();
   }
 
@@ -172,26 +172,26 @@
     steps++;
     boolean beat = steps % 10 == 0;
     if (steps % 20 == 0) {
-      maker.onPlatformList(list());
+      builder.onPlatformList(platformList());
     }
-    Optional<RelayedView> made = maker.tick();
-    made.ifPresent(this::note);
+    Optional<RelayedView> made = builder.tick();
+    made.ifPresent(this::recordView);
     for (MemberFake member : members.values()) {
-      endOldRequests(member);
-      if (member.dead || member.paused) {
+      endRequestsOfSilentMember(member);
+      if (member.isDead || member.isPaused) {
         continue;
       }
       member.guard.tick();
-      if (member.cutOff) {
+      if (member.isCutOff) {
         continue;
       }
-      member.heardNanos = time.nanos();
-      boolean behind = member.seen.number() < view.number();
+      member.lastConnectedNanos = time.nanos();
+      boolean behind = member.currentView.number() < view.number();
       if (behind) {
-        member.seen = view;
+        member.currentView = view;
       }
       if (beat || behind) {
-        HeartbeatAnswer answer = maker.onHeartbeat(member.heartbeat());
+        HeartbeatAnswer answer = builder.onHeartbeat(member.heartbeat());
         if (answer.isConfirmed()) {
           member.guard.onConfirmed(answer.echoedSentNanos());
         }
@@ -199,12 +199,13 @@
     }
   }
 
-  private void note(RelayedView made) {
-    relayed = made;
+  private void recordView(RelayedView made) {
+    lastRelayedView = made;
     ZoneView next = made.view();
     view = next;
     for (Holding holding : next.holdings()) {
-      List<String> changes = history.computeIfAbsent(holding.target(), t -> new ArrayList<>());
+      List<String> changes =
+          changesByTarget.computeIfAbsent(holding.target(), t -> new ArrayList<>());
       String change = holding.holder() + "=" + holding.slots();
       if (changes.isEmpty() || !changes.get(changes.size() - 1).endsWith(change)) {
         changes.add(time.nanos() / 1_000_000 + ":" + (next.number() >> 20) + ":" + change);
@@ -213,28 +214,28 @@
   }
 
   /** Requests that were under way when a member fell silent end within the confirm window. */
-  private void endOldRequests(MemberFake member) {
-    if (time.nanos() - member.heardNanos > settings.confirmationWindow().toNanos()) {
-      member.inFlight.replaceAll((target, count) -> Math.min(count, member.usable(target)));
+  private void endRequestsOfSilentMember(MemberFake member) {
+    if (time.nanos() - member.lastConnectedNanos > settings.confirmationWindow().toNanos()) {
+      member.inFlight.replaceAll((target, count) -> Math.min(count, member.usableSlots(target)));
     }
   }
 
-  private List<ListedVm> list() {
+  private List<ListedVm> platformList() {
     List<ListedVm> lines = new ArrayList<>();
     for (MemberFake member : members.values()) {
-      if (!member.unlisted) {
-        lines.add(line(VmRole.ENTRY, member.vm, "", member.incarnation, false));
+      if (!member.isUnlisted) {
+        lines.add(listing(VmRole.ENTRY, member.vm, "", member.incarnation, false));
       }
     }
     targetIncarnations.forEach(
         (target, incarnation) ->
             lines.add(
-                line(
+                listing(
                     VmRole.TARGET,
                     target,
                     "search",
                     incarnation,
-                    leavingTargets.contains(target))));
+                    drainingTargets.contains(target))));
     targetsOfOtherZones.forEach(
         (target, zone) ->
             lines.add(
@@ -243,7 +244,7 @@
     return lines;
   }
 
-  private static ListedVm line(
+  private static ListedVm listing(
       VmRole role, String id, String service, long incarnation, boolean leaving) {
     return new ListedVm(role, id, "k", service, "tartu-a", "127.0.0.1", 1, 2, incarnation, leaving);
   }
--- a/sageladder-core/src/test/java/org/sageladder/core/membership/ViewMakerTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/ZoneViewBuilderTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-class ViewMakerTest {
+class ZoneViewBuilderTest {
   private static final Duration SETTLE = Duration.ofSeconds(15);
 
   @Test
@@ -28,7 +28,7 @@
   // A new VM joins and rendezvous hashing gives it a target whose old holder still has two requests
   // running there. With all three slots at once, the target would run five.
   @Test
-  void movedTargetHasOnlyTheSlotsThatTheOldHoldersRequestsLeave() {
+  void movedTargetExcludesSlotsInUseByOldHolder() {
     ZoneFake zone = new ZoneFake(1);
     zone.run(SETTLE);
     ZoneFake.MemberFake old = zone.members.get("vm-0");
@@ -56,24 +56,24 @@
   // A member falls silent. It may be dead, or only cut off and still sending to its targets with
   // the half that its guard leaves it.
   @Test
-  void silentMembersTargetsGoToAnotherWithHalfTheSlotsWhileItsEndIsNotSure() {
+  void silentMembersTargetsMoveWithHalfTheSlots() {
     ZoneFake zone = new ZoneFake(2);
     zone.run(SETTLE);
-    String target = targetOf(zone, "vm-0");
-    zone.members.get("vm-0").cutOff = true;
-    zone.members.get("vm-1").loadAgrees = false;
+    String target = targetHeldBy(zone, "vm-0");
+    zone.members.get("vm-0").isCutOff = true;
+    zone.members.get("vm-1").loadMatchesInFlight = false;
     zone.run(Duration.ofSeconds(30));
     assertEquals("vm-1", zone.holding(target).holder());
     assertEquals(1, zone.holding(target).slots());
-    assertEquals(2, zone.members.get("vm-0").usable(target));
+    assertEquals(2, zone.members.get("vm-0").usableSlots(target));
   }
 
   @Test
-  void halfBecomesTheWholeOnceTheTargetsOwnLoadShowsNobodyElse() {
+  void newHolderGetsAllSlotsOnceTargetLoadShowsNoOtherSender() {
     ZoneFake zone = new ZoneFake(2);
     zone.run(SETTLE);
-    String target = targetOf(zone, "vm-0");
-    zone.members.get("vm-0").dead = true;
+    String target = targetHeldBy(zone, "vm-0");
+    zone.members.get("vm-0").isDead = true;
     zone.run(Duration.ofSeconds(5));
     assertEquals(1, zone.holding(target).slots());
     zone.run(Duration.ofSeconds(12));
@@ -81,22 +81,22 @@
   }
 
   @Test
-  void halfBecomesTheWholeAtOnceWhenThePlatformNoLongerListsTheSilentOne() {
+  void newHolderGetsAllSlotsOnceSilentMemberIsNoLongerListed() {
     ZoneFake zone = new ZoneFake(2);
     zone.run(SETTLE);
-    String target = targetOf(zone, "vm-0");
-    zone.members.get("vm-1").loadAgrees = false;
-    zone.members.get("vm-0").dead = true;
-    zone.members.get("vm-0").unlisted = true;
+    String target = targetHeldBy(zone, "vm-0");
+    zone.members.get("vm-1").loadMatchesInFlight = false;
+    zone.members.get("vm-0").isDead = true;
+    zone.members.get("vm-0").isUnlisted = true;
     zone.run(Duration.ofSeconds(8));
     assertEquals(ZoneFake.SLOTS, zone.holding(target).slots());
   }
 
   // The list lags and does not show a VM that has just started. It is heard, so it stays.
   @Test
-  void heardMemberMissingFromThePlatformsListStays() {
+  void liveMemberMissingFromPlatformListStays() {
     ZoneFake zone = new ZoneFake(2);
-    zone.members.get("vm-0").unlisted = true;
+    zone.members.get("vm-0").isUnlisted = true;
     zone.run(SETTLE);
     assertEquals(2, zone.view().members().size());
   }
@@ -104,15 +104,15 @@
   // The platform's list still shows a target as leaving after it was started anew; and, the other
   // way round, no longer shows as leaving one that still is.
   @Test
-  void leavingIsNeverUndoneWithinAnIncarnationAndEndsWithIt() {
+  void targetStaysDrainingUntilNextIncarnation() {
     ZoneFake zone = new ZoneFake(2);
-    zone.leavingTargets.add("t-1");
+    zone.drainingTargets.add("t-1");
     zone.run(Duration.ofSeconds(3));
     assertTrue(zone.holding("t-1").isDraining());
-    zone.leavingTargets.remove("t-1");
+    zone.drainingTargets.remove("t-1");
     zone.run(Duration.ofSeconds(3));
     assertTrue(zone.holding("t-1").isDraining(), "same incarnation");
-    zone.relay(2);
+    zone.startRelay(2);
     zone.run(Duration.ofSeconds(3));
     assertTrue(zone.holding("t-1").isDraining(), "also under the next relay");
     zone.targetIncarnations.put("t-1", 2L);
@@ -121,16 +121,16 @@
   }
 
   @Test
-  void leavingMemberHandsItsTargetsOver() {
+  void drainingMemberReleasesItsTargets() {
     ZoneFake zone = new ZoneFake(2);
     zone.run(SETTLE);
-    zone.members.get("vm-0").leaving = true;
+    zone.members.get("vm-0").isDraining = true;
     zone.run(Duration.ofSeconds(3));
     for (Holding holding : zone.view().holdings()) {
       assertEquals("vm-1", holding.holder());
       assertEquals(ZoneFake.SLOTS, holding.slots());
     }
-    zone.members.get("vm-0").leaving = false;
+    zone.members.get("vm-0").isDraining = false;
     zone.run(Duration.ofSeconds(3));
     assertTrue(zone.view().members().get(0).isDraining(), "leaving is not undone");
   }
@@ -138,7 +138,7 @@
   // The relay itself is paused for a minute and hears nothing meanwhile. On waking, all members
   // seem silent to it; taking their targets over would halve the whole zone's slots.
   @Test
-  void relayThatWasPausedDoesNotTakeEveryoneForSilent() {
+  void pausedRelayDoesNotConsiderMembersSilent() {
     ZoneFake zone = new ZoneFake(3);
     zone.run(SETTLE);
     ZoneView before = zone.view();
@@ -149,11 +149,11 @@
   }
 
   @Test
-  void nextRelaysViewsHaveHigherNumbersAndKeepTheHolders() {
+  void nextRelaysViewsHaveHigherNumbersAndSameHolders() {
     ZoneFake zone = new ZoneFake(3);
     zone.run(SETTLE);
     ZoneView before = zone.view();
-    zone.relay(2);
+    zone.startRelay(2);
     zone.run(Duration.ofSeconds(6));
     assertTrue(zone.view().number() > before.number());
     assertEquals(2, ZoneViewBuilder.fencingTokenOf(zone.view().number()));
@@ -163,14 +163,14 @@
   // A VM restarts faster than its silence is noticed. Messages of its earlier incarnation that are
   // still on their way must not bring that one back.
   @Test
-  void heartbeatOfAnEarlierIncarnationIsNotConfirmed() {
+  void heartbeatOfEarlierIncarnationIsNotConfirmed() {
     ZoneFake zone = new ZoneFake(2);
     zone.run(SETTLE);
     Member old = zone.view().members().get(0);
     zone.members.get(old.vm()).restart();
     zone.run(Duration.ofSeconds(2));
     HeartbeatAnswer answer =
-        zone.maker()
+        zone.builder()
             .onHeartbeat(
                 new Heartbeat(
                     old,
@@ -186,22 +186,22 @@
 
   // A cut-off member comes back. Its targets return a few at a time, not all in one view.
   @Test
-  void healedMemberGetsItsTargetsBackWithoutABurst() {
+  void reconnectedMemberRegainsItsTargets() {
     ZoneFake zone = new ZoneFake(2);
     zone.run(SETTLE);
-    long mine = count(zone, "vm-0");
-    zone.members.get("vm-0").cutOff = true;
+    long mine = countHeldBy(zone, "vm-0");
+    zone.members.get("vm-0").isCutOff = true;
     zone.run(Duration.ofSeconds(30));
-    assertEquals(0, count(zone, "vm-0"));
-    zone.members.get("vm-0").cutOff = false;
+    assertEquals(0, countHeldBy(zone, "vm-0"));
+    zone.members.get("vm-0").isCutOff = false;
     zone.run(SETTLE);
-    assertEquals(mine, count(zone, "vm-0"));
+    assertEquals(mine, countHeldBy(zone, "vm-0"));
     for (Holding holding : zone.view().holdings()) {
       assertEquals(ZoneFake.SLOTS, holding.slots());
     }
   }
 
-  private static String targetOf(ZoneFake zone, String vm) {
+  private static String targetHeldBy(ZoneFake zone, String vm) {
     return zone.view().holdings().stream()
         .filter(holding -> holding.holder().equals(vm))
         .findFirst()
@@ -209,30 +209,30 @@
         .target();
   }
 
-  private static long count(ZoneFake zone, String vm) {
+  private static long countHeldBy(ZoneFake zone, String vm) {
     return zone.view().holdings().stream().filter(h -> h.holder().equals(vm)).count();
   }
 
   // A zone without entry VMs is back. If its targets were given back while requests of the members
   // here are still under way there, the two zones together would use more than all slots.
   @Test
-  void targetsOfAnotherZoneAreGivenBackOnlyOnceNothingIsInFlightThere() {
+  void takenOverTargetsAreGivenBackOnlyWithoutRequestsInFlight() {
     ZoneFake zone = new ZoneFake(3);
     zone.run(Duration.ofSeconds(2));
     Holding theirs = new Holding("t-b", "k", "search", "127.0.0.1", 1, 1, "vm-b", 3, false);
     zone.targetsOfOtherZones.put("t-b", "tartu-b");
-    zone.maker().takeOver("tartu-b", List.of(theirs));
+    zone.builder().takeOver("tartu-b", List.of(theirs));
     zone.run(Duration.ofSeconds(1));
     Holding taken = zone.holding("t-b");
     assertEquals(1, taken.slots());
     ZoneFake.MemberFake holder = zone.members.get(taken.holder());
     holder.inFlight.put("t-b", 1);
-    zone.maker().giveBack("tartu-b");
+    zone.builder().giveBack("tartu-b");
     zone.run(Duration.ofSeconds(5));
     assertEquals("", zone.holding("t-b").holder());
-    assertTrue(zone.maker().holdsTargetsOf("tartu-b"));
+    assertTrue(zone.builder().holdsTargetsOf("tartu-b"));
     holder.inFlight.remove("t-b");
     zone.run(Duration.ofSeconds(1));
-    assertFalse(zone.maker().holdsTargetsOf("tartu-b"));
+    assertFalse(zone.builder().holdsTargetsOf("tartu-b"));
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/message/ConnectionHeadersTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/message/HopByHopHeadersTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Which headers end at a connection. */
-class ConnectionHeadersTest {
+class HopByHopHeadersTest {
   /**
    * A caller names a header of its own as one of its connection; passed on, it would reach targets.
    */
   @Test
-  void headersThatConnectionNamesAreNotPassedOn() {
+  void headersListedInConnectionAreHopByHop() {
     HopByHopHeaders headers = HopByHopHeaders.of(List.of("close, X-Hop", "x-other"));
     assertTrue(headers.contains("x-hop"));
     assertTrue(headers.contains("X-Other"));
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void headersOfTheConnectionAreNeverPassedOn() {
+  void standardHopByHopHeadersAreRecognised() {
     HopByHopHeaders headers = HopByHopHeaders.of(List.of());
     assertTrue(headers.contains("Transfer-Encoding"));
     assertTrue(headers.contains("keep-alive"));
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/HandOverCodecTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/HandOverCodecTest.java
@@ -12,15 +12,15 @@
 
 /** What a successor reads of a hand-over. */
 class HandOverCodecTest {
-  private final PermitHome home = PermitHome.of("a", 3, PermitHome.Limits.standard());
+  private final PermitHome issuer = PermitHome.of("a", 3, PermitHome.Limits.standard());
   private final PermitHome successor = PermitHome.of("b", 9, PermitHome.Limits.standard());
 
   private Permit mint() {
-    return home.mint("kannelkoda", "donations", 1_000).orElseThrow();
+    return issuer.mint("kannelkoda", "donations", 1_000).orElseThrow();
   }
 
   private Execution start(Permit permit) {
-    return ((Decision.Execute) home.beginExecution(permit, "digest", 1_000)).execution();
+    return ((Decision.Execute) issuer.beginExecution(permit, "digest", 1_000)).execution();
   }
 
   /**
@@ -28,7 +28,7 @@
    * successor must give the answer that was recorded there, not run it again.
    */
   @Test
-  void theSuccessorGivesTheAnswerThatTheStoppedHomeRecorded() throws IOException {
+  void successorReplaysAnswerRecordedByStoppedIssuer() throws IOException {
     Permit ran = mint();
     Permit refused = mint();
     Permit running = mint();
@@ -37,7 +37,7 @@
     start(ran).recordAnswer(RecordedAnswer.complete(201, headers, new byte[] {1, 2, 3}));
     start(refused).recordNotRun();
     start(running);
-    HandOver closed = home.close("b", 2_000).orElseThrow();
+    HandOver closed = issuer.close("b", 2_000).orElseThrow();
     successor.adopt(HandOverCodec.decode(HandOverCodec.encode(closed)));
 
     Decision.Replay replay = (Decision.Replay) successor.beginExecution(ran, "digest", 2_000);
@@ -46,12 +46,12 @@
     assertInstanceOf(Decision.NotRun.class, successor.beginExecution(refused, "digest", 2_000));
     assertInstanceOf(Decision.Unknown.class, successor.beginExecution(running, "digest", 2_000));
     assertInstanceOf(Decision.Execute.class, successor.beginExecution(unused, "digest", 2_000));
-    assertEquals(new Decision.Moved("b"), home.beginExecution(unused, "digest", 2_000));
+    assertEquals(new Decision.Moved("b"), issuer.beginExecution(unused, "digest", 2_000));
   }
 
   /** A hand-over cut on its way must not count as one that holds fewer permits. */
   @Test
-  void cutBytesAreRefused() {
+  void truncatedBytesAreRejected() {
     for (int i = 0; i < 500; i++) {
       start(mint())
           .recordAnswer(
@@ -60,7 +60,7 @@
                   List.of(),
                   ("answer " + i).getBytes(java.nio.charset.StandardCharsets.UTF_8)));
     }
-    byte[] bytes = HandOverCodec.encode(home.close("b", 1_000).orElseThrow());
+    byte[] bytes = HandOverCodec.encode(issuer.close("b", 1_000).orElseThrow());
     for (int length = 0; length < bytes.length - 4; length += 97) {
       byte[] cut = Arrays.copyOf(bytes, length);
       assertThrows(IOException.class, () -> HandOverCodec.decode(cut));
@@ -73,9 +73,9 @@
    * a cut at a given place is of this kind: about one run in some hundred let it pass.
    */
   @Test
-  void bytesCutShortOfTheirChecksumAreRefused() {
+  void bytesWithTruncatedChecksumAreRejected() {
     start(mint()).recordAnswer(RecordedAnswer.complete(200, List.of(), new byte[] {1, 2, 3}));
-    byte[] bytes = HandOverCodec.encode(home.close("b", 1_000).orElseThrow());
+    byte[] bytes = HandOverCodec.encode(issuer.close("b", 1_000).orElseThrow());
     for (int missing = 1; missing <= 12; missing++) {
       byte[] cut = Arrays.copyOf(bytes, bytes.length - missing);
       assertThrows(IOException.class, () -> HandOverCodec.decode(cut), "missing " + missing);
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/PermitCodecTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/PermitCodecTest.java
@@ -20,7 +20,7 @@
 
   /** A permit must come back as it was, or its home cannot find its state. */
   @Test
-  void aSealedPermitOpensToItself() {
+  void sealedPermitOpensUnchanged() {
     PermitCodec codec = PermitCodec.of(() -> KeyRing.of(List.of(key("k1", 1))));
     assertEquals(new OpenedPermit.Valid(PERMIT), codec.open(codec.seal(PERMIT)));
   }
@@ -30,7 +30,7 @@
    * covers key id and payload, so each such change is refused.
    */
   @Test
-  void noChangedCharacterOpens() {
+  void permitWithChangedCharacterIsNotValid() {
     PermitCodec codec = PermitCodec.of(() -> KeyRing.of(List.of(key("k1", 1), key("k2", 2))));
     String text = codec.seal(PERMIT);
     for (int i = 0; i < text.length(); i++) {
@@ -50,7 +50,7 @@
    * live permit would be refused, and the donation could be neither repeated nor settled.
    */
   @Test
-  void rotationRefusesNoLivePermit() {
+  void livePermitRemainsValidAfterKeyRotation() {
     AtomicReference<KeyRing> ring = new AtomicReference<>(KeyRing.of(List.of(key("k1", 1))));
     PermitCodec codec = PermitCodec.of(ring::get);
     String before = codec.seal(PERMIT);
@@ -64,7 +64,7 @@
    * invalid would say "not run" of a request that its home may be running.
    */
   @Test
-  void aPermitOfAKeyNotYetKnownIsNotCalledInvalid() {
+  void permitWithUnknownKeyIsNotInvalid() {
     PermitCodec home = PermitCodec.of(() -> KeyRing.of(List.of(key("k2", 2))));
     PermitCodec behind = PermitCodec.of(() -> KeyRing.of(List.of(key("k1", 1))));
     OpenedPermit opened = behind.open(home.seal(PERMIT));
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void textThatIsNoPermitIsQuoted() {
+  void malformedTextIsQuotedInReason() {
     PermitCodec codec = PermitCodec.of(() -> KeyRing.of(List.of(key("k1", 1))));
     OpenedPermit.Invalid invalid = (OpenedPermit.Invalid) codec.open("nonsense");
     assertEquals("'nonsense' is not of the form KEY.PAYLOAD.MAC", invalid.reason());
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/PermitExplorerTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/PermitExplorerTest.java
@@ -19,7 +19,7 @@
    * although the permit had run, or the caller had been told "not run".
    */
   @Test
-  void noOrderOfStepsRunsAPermitTwiceOrAfterNotRunWasTold() {
+  void noSequenceOfStepsRunsPermitTwiceOrAfterNotRunAnswer() {
     Set<String> seen = new HashSet<>();
     List<List<PermitModel.Step>> frontier = List.of(List.of());
     for (int depth = 0; depth < DEPTH; depth++) {
@@ -47,7 +47,7 @@
     }
     List<PermitModel.Step> longer = new ArrayList<>(path);
     longer.add(step);
-    assertEquals("", model.broken().orElse(""), () -> "after " + longer);
+    assertEquals("", model.violation().orElse(""), () -> "after " + longer);
     if (seen.add(model.toString())) {
       next.add(longer);
     }
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/PermitHomeProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/PermitHomeProperties.java
@@ -9,28 +9,28 @@
 /** Long random orders of steps, beyond the depth of the explorer. */
 class PermitHomeProperties {
   @Property(tries = 5_000, seed = "20261202")
-  void aPermitRunsAtMostOnceOverLongRuns(
+  void permitRunsAtMostOnceInLongStepSequences(
       @ForAll @Size(min = 10, max = 60) List<PermitModel.Step> steps) {
     PermitModel model = new PermitModel();
     List<PermitModel.Step> taken = new ArrayList<>();
     for (PermitModel.Step step : steps) {
       taken.add(step);
       model.apply(step);
-      model.broken().ifPresent(reason -> fail(reason, taken));
+      model.violation().ifPresent(reason -> fail(reason, taken));
     }
   }
 
   /** Each permit keeps its own state and its own answer, whatever the others do. */
   @Property(tries = 300, seed = "20261203")
-  void permitsOfOneHomeDoNotMix(@ForAll @Size(max = 400) List<Boolean> ends) {
+  void permitsOfOneIssuerAreIndependent(@ForAll @Size(max = 400) List<Boolean> isAnswered) {
     PermitHome home = PermitHome.of("a", 1, PermitHome.Limits.standard());
     List<Permit> permits = new ArrayList<>();
-    for (int i = 0; i < ends.size(); i++) {
+    for (int i = 0; i < isAnswered.size(); i++) {
       Permit permit = home.mint("kannelkoda", "donations", 1_000 + i * 100L).orElseThrow();
       permits.add(permit);
       Decision.Execute execute =
           (Decision.Execute) home.beginExecution(permit, "r" + i, 1_000 + i * 100L);
-      if (ends.get(i)) {
+      if (isAnswered.get(i)) {
         execute
             .execution()
             .recordAnswer(RecordedAnswer.complete(200, List.of(), new byte[] {(byte) i}));
@@ -38,10 +38,10 @@
         execute.execution().recordNotRun();
       }
     }
-    for (int i = 0; i < ends.size(); i++) {
+    for (int i = 0; i < isAnswered.size(); i++) {
       Decision again = home.beginExecution(permits.get(i), "r" + i, 50_000);
       boolean right =
-          ends.get(i)
+          isAnswered.get(i)
               ? again instanceof Decision.Replay replay && replay.answer().body()[0] == (byte) i
               : again instanceof Decision.NotRun;
       if (!right) {
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/PermitKeysTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/PermitKeysTest.java
@@ -22,7 +22,7 @@
   private static final Permit PERMIT =
       new Permit("a", 1, 1, 99_000, "kannelkoda", "donations", "", "");
 
-  private final OneKeyStore store = new OneKeyStore();
+  private final SingleKeyStore store = new SingleKeyStore();
   private final PermitKeys first = keys();
   private final PermitKeys second = keys();
 
@@ -51,7 +51,7 @@
    * dropped at once, the donation would be refused at every entry VM.
    */
   @Test
-  void aPermitSealedBeforeARotationOpensAfterIt() throws Exception {
+  void permitSealedBeforeRotationOpensAfterIt() throws Exception {
     first.refresh(0);
     String before = sealedBy(first);
     second.refresh(PERIOD.toMillis());
@@ -66,7 +66,7 @@
    * first one seals for the second would be refused there.
    */
   @Test
-  void aNewKeySignsOnlyOnceAllHaveHadTimeToReadIt() throws Exception {
+  void newKeySignsOnlyAfterPropagationDelay() throws Exception {
     first.refresh(0);
     second.refresh(0);
     long rotation = PERIOD.toMillis();
@@ -82,7 +82,7 @@
    * would leave entry VMs that read the first one refusing permits of the second.
    */
   @Test
-  void aWriteWhoseAnswerIsLostIsReadBack() throws Exception {
+  void writeWithLostAnswerIsReadBack() throws Exception {
     store.loseNextAnswer = true;
     first.refresh(0);
     second.refresh(0);
@@ -95,28 +95,28 @@
    * and others must pass them on instead of calling them invalid.
    */
   @Test
-  void withoutAStoreAVmOpensItsOwnPermitsAndOthersPassThemOn() throws Exception {
+  void permitsOfLocalKeyOpenOnlyAtTheirIssuerWhileStoreIsDown() throws Exception {
     second.refresh(0);
-    store.down = true;
+    store.isDown = true;
     assertThrows(StoreException.Unavailable.class, () -> first.refresh(0));
     String text = sealedBy(first);
     assertOpens(first, text);
     assertInstanceOf(OpenedPermit.UnknownKey.class, PermitCodec.of(second::ring).open(text));
-    store.down = false;
+    store.isDown = false;
     first.refresh(0);
     assertOpens(first, text);
   }
 
   /** One key under compare-and-swap; all that these tests need of a store. */
-  private static final class OneKeyStore implements Store {
-    boolean down;
+  private static final class SingleKeyStore implements Store {
+    boolean isDown;
     boolean loseNextAnswer;
     long revision;
     byte[] value = new byte[0];
 
     @Override
     public Optional<StoredValue> read(String key) throws StoreException {
-      if (down) {
+      if (isDown) {
         throw new StoreException.Unavailable("down", new java.io.IOException("refused"));
       }
       return revision == 0
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/PermitModel.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/PermitModel.java
@@ -21,17 +21,17 @@
 
   /** What may happen next. */
   enum Step {
-    COPY_AT_HOME,
+    COPY_AT_ISSUER,
     COPY_AT_SUCCESSORS,
     TARGET_RUNS,
     TARGET_REFUSES,
-    ANSWER_COMES,
+    ANSWER_ARRIVES,
     ANSWER_IS_LOST,
     ORPHAN_RUNS,
     CLOSE_TO_B,
     CLOSE_TO_C,
     HAND_OVER_ARRIVES,
-    HOME_RESTARTS,
+    ISSUER_RESTARTS,
     TIME_PASSES,
     CLOCK_JUMPS_BACK
   }
@@ -40,46 +40,46 @@
 
   private record Message(PermitHome to, String name, HandOver state) {}
 
-  private final PermitHome b = PermitHome.of("b", 1, LIMITS);
-  private final PermitHome c = PermitHome.of("c", 1, LIMITS);
-  private PermitHome home = PermitHome.of("a", 1, LIMITS);
-  private final Permit permit = home.mint("kannelkoda", "donations", START).orElseThrow();
+  private final PermitHome successorB = PermitHome.of("b", 1, LIMITS);
+  private final PermitHome successorC = PermitHome.of("c", 1, LIMITS);
+  private PermitHome issuer = PermitHome.of("a", 1, LIMITS);
+  private final Permit permit = issuer.mint("kannelkoda", "donations", START).orElseThrow();
   private final List<Attempt> dispatched = new ArrayList<>();
   private final List<Attempt> ran = new ArrayList<>();
   private final List<Message> messages = new ArrayList<>();
   private long now = START;
   private int orphans;
   private int executions;
-  private boolean toldNotRun;
-  private boolean toldRan;
+  private boolean hasAnsweredNotRun;
+  private boolean hasAnsweredRan;
 
   /** False where the step cannot happen now. */
   boolean apply(Step step) {
     return switch (step) {
-      case COPY_AT_HOME -> copyAt(home);
-      case COPY_AT_SUCCESSORS -> copyAt(b) && copyAt(c);
+      case COPY_AT_ISSUER -> copyArrivesAt(issuer);
+      case COPY_AT_SUCCESSORS -> copyArrivesAt(successorB) && copyArrivesAt(successorC);
       case TARGET_RUNS -> targetRuns();
       case TARGET_REFUSES -> targetRefuses();
-      case ANSWER_COMES -> answerComes();
+      case ANSWER_ARRIVES -> answerArrives();
       case ANSWER_IS_LOST -> !ran.isEmpty() && ran.get(0).execution().recordUnknown();
       case ORPHAN_RUNS -> orphanRuns();
-      case CLOSE_TO_B -> close(b, "b");
-      case CLOSE_TO_C -> close(c, "c");
+      case CLOSE_TO_B -> close(successorB, "b");
+      case CLOSE_TO_C -> close(successorC, "c");
       case HAND_OVER_ARRIVES -> handOverArrives();
-      case HOME_RESTARTS -> homeRestarts();
+      case ISSUER_RESTARTS -> issuerRestarts();
       case TIME_PASSES -> moveClock(7);
       case CLOCK_JUMPS_BACK -> moveClock(-21);
     };
   }
 
-  private boolean copyAt(PermitHome vm) {
+  private boolean copyArrivesAt(PermitHome vm) {
     Decision decision = vm.beginExecution(permit, DIGEST, now);
     if (decision instanceof Decision.Execute execute) {
       dispatched.add(new Attempt(execute.execution(), vm));
     } else if (decision instanceof Decision.NotRun) {
-      toldNotRun = true;
+      hasAnsweredNotRun = true;
     } else if (decision instanceof Decision.Replay) {
-      toldRan = true;
+      hasAnsweredRan = true;
     }
     return true;
   }
@@ -96,15 +96,15 @@
     if (dispatched.isEmpty()) {
       return false;
     }
-    toldNotRun |= dispatched.remove(0).execution().recordNotRun();
+    hasAnsweredNotRun |= dispatched.remove(0).execution().recordNotRun();
     return true;
   }
 
-  private boolean answerComes() {
+  private boolean answerArrives() {
     if (ran.isEmpty()) {
       return false;
     }
-    toldRan |= ran.remove(0).execution().recordAnswer(ANSWER);
+    hasAnsweredRan |= ran.remove(0).execution().recordAnswer(ANSWER);
     return true;
   }
 
@@ -118,7 +118,7 @@
   }
 
   private boolean close(PermitHome to, String name) {
-    Optional<HandOver> state = home.close(name, now);
+    Optional<HandOver> state = issuer.close(name, now);
     if (messages.size() < 2) {
       state.ifPresent(each -> messages.add(0, new Message(to, name, each)));
     }
@@ -134,12 +134,12 @@
   }
 
   /** What the dead process had sent may still run; nobody hears of it. */
-  private boolean homeRestarts() {
-    PermitHome dead = home;
+  private boolean issuerRestarts() {
+    PermitHome dead = issuer;
     orphans += (int) dispatched.stream().filter(each -> each.vm() == dead).count();
     dispatched.removeIf(each -> each.vm() == dead);
     ran.removeIf(each -> each.vm() == dead);
-    home = PermitHome.of("a", 2, LIMITS);
+    issuer = PermitHome.of("a", 2, LIMITS);
     return true;
   }
 
@@ -149,17 +149,17 @@
   }
 
   /** The promise that does not hold, or empty. */
-  Optional<String> broken() {
+  Optional<String> violation() {
     if (executions > 1) {
       return Optional.of("the request ran " + executions + " times");
     }
-    if (toldNotRun && executions > 0) {
+    if (hasAnsweredNotRun && executions > 0) {
       return Optional.of("told not run, and it ran");
     }
-    if (toldNotRun && (!dispatched.isEmpty() || orphans > 0)) {
+    if (hasAnsweredNotRun && (!dispatched.isEmpty() || orphans > 0)) {
       return Optional.of("told not run, and a copy may still run");
     }
-    if (toldRan && executions == 0) {
+    if (hasAnsweredRan && executions == 0) {
       return Optional.of("told ran, and it did not run");
     }
     return Optional.empty();
@@ -169,8 +169,13 @@
   @Override
   public String toString() {
     StringBuilder text = new StringBuilder();
-    text.append(home).append(b).append(c).append(now).append(' ').append(orphans);
-    text.append(executions).append(toldNotRun).append(toldRan);
+    text.append(issuer)
+        .append(successorB)
+        .append(successorC)
+        .append(now)
+        .append(' ')
+        .append(orphans);
+    text.append(executions).append(hasAnsweredNotRun).append(hasAnsweredRan);
     dispatched.forEach(each -> text.append(" sent by ").append(each.vm()));
     ran.forEach(each -> text.append(" ran for ").append(each.vm()));
     messages.forEach(each -> text.append(each.name()).append(each.state().permitCount()));
--- a/sageladder-core/src/test/java/org/sageladder/core/quarantine/QuarantineTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/quarantine/QuarantineTest.java
@@ -27,7 +27,7 @@
    * quarantine each resend takes another target down, until none is left.
    */
   @Test
-  void theSecondCrashHoldsTheRequestBackAndLeavesTheOthers() {
+  void secondCrashQuarantinesOnlyTheCommonRequest() {
     quarantine.add(crash(1, 0, POISON, 1L, 2L));
     assertFalse(quarantine.isQuarantined(POISON, START + 1));
     quarantine.add(crash(2, 900, POISON, 3L, 4L));
@@ -39,7 +39,7 @@
 
   /** The recording was repaired on the server: it must not be refused for ever. */
   @Test
-  void aHoldExpiresAndTheNextCrashHoldsLonger() {
+  void quarantineExpiresAndDoublesWithNextCrash() {
     quarantine.add(crash(1, 0, POISON));
     quarantine.add(crash(2, 0, POISON));
     assertEquals(60_000, quarantine.remainingMillis(POISON, START));
@@ -53,7 +53,7 @@
    * zone was on two of them. Quarantine would refuse a search that harmed nobody.
    */
   @Test
-  void aRequestCaughtInAZoneFailureIsNotHeldBack() {
+  void requestRetriedDuringZoneFailureIsNotQuarantined() {
     long search = 5;
     for (int target = 0; target < 10; target++) {
       quarantine.add(
@@ -69,7 +69,7 @@
    * the same crashes must refuse the same requests.
    */
   @Test
-  void vmsThatHeardOfTheSameCrashesAgree() {
+  void decisionDoesNotDependOnOrderOfReports() {
     List<CrashReport> reports = new ArrayList<>();
     Random random = new Random(20_261_202);
     for (int target = 0; target < 40; target++) {
@@ -91,7 +91,7 @@
 
   /** Two entry VMs saw one crash: it must not count as the second. */
   @Test
-  void oneCrashSeenByTwoVmsCountsOnce() {
+  void crashReportedByTwoVmsCountsOnce() {
     quarantine.add(crash(1, 0, POISON));
     assertTrue(quarantine.add(crash(1, 5, POISON, 7L)));
     assertFalse(quarantine.add(crash(1, 5, POISON)));
@@ -100,7 +100,7 @@
 
   /** What one entry VM tells the others must arrive as it was. */
   @Test
-  void aReportReadsBackAsItWasWritten() throws java.io.IOException {
+  void encodedReportDecodesUnchanged() throws java.io.IOException {
     CrashReport report = crash(3, 7, POISON, 8L);
     assertEquals(report, CrashReportCodec.decode(CrashReportCodec.encode(report)));
   }
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/BackoffTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/BackoffTest.java
@@ -8,17 +8,17 @@
 import org.junit.jupiter.api.Test;
 
 class BackoffTest {
-  private static final Duration FIRST = Duration.ofMillis(100);
-  private static final Duration LONGEST = Duration.ofSeconds(3);
+  private static final Duration INITIAL_WAIT = Duration.ofMillis(100);
+  private static final Duration MAX_WAIT = Duration.ofSeconds(3);
 
   // The service comes back after an outage. Waiting without jitter, all relays of 94 zones would
   // call in the same instant, and again after each longest wait, and take it down again.
   @Test
-  void callsAfterAnOutageSpreadOverTheLongestWait() {
+  void callsAfterOutageAreSpreadOverMaxWait() {
     int[] callsInTenth = new int[30];
     SplittableRandom seeds = new SplittableRandom(20261202);
     for (int relay = 0; relay < 94; relay++) {
-      Backoff backoff = Backoff.of(FIRST, LONGEST, seeds.split());
+      Backoff backoff = Backoff.of(INITIAL_WAIT, MAX_WAIT, seeds.split());
       Duration at = Duration.ZERO;
       while (at.compareTo(Duration.ofMinutes(10)) < 0) {
         at = at.plus(backoff.recordFailure());
@@ -32,13 +32,13 @@
   }
 
   @Test
-  void waitIsBoundedByTheLongestAndStartsSmallAgainAfterASuccess() {
-    Backoff backoff = Backoff.of(FIRST, LONGEST, new SplittableRandom(7));
+  void waitIsBoundedAndResetBySuccess() {
+    Backoff backoff = Backoff.of(INITIAL_WAIT, MAX_WAIT, new SplittableRandom(7));
     for (int i = 0; i < 100; i++) {
-      assertTrue(backoff.recordFailure().compareTo(LONGEST) <= 0);
+      assertTrue(backoff.recordFailure().compareTo(MAX_WAIT) <= 0);
     }
     backoff.recordSuccess();
     assertEquals(0, backoff.failureCount());
-    assertTrue(backoff.recordFailure().compareTo(FIRST) <= 0);
+    assertTrue(backoff.recordFailure().compareTo(INITIAL_WAIT) <= 0);
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/FirstSnapshotTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/InitialSnapshotTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.time.VirtualTime;
 
-class FirstSnapshotTest {
+class InitialSnapshotTest {
   private final VirtualTime time = VirtualTime.startingAt(0);
   private final InitialSnapshot snapshot = InitialSnapshot.of(time, Duration.ofSeconds(1));
 
   @Test
-  void withNeitherStoreNorPeersItNeverCompletes() {
+  void isNeverCompleteWithoutStoreAndPeers() {
     snapshot.recordRequest("vm-2");
     time.advance(Duration.ofHours(1));
     assertFalse(snapshot.isComplete());
@@ -22,7 +22,7 @@
   // A whole zone restarts during a store outage; the fresh VMs ask each other. If a fresh peer's
   // empty answer counted, all would be ready with nothing and serve unknown contracts as absent.
   @Test
-  void answerOfAPeerThatIsItselfFreshDoesNotCount() {
+  void answerOfPeerThatIsNotReadyDoesNotCount() {
     snapshot.recordRequest("vm-2");
     snapshot.recordPeerAnswer("vm-2", false);
     time.advance(Duration.ofHours(1));
@@ -33,7 +33,7 @@
   // waits
   // for the others it asked, but not for one that is dead.
   @Test
-  void waitsForAllAskedPeersOrAShortWhile() {
+  void waitsForAllRequestedPeersOrPeerWait() {
     snapshot.recordRequest("vm-2");
     snapshot.recordRequest("vm-3");
     snapshot.recordPeerAnswer("vm-2", true);
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void storesAnswerSettlesItAtOnce() {
+  void isCompleteOnceStoreHasAnswered() {
     snapshot.recordRequest("vm-2");
     snapshot.recordStoreAnswer();
     assertTrue(snapshot.isComplete());
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/OverlayProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/OverlayProperties.java
@@ -17,11 +17,12 @@
 
 class OverlayProperties {
   @Property(tries = 100, seed = "20261202")
-  void zoneTreeReachesEveryMemberAndLoadsNoneWithMoreThanItsFanOut(
+  void zoneTreeReachesEveryMemberWithBoundedFanOut(
       @ForAll @IntRange(min = 1, max = 60) int size,
       @ForAll @IntRange(min = 1, max = 4) int fanOut) {
     List<String> members = names("vm-", size);
-    Map<String, Integer> hops = walk("vm-00", vm -> Overlay.zoneTree(members, "vm-00", vm, fanOut));
+    Map<String, Integer> hops =
+        hopsFrom("vm-00", vm -> Overlay.zoneTree(members, "vm-00", vm, fanOut));
     assertEquals(size, hops.size());
     for (String member : members) {
       List<String> neighbours = Overlay.zoneTree(members, "vm-00", member, fanOut);
@@ -35,13 +36,13 @@
   // A zone is lost. If all paths between two others led through it, they would stop hearing each
   // other although they can reach each other.
   @Property(tries = 100, seed = "20261202")
-  void lossOfAnyOneZoneLeavesTheOthersConnected(
+  void lossOfOneZoneLeavesTheOthersConnected(
       @ForAll @IntRange(min = 3, max = 94) int size, @ForAll @IntRange(max = 93) int lostIndex) {
     List<String> zones = names("zone-", size);
     String lost = zones.get(lostIndex % size);
     String start = zones.get((lostIndex + 1) % size);
     Map<String, Integer> hops =
-        walk(
+        hopsFrom(
             start,
             zone ->
                 Overlay.zoneNeighbours(zones, zone).stream().filter(z -> !z.equals(lost)).toList());
@@ -49,10 +50,9 @@
   }
 
   @Property(tries = 94, seed = "20261202")
-  void zoneHasAtMostFourNeighboursAndPathsStayNearTheSquareRoot(
-      @ForAll @IntRange(min = 1, max = 94) int size) {
+  void zoneHasAtMostFourNeighboursAndPathsAreShort(@ForAll @IntRange(min = 1, max = 94) int size) {
     List<String> zones = names("zone-", size);
-    Map<String, Integer> hops = walk("zone-00", zone -> Overlay.zoneNeighbours(zones, zone));
+    Map<String, Integer> hops = hopsFrom("zone-00", zone -> Overlay.zoneNeighbours(zones, zone));
     int root = (int) Math.ceil(Math.sqrt(size));
     assertTrue(hops.values().stream().allMatch(distance -> distance <= root + 1), hops::toString);
     for (String zone : zones) {
@@ -61,15 +61,15 @@
   }
 
   @Property(tries = 100, seed = "20261202")
-  void treeWithALeafReachesEveryMemberAndTheLeafHandsNothingOn(
+  void treeWithLeafReachesEveryMemberAndLeafForwardsNothing(
       @ForAll @IntRange(min = 1, max = 60) int size) {
     List<String> members = names("vm-", size);
     String leaf = members.get(size / 3);
     String root = members.stream().filter(vm -> !vm.equals(leaf)).findFirst().orElse(leaf);
     Function<String, Collection<String>> tree =
         vm -> Overlay.zoneTreeWithLeaf(members, root, leaf, vm, 2);
-    assertEquals(size, walk(root, tree).size());
-    assertEquals(size, walk(leaf, tree).size());
+    assertEquals(size, hopsFrom(root, tree).size());
+    assertEquals(size, hopsFrom(leaf, tree).size());
     assertTrue(tree.apply(leaf).size() <= 1 || size == 1);
     members.forEach(vm -> assertTrue(tree.apply(vm).size() <= 4, vm));
   }
@@ -77,7 +77,7 @@
   // Sent over every link of the mesh, each report passes a relay about eight times, and at 94 zones
   // the reports alone are several times the byte budget.
   @Property(tries = 100, seed = "20261202")
-  void reportReachesEachZoneExactlyOnceOverExistingLinks(
+  void summaryReachesEachZoneExactlyOnceOverExistingLinks(
       @ForAll @IntRange(min = 1, max = 94) int size, @ForAll @IntRange(max = 93) int originIndex) {
     List<String> zones = names("zone-", size);
     String origin = zones.get(originIndex % size);
@@ -98,7 +98,7 @@
     return IntStream.range(0, size).mapToObj(i -> String.format("%s%02d", prefix, i)).toList();
   }
 
-  private static Map<String, Integer> walk(
+  private static Map<String, Integer> hopsFrom(
       String start, Function<String, Collection<String>> neighbours) {
     Map<String, Integer> hops = new HashMap<>(Map.of(start, 0));
     Deque<String> open = new ArrayDeque<>(List.of(start));
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/SpreaderTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/SpreaderTest.java
@@ -26,38 +26,38 @@
   private final Map<String, Spreader> spreaders = new HashMap<>();
   private final Queue<Runnable> wire = new ArrayDeque<>();
   private final List<SpreadMessage> sent = new ArrayList<>();
-  private final Set<String> down = new HashSet<>();
-  private BiPredicate<String, SpreadMessage> lost = (to, message) -> false;
+  private final Set<String> downVms = new HashSet<>();
+  private BiPredicate<String, SpreadMessage> isLost = (to, message) -> false;
 
   @Test
-  void contractReachesTheWholeZoneAlongTheTreeWithoutATick() {
-    List<String> members = zone(27);
+  void contractReachesWholeZoneWithoutTick() {
+    List<String> members = startZone(27);
     spreaders.get("vm-00").publish(contract(5, "whole contract"));
     deliver();
     for (String member : members) {
       assertEquals(5, version(member), member);
     }
-    assertEquals(26, pushes());
+    assertEquals(26, countPushes());
   }
 
   // The relay dies after it told only some; or a link breaks and a push is lost. Those left out
   // would stay behind until the next change, were it not for the comparison with random peers.
   @Test
-  void lostPushIsFoundByComparingWithRandomPeers() {
-    List<String> members = zone(9);
-    lost = (to, message) -> message instanceof SpreadMessage.Push && !to.equals("vm-01");
+  void lostPushIsRepairedByRandomPeers() {
+    List<String> members = startZone(9);
+    isLost = (to, message) -> message instanceof SpreadMessage.Push && !to.equals("vm-01");
     spreaders.get("vm-00").publish(contract(5, "whole contract"));
     deliver();
-    lost = (to, message) -> to.equals("vm-00");
-    down.add("vm-00");
+    isLost = (to, message) -> to.equals("vm-00");
+    downVms.add("vm-00");
     tickUntilAllAt(5, members.subList(1, 9), 20);
   }
 
   // Messages overtake each other: revision 6 arrives before revision 5. A process that then took 5
   // would serve limits that the operator has already replaced.
   @Test
-  void olderRevisionArrivingLateChangesNothing() {
-    zone(2);
+  void lateOlderRevisionIsIgnored() {
+    startZone(2);
     Spreader late = spreaders.get("vm-01");
     late.receive("vm-00", push(contract(6, "newer")));
     late.receive("vm-00", push(contract(5, "older")));
@@ -65,8 +65,8 @@
   }
 
   @Test
-  void secondRevisionTravelsAsADifference() {
-    zone(2);
+  void secondRevisionIsSentAsDelta() {
+    startZone(2);
     String text = "limits: ".repeat(500);
     spreaders.get("vm-00").publish(contract(5, text + "100" + text));
     deliver();
@@ -83,8 +83,8 @@
   // None knows what its neighbours have, so the next change, one line of a contract of 300 KB,
   // would be sent whole over every link.
   @Test
-  void changeAfterBothReadTheContractFromTheStoreTravelsAsADifference() {
-    zone(2);
+  void changeIsSentAsDeltaAfterBothReadContractFromStore() {
+    startZone(2);
     String text = "limits: ".repeat(500);
     spreaders.get("vm-00").publish(contract(5, text + "100" + text));
     spreaders.get("vm-01").publish(contract(5, text + "100" + text));
@@ -105,13 +105,13 @@
   // The sender believes that the receiver has revision 5, but that message was lost with its link.
   // A difference put onto the wrong base would make a contract that nobody wrote.
   @Test
-  void differenceOnAMissingBaseIsAnsweredByAskingForTheWhole() {
-    zone(2);
+  void deltaOnMissingBaseIsAnsweredByPull() {
+    startZone(2);
     String text = "limits: ".repeat(500);
-    lost = (to, message) -> message instanceof SpreadMessage.Push;
+    isLost = (to, message) -> message instanceof SpreadMessage.Push;
     spreaders.get("vm-00").publish(contract(5, text + "100" + text));
     deliver();
-    lost = (to, message) -> false;
+    isLost = (to, message) -> false;
     spreaders.get("vm-00").publish(contract(6, text + "120" + text));
     deliver();
     assertEquals(6, version("vm-01"));
@@ -121,8 +121,8 @@
 
   // A fresh VM asks a peer that holds much more than its byte budget allows in a second.
   @Test
-  void snapshotBringsEverythingAndSaysWhetherThePeerIsReady() {
-    zone(1);
+  void snapshotContainsAllItemsAndReadiness() {
+    startZone(1);
     Spreader full = spreaders.get("vm-00");
     full.setReady(true);
     for (int i = 0; i < 300; i++) {
@@ -140,8 +140,8 @@
   // Summaries of 94 zones change all the time. Sent each time they would use up the budget of
   // control traffic; a newer one must replace one that waits.
   @Test
-  void summariesKeepToTheByteBudgetAndOnlyTheLatestIsSent() {
-    zone(2);
+  void summariesKeepToByteBudgetAndLatestIsSent() {
+    startZone(2);
     Spreader relay = spreaders.get("vm-00");
     int seconds = 60;
     for (int i = 1; i <= seconds * 10; i++) {
@@ -171,8 +171,8 @@
 
   // Contracts must be in force within seconds also while summaries have used the budget up.
   @Test
-  void contractDoesNotWaitBehindSummaries() {
-    zone(2);
+  void contractIsNotDelayedBySummaries() {
+    startZone(2);
     Spreader relay = spreaders.get("vm-00");
     for (int z = 0; z < 90; z++) {
       relay.publish(Item.of(ItemKind.SUMMARY, "zone-" + z, 1, new byte[2_000]));
@@ -184,8 +184,8 @@
   }
 
   @Test
-  void expiredNoticeIsForgottenAndNotTakenBackFromASlowerPeer() {
-    zone(2);
+  void expiredNoticeIsDroppedAndNotAcceptedAgain() {
+    startZone(2);
     Item notice =
         new Item(new ItemKey(ItemKind.NOTICE, "quarantine/ab12"), 1, 1_005_000, new byte[4]);
     spreaders.get("vm-00").publish(notice);
@@ -199,7 +199,7 @@
     assertEquals(0, spreaders.get("vm-01").table().version(notice.key()));
   }
 
-  private List<String> zone(int size) {
+  private List<String> startZone(int size) {
     List<String> members = new ArrayList<>();
     for (int i = 0; i < size; i++) {
       members.add(String.format("vm-%02d", i));
@@ -231,7 +231,7 @@
 
   private void arrive(String from, String to, SpreadMessage message) {
     sent.add(message);
-    if (!down.contains(from) && !lost.test(to, message)) {
+    if (!downVms.contains(from) && !isLost.test(to, message)) {
       spreaders.get(to).receive(from, message);
     }
   }
@@ -242,8 +242,8 @@
     }
   }
 
-  private void tickUntilAllAt(long version, List<String> members, int mostSeconds) {
-    for (int i = 0; i < mostSeconds * 20; i++) {
+  private void tickUntilAllAt(long version, List<String> members, int maxSeconds) {
+    for (int i = 0; i < maxSeconds * 20; i++) {
       if (members.stream().allMatch(member -> version(member) == version)) {
         return;
       }
@@ -251,14 +251,14 @@
       members.forEach(member -> spreaders.get(member).tick());
       deliver();
     }
-    throw new AssertionError("not all at " + version + " after " + mostSeconds + " s");
+    throw new AssertionError("not all at " + version + " after " + maxSeconds + " s");
   }
 
   private long version(String vm) {
     return spreaders.get(vm).table().version(CONTRACT);
   }
 
-  private long pushes() {
+  private long countPushes() {
     return sent.stream().filter(message -> message instanceof SpreadMessage.Push).count();
   }
 
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/VersionedTableProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/VersionedTableProperties.java
@@ -33,7 +33,7 @@
   // A late or repeated message brings an older revision after a newer one. If the order of arrival
   // counted, two entry VMs would keep different contracts, or one would fall back.
   @Property(tries = 300, seed = "20261202")
-  void sameItemsInAnyOrderAndTwiceGiveTheSameTable(
+  void mergeIsIndependentOfOrderAndRepetition(
       @ForAll("items") List<Item> items, @ForAll long seed) {
     VersionedTable inOrder = VersionedTable.withCapacity(100);
     items.forEach(inOrder::merge);
@@ -53,7 +53,7 @@
   }
 
   @Property(tries = 300, seed = "20261202")
-  void noKeyEverGoesBack(@ForAll("items") List<Item> items) {
+  void versionsNeverDecrease(@ForAll("items") List<Item> items) {
     VersionedTable table = VersionedTable.withCapacity(100);
     for (Item item : items) {
       long before = table.version(item.key());
@@ -64,8 +64,7 @@
   }
 
   @Property(tries = 500, seed = "20261202")
-  void deltaGivesTheNewerPayload(
-      @ForAll byte[] older, @ForAll byte[] newer, @ForAll byte[] shared) {
+  void deltaYieldsNewerPayload(@ForAll byte[] older, @ForAll byte[] newer, @ForAll byte[] shared) {
     byte[] first = join(shared, older, shared, shared);
     byte[] second = join(shared, newer, shared, older, shared);
     PayloadDelta delta = PayloadDelta.between(first, second);
@@ -74,7 +73,8 @@
 
   // A program from a broken or hostile peer must not read outside the base or grow without bound.
   @Property(tries = 500, seed = "20261202")
-  void anyProgramGivesAPayloadOrNothing(@ForAll byte[] program, @ForAll byte[] base) {
+  void arbitraryInstructionsYieldBoundedPayloadOrNothing(
+      @ForAll byte[] program, @ForAll byte[] base) {
     new PayloadDelta(program)
         .applyTo(base)
         .ifPresent(made -> assertTrue(made.length <= Item.MAX_PAYLOAD_BYTES));
@@ -83,7 +83,7 @@
   // Each change has a new change id at its start and the changed limit near its end. A difference
   // that knew only one changed stretch carried the whole contract between them.
   @Example
-  void twoDistantChangesOfALargePayloadCostLittle() {
+  void deltaOfTwoDistantChangesIsSmall() {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < 5_000; i++) {
       text.append("  - {first: ")
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlMachine.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlMachine.java
@@ -454,7 +454,7 @@
       return;
     }
     relayHeardNanos = time.nanos();
-    duty.onRelayHeard();
+    duty.onRelayMessage();
     confirm(answer);
   }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/PermitEnforcer.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/PermitEnforcer.java
@@ -205,7 +205,7 @@
   }
 
   private void handleRepeat(RequestCopy copy, Permit permit, Decision decision) throws IOException {
-    if (decision instanceof Decision.Replay replay && replay.answer().kept()) {
+    if (decision instanceof Decision.Replay replay && replay.answer().isKept()) {
       discardBody(copy);
       context.counters().countResult(copy.service().name(), ResultCode.OK);
       ResponseRecording.replay(copy.exchange(), replay.answer());
--- a/sageladder-entry/src/test/java/org/sageladder/entry/request/RequestFlowTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/request/RequestFlowTest.java
@@ -229,7 +229,7 @@
   private final class RecordingRun implements PermitRun {
     @Override
     public void recordRan(RecordedAnswer answer) {
-      recordedOutcomes.add(answer.kept() ? "ran " + answer.status() : "ran, answer not kept");
+      recordedOutcomes.add(answer.isKept() ? "ran " + answer.status() : "ran, answer not kept");
     }
 
     @Override
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/MessageCodec.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/MessageCodec.java
@@ -148,7 +148,8 @@
   }
 
   private static Inner.Versions encode(SpreadMessage.Versions versions) {
-    Inner.Versions.Builder builder = Inner.Versions.newBuilder().setSnapshot(versions.snapshot());
+    Inner.Versions.Builder builder =
+        Inner.Versions.newBuilder().setSnapshot(versions.isSnapshotRequest());
     versions
         .versions()
         .forEach(
