--- a/sageladder-forward/src/main/java/org/sageladder/forward/Attempt.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Attempt.java
@@ -21,7 +21,7 @@
    * A kept connection may be closing unseen. What may not be repeated is sent only on one that was
    * used just now, since a loss after sending could not be told from a run.
    */
-  private static final long MAX_IDLE_AT_MOST_ONCE_MILLIS = 3_000;
+  private static final long MAX_IDLE_NON_IDEMPOTENT_MILLIS = 3_000;
 
   /** Clocks of two machines may differ by this much: the largest step that operators tell of. */
   private static final long MAX_CLOCK_SKEW_MILLIS = 2_000;
@@ -83,7 +83,7 @@
         .connectionPool()
         .acquire(
             target().facts(),
-            once ? MAX_IDLE_AT_MOST_ONCE_MILLIS : Long.MAX_VALUE,
+            once ? MAX_IDLE_NON_IDEMPOTENT_MILLIS : Long.MAX_VALUE,
             this::onConnected,
             this::onConnectFailed,
             millis -> forwarder.distances().recordConnect(target().facts().zone(), millis));
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Exchange.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Exchange.java
@@ -144,7 +144,7 @@
   }
 
   /** Takes the head in; {@code first} where no other request of the connection is unanswered. */
-  void start(boolean first) {
+  void start(boolean isFirst) {
     String named = forwarder.dialect().requestId(head.headers());
     requestId = named == null ? "" : named;
     ResultCode fault = RequestHeadValidator.findFault(head, named);
@@ -174,7 +174,7 @@
       refuseUnknownApiKey(rules);
       return;
     }
-    acceptRequest(match.get(), first);
+    acceptRequest(match.get(), isFirst);
   }
 
   /** Looks up who sends the request; false where its API key is not known. */
@@ -197,7 +197,7 @@
     endWithoutResponse(ResultCode.API_KEY_UNKNOWN, NO_RETRY_AFTER, version);
   }
 
-  private void acceptRequest(RouteRule matched, boolean first) {
+  private void acceptRequest(RouteRule matched, boolean isFirst) {
     route = matched;
     service = forwarder.nextService(matched);
     long wanted = forwarder.dialect().deadlineMillis(head.headers());
@@ -212,7 +212,7 @@
     objectHash =
         Hashing.komihash5_0().hashCharsToLong(matched.host() + matched.prefix() + '\n' + subject);
     forwarder.retryAllowance().recordRequest(service, startedAtMillis);
-    isWaitingForTurn = !first && !matched.idempotent();
+    isWaitingForTurn = !isFirst && !matched.idempotent();
     if (HttpUtil.is100ContinueExpected(head)) {
       caller.write(
           new DefaultFullHttpResponse(
@@ -361,10 +361,10 @@
   }
 
   /** The target has not run the request and will not. */
-  void onNotRun(Attempt refused, boolean otherTarget) {
+  void onNotRun(Attempt refused, boolean isMisdirected) {
     attempt = null;
-    logAttempt(EventKind.RETRIED, refused, otherTarget ? "another target is there" : "refused");
-    if (otherTarget) {
+    logAttempt(EventKind.RETRIED, refused, isMisdirected ? "another target is there" : "refused");
+    if (isMisdirected) {
       forwarder.targets().remove(refused.target().facts().incarnation());
       forwarder.forgetTarget(refused.target().facts().incarnation());
       unreachedCount++;
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Forwarder.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Forwarder.java
@@ -47,7 +47,7 @@
   private static final double RUN_TIME_SAFETY_FACTOR = 2;
 
   /** Work moves to where there is room within some runs of a request. */
-  private static final long SHIFT_LIMIT_LIFTED_MILLIS = 4_000;
+  private static final long SHIFT_BOUND_LIFTED_MILLIS = 4_000;
 
   private final String region;
   private final Loop loop;
@@ -69,12 +69,12 @@
   private final Set<Attempt> attempts = new LinkedHashSet<>();
   private final Random random;
   private @Nullable RoutingRules rules;
-  private @Nullable Channel listener;
+  private @Nullable Channel serverChannel;
   private final Quotas quotas;
   private BooleanSupplier staleRulesCheck = () -> false;
   private boolean isStopping;
   private long stopDeadlineMillis;
-  private int inFlight;
+  private int inFlightCount;
 
   /**
    * What an entry VM is told about itself and its bounds.
@@ -106,45 +106,45 @@
       long discoveryMillis,
       boolean isFirstStart) {}
 
-  private Forwarder(Loop loop, Dialect dialect, Options identity, EventSink log, Metrics metrics) {
-    this.region = identity.region();
+  private Forwarder(Loop loop, Dialect dialect, Options options, EventSink log, Metrics metrics) {
+    this.region = options.region();
     this.loop = loop;
     this.dialect = dialect;
     this.log = log;
     this.metrics = metrics;
     this.requestLog = new RequestLog(log, metrics);
-    this.distances = RoundTripTimes.from(identity.zone(), identity.region());
+    this.distances = RoundTripTimes.from(options.zone(), options.region());
     this.coldAllowance =
         ColdTargetLimiter.of(
-            identity.name(), identity.coldRateFactor(), identity.coldSlackPerSecond());
+            options.name(), options.coldRateFactor(), options.coldSlackPerSecond());
     this.retryAllowance =
         ServiceRetryBudget.of(
-            identity.retryRatio(), identity.extraRetriesPerWindow(), identity.retryWindowMillis());
-    this.shiftBound = RegionShiftLimiter.of(identity.maxShiftFraction());
+            options.retryRatio(), options.extraRetriesPerWindow(), options.retryWindowMillis());
+    this.shiftBound = RegionShiftLimiter.of(options.maxShiftFraction());
     this.runTimes = RunTimes.create(shiftBound::settleMillis);
     this.placement =
         Placement.among(
             targets, distances, runTimes, coldAllowance, shiftBound, PlacementWeights.standard());
-    placement.updateZoneShare(identity.zoneFraction());
+    placement.updateZoneShare(options.zoneFraction());
     this.connectionPool = new TargetConnectionPool(loop, dialect);
     this.crashDetector = new CrashDetector(loop, log);
-    this.random = new Random(identity.name().hashCode());
+    this.random = new Random(options.name().hashCode());
     this.quotas =
         Quotas.of(
-            identity.name(),
-            identity.quotaBounds(),
-            identity.discoveryMillis(),
+            options.name(),
+            options.quotaBounds(),
+            options.discoveryMillis(),
             Quotas.Peers.none(),
             loop.nowMillis());
-    if (identity.isFirstStart()) {
+    if (options.isFirstStart()) {
       quotas.assumeNoPriorUse();
     }
   }
 
   /** A forwarder that knows no configuration and no target, and listens on no port yet. */
   public static Forwarder create(
-      Loop loop, Dialect dialect, Options identity, EventSink log, Metrics metrics) {
-    Forwarder forwarder = new Forwarder(loop, dialect, identity, log, metrics);
+      Loop loop, Dialect dialect, Options options, EventSink log, Metrics metrics) {
+    Forwarder forwarder = new Forwarder(loop, dialect, options, log, metrics);
     loop.scheduleAtFixedRate(SWEEP_INTERVAL_MILLIS, forwarder::sweep);
     return forwarder;
   }
@@ -167,30 +167,30 @@
                 failed.accept(done.cause());
                 return;
               }
-              listener = done.channel();
+              serverChannel = done.channel();
               opened.run();
             });
   }
 
   /** Port that is open, or empty. */
   public Optional<Integer> port() {
-    Channel open = listener;
+    Channel open = serverChannel;
     return open == null
         ? Optional.empty()
         : Optional.of(((InetSocketAddress) open.localAddress()).getPort());
   }
 
   /** Puts newer rules in force; older ones than those in force have no effect. */
-  public boolean applyRules(RoutingRules newer) {
+  public boolean applyRules(RoutingRules newRules) {
     RoutingRules known = rules;
-    if (known != null && newer.version() <= known.version()) {
+    if (known != null && newRules.version() <= known.version()) {
       return false;
     }
-    rules = newer;
-    Set<String> routes = newer.routeNames();
+    rules = newRules;
+    Set<String> routes = newRules.routeNames();
     runTimes.retainRoutes(routes);
     serviceRotations.keySet().retainAll(routes);
-    quotas.updateWorkspaces(newer.keys().workspaces());
+    quotas.updateWorkspaces(newRules.keys().workspaces());
     return true;
   }
 
@@ -220,12 +220,14 @@
   }
 
   /** Puts newer bounds in force; name, zone and region are those of the start. */
-  public void updateLimits(Options newer) {
-    coldAllowance.updateLimits(newer.coldRateFactor(), newer.coldSlackPerSecond());
+  public void updateBounds(Options newOptions) {
+    coldAllowance.updateLimits(newOptions.coldRateFactor(), newOptions.coldSlackPerSecond());
     retryAllowance.updateLimits(
-        newer.retryRatio(), newer.extraRetriesPerWindow(), newer.retryWindowMillis());
-    shiftBound.updateLimit(newer.maxShiftFraction());
-    quotas.updateTolerance(newer.quotaBounds());
+        newOptions.retryRatio(),
+        newOptions.extraRetriesPerWindow(),
+        newOptions.retryWindowMillis());
+    shiftBound.updateLimit(newOptions.maxShiftFraction());
+    quotas.updateTolerance(newOptions.quotaBounds());
   }
 
   /** Tells which entry VMs are live, and how many were seen at once. */
@@ -266,7 +268,7 @@
    * other room than before.
    */
   public void onCapacityChange() {
-    shiftBound.suspendUntil(loop.nowMillis() + SHIFT_LIMIT_LIFTED_MILLIS);
+    shiftBound.suspendUntil(loop.nowMillis() + SHIFT_BOUND_LIFTED_MILLIS);
   }
 
   /** Takes a target's crash that another entry VM has told. */
@@ -280,30 +282,31 @@
   }
 
   /** Requests that have no whole answer yet. */
-  public int inFlight() {
-    return inFlight;
+  public int inFlightCount() {
+    return inFlightCount;
   }
 
   /**
    * From now on each answer closes its connection, so that callers look up again, and a request
    * that would hardly end within {@code millis} is refused.
    */
-  public void beginShutdown(long millis) {
+  public void beginShutdown(long graceMillis) {
     isStopping = true;
-    stopDeadlineMillis = loop.nowMillis() + millis;
+    stopDeadlineMillis = loop.nowMillis() + graceMillis;
   }
 
   /**
    * True where a request expected to take {@code millis} can be taken. A stop cuts off what still
    * waits at a target when its time is over; a run takes up to twice as long as expected.
    */
-  boolean canFinishBeforeStop(double millis) {
-    return !isStopping || loop.nowMillis() + RUN_TIME_SAFETY_FACTOR * millis < stopDeadlineMillis;
+  boolean canFinishBeforeStop(double estimatedMillis) {
+    return !isStopping
+        || loop.nowMillis() + RUN_TIME_SAFETY_FACTOR * estimatedMillis < stopDeadlineMillis;
   }
 
   /** Takes no new connections and closes those without a request. */
   public void stopListening() {
-    Channel open = listener;
+    Channel open = serverChannel;
     if (open != null) {
       Sockets.close(open);
     }
@@ -341,11 +344,11 @@
   }
 
   void requestStarted() {
-    inFlight++;
+    inFlightCount++;
   }
 
   void requestEnded() {
-    inFlight--;
+    inFlightCount--;
   }
 
   CallerLimits callerLimits() {
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Loop.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Loop.java
@@ -109,20 +109,23 @@
   }
 
   /** Runs {@code task} on the thread after {@code millis}. */
-  public Timer schedule(long millis, Runnable task) {
+  public Timer schedule(long delayMillis, Runnable task) {
     var future =
         eventLoop.schedule(
-            () -> taskExecutor.execute(task), Math.max(0, millis), TimeUnit.MILLISECONDS);
+            () -> taskExecutor.execute(task), Math.max(0, delayMillis), TimeUnit.MILLISECONDS);
     return () -> {
       var unused = future.cancel(false);
     };
   }
 
   /** Runs {@code task} on the thread each {@code millis}, from then on. */
-  public void scheduleAtFixedRate(long millis, Runnable task) {
+  public void scheduleAtFixedRate(long intervalMillis, Runnable task) {
     var unused =
         eventLoop.scheduleAtFixedRate(
-            () -> taskExecutor.execute(task), millis, millis, TimeUnit.MILLISECONDS);
+            () -> taskExecutor.execute(task),
+            intervalMillis,
+            intervalMillis,
+            TimeUnit.MILLISECONDS);
   }
 
   /** A task that waits for its time. */
--- a/sageladder-forward/src/main/java/org/sageladder/forward/ReachabilityCheck.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/ReachabilityCheck.java
@@ -27,16 +27,17 @@
   private int failedCount;
   private boolean isFinished;
 
-  private ReachabilityCheck(Loop loop, TargetFacts target, Runnable reached, Runnable cutOff) {
+  private ReachabilityCheck(
+      Loop loop, TargetFacts target, Runnable onReachable, Runnable onUnreachable) {
     this.loop = loop;
     this.target = target;
-    this.onReachable = reached;
-    this.onUnreachable = cutOff;
+    this.onReachable = onReachable;
+    this.onUnreachable = onUnreachable;
   }
 
   /** Calls one of the two within 750 ms. */
-  static void start(Loop loop, TargetFacts target, Runnable reached, Runnable cutOff) {
-    ReachabilityCheck check = new ReachabilityCheck(loop, target, reached, cutOff);
+  static void start(Loop loop, TargetFacts target, Runnable onReachable, Runnable onUnreachable) {
+    ReachabilityCheck check = new ReachabilityCheck(loop, target, onReachable, onUnreachable);
     check.connect();
     var unused = loop.schedule(SECOND_ATTEMPT_DELAY_MILLIS, check::connect);
   }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/RequestLog.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/RequestLog.java
@@ -51,24 +51,24 @@
    * The request ended.
    *
    * @param last the attempt that its answer came from, or null
-   * @param sends attempts that may have reached a target
+   * @param sendCount attempts that may have reached a target
    */
   void recordEnd(
       EventKind kind,
       Subject of,
       @Nullable Attempt last,
       @Nullable RoutingRules rules,
-      long millis,
-      int sends,
+      long durationMillis,
+      int sendCount,
       String detail) {
     metrics.count("requests_" + toLowerCase(kind));
-    metrics.recordMillis("request", millis);
+    metrics.recordMillis("request", durationMillis);
     String text =
         detail
             + " after "
-            + millis
+            + durationMillis
             + " ms, sends "
-            + sends
+            + sendCount
             + describeEstimate(last)
             + of.workspaceSuffix();
     long version = rules == null ? 0 : rules.version();
--- a/sageladder-forward/src/main/java/org/sageladder/forward/TargetConnection.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/TargetConnection.java
@@ -62,7 +62,7 @@
   private boolean hasResponseBytes;
   private boolean isDiscarding;
   private int discardedCount;
-  private boolean isUndamaged = true;
+  private boolean isIntact = true;
   private boolean isKeepAliveEnabled;
   private long maxIdleMillis;
   private long idleSinceMillis;
@@ -165,7 +165,7 @@
   void abandon() {
     boolean withdrawn = listener != null;
     listener = null;
-    isUndamaged = false;
+    isIntact = false;
     if (withdrawn) {
       Sockets.abort(context().channel());
     } else {
@@ -186,17 +186,14 @@
 
   /** True where the next request may be sent on it. */
   boolean isReusable() {
-    return isUndamaged
-        && !isKeepAliveEnabled
-        && isRequestComplete
-        && context().channel().isActive();
+    return isIntact && !isKeepAliveEnabled && isRequestComplete && context().channel().isActive();
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     if (listener == null) {
       ReferenceCountUtil.release(message);
-      isUndamaged = false;
+      isIntact = false;
       Sockets.close(ctx);
       return;
     }
@@ -221,7 +218,7 @@
     String id = dialect.answeredRequestId(answer.headers());
     if (id != null && !id.equals(requestId)) {
       isDiscarding = true;
-      isUndamaged = false;
+      isIntact = false;
       discardedCount++;
       if (discardedCount > MAX_DISCARDED_RESPONSES) {
         fail("answers to other requests");
@@ -230,12 +227,12 @@
     }
     isDiscarding = false;
     if (!HttpUtil.isKeepAlive(answer)) {
-      isUndamaged = false;
+      isIntact = false;
     }
     boolean framed =
         HttpUtil.isContentLengthSet(answer) || HttpUtil.isTransferEncodingChunked(answer);
     if (!framed && !isHeadRequest) {
-      isUndamaged = false;
+      isIntact = false;
     }
     maxIdleMillis = parseIdleMillis(answer.headers().get("keep-alive"));
     Listener to = listener;
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryDirectory.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryDirectory.java
@@ -20,7 +20,7 @@
   private static final int MIN_ADDRESSES = 2;
 
   private final EntryVm self;
-  private final Map<String, EntryVm> otherVms = new TreeMap<>();
+  private final Map<String, EntryVm> registeredVms = new TreeMap<>();
   private boolean isLeaving;
 
   private EntryDirectory(EntryVm self) {
@@ -34,12 +34,12 @@
 
   /** An entry VM is live. */
   public void add(EntryVm vm) {
-    otherVms.put(vm.name(), vm);
+    registeredVms.put(vm.name(), vm);
   }
 
   /** An entry VM is gone. */
   public void remove(String name) {
-    otherVms.remove(name);
+    registeredVms.remove(name);
   }
 
   /** This VM stops: it is named no more. */
@@ -49,7 +49,7 @@
 
   /** The live entry VMs, this one among them unless it is leaving. */
   public Collection<EntryVm> liveVms() {
-    Map<String, EntryVm> all = new TreeMap<>(otherVms);
+    Map<String, EntryVm> all = new TreeMap<>(registeredVms);
     if (isLeaving) {
       all.remove(self.name());
     } else {
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/PeerChangeSource.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/PeerChangeSource.java
@@ -18,5 +18,5 @@
    * Fetches what the VM has seen after {@code revision}; {@code Gone} where it does not remember so
    * far back, {@code Failed} where it does not read the store itself.
    */
-  void fetch(EntryVm from, long revision, long millis, Consumer<StoreResult<Changes>> then);
+  void fetch(EntryVm peer, long revision, long millis, Consumer<StoreResult<Changes>> then);
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/PlatformStore.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/PlatformStore.java
@@ -22,17 +22,18 @@
   void watch(long revision, long waitMillis, Consumer<StoreResult<StorePage>> then);
 
   /** Begins a lease of {@code millis}; returns its number. */
-  void grantLease(long millis, Consumer<StoreResult<Long>> then);
+  void grantLease(long durationMillis, Consumer<StoreResult<Long>> then);
 
   /** Renews a lease; {@code Gone} where it has ended. */
-  void renewLease(long lease, Consumer<StoreResult<Long>> then);
+  void renewLease(long leaseId, Consumer<StoreResult<Long>> then);
 
   /** Ends a lease and removes what depends on it. */
-  void revokeLease(long lease, Consumer<StoreResult<Long>> then);
+  void revokeLease(long leaseId, Consumer<StoreResult<Long>> then);
 
   /** Writes for all entry VMs, under a lease, that a target has crashed as {@code vm} saw it. */
-  void publishCrash(String vm, CrashReport report, long lease, Consumer<StoreResult<Long>> then);
+  void publishCrash(
+      String vmName, CrashReport report, long leaseId, Consumer<StoreResult<Long>> then);
 
   /** Writes this entry VM's own item under a lease, whatever stood there. */
-  void writeEntry(EntryVm self, long lease, Consumer<StoreResult<Long>> then);
+  void writeEntry(EntryVm self, long leaseId, Consumer<StoreResult<Long>> then);
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/StoreFollower.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/StoreFollower.java
@@ -66,7 +66,7 @@
   private boolean isWatching;
   private boolean isStoreSilent;
   private boolean hasEverFailed;
-  private long lastFailureMillis;
+  private long lastFailureAtMillis;
 
   private StoreFollower(
       Loop loop, PlatformStore store, ZoneChangeFeed feed, Listener listener, EventSink log) {
@@ -94,7 +94,7 @@
   /** True while calls fail, and for {@code millis} after they did. */
   public boolean hadFailureWithin(long millis) {
     return consecutiveFailures > 0
-        || (hasEverFailed && loop.nowMillis() - lastFailureMillis < millis);
+        || (hasEverFailed && loop.nowMillis() - lastFailureAtMillis < millis);
   }
 
   /** True while calls to the store fail or get no answer, so that changes may go unseen. */
@@ -177,12 +177,12 @@
 
   private void watch() {
     watchId++;
-    int number = watchId;
+    int startedWatchId = watchId;
     isWatching = true;
     changeFeed.requestChanges(
         revision,
         answer -> {
-          if (number == watchId) {
+          if (startedWatchId == watchId) {
             isWatching = false;
             onWatchResult(answer);
           }
@@ -215,12 +215,12 @@
       watch();
       return;
     }
-    int number = watchId;
+    int endedWatchId = watchId;
     var unused =
         loop.schedule(
             pauseMillis,
             () -> {
-              if (number == watchId) {
+              if (endedWatchId == watchId) {
                 watch();
               }
             });
@@ -228,7 +228,7 @@
 
   private void recordFailure() {
     hasEverFailed = true;
-    lastFailureMillis = loop.nowMillis();
+    lastFailureAtMillis = loop.nowMillis();
   }
 
   private void onSuccess() {
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/ZoneChangeFeed.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/ZoneChangeFeed.java
@@ -54,7 +54,7 @@
   private long directUntilMillis = Long.MIN_VALUE;
   private boolean isRelayed;
   private boolean hadRecentFailures;
-  private long lastContactMillis;
+  private long lastContactAtMillis;
 
   private ZoneChangeFeed(
       Loop loop,
@@ -129,13 +129,13 @@
 
   /** Time since the store last answered this VM. */
   public long contactAgeMillis() {
-    return loop.nowMillis() - lastContactMillis;
+    return loop.nowMillis() - lastContactAtMillis;
   }
 
   /** Records whether the store answered another call. */
   void recordStoreCall(boolean answered) {
     if (answered) {
-      lastContactMillis = loop.nowMillis();
+      lastContactAtMillis = loop.nowMillis();
     }
   }
 
--- a/sageladder-forward/src/test/java/org/sageladder/forward/AbandonedRequestTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/AbandonedRequestTest.java
@@ -18,7 +18,7 @@
  * with the kernel, which goes on sending it for as long as the cut lasts.
  */
 class AbandonedRequestTest {
-  private static final long LATER = System.currentTimeMillis() + 3_600_000;
+  private static final long LATER_START_MILLIS = System.currentTimeMillis() + 3_600_000;
 
   private static void assertReset(ScriptedTarget target) throws InterruptedException {
     String end = String.valueOf(target.connectionEnds.poll(1, TimeUnit.MINUTES));
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void aRequestWhoseCallerHasLeft() throws Exception {
+  void idempotentRequestOfAClosedCallerIsReset() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
     try (ForwardingFixture bed = ForwardingFixture.open(silent)) {
       try (Caller caller = bed.caller()) {
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void aBidWhoseCallerHasLeft() throws Exception {
+  void nonIdempotentRequestOfAClosedCallerIsReset() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
     try (ForwardingFixture bed = ForwardingFixture.open(silent)) {
       try (Caller caller = bed.caller()) {
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aRequestWhoseTimeIsUp() throws Exception {
+  void timedOutRequestIsReset() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
     try (ForwardingFixture bed = ForwardingFixture.open(silent);
         Caller caller = bed.caller()) {
@@ -60,21 +60,21 @@
   }
 
   @Test
-  void aRequestAtATargetThatHasStartedAgain() throws Exception {
+  void requestAtARestartedTargetIsReset() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
     try (ForwardingFixture bed = ForwardingFixture.open(silent);
         Caller caller = bed.caller()) {
-      bed.onLoop(() -> bed.forwarder.updateTarget(born(silent, 1)));
+      bed.onLoop(() -> bed.forwarder.updateTarget(factsOfStart(silent, 1)));
       caller.sendPost("/once/1", "a", "bid");
       assertTrue(silent.firstRequest.await(1, TimeUnit.MINUTES));
-      bed.onLoop(() -> bed.forwarder.updateTarget(born(silent, LATER)));
+      bed.onLoop(() -> bed.forwarder.updateTarget(factsOfStart(silent, LATER_START_MILLIS)));
       assertReset(silent);
     }
   }
 
   /** Also the requests that a planned stop has no more time for. */
   @Test
-  void aRequestThatAStopOutlives() throws Exception {
+  void requestInFlightAtShutdownIsReset() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
     try (ForwardingFixture bed = ForwardingFixture.open(silent);
         Caller caller = bed.caller()) {
@@ -87,18 +87,18 @@
 
   /** A connection without a request is closed in the ordinary way. */
   @Test
-  void anIdleConnectionIsClosedInOrder() throws Exception {
+  void idleConnectionIsClosedWithoutReset() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> request.respond("done"));
     try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
-      bed.onLoop(() -> bed.forwarder.updateTarget(born(target, 1)));
+      bed.onLoop(() -> bed.forwarder.updateTarget(factsOfStart(target, 1)));
       assertEquals("done", caller.exchange("/safe/1", "a").body());
-      bed.onLoop(() -> bed.forwarder.updateTarget(born(target, LATER)));
+      bed.onLoop(() -> bed.forwarder.updateTarget(factsOfStart(target, LATER_START_MILLIS)));
       assertEquals("closed", target.connectionEnds.poll(1, TimeUnit.MINUTES));
     }
   }
 
-  private static TargetFacts born(ScriptedTarget target, long born) {
+  private static TargetFacts factsOfStart(ScriptedTarget target, long born) {
     return new TargetFacts(
         new TargetIncarnation("t-1", born),
         0,
--- a/sageladder-forward/src/test/java/org/sageladder/forward/ApiKeyForwardingTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ApiKeyForwardingTest.java
@@ -19,7 +19,7 @@
     return ApiKeys.builder().add(choir, List.of(held)).build();
   }
 
-  private static ForwardingFixture bed(ScriptedTarget target) throws Exception {
+  private static ForwardingFixture fixture(ScriptedTarget target) throws Exception {
     ForwardingFixture bed = ForwardingFixture.open(target);
     bed.onLoop(() -> bed.forwarder.applyRules(ForwardingFixture.rules(2, keys("k1", "k2"))));
     return bed;
@@ -36,9 +36,9 @@
 
   /** Guards against a key that reaches a target: whoever runs it could act for the workspace. */
   @Test
-  void targetIsToldTheWorkspaceAndNeverTheKey() throws Exception {
+  void targetReceivesTheWorkspaceNameInsteadOfTheKey() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingFixture bed = bed(target);
+    try (ForwardingFixture bed = fixture(target);
         Caller caller = bed.caller()) {
       assertEquals(200, status(caller, "/safe/1", "key: k1\r\nWorkspace: other\r\n"));
       assertEquals(200, status(caller, "/safe/1", "KEY: k2\r\nConnection: workspace\r\n"));
@@ -50,9 +50,9 @@
   }
 
   @Test
-  void missingDoubledOrUnknownKeyIsRefusedAndTheConnectionGoesOn() throws Exception {
+  void missingRepeatedOrUnknownKeyIsRefusedWithoutClosingTheConnection() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingFixture bed = bed(target);
+    try (ForwardingFixture bed = fixture(target);
         Caller caller = bed.caller()) {
       assertEquals(401, status(caller, "/safe/1", ""));
       assertEquals(401, status(caller, "/safe/1", "Key: k9\r\n"));
@@ -64,9 +64,9 @@
 
   /** Guards against a forged workspace on routes that need no key. */
   @Test
-  void anonymousRouteNeedsNoKeyButHidesWhatTheCallerClaims() throws Exception {
+  void anonymousRouteNeedsNoKeyAndIgnoresAClaimedWorkspace() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingFixture bed = bed(target);
+    try (ForwardingFixture bed = fixture(target);
         Caller caller = bed.caller()) {
       assertEquals(200, status(caller, "/open/1", "Workspace: choir\r\n"));
       assertEquals("", target.receivedRequests.get(0).header("Workspace"));
@@ -79,9 +79,9 @@
 
   /** Guards against a key taken away that opens requests on connections kept from before. */
   @Test
-  void keyTakenAwayIsRefusedOnAKeptConnection() throws Exception {
+  void revokedKeyIsRefusedOnAnOpenConnection() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingFixture bed = bed(target);
+    try (ForwardingFixture bed = fixture(target);
         Caller caller = bed.caller()) {
       assertEquals(200, status(caller, "/safe/1", "Key: k1\r\n"));
       bed.onLoop(() -> bed.forwarder.applyRules(ForwardingFixture.rules(3, keys("k2"))));
@@ -92,7 +92,7 @@
 
   /** Guards against a request sent again by a key that was taken away after its first sending. */
   @Test
-  void keyTakenAwayIsNotSentAgain() throws Exception {
+  void requestWithRevokedKeyIsNotRetried() throws Exception {
     ForwardingFixture[] opened = new ForwardingFixture[1];
     ScriptedTarget.Script refuse =
         request -> {
@@ -121,9 +121,9 @@
 
   /** Guards against 401, which is final, for a new key at a VM that cannot have seen it. */
   @Test
-  void unknownKeyAtAVmOutOfContactMayComeBackElsewhere() throws Exception {
+  void unknownKeyIsRetryableWhileTheVmIsOutOfContact() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingFixture bed = bed(target);
+    try (ForwardingFixture bed = fixture(target);
         Caller caller = bed.caller()) {
       bed.onLoop(() -> bed.forwarder.setStaleRulesCheck(() -> true));
       caller.write("GET /safe/1 HTTP/1.1\r\nHost: h\r\nId: a\r\nKey: k9\r\n\r\n");
@@ -134,7 +134,7 @@
   }
 
   @Test
-  void withoutWorkspacesTheHeadersAreTheTargetsOwn() throws Exception {
+  void withoutWorkspacesKeyHeadersAreForwardedUnchanged() throws Exception {
     ScriptedTarget target = echo();
     try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
--- a/sageladder-forward/src/test/java/org/sageladder/forward/AtMostOnceTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/AtMostOnceTest.java
@@ -18,7 +18,7 @@
             + "\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
   }
 
-  private static int received(ScriptedTarget... targets) {
+  private static int receivedCount(ScriptedTarget... targets) {
     int all = 0;
     for (ScriptedTarget target : targets) {
       all += target.receivedRequests.size();
@@ -31,14 +31,14 @@
    * it would win the sheet twice; answered "not run" the dealer would bid again.
    */
   @Test
-  void aLostBidIsNeitherRepeatedNorCalledNotRun() throws Exception {
+  void lostRequestIsNeitherRetriedNorReportedAsNotRun() throws Exception {
     ScriptedTarget one = ScriptedTarget.of(ScriptedTarget.ReceivedRequest::reset);
     ScriptedTarget two = ScriptedTarget.of(ScriptedTarget.ReceivedRequest::reset);
     try (ForwardingFixture bed = ForwardingFixture.open(one, two);
         Caller caller = bed.caller()) {
       caller.sendPost("/once/1", "a", "bid");
       assertEquals(502, caller.readResponse().status());
-      assertEquals(1, received(one, two));
+      assertEquals(1, receivedCount(one, two));
     }
   }
 
@@ -46,7 +46,7 @@
    * A target that is full says that it has not run the bid; the other one takes it, body and all.
    */
   @Test
-  void aRefusedBidGoesToAnotherTarget() throws Exception {
+  void refusedRequestIsRetriedAtAnotherTarget() throws Exception {
     ScriptedTarget full = ScriptedTarget.of(AtMostOnceTest::refuse);
     ScriptedTarget free = ScriptedTarget.of(request -> request.respond(request.body()));
     try (ForwardingFixture bed = ForwardingFixture.open(full, free)) {
@@ -62,7 +62,7 @@
 
   /** All targets are full: the caller is told that nothing has run, and when to come back. */
   @Test
-  void aBidRefusedEverywhereIsNotRunAndToldWhenToComeBack() throws Exception {
+  void requestRefusedByAllTargetsIsNotRunAndHasRetryAfter() throws Exception {
     ScriptedTarget one = ScriptedTarget.of(AtMostOnceTest::refuse);
     ScriptedTarget two = ScriptedTarget.of(AtMostOnceTest::refuse);
     try (ForwardingFixture bed = ForwardingFixture.open(one, two);
@@ -80,7 +80,7 @@
    * run" would be untrue.
    */
   @Test
-  void aLostSearchThatIsThenRefusedIsNotCalledNotRun() throws Exception {
+  void lostThenRefusedRequestIsNotReportedAsNotRun() throws Exception {
     ScriptedTarget.Script script =
         request -> {
           if (request.header("For").equals("t-1")) {
@@ -105,7 +105,7 @@
 
   /** Another target has the address now: it says so, is not sent to again, and nothing has run. */
   @Test
-  void anAddressThatIsAnotherTargetsIsForgotten() throws Exception {
+  void misdirectedTargetIsRemoved() throws Exception {
     ScriptedTarget moved =
         ScriptedTarget.of(request -> request.write("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"));
     try (ForwardingFixture bed = ForwardingFixture.open(moved);
@@ -120,7 +120,7 @@
 
   /** A collector leaves; the work on its page must stop, since others wait for the slot. */
   @Test
-  void aCallerThatLeavesEndsItsWorkAtTheTarget() throws Exception {
+  void closedCallerConnectionCancelsItsRequest() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> {});
     try (ForwardingFixture bed = ForwardingFixture.open(target)) {
       try (Caller caller = bed.caller()) {
@@ -133,7 +133,7 @@
 
   /** The operator's timeout ends the wait with an answer; the target stops its work. */
   @Test
-  void theRoutesTimeoutIsAnswered() throws Exception {
+  void routeTimeoutIsAnswered() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> {});
     try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
@@ -144,7 +144,7 @@
 
   /** What a target is told of the time never exceeds what the caller and the route leave. */
   @Test
-  void theTimeLeftIsPassedOn() throws Exception {
+  void remainingTimeIsForwarded() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> request.respond(request.header("Wait")));
     try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
@@ -156,7 +156,7 @@
 
   /** Heads that a target might read otherwise are refused before anything is sent. */
   @Test
-  void headsThatCanBeReadInTwoWaysAreRefused() throws Exception {
+  void ambiguousHeadsAreRefused() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> request.respond("ran"));
     String[] heads = {
       "GET /safe/1 HTTP/1.1\r\nHost: h\r\nHost: g\r\nId: a\r\n\r\n",
@@ -177,7 +177,7 @@
         try (Caller caller = bed.caller()) {
           caller.write(head);
           assertEquals(400, caller.readResponse().status(), head);
-          assertTrue(caller.isAtEnd(), head);
+          assertTrue(caller.isClosedByPeer(), head);
         }
       }
       try (Caller caller = bed.caller()) {
@@ -190,8 +190,8 @@
 
   /** 404 says that there is no such route, which only a VM that knows the routes can say. */
   @Test
-  void unknownRoutesAre404OnceAConfigurationIsKnown() throws Exception {
-    try (ForwardingFixture bed = ForwardingFixture.unconfigured();
+  void unknownRoutesAre404OnlyOnceRulesAreKnown() throws Exception {
+    try (ForwardingFixture bed = ForwardingFixture.withoutRules();
         Caller caller = bed.caller()) {
       Response early = caller.exchange("/none/1", "a");
       assertEquals(503, early.status());
@@ -203,7 +203,7 @@
 
   /** A configuration that comes late does not undo a newer one. */
   @Test
-  void anOlderConfigurationHasNoEffect() throws Exception {
+  void olderRulesAreIgnored() throws Exception {
     try (ForwardingFixture bed = ForwardingFixture.open()) {
       bed.onLoop(
           () -> {
--- a/sageladder-forward/src/test/java/org/sageladder/forward/CrashDetectorTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/CrashDetectorTest.java
@@ -15,7 +15,7 @@
 /** Requests that crash their targets. */
 class CrashDetectorTest {
   /** A target that is gone, port and all, as soon as it has read a request for {@code /bad}. */
-  private static ScriptedTarget fragile() throws Exception {
+  private static ScriptedTarget crashingTarget() throws Exception {
     ScriptedTarget[] self = new ScriptedTarget[1];
     self[0] =
         ScriptedTarget.of(
@@ -35,8 +35,10 @@
    * crash it is refused, and the targets that are left go on serving everybody else.
    */
   @Test
-  void aRequestThatCrashedTwoTargetsReachesNoThird() throws Exception {
-    ScriptedTarget[] targets = {fragile(), fragile(), fragile(), fragile()};
+  void requestThatCrashedTwoTargetsIsNotSentToAThird() throws Exception {
+    ScriptedTarget[] targets = {
+      crashingTarget(), crashingTarget(), crashingTarget(), crashingTarget()
+    };
     try (ForwardingFixture bed = ForwardingFixture.open(targets)) {
       BlockingQueue<CrashReport> told = new LinkedBlockingQueue<>();
       bed.onLoop(() -> bed.forwarder.publishCrashesTo(told::add));
@@ -49,16 +51,16 @@
         assertEquals(503, caller.exchange("/safe/bad", "b").status());
         assertEquals(200, caller.exchange("/safe/good", "c").status());
       }
-      long crashed =
+      long reached =
           List.of(targets).stream().filter(target -> !target.receivedRequests.isEmpty()).count();
-      assertTrue(crashed <= 3, "two crashed and one served, but " + crashed + " were reached");
+      assertTrue(reached <= 3, "two crashed and one served, but " + reached + " were reached");
     }
   }
 
   /** Another entry VM met the request twice already: it crashes nothing here. */
   @Test
-  void crashesToldByOthersCount() throws Exception {
-    ScriptedTarget target = fragile();
+  void crashReportsOfOtherVmsAreCounted() throws Exception {
+    ScriptedTarget target = crashingTarget();
     try (ForwardingFixture bed = ForwardingFixture.open(target)) {
       BlockingQueue<CrashReport> told = new LinkedBlockingQueue<>();
       bed.onLoop(() -> bed.forwarder.publishCrashesTo(told::add));
@@ -69,8 +71,8 @@
       CrashReport first = told.poll(60, TimeUnit.SECONDS);
       assertTrue(first != null, "the crash is told, since its caller may go to another entry VM");
       Set<Long> same = first.fingerprints();
-      ScriptedTarget next = fragile();
-      bed.add(next);
+      ScriptedTarget next = crashingTarget();
+      bed.addTarget(next);
       bed.onLoop(
           () -> bed.forwarder.onCrashReport(new CrashReport("t-9", 1, first.atMillis(), same)));
       try (Caller caller = bed.caller()) {
--- a/sageladder-forward/src/test/java/org/sageladder/forward/ForwardingFixture.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ForwardingFixture.java
@@ -58,17 +58,17 @@
     ForwardingFixture bed = new ForwardingFixture();
     bed.onLoop(() -> bed.forwarder.applyRules(rules(1)));
     for (ScriptedTarget target : targets) {
-      bed.add(target);
+      bed.addTarget(target);
     }
     return bed;
   }
 
   /** A bed that knows no configuration. */
-  static ForwardingFixture unconfigured() throws Exception {
+  static ForwardingFixture withoutRules() throws Exception {
     return new ForwardingFixture();
   }
 
-  void add(ScriptedTarget target) throws Exception {
+  void addTarget(ScriptedTarget target) throws Exception {
     targets.add(target);
     TargetFacts facts =
         new TargetFacts(
@@ -224,7 +224,7 @@
     }
 
     /** True where the connection ends without another byte. */
-    boolean isAtEnd() throws IOException {
+    boolean isClosedByPeer() throws IOException {
       return in.read() < 0;
     }
 
--- a/sageladder-forward/src/test/java/org/sageladder/forward/JsonLineLogTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/JsonLineLogTest.java
@@ -15,7 +15,7 @@
 
 /** Log lines: bounded, whole, never in the way. */
 class JsonLineLogTest {
-  private static void lines(JsonLineLog log, int count) {
+  private static void recordLines(JsonLineLog log, int count) {
     for (int i = 0; i < count; i++) {
       log.record(EventKind.ANSWERED, "r-" + i, "route", "t-1", 7, "status 200, \"quoted\"");
     }
@@ -25,7 +25,7 @@
    * Lines in a file were cut off in their middle where many had been written as one large piece.
    */
   @Test
-  void writesWholeLinesInSmallPieces() {
+  void writesCompleteLinesInBoundedChunks() {
     List<byte[]> pieces = new CopyOnWriteArrayList<>();
     OutputStream out =
         new OutputStream() {
@@ -40,7 +40,7 @@
           }
         };
     JsonLineLog log = JsonLineLog.to(out, "e-1", VirtualTime.startingAt(5));
-    lines(log, 300);
+    recordLines(log, 300);
     log.close();
     int newLines = 0;
     for (byte[] piece : pieces) {
@@ -53,7 +53,7 @@
 
   /** Whoever reads standard output has stopped; requests go on, and what is left out is counted. */
   @Test
-  void countsWhatItLeavesOutAndNeverWaits() throws Exception {
+  void countsDroppedLinesAndNeverBlocks() throws Exception {
     CountDownLatch reading = new CountDownLatch(1);
     ByteArrayOutputStream read = new ByteArrayOutputStream();
     OutputStream stuck =
@@ -74,7 +74,7 @@
           }
         };
     JsonLineLog log = JsonLineLog.to(stuck, "e-1", VirtualTime.startingAt(5));
-    lines(log, 20_000);
+    recordLines(log, 20_000);
     assertTrue(log.droppedLineCount() > 0, "a queue without bound");
     assertTrue(log.droppedLineCount() < 20_000);
     reading.countDown();
--- a/sageladder-forward/src/test/java/org/sageladder/forward/QuotaForwardingTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/QuotaForwardingTest.java
@@ -15,12 +15,12 @@
 /** A workspace's quota on one entry VM. */
 class QuotaForwardingTest {
   /** A token in a thousand seconds: none is added while a test runs. */
-  private static final Quota TWO = new Quota(0.001, 2);
+  private static final Quota BURST_OF_TWO = new Quota(0.001, 2);
 
-  private static ForwardingFixture bed(ScriptedTarget... targets) throws Exception {
+  private static ForwardingFixture fixture(ScriptedTarget... targets) throws Exception {
     ApiKeys keys =
         ApiKeys.builder()
-            .add(new Workspace("choir", OptionalInt.empty(), TWO, Set.of()), List.of("k1"))
+            .add(new Workspace("choir", OptionalInt.empty(), BURST_OF_TWO, Set.of()), List.of("k1"))
             .add(
                 new Workspace("museum", OptionalInt.empty(), Quota.unlimited(), Set.of()),
                 List.of("k2"))
@@ -30,30 +30,30 @@
     return bed;
   }
 
-  private static ForwardingFixture.Response ask(Caller caller, String path, String key)
+  private static ForwardingFixture.Response exchange(Caller caller, String path, String key)
       throws Exception {
     caller.write("GET " + path + " HTTP/1.1\r\nHost: h\r\nId: a\r\nKey: " + key + "\r\n\r\n");
     return caller.readResponse();
   }
 
   @Test
-  void requestBeyondTheQuotaIsRefusedAtOnceAndOthersGoOn() throws Exception {
+  void requestOverQuotaIsRefusedWithoutAffectingOtherWorkspaces() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> request.respond("song"));
-    try (ForwardingFixture bed = bed(target);
+    try (ForwardingFixture bed = fixture(target);
         Caller caller = bed.caller()) {
-      assertEquals(200, ask(caller, "/safe/1", "k1").status());
-      assertEquals(200, ask(caller, "/safe/2", "k1").status());
-      ForwardingFixture.Response refused = ask(caller, "/safe/3", "k1");
+      assertEquals(200, exchange(caller, "/safe/1", "k1").status());
+      assertEquals(200, exchange(caller, "/safe/2", "k1").status());
+      ForwardingFixture.Response refused = exchange(caller, "/safe/3", "k1");
       assertEquals(429, refused.status());
       assertFalse(refused.header("Retry-After").isEmpty());
-      assertEquals(200, ask(caller, "/safe/4", "k2").status());
+      assertEquals(200, exchange(caller, "/safe/4", "k2").status());
       assertEquals(3, target.receivedRequests.size());
     }
   }
 
   /** Guards against a quota spent on requests that targets refused to run. */
   @Test
-  void requestThatNoTargetRanIsGivenBack() throws Exception {
+  void quotaIsRefundedForRequestsThatDidNotRun() throws Exception {
     ScriptedTarget full =
         ScriptedTarget.of(
             request ->
@@ -61,10 +61,10 @@
                     "HTTP/1.1 503 Busy\r\nId: "
                         + request.header("Id")
                         + "\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"));
-    try (ForwardingFixture bed = bed(full);
+    try (ForwardingFixture bed = fixture(full);
         Caller caller = bed.caller()) {
       for (int i = 0; i < 5; i++) {
-        assertEquals(503, ask(caller, "/safe/" + i, "k1").status());
+        assertEquals(503, exchange(caller, "/safe/" + i, "k1").status());
       }
     }
   }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/RequestLogTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/RequestLogTest.java
@@ -31,7 +31,7 @@
    * was worked out from, so that a long queue and a wrong guess looked the same.
    */
   @Test
-  void aRefusalSaysWhatItWasDecidedBy() {
+  void refusalStatesTheEstimatesBehindIt() {
     Send best = new Send(target(), false, 1_500, 1_040);
     Refuse refuse = new Refuse(Reason.TOO_LATE, 1_040, new CandidateEstimate(best, 420, 4.1, 0));
     assertEquals(
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void aRefusalWithoutATargetNamesItsReason() {
+  void refusalWithoutATargetStatesItsReason() {
     assertEquals("ALL_COLD", log.recordRefusal(new Refuse(Reason.ALL_COLD, 100, null), 980));
   }
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/ResponseIntegrityTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ResponseIntegrityTest.java
@@ -17,7 +17,7 @@
    * just where the next request's answer is due. The id in the answer tells them apart.
    */
   @Test
-  void aSecondAnswerDoesNotReachTheNextCaller() throws Exception {
+  void lateSecondResponseIsDiscarded() throws Exception {
     ScriptedTarget target =
         ScriptedTarget.of(
             request -> {
@@ -39,7 +39,7 @@
    * and that connection was reset. Another target's whole answer is given instead.
    */
   @Test
-  void anAnswerWithoutLengthThatIsResetIsNotComplete() throws Exception {
+  void resetResponseWithoutLengthIsIncomplete() throws Exception {
     ScriptedTarget breaking =
         ScriptedTarget.of(
             request -> {
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void anAnswerWithoutLengthThatEndsInOrderIsComplete() throws Exception {
+  void closedResponseWithoutLengthIsComplete() throws Exception {
     ScriptedTarget target =
         ScriptedTarget.of(
             request -> {
@@ -75,7 +75,7 @@
    * A target breaks its answer off; the request may be repeated, so another target answers whole.
    */
   @Test
-  void aBrokenAnswerIsReplacedByAnotherTargets() throws Exception {
+  void truncatedResponseIsRetriedAtAnotherTarget() throws Exception {
     CountDownLatch broken = new CountDownLatch(1);
     ScriptedTarget.Script script =
         request -> {
@@ -97,7 +97,7 @@
 
   /** A success that no target made, or whose body was changed on its way, is no success. */
   @Test
-  void aSuccessWithoutASealIsNotPassedOn() throws Exception {
+  void successWithoutASealIsNotForwarded() throws Exception {
     ScriptedTarget target =
         ScriptedTarget.of(
             request -> request.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"));
@@ -109,7 +109,7 @@
 
   /** Bytes that are no answer are not passed on, and the connection is not used again. */
   @Test
-  void bytesThatAreNoAnswerAreNotPassedOn() throws Exception {
+  void malformedResponseIsNotForwarded() throws Exception {
     ScriptedTarget target =
         ScriptedTarget.of(request -> request.write("\u0001\u0002 nonsense\r\n\r\n"));
     try (ForwardingFixture bed = ForwardingFixture.open(target);
@@ -123,7 +123,7 @@
    * come in the order of the requests all the same.
    */
   @Test
-  void answersComeInTheOrderOfTheRequests() throws Exception {
+  void responsesKeepTheOrderOfTheRequests() throws Exception {
     CountDownLatch others = new CountDownLatch(2);
     ScriptedTarget target =
         ScriptedTarget.of(
@@ -150,7 +150,7 @@
    * next request would be read as the rest of that body.
    */
   @Test
-  void anEarlyAnswerToALongBodyEndsTheConnection() throws Exception {
+  void responseBeforeTheEndOfTheBodyClosesTheConnection() throws Exception {
     ScriptedTarget target = ScriptedTarget.respondingEarly(request -> request.respond("early"));
     try (ForwardingFixture bed = ForwardingFixture.open(target)) {
       try (Caller caller = bed.caller()) {
@@ -158,7 +158,7 @@
             "POST /once/1 HTTP/1.1\r\nHost: h\r\nId: a\r\nContent-Length: 900000\r\n\r\n"
                 + "x".repeat(200_000));
         assertEquals("early", caller.readResponse().body());
-        assertTrue(caller.isAtEnd(), "the rest of the body would be read as a request");
+        assertTrue(caller.isClosedByPeer(), "the rest of the body would be read as a request");
       }
       try (Caller next = bed.caller()) {
         assertEquals("early", next.exchange("/safe/1", "b").body());
@@ -169,7 +169,7 @@
 
   /** A large answer that breaks off in the middle reaches its caller as a broken connection. */
   @Test
-  void aLargeAnswerThatBreaksOffDoesNotLookComplete() throws Exception {
+  void truncatedLargeResponseDoesNotLookComplete() throws Exception {
     ScriptedTarget target =
         ScriptedTarget.of(
             request -> {
@@ -185,7 +185,7 @@
   }
 
   @Test
-  void aLargeAnswerArrivesWhole() throws Exception {
+  void largeResponseIsForwardedCompletely() throws Exception {
     String body = "0123456789".repeat(300_000);
     ScriptedTarget target = ScriptedTarget.of(request -> request.respond(body));
     try (ForwardingFixture bed = ForwardingFixture.open(target);
--- a/sageladder-forward/src/test/java/org/sageladder/forward/ShutdownTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ShutdownTest.java
@@ -17,7 +17,7 @@
    * the connection while the second pull was at its target, and the house got nothing for it.
    */
   @Test
-  void requestsBehindOneAnotherAreAllAnsweredBeforeTheConnectionCloses() throws Exception {
+  void pipelinedRequestsAreAnsweredBeforeTheConnectionCloses() throws Exception {
     CountDownLatch leaving = new CountDownLatch(1);
     CountDownLatch both = new CountDownLatch(2);
     ScriptedTarget target =
@@ -40,12 +40,12 @@
       Response second = caller.readResponse();
       assertEquals("b", second.body());
       assertEquals("close", second.header("Connection"));
-      assertTrue(caller.isAtEnd());
+      assertTrue(caller.isClosedByPeer());
     }
   }
 
   /** The kernel closes the port a moment after it was told to; from then on it stays closed. */
-  private static void awaitRefused(ForwardingFixture bed) throws InterruptedException {
+  private static void awaitConnectionRefused(ForwardingFixture bed) throws InterruptedException {
     try {
       while (true) {
         bed.caller().close();
@@ -62,7 +62,7 @@
    * elsewhere.
    */
   @Test
-  void whatCannotEndBeforeTheStopIsRefusedAtOnce() throws Exception {
+  void requestThatCannotFinishBeforeTheStopIsRefused() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> request.respond("ran"));
     try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
@@ -78,7 +78,7 @@
    * A request in flight when the VM stops listening gets its answer; new connections are refused.
    */
   @Test
-  void aRequestInFlightEndsThoughThePortIsClosed() throws Exception {
+  void inFlightRequestFinishesAfterThePortIsClosed() throws Exception {
     CountDownLatch closed = new CountDownLatch(1);
     ScriptedTarget target =
         ScriptedTarget.of(
@@ -95,7 +95,7 @@
             bed.forwarder.beginShutdown(60_000);
             bed.forwarder.stopListening();
           });
-      awaitRefused(bed);
+      awaitConnectionRefused(bed);
       closed.countDown();
       assertEquals("whole", caller.readResponse().body());
     }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/TargetRestartTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/TargetRestartTest.java
@@ -27,7 +27,7 @@
         0);
   }
 
-  private static void put(ForwardingFixture bed, ScriptedTarget target, long born)
+  private static void updateTarget(ForwardingFixture bed, ScriptedTarget target, long born)
       throws Exception {
     bed.onLoop(() -> bed.forwarder.updateTarget(facts(target, born)));
   }
@@ -37,13 +37,13 @@
    * next bid sent on it would be lost without anybody knowing whether it ran.
    */
   @Test
-  void connectionsToTheFormerStartAreNotUsed() throws Exception {
+  void connectionsToThePreviousStartAreNotReused() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> request.respond("done"));
     try (ForwardingFixture bed = ForwardingFixture.open(target);
         Caller caller = bed.caller()) {
-      put(bed, target, 1);
+      updateTarget(bed, target, 1);
       assertEquals("done", caller.exchange("/safe/1", "a").body());
-      put(bed, target, 2);
+      updateTarget(bed, target, 2);
       assertNotNull(target.connectionEnds.poll(1, TimeUnit.MINUTES));
       assertEquals("done", caller.exchange("/safe/2", "b").body());
       assertEquals(1, target.receivedRequests.get(1).indexOnConnection());
@@ -55,16 +55,16 @@
    * silent; without a look at the new start the caller would wait until its time is over.
    */
   @Test
-  void aSearchInFlightAtTheFormerStartGoesToAnotherTarget() throws Exception {
+  void idempotentRequestAtThePreviousStartIsRetriedAtAnotherTarget() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
     ScriptedTarget other = ScriptedTarget.of(request -> request.respond("found"));
     try (ForwardingFixture bed = ForwardingFixture.open(silent);
         Caller caller = bed.caller()) {
-      put(bed, silent, 1);
+      updateTarget(bed, silent, 1);
       caller.sendGet("/safe/1", "a");
       assertEquals(true, silent.firstRequest.await(1, TimeUnit.MINUTES));
-      bed.add(other);
-      put(bed, silent, System.currentTimeMillis() + HOUR_MILLIS);
+      bed.addTarget(other);
+      updateTarget(bed, silent, System.currentTimeMillis() + HOUR_MILLIS);
       assertEquals("found", caller.readResponse().body());
     }
   }
@@ -74,16 +74,16 @@
    * so that it is neither sent again nor called "not run"; its caller hears so at once.
    */
   @Test
-  void aBidInFlightAtTheFormerStartEndsUnknown() throws Exception {
+  void nonIdempotentRequestAtThePreviousStartHasUnknownOutcome() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
     ScriptedTarget other = ScriptedTarget.of(request -> request.respond("won"));
     try (ForwardingFixture bed = ForwardingFixture.open(silent);
         Caller caller = bed.caller()) {
-      put(bed, silent, 1);
+      updateTarget(bed, silent, 1);
       caller.sendPost("/once/1", "a", "bid");
       assertEquals(true, silent.firstRequest.await(1, TimeUnit.MINUTES));
-      bed.add(other);
-      put(bed, silent, System.currentTimeMillis() + HOUR_MILLIS);
+      bed.addTarget(other);
+      updateTarget(bed, silent, System.currentTimeMillis() + HOUR_MILLIS);
       assertEquals(502, caller.readResponse().status());
       assertEquals(0, other.receivedRequests.size());
     }
@@ -94,7 +94,7 @@
    * with the new start, by clocks that differ a little, and goes on.
    */
   @Test
-  void whatMayBeWithTheNewStartGoesOn() throws Exception {
+  void requestThatMayBeAtTheNewStartContinues() throws Exception {
     ScriptedTarget slow =
         ScriptedTarget.of(
             request -> {
@@ -105,10 +105,10 @@
             });
     try (ForwardingFixture bed = ForwardingFixture.open(slow);
         Caller caller = bed.caller()) {
-      put(bed, slow, 1);
+      updateTarget(bed, slow, 1);
       caller.sendPost("/once/1", "a", "bid");
       assertEquals(true, slow.firstRequest.await(1, TimeUnit.MINUTES));
-      put(bed, slow, System.currentTimeMillis() + 100);
+      updateTarget(bed, slow, System.currentTimeMillis() + 100);
       assertEquals("won", caller.readResponse().body());
     }
   }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/control/FakeStore.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/control/FakeStore.java
@@ -11,18 +11,18 @@
       @Nullable String afterKey, boolean mayBeStale, Consumer<StoreResult<StorePage>> then) {}
 
   @Override
-  public void grantLease(long millis, Consumer<StoreResult<Long>> then) {}
+  public void grantLease(long durationMillis, Consumer<StoreResult<Long>> then) {}
 
   @Override
-  public void renewLease(long lease, Consumer<StoreResult<Long>> then) {}
+  public void renewLease(long leaseId, Consumer<StoreResult<Long>> then) {}
 
   @Override
-  public void revokeLease(long lease, Consumer<StoreResult<Long>> then) {}
+  public void revokeLease(long leaseId, Consumer<StoreResult<Long>> then) {}
 
   @Override
   public void publishCrash(
-      String vm, CrashReport report, long lease, Consumer<StoreResult<Long>> then) {}
+      String vmName, CrashReport report, long leaseId, Consumer<StoreResult<Long>> then) {}
 
   @Override
-  public void writeEntry(EntryVm self, long lease, Consumer<StoreResult<Long>> then) {}
+  public void writeEntry(EntryVm self, long leaseId, Consumer<StoreResult<Long>> then) {}
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/control/StoreFollowerTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/control/StoreFollowerTest.java
@@ -36,23 +36,24 @@
   }
 
   /** Notes the zones that were emptied, in order. */
-  private static final class Zones implements StoreFollower.Listener {
-    final List<String> emptied = new ArrayList<>();
+  private static final class ZoneRecorder implements StoreFollower.Listener {
+    final List<String> evacuated = new ArrayList<>();
 
     @Override
     public void onChanged(String key, ItemContent fact) {
       if (fact instanceof ItemContent.ZoneEvacuated zone) {
-        emptied.add(zone.zone());
+        evacuated.add(zone.zone());
       }
     }
 
     @Override
-    public void onRemoved(String key, ItemContent before, int atOnce) {
-      emptied.remove(key);
+    public void onRemoved(String key, ItemContent previous, int removedTargetCount) {
+      evacuated.remove(key);
     }
 
     @Override
-    public void onMalformed(String key, @Nullable ItemContent before, ItemContent.Malformed item) {}
+    public void onMalformed(
+        String key, @Nullable ItemContent previous, ItemContent.Malformed item) {}
 
     @Override
     public void onInitialReadComplete() {}
@@ -60,14 +61,15 @@
 
   private final Loop loop = Loop.start();
   private final WatchedStore store = new WatchedStore();
-  private final Zones zones = new Zones();
-  private final StoreFollower follower = StoreFollower.start(loop, store, zones, EventSink.none());
+  private final ZoneRecorder zoneRecorder = new ZoneRecorder();
+  private final StoreFollower follower =
+      StoreFollower.start(loop, store, zoneRecorder, EventSink.none());
 
   private static StorePage page(long asOf, StoreItem... items) {
     return new StorePage(List.of(items), false, asOf);
   }
 
-  private static StoreItem emptied(String zone, long revision) {
+  private static StoreItem evacuated(String zone, long revision) {
     return new StoreItem(zone, revision, new ItemContent.ZoneEvacuated(zone));
   }
 
@@ -104,26 +106,26 @@
    * lease had been answered all that time.
    */
   @Test
-  void aWatchThatASilentStoreForgotIsBegunAnew() throws Exception {
+  void watchIsRestartedAfterTheStoreWasSilent() throws Exception {
     Consumer<StoreResult<StorePage>> forgotten = nextWatch();
     onLoop(() -> follower.onStoreCall(false));
     onLoop(() -> follower.onStoreCall(true));
     Consumer<StoreResult<StorePage>> fresh = nextWatch();
-    onLoop(() -> fresh.accept(new StoreResult.Done<>(page(12, emptied("z-1", 12)))));
-    assertEquals(List.of("z-1"), zones.emptied);
-    onLoop(() -> forgotten.accept(new StoreResult.Done<>(page(11, emptied("z-0", 11)))));
-    assertEquals(List.of("z-1"), zones.emptied);
+    onLoop(() -> fresh.accept(new StoreResult.Done<>(page(12, evacuated("z-1", 12)))));
+    assertEquals(List.of("z-1"), zoneRecorder.evacuated);
+    onLoop(() -> forgotten.accept(new StoreResult.Done<>(page(11, evacuated("z-0", 11)))));
+    assertEquals(List.of("z-1"), zoneRecorder.evacuated);
   }
 
   /** Calls that are answered in calm times begin no watch: each costs. */
   @Test
-  void calmRenewalsBeginNoWatch() throws Exception {
+  void answeredCallsStartNoWatchWithoutAFailure() throws Exception {
     Consumer<StoreResult<StorePage>> waiting = nextWatch();
     onLoop(() -> follower.onStoreCall(true));
     onLoop(() -> follower.onStoreCall(true));
     assertEquals(0, store.watches.size());
-    onLoop(() -> waiting.accept(new StoreResult.Done<>(page(11, emptied("z-1", 11)))));
-    assertEquals(List.of("z-1"), zones.emptied);
+    onLoop(() -> waiting.accept(new StoreResult.Done<>(page(11, evacuated("z-1", 11)))));
+    assertEquals(List.of("z-1"), zoneRecorder.evacuated);
   }
 
   /**
@@ -132,7 +134,7 @@
    * and overflowed.
    */
   @Test
-  void aStoreThatWasNeverInTroubleIsNotTakenForOneThatWas() throws Exception {
+  void noFailureIsReportedBeforeTheFirstOne() throws Exception {
     nextWatch();
     onLoop(() -> assertFalse(follower.hadFailureWithin(3_000)));
     onLoop(() -> follower.onStoreCall(false));
@@ -142,13 +144,13 @@
 
   /** A repeated or older change does not undo a newer one. */
   @Test
-  void anOlderRevisionOfAnItemHasNoEffect() throws Exception {
+  void olderRevisionOfAnItemIsIgnored() throws Exception {
     Consumer<StoreResult<StorePage>> first = nextWatch();
     onLoop(
         () ->
             first.accept(
                 new StoreResult.Done<>(
-                    page(14, emptied("z-1", 14), new StoreItem("z-1", 13, null)))));
-    assertEquals(List.of("z-1"), zones.emptied);
+                    page(14, evacuated("z-1", 14), new StoreItem("z-1", 13, null)))));
+    assertEquals(List.of("z-1"), zoneRecorder.evacuated);
   }
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/control/ZoneChangeFeedTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/control/ZoneChangeFeedTest.java
@@ -15,7 +15,7 @@
 
 /** Whom a VM asks for the store's changes. */
 class ZoneChangeFeedTest {
-  private static final long CONTACT_EACH = 1_300;
+  private static final long CONTACT_INTERVAL_MILLIS = 1_300;
 
   /** A store that answers each watch at once. */
   private static final class AnsweringStore extends FakeStore {
@@ -30,12 +30,14 @@
 
   private final Loop loop = Loop.start();
   private final AnsweringStore store = new AnsweringStore();
-  private final List<String> asked = new ArrayList<>();
-  private StoreResult<PeerChangeSource.Changes> peerAnswer = changes(10, false);
+  private final List<String> askedPeers = new ArrayList<>();
+  private StoreResult<PeerChangeSource.Changes> peerResult = changes(10, false);
 
-  private static StoreResult<PeerChangeSource.Changes> changes(long age, boolean troubled) {
+  private static StoreResult<PeerChangeSource.Changes> changes(
+      long contactAgeMillis, boolean hadRecentFailures) {
     return new StoreResult.Done<>(
-        new PeerChangeSource.Changes(new StorePage(List.of(), false, 7), age, troubled));
+        new PeerChangeSource.Changes(
+            new StorePage(List.of(), false, 7), contactAgeMillis, hadRecentFailures));
   }
 
   private static EntryVm vm(String name, String zone) {
@@ -47,11 +49,11 @@
         loop,
         store,
         (from, revision, millis, then) -> {
-          asked.add(from.name());
-          then.accept(peerAnswer);
+          askedPeers.add(from.name());
+          then.accept(peerResult);
         },
         vm(self, "z"),
-        CONTACT_EACH,
+        CONTACT_INTERVAL_MILLIS,
         EventSink.none());
   }
 
@@ -64,39 +66,39 @@
     return vms;
   }
 
-  private void next(ZoneChangeFeed feed) throws Exception {
+  private void awaitChanges(ZoneChangeFeed feed) throws Exception {
     CompletableFuture<Void> done = new CompletableFuture<>();
     loop.execute(() -> feed.requestChanges(7, answer -> done.complete(null)));
     done.get();
   }
 
   @AfterEach
-  void end() {
+  void closeLoop() {
     loop.close();
   }
 
   /** Guards against a zone in which every VM asks the store, or none does. */
   @Test
-  void oneVmOfAZoneAsksTheStoreForAll() throws Exception {
+  void oneVmPerZoneReadsTheStore() throws Exception {
     for (int i = 0; i < 10; i++) {
       ZoneChangeFeed feed = feed("e-" + i);
       feed.updateLiveVms(zone(10));
-      next(feed);
+      awaitChanges(feed);
     }
     assertEquals(1, store.watches);
-    assertEquals(1, asked.stream().distinct().count());
+    assertEquals(1, askedPeers.stream().distinct().count());
   }
 
   @Test
-  void fewVmsAskTheStoreThemselves() throws Exception {
+  void vmsOfASmallZoneReadTheStoreDirectly() throws Exception {
     ZoneChangeFeed feed = feed("e-0");
     feed.updateLiveVms(zone(2));
-    next(feed);
+    awaitChanges(feed);
     assertEquals(1, store.watches);
     assertTrue(feed.isReader());
   }
 
-  private ZoneChangeFeed follower() {
+  private ZoneChangeFeed followingFeed() {
     ZoneChangeFeed first = feed("e-0");
     List<EntryVm> vms = zone(9);
     first.updateLiveVms(vms);
@@ -108,33 +110,33 @@
 
   /** Guards against a VM that stays blind behind a reader that is silent or cut off. */
   @Test
-  void readerThatFailsOrIsOutOfContactIsPassedOver() throws Exception {
+  void failingOrStaleReaderIsBypassed() throws Exception {
     for (StoreResult<PeerChangeSource.Changes> bad :
         List.<StoreResult<PeerChangeSource.Changes>>of(
             new StoreResult.Failed<>("no answer"),
             new StoreResult.Gone<>(),
-            changes(CONTACT_EACH + 501, false))) {
-      ZoneChangeFeed feed = follower();
+            changes(CONTACT_INTERVAL_MILLIS + 501, false))) {
+      ZoneChangeFeed feed = followingFeed();
       int before = store.watches;
-      peerAnswer = bad;
-      next(feed);
+      peerResult = bad;
+      awaitChanges(feed);
       assertEquals(before + 1, store.watches);
       assertTrue(feed.isReader());
-      int asks = asked.size();
-      next(feed);
+      int asks = askedPeers.size();
+      awaitChanges(feed);
       assertEquals(before + 2, store.watches);
-      assertEquals(asks, asked.size());
+      assertEquals(asks, askedPeers.size());
     }
   }
 
   /** Guards against lapsed entries that followers would take for targets that left. */
   @Test
-  void troubleOfTheReaderIsToldToItsFollowers() throws Exception {
-    ZoneChangeFeed feed = follower();
-    next(feed);
+  void readersFailuresAreVisibleToItsFollowers() throws Exception {
+    ZoneChangeFeed feed = followingFeed();
+    awaitChanges(feed);
     assertFalse(feed.hadRecentFailures());
-    peerAnswer = changes(10, true);
-    next(feed);
+    peerResult = changes(10, true);
+    awaitChanges(feed);
     assertTrue(feed.hadRecentFailures());
     assertFalse(feed.isReader());
   }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/peer/QuotaCodecTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/peer/QuotaCodecTest.java
@@ -16,7 +16,7 @@
   private static final QuotaMessage GRANT = new TokenGrant("koor õ", 7, true, 3, 250);
 
   @Test
-  void messagesAreReadAsTheyWereWritten() throws Exception {
+  void messagesSurviveARoundTrip() throws Exception {
     for (QuotaMessage message : new QuotaMessage[] {REPORT, GRANT}) {
       assertEquals(message, QuotaCodec.decode(QuotaCodec.encode(message)));
     }
@@ -24,7 +24,7 @@
 
   /** Guards against a datagram of another writer that ends the event loop's task. */
   @Test
-  void malformedDatagramsAreRefusedOrSound() throws Exception {
+  void corruptedDatagramsAreRejectedOrDecodedConsistently() throws Exception {
     Random random = new Random(20261203);
     for (int i = 0; i < 100_000; i++) {
       byte[] bytes = QuotaCodec.encode(i % 2 == 0 ? REPORT : GRANT);
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void nameThatDoesNotFitIsRefused() {
+  void tooLongNameIsRejected() {
     assertThrows(
         QuotaCodec.MalformedException.class,
         () -> QuotaCodec.encode(new TokenGrant("x".repeat(600), 1, true, 0, 0)));
