--- a/sageladder-core/src/main/java/org/sageladder/core/event/Event.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/event/Event.java
@@ -1,15 +1,15 @@
 package org.sageladder.core.event;
 
 /**
- * One thing that happened in one process.
+ * One event in one process.
  *
- * @param sequence position in this process's own order, without gaps unless events were lost
- * @param wallMicros wall clock of the process, microseconds since the Unix epoch
+ * @param sequence position in the order of this process, contiguous unless events were lost
+ * @param wallMicros wall-clock time of the process, microseconds since the Unix epoch
  * @param request id of the request concerned, or empty
  * @param contract customer of the contract concerned, or empty
  * @param subject target, peer, zone or key concerned, or empty
  * @param revision revision, view number or permit sequence concerned, or 0
- * @param detail short text for people: the reason and the inputs that decided
+ * @param detail short human-readable text: the reason and the inputs of the decision
  */
 public record Event(
     long sequence,
--- a/sageladder-core/src/main/java/org/sageladder/core/event/EventBuffer.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/event/EventBuffer.java
@@ -7,16 +7,16 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * Keeps the latest events of one process for readers that fetch them from time to time.
+ * Ring buffer of the latest events of one process, for readers that poll it.
  *
  * <pre>{@code
- * EventBuffer events = EventBuffer.holding(16_384, TimeSource.system());
+ * EventBuffer events = EventBuffer.withCapacity(16_384, TimeSource.system());
  * events.record(EventKind.ADMITTED, "r-1", "kannelkoda", "tartu-1-t3", 0, "slot 2 of 3");
- * Batch batch = events.after(0, 1_000);
+ * Batch batch = events.readAfter(0, 1_000);
  * }</pre>
  *
- * <p>Recording neither blocks nor fails: when the buffer is full the oldest event gives way, and
- * each reader is told how many events it missed. Safe for use by any number of threads.
+ * <p>Recording neither blocks nor fails: when the buffer is full, the oldest event is overwritten,
+ * and each reader learns how many events it missed. Thread-safe.
  */
 public final class EventBuffer implements EventSink {
   private final AtomicReferenceArray<Event> slots;
@@ -25,7 +25,7 @@
   private final long startNanos;
   private final long startWallMicros;
 
-  /** Sequence number of the next event; the first event has 1, so that 0 means "from the start". */
+  /** Sequence number of the next event. The first event has 1, so that 0 means "from the start". */
   private final AtomicLong nextSequence = new AtomicLong(1);
 
   private EventBuffer(int capacity, TimeSource time) {
@@ -37,28 +37,29 @@
   }
 
   /**
-   * A buffer for at least {@code capacity} events, rounded up to a power of two.
+   * Returns a buffer for at least {@code capacity} events, rounded up to a power of two.
    *
    * @param capacity from 1 to 4,194,304
    */
   public static EventBuffer withCapacity(int capacity, TimeSource time) {
     if (capacity < 1 || capacity > 1 << 22) {
       throw new IllegalArgumentException(
-          "capacity " + capacity + " is not allowed; give 1 to " + (1 << 22));
+          "capacity " + capacity + " is out of range, expected 1 to " + (1 << 22));
     }
     int rounded = capacity == 1 ? 1 : Integer.highestOneBit(capacity - 1) << 1;
     return new EventBuffer(rounded, time);
   }
 
   /**
-   * Events that a reader had not seen.
+   * Events that a reader has not seen yet.
    *
-   * @param events in the order of their sequence, which may have gaps where events were lost
-   * @param lostCount how many events after the one asked for had given way already
-   * @param lastSequence pass this to the next read
+   * @param events in sequence order, with gaps where events were lost
+   * @param lostCount number of events after the requested position that had already been
+   *     overwritten
+   * @param lastSequence position to pass to the next read
    */
   public record Batch(List<Event> events, long lostCount, long lastSequence) {
-    /** Copies the list, so that the batch cannot change. */
+    /** Copies the list, so that the batch is immutable. */
     public Batch {
       events = List.copyOf(events);
     }
@@ -79,10 +80,10 @@
   }
 
   /**
-   * At most {@code limit} events whose sequence is above {@code sequence}.
+   * Returns at most {@code limit} events whose sequence number is above {@code sequence}.
    *
-   * <p>An event being recorded at this moment, and all after it, are left to the next read, so that
-   * a reader never passes over one that appears a moment later.
+   * <p>An event that is being recorded concurrently, and all events after it, are left to the next
+   * read. Otherwise a reader would skip an event that becomes visible a moment later.
    */
   public Batch readAfter(long sequence, int limit) {
     List<Event> events = new ArrayList<>();
@@ -105,19 +106,19 @@
     return new Batch(events, Math.max(0, lost), position - 1);
   }
 
-  /** Sequence number of the latest event, 0 where there is none. */
+  /** Sequence number of the latest event, 0 if there is none. */
   public long latestSequence() {
     return nextSequence.get() - 1;
   }
 
-  /** Most events that are kept. */
+  /** Maximum number of events kept. */
   public int capacity() {
     return slots.length();
   }
 
   /**
-   * Time of an event recorded now. Wall time at the start plus monotonic time since, so that a wall
-   * clock that is set back cannot put a later event of this process before an earlier one.
+   * Timestamp of an event recorded now: wall-clock time at the start plus monotonic time since
+   * then, so that setting the wall clock back cannot reorder events of this process.
    */
   public long wallMicros() {
     return startWallMicros + (time.nanos() - startNanos) / 1_000;
--- a/sageladder-core/src/main/java/org/sageladder/core/event/EventKind.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/event/EventKind.java
@@ -1,6 +1,6 @@
 package org.sageladder.core.event;
 
-/** What an event of the time line records. */
+/** Kinds of events. The names are written to the event log. */
 public enum EventKind {
   STARTED,
   STOPPING,
--- a/sageladder-core/src/main/java/org/sageladder/core/event/EventSink.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/event/EventSink.java
@@ -1,9 +1,9 @@
 package org.sageladder.core.event;
 
-/** Takes events of this process; must not block and must not throw. */
+/** Receives events of this process. Implementations must neither block nor throw. */
 @FunctionalInterface
 public interface EventSink {
-  /** Records one event; the sink adds sequence and time. */
+  /** Records one event; the sink adds the sequence number and the time. */
   void record(
       EventKind kind,
       String request,
@@ -12,7 +12,7 @@
       long revision,
       String detail);
 
-  /** A sink that forgets everything. */
+  /** Returns a sink that discards all events. */
   static EventSink none() {
     return (kind, request, contract, subject, revision, detail) -> {};
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/event/package-info.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/event/package-info.java
@@ -1,4 +1,4 @@
-/** Events of the time line. */
+/** Recording of events, from which the time line of a request or a fault is put together. */
 @NullMarked
 package org.sageladder.core.event;
 
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/ClusterState.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/ClusterState.java
@@ -6,9 +6,9 @@
 import org.sageladder.core.contract.Contract;
 
 /**
- * Everything one process knows of the others at one moment; the request path reads nothing else.
+ * The cluster as one process knows it at one moment; the request path reads nothing else.
  *
- * <p>Immutable: the control plane replaces it whole.
+ * <p>Immutable: the control plane replaces it as a whole.
  *
  * @param contracts contracts in force here, by customer
  * @param views latest view of each zone, by zone
@@ -16,19 +16,19 @@
  */
 public record ClusterState(
     Map<String, Contract> contracts, Map<String, ZoneView> views, List<ZoneSummary> summaries) {
-  /** Copies the collections, so that the state cannot change. */
+  /** Copies the collections, so that the state is immutable. */
   public ClusterState {
     contracts = Map.copyOf(contracts);
     views = Map.copyOf(views);
     summaries = List.copyOf(summaries);
   }
 
-  /** The state of a process that has heard nothing yet. */
+  /** Returns the state of a process that has received nothing yet. */
   public static ClusterState empty() {
     return new ClusterState(Map.of(), Map.of(), List.of());
   }
 
-  /** The member named {@code vm} in any zone. */
+  /** Returns the member named {@code vm}, whatever its zone. */
   public Optional<Member> member(String vm) {
     for (ZoneView view : views.values()) {
       for (Member member : view.members()) {
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/ConfirmationGuard.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/ConfirmationGuard.java
@@ -3,17 +3,18 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * Allows all slots while the zone's relay confirms this entry VM, half of them when it does not,
- * and none after a pause until the holding is confirmed anew.
+ * Allows all slots of a target while the zone's relay confirms this entry VM, half of them
+ * otherwise, and none after a pause of the process until the holding is confirmed again.
  *
- * <p>The relay counts silence from the moment it received a heartbeat, this guard from the moment
- * the confirmed heartbeat was sent, which is earlier; so the gate is down to its half before a
- * take-over hands the other half to somebody else. A gate that wakes from a pause finds the control
- * thread's last tick too old before it dispatches anything. Where nobody answers after a pause,
- * half the slots come back after the confirm window: this VM is then cut off and serves what it
- * can.
+ * <p>The relay measures silence from the receipt of a heartbeat. This guard measures it from the
+ * sending of the last confirmed heartbeat, which is earlier. So the gate is down to half the slots
+ * before the relay assigns the other half to another entry VM. When the process resumes after a
+ * pause, the control thread's last tick is too old, and nothing is dispatched before the control
+ * thread runs. If no answer arrives after a pause, half the slots are allowed again after the
+ * confirmation window: this VM is then cut off from the relay and serves with the slots that it
+ * retains.
  *
- * <p>Thread-safe: gates ask, the control thread tells.
+ * <p>Thread-safe: gates read, and the control thread updates.
  */
 public final class ConfirmationGuard implements HoldingGuard {
   private final MembershipSettings settings;
@@ -33,12 +34,15 @@
     isAwaitingConfirmation = true;
   }
 
-  /** A guard that allows nothing until the first confirmation. */
+  /** Returns a guard that allows nothing until the first confirmation. */
   public static ConfirmationGuard of(MembershipSettings settings, TimeSource time) {
     return new ConfirmationGuard(settings, time);
   }
 
-  /** The control thread is running; a long time since its last tick was a pause. */
+  /**
+   * Records that the control thread is running. A long time since its last tick means that the
+   * process was paused.
+   */
   public void tick() {
     long now = time.nanos();
     if (now - lastTickNanos > settings.maxPause().toNanos()) {
@@ -48,7 +52,7 @@
     lastTickNanos = now;
   }
 
-  /** The heartbeat sent at {@code sentNanos} was confirmed. */
+  /** Records that the heartbeat sent at {@code sentNanos} was confirmed. */
   public void onConfirmed(long sentNanos) {
     if (sentNanos - lastConfirmedNanos > 0) {
       lastConfirmedNanos = sentNanos;
@@ -65,21 +69,23 @@
       return 0;
     }
     if (isAwaitingConfirmation) {
-      boolean alone = now - resumedNanos > settings.confirmationWindow().toNanos();
-      return alone ? retainedSlots(holding.slots()) : 0;
+      boolean isCutOff = now - resumedNanos > settings.confirmationWindow().toNanos();
+      return isCutOff ? retainedSlots(holding.slots()) : 0;
     }
-    boolean fresh = now - lastConfirmedNanos <= settings.confirmationWindow().toNanos();
-    return fresh ? holding.slots() : retainedSlots(holding.slots());
+    boolean isRecentlyConfirmed =
+        now - lastConfirmedNanos <= settings.confirmationWindow().toNanos();
+    return isRecentlyConfirmed ? holding.slots() : retainedSlots(holding.slots());
   }
 
   /**
-   * What an unconfirmed holder may go on using; with {@link #takeOverSlots} it makes up the whole.
+   * Slots that an unconfirmed holder may still use. Together with {@link #takeOverSlots} they make
+   * up all slots.
    */
   static int retainedSlots(int slots) {
     return slots - takeOverSlots(slots);
   }
 
-  /** What another member may use of a silent holder's slots. */
+  /** Slots of a silent holder that another member may use. */
   static int takeOverSlots(int slots) {
     return slots / 2;
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/Heartbeat.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/Heartbeat.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What an entry VM tells its zone's relay a few times a second.
+ * Heartbeat of an entry VM, sent to its zone's relay several times a second.
  *
- * @param sentNanos sender's monotonic clock; the answer echoes it, nobody else reads it
- * @param viewNumber zone view that the sender acts on: it dispatches only by this view
+ * @param sentNanos sender's monotonic clock; echoed in the answer and meaningful only to the sender
+ * @param viewNumber zone view in use at the sender, which dispatches only by this view
  * @param contractRevision revision in force at the sender, 0 for none
- * @param targetReports targets that the sender holds or still has requests in flight at
- * @param summaries what the sender's own gates did, one for each service
+ * @param targetReports reports on targets that the sender holds or has requests in flight to
+ * @param summaries activity of the sender's own gates, one summary per service
  */
 public record Heartbeat(
     Member sender,
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/Holding.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/Holding.java
@@ -1,12 +1,12 @@
 package org.sageladder.core.membership;
 
 /**
- * One target and the entry VM that alone may send work to it.
+ * The assignment of one target's slots to the only entry VM that may send work to it, the holder.
  *
- * @param holder entry VM whose gate holds the target's slots; empty while none may
- * @param slots slots the holder may use, fewer than the target has after a take-over
- * @param targetIncarnation tells a returned target from the one that left
- * @param isDraining true once any sign of leaving was seen
+ * @param holder entry VM whose gate holds the target's slots; empty while no VM may use them
+ * @param slots slots that the holder may use; fewer than the target has after a take-over
+ * @param targetIncarnation distinguishes a restarted target from its earlier run
+ * @param isDraining true once the target was seen to be leaving, from whatever source
  */
 public record Holding(
     String target,
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/HoldingGuard.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/HoldingGuard.java
@@ -1,17 +1,18 @@
 package org.sageladder.core.membership;
 
 /**
- * Says how many of a target's slots the gate may use at this moment; asked before each dispatch.
+ * Limits how many of a target's slots the gate may use; consulted before each dispatch.
  *
- * <p>Guards against an entry VM that was paused or cut off and does not know that its targets were
- * given to another: both would send to the target and overload it. Never blocks.
+ * <p>An entry VM that was paused or cut off does not know that its targets were assigned to
+ * another. Without this check both would send to the target and overload it. Implementations must
+ * not block.
  */
 @FunctionalInterface
 public interface HoldingGuard {
-  /** Slots that may be used now, between 0 and {@code holding.slots()}. */
+  /** Returns the slots that may be used now, from 0 to {@code holding.slots()}. */
   int usableSlots(Holding holding);
 
-  /** A guard that trusts every holding, for tests of gates alone. */
+  /** Returns a guard that allows all slots of every holding, for tests of a gate alone. */
   static HoldingGuard unrestricted() {
     return Holding::slots;
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/HoldingPlanner.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/HoldingPlanner.java
@@ -16,12 +16,14 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * Which member holds which target's slots, so that no two ever hold more than the whole together.
+ * Assigns each target's slots to members such that all members together never use more slots than
+ * the target has.
  *
- * <p>A live holder first gives a target up and acknowledges the view that says so; the next holder
- * then gets what the old one's requests in flight leave. A silent holder cannot acknowledge, so the
- * next one gets only the half that the silent one's {@link ConfirmationGuard} has given up, until
- * the silent one has surely ended or the target's own load shows that nobody else sends to it.
+ * <p>A live holder first releases a target and acknowledges the view that says so. The next holder
+ * then gets the slots that are not occupied by the old holder's requests in flight. A silent holder
+ * cannot acknowledge. The next holder then gets only the half that the silent one's {@link
+ * ConfirmationGuard} no longer uses, until the silent one is known to have ended or the target's
+ * own load shows that no other VM sends to it.
  */
 final class HoldingPlanner {
   private static final int ALL_SLOTS = 1 << 20;
@@ -33,7 +35,7 @@
   private final Map<String, Target> targets = new TreeMap<>();
   private Predicate<String> usedByOtherZone = target -> false;
 
-  /** A former holder and the view that told it to stop. */
+  /** A former holder and the number of the view by which it must stop using the target. */
   private record FormerHolder(String vm, long incarnation, long releaseViewNumber) {}
 
   private static final class Target {
@@ -47,14 +49,14 @@
     private @Nullable FormerHolder releasingHolder;
     private @Nullable FormerHolder silentHolder;
     private long takenOverNanos;
-    // The zone without entry VMs that the target belongs to; empty for the own zone's.
+    // The zone without entry VMs that the target belongs to; empty for a target of this zone.
     private String owningZone = "";
     private boolean isGivingBack;
     private final List<FormerHolder> pendingReleases = new ArrayList<>();
 
-    private Target(ListedVm line) {
-      this.listing = line;
-      this.incarnation = line.incarnation();
+    private Target(ListedVm listing) {
+      this.listing = listing;
+      this.incarnation = listing.incarnation();
     }
   }
 
@@ -67,7 +69,7 @@
             time, settings.maxMovesPerSecond(), Math.max(1, settings.maxMovesPerSecond()));
   }
 
-  /** Takes holdings over from another relay's view, with what it withheld and for whom. */
+  /** Restores the holdings of another relay's view and the slots that it withheld. */
   void restore(RelayedView previous) {
     ZoneView last = previous.view();
     for (Holding holding : last.holdings()) {
@@ -101,7 +103,7 @@
     }
   }
 
-  /** What the next relay must know of slots that nobody has. */
+  /** The withheld slots, which the next relay must know about. */
   List<RelayedView.Withheld> withheld() {
     List<RelayedView.Withheld> withheld = new ArrayList<>();
     for (Target target : targets.values()) {
@@ -115,17 +117,22 @@
     return withheld;
   }
 
-  private static RelayedView.Withheld withheld(Target target, FormerHolder former, boolean silent) {
+  private static RelayedView.Withheld withheld(
+      Target target, FormerHolder former, boolean isSilent) {
     return new RelayedView.Withheld(
-        target.listing.id(), former.vm(), former.incarnation(), former.releaseViewNumber(), silent);
+        target.listing.id(),
+        former.vm(),
+        former.incarnation(),
+        former.releaseViewNumber(),
+        isSilent);
   }
 
-  /** Sets which of the own zone's targets another zone may be using half of. */
+  /** Sets which targets of this zone may be in use by another zone, with half their slots. */
   void setLentTargets(Predicate<String> isLent) {
     usedByOtherZone = isLent;
   }
 
-  /** Uses half the slots of targets whose zone has no entry VMs left; to be given back later. */
+  /** Uses half the slots of targets whose zone has no entry VMs left, until they are given back. */
   void takeOver(String owningZone, List<Holding> holdings) {
     for (Holding holding : holdings) {
       Target target =
@@ -139,14 +146,16 @@
     }
   }
 
-  /** Stops using the targets of {@code homeZone}, whose entry VMs are back. */
+  /** Stops using the targets of {@code owningZone}, whose entry VMs are back. */
   void giveBack(String owningZone) {
     for (Target target : targets.values()) {
       target.isGivingBack |= target.owningZone.equals(owningZone);
     }
   }
 
-  /** Whether members hold targets of {@code homeZone}, or still have requests in flight there. */
+  /**
+   * Whether members hold targets of {@code owningZone} or still have requests in flight to them.
+   */
   boolean holdsTargetsOf(String owningZone) {
     return targets.values().stream().anyMatch(target -> target.owningZone.equals(owningZone));
   }
@@ -166,19 +175,21 @@
   }
 
   /**
-   * Takes in the platform's list, which lags: it adds targets, and removes them on second sight.
+   * Applies the platform's list, which lags: a target is added when first listed, and removed when
+   * missing from two consecutive lists.
    */
   void onPlatformList(String zone, List<ListedVm> listings) {
     Set<String> present = new HashSet<>();
-    for (ListedVm line : listings) {
-      if (line.role() != VmRole.TARGET || !isRelevant(zone, line)) {
+    for (ListedVm listing : listings) {
+      if (listing.role() != VmRole.TARGET || !isRelevant(zone, listing)) {
         continue;
       }
-      present.add(line.id());
-      Target target = targets.computeIfAbsent(line.id(), id -> new Target(line));
-      target.listing = line;
-      updateIncarnation(target, line.incarnation());
-      if (line.leaving() && (line.incarnation() == 0 || line.incarnation() == target.incarnation)) {
+      present.add(listing.id());
+      Target target = targets.computeIfAbsent(listing.id(), id -> new Target(listing));
+      target.listing = listing;
+      updateIncarnation(target, listing.incarnation());
+      if (listing.leaving()
+          && (listing.incarnation() == 0 || listing.incarnation() == target.incarnation)) {
         target.isDraining = true;
       }
     }
@@ -189,13 +200,13 @@
     targets.values().removeIf(target -> target.absentFetches >= 2);
   }
 
-  private boolean isRelevant(String zone, ListedVm line) {
-    Target target = targets.get(line.id());
-    boolean takenOver = target != null && line.zone().equals(target.owningZone);
-    return takenOver || line.zone().equals(zone);
+  private boolean isRelevant(String zone, ListedVm listing) {
+    Target target = targets.get(listing.id());
+    boolean isTakenOver = target != null && listing.zone().equals(target.owningZone);
+    return isTakenOver || listing.zone().equals(zone);
   }
 
-  /** Takes in what a member saw of targets. */
+  /** Applies a member's reports on targets. */
   void onTargetReports(List<TargetReport> reports) {
     for (TargetReport report : reports) {
       Target target = targets.get(report.target());
@@ -203,15 +214,15 @@
         continue;
       }
       updateIncarnation(target, report.targetIncarnation());
-      boolean sameIncarnation =
+      boolean isSameIncarnation =
           report.targetIncarnation() == 0 || report.targetIncarnation() == target.incarnation;
-      if (report.isDraining() && sameIncarnation) {
+      if (report.isDraining() && isSameIncarnation) {
         target.isDraining = true;
       }
     }
   }
 
-  /** Holdings for the view {@code number}, ordered by target. */
+  /** Returns the holdings for the view {@code number}, ordered by target. */
   List<Holding> holdings(long number, ToIntFunction<String> totalSlots) {
     List<String> eligible = members.eligibleVms();
     List<Holding> holdings = new ArrayList<>();
@@ -228,7 +239,10 @@
     return holdings;
   }
 
-  /** Both zones together never use more than all slots, whatever each knows of the other. */
+  /**
+   * Slots of a target available to this zone. Two zones that use the same target never use more
+   * than all its slots together, whatever each knows of the other.
+   */
   private int usableSlots(Target target, int total) {
     if (!target.owningZone.isEmpty()) {
       return ConfirmationGuard.takeOverSlots(total);
@@ -238,7 +252,9 @@
         : total;
   }
 
-  /** Whether all who held the target have stopped and have nothing in flight there. */
+  /**
+   * Whether all former holders have stopped using the target and have no requests in flight to it.
+   */
   private boolean isGivenBack(Target target, long number) {
     if (!target.holder.isEmpty()) {
       target.pendingReleases.add(new FormerHolder(target.holder, target.holderIncarnation, number));
@@ -270,10 +286,10 @@
   private void keepOrRelease(Target target, int total, long number, String desired) {
     if (members.isLive(target.holder, target.holderIncarnation)) {
       updateSlots(target, total);
-      boolean settled =
+      boolean isSettled =
           target.releasingHolder == null && target.silentHolder == null && !target.isDraining;
-      boolean mayMove = settled && !desired.isEmpty() && !desired.equals(target.holder);
-      if (mayMove && isMoveAllowed(target)) {
+      boolean shouldMove = isSettled && !desired.isEmpty() && !desired.equals(target.holder);
+      if (shouldMove && isMoveAllowed(target)) {
         target.releasingHolder = new FormerHolder(target.holder, target.holderIncarnation, number);
         clearHolder(target);
       }
@@ -289,14 +305,15 @@
       clearHolder(target);
       return;
     }
-    // Taken over twice: the first silent holder kept one half and this one may use the other.
+    // The target was taken over before. The first silent holder retains one half and this holder
+    // may use the other, so no slots are free.
     target.releasingHolder = new FormerHolder(target.holder, target.holderIncarnation, number);
     clearHolder(target);
   }
 
   private boolean isMoveAllowed(Target target) {
-    boolean holderLeaves = !members.eligibleVms().contains(target.holder);
-    return holderLeaves || moveBudget.tryTake(1);
+    boolean isHolderDraining = !members.eligibleVms().contains(target.holder);
+    return isHolderDraining || moveBudget.tryTake(1);
   }
 
   private void assign(Target target, int total, String desired) {
@@ -314,12 +331,12 @@
     target.slots = freeSlots(target, total);
   }
 
-  /** Slots that nobody but the present or next holder can use. */
+  /** Slots that no VM other than the present or next holder can use. */
   private int freeSlots(Target target, int total) {
     resolveSilentHolder(target);
     FormerHolder former = target.releasingHolder;
-    boolean formerSilent = former != null && isSilent(former);
-    if (formerSilent && target.silentHolder == null) {
+    boolean isFormerSilent = former != null && isSilent(former);
+    if (isFormerSilent && target.silentHolder == null) {
       target.silentHolder = former;
       target.takenOverNanos = time.nanos();
       target.releasingHolder = null;
@@ -329,7 +346,7 @@
     if (former == null) {
       return free;
     }
-    if (formerSilent) {
+    if (isFormerSilent) {
       return 0;
     }
     int used = slotsInUseBy(target, former);
@@ -357,14 +374,15 @@
       startRelease(target, former);
       return;
     }
-    boolean watched = time.nanos() - target.takenOverNanos >= settings.fullSlotsDelay().toNanos();
-    if (watched
+    boolean isObservedLongEnough =
+        time.nanos() - target.takenOverNanos >= settings.fullSlotsDelay().toNanos();
+    if (isObservedLongEnough
         && lastReport(target.holder, target).map(TargetReport::loadMatchesInFlight).orElse(false)) {
       target.silentHolder = null;
     }
   }
 
-  /** The silent one was only paused or cut off, and gives up like any live holder. */
+  /** Lets a holder that was only paused or cut off release the target like any live holder. */
   private void startRelease(Target target, FormerHolder former) {
     FormerHolder other = target.releasingHolder;
     if (other == null) {
@@ -424,13 +442,13 @@
   }
 
   private static Holding toHolding(Target target) {
-    ListedVm line = target.listing;
+    ListedVm listing = target.listing;
     return new Holding(
-        line.id(),
-        line.customer(),
-        line.service(),
-        line.host(),
-        line.port(),
+        listing.id(),
+        listing.customer(),
+        listing.service(),
+        listing.host(),
+        listing.port(),
         target.incarnation,
         target.holder,
         target.slots,
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/Member.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/Member.java
@@ -1,10 +1,11 @@
 package org.sageladder.core.membership;
 
 /**
- * One entry VM as its zone's view names it.
+ * An entry VM as listed in its zone's view.
  *
- * @param incarnation grows with each start of the VM; permits and slots belong to an incarnation
- * @param isDraining true once it has begun a planned stop; never undone within an incarnation
+ * @param incarnation increases with each start of the VM; permits and slots belong to one
+ *     incarnation
+ * @param isDraining true once a planned stop has begun; never reset within an incarnation
  */
 public record Member(
     String vm,
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/MemberTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/MemberTable.java
@@ -11,7 +11,7 @@
 import org.sageladder.core.platform.VmRole;
 import org.sageladder.core.time.TimeSource;
 
-/** Who is alive in a zone, as its relay hears it. Not thread-safe. */
+/** The members of a zone and their liveness, as observed by the zone's relay. Not thread-safe. */
 final class MemberTable {
   private static final int MIN_ABSENT_FETCHES = 2;
   private static final int MIN_ABSENT_FETCHES_IF_NEVER_LISTED = 10;
@@ -28,9 +28,9 @@
     private boolean wasListed;
     private @Nullable Heartbeat lastHeartbeat;
 
-    private Entry(Member member, long heardNanos) {
+    private Entry(Member member, long lastHeartbeatNanos) {
       this.member = member;
-      this.lastHeartbeatNanos = heardNanos;
+      this.lastHeartbeatNanos = lastHeartbeatNanos;
     }
 
     Member member() {
@@ -48,23 +48,25 @@
     this.lastTickNanos = time.nanos();
   }
 
-  /** Takes members over from another relay's view; each has a full silence before it counts. */
+  /**
+   * Restores members from another relay's view. Each counts as silent only after a full timeout.
+   */
   void restore(List<Member> members) {
     for (Member member : members) {
       entries.put(member.vm(), new Entry(member, time.nanos()));
     }
   }
 
-  /** Notes a VM that an earlier relay found silent, so that its end can be noticed. */
+  /** Restores a VM that an earlier relay found silent, so that its end can be detected. */
   void restoreSilent(String vm, long incarnation) {
     if (entries.containsKey(vm)) {
       return;
     }
-    Member gone = new Member(vm, "", incarnation, "", 0, 0, false);
-    entries.put(vm, new Entry(gone, time.nanos() - 2 * settings.takeOverTimeout().toNanos()));
+    Member member = new Member(vm, "", incarnation, "", 0, 0, false);
+    entries.put(vm, new Entry(member, time.nanos() - 2 * settings.takeOverTimeout().toNanos()));
   }
 
-  /** Takes a heartbeat in; false where a later incarnation of the same VM was heard before. */
+  /** Applies a heartbeat; returns false if a later incarnation of the same VM is already known. */
   boolean onHeartbeat(Heartbeat heartbeat) {
     Member sender = heartbeat.sender();
     Entry entry = entries.get(sender.vm());
@@ -82,30 +84,36 @@
   }
 
   /**
-   * Counts fetches of the platform's list in which a VM is missing.
+   * Counts consecutive fetches of the platform's list from which a VM is missing.
    *
-   * <p>The list lags, so a missing VM that is heard stays, and one fetch without it proves nothing.
+   * <p>The list lags. So a missing VM that still sends heartbeats stays a member, and one fetch
+   * without it proves nothing.
    */
-  void onPlatformList(List<ListedVm> lines) {
+  void onPlatformList(List<ListedVm> listings) {
     Set<String> names = new HashSet<>();
-    for (ListedVm line : lines) {
-      if (line.role() != VmRole.ENTRY) {
+    for (ListedVm listing : listings) {
+      if (listing.role() != VmRole.ENTRY) {
         continue;
       }
-      names.add(line.id());
-      Entry entry = entries.get(line.id());
-      if (entry != null && line.leaving() && line.incarnation() == entry.member.incarnation()) {
+      names.add(listing.id());
+      Entry entry = entries.get(listing.id());
+      if (entry != null
+          && listing.leaving()
+          && listing.incarnation() == entry.member.incarnation()) {
         entry.member = asDraining(entry.member);
       }
     }
     for (Entry entry : entries.values()) {
-      boolean present = names.contains(entry.member.vm());
-      entry.wasListed |= present;
-      entry.absentFetches = present ? 0 : entry.absentFetches + 1;
+      boolean isPresent = names.contains(entry.member.vm());
+      entry.wasListed |= isPresent;
+      entry.absentFetches = isPresent ? 0 : entry.absentFetches + 1;
     }
   }
 
-  /** After a pause of this relay itself, nobody is silent merely because it did not listen. */
+  /**
+   * Compensates for a pause of this relay itself: members are not silent merely because the relay
+   * received nothing while it was paused.
+   */
   void tick() {
     long now = time.nanos();
     long gap = now - lastTickNanos;
@@ -117,7 +125,7 @@
     lastTickNanos = now;
   }
 
-  /** Members heard lately, ordered by name. */
+  /** Members whose last heartbeat is recent, ordered by name. */
   List<Member> liveMembers() {
     List<Member> live = new ArrayList<>();
     for (Entry entry : entries.values()) {
@@ -138,17 +146,21 @@
     return entry != null && entry.member.incarnation() == incarnation && isLive(entry);
   }
 
-  /** Whether that incarnation has surely ended: a later one was heard, or the platform ended it. */
+  /**
+   * Whether that incarnation is known to have ended: a later one has sent a heartbeat, or the
+   * platform no longer lists it and it is silent.
+   */
   boolean isKnownEnded(String vm, long incarnation) {
     Entry entry = entries.get(vm);
     if (entry == null) {
       return false;
     }
-    boolean replaced = entry.member.incarnation() > incarnation;
-    // The list lags: a VM never seen on it may not have been added yet.
-    int enough = entry.wasListed ? MIN_ABSENT_FETCHES : MIN_ABSENT_FETCHES_IF_NEVER_LISTED;
-    boolean gone = entry.absentFetches >= enough && !isLive(entry);
-    return replaced || gone;
+    boolean isReplaced = entry.member.incarnation() > incarnation;
+    // The list lags, so a VM that has never been listed may not have been added yet.
+    int minAbsentFetches =
+        entry.wasListed ? MIN_ABSENT_FETCHES : MIN_ABSENT_FETCHES_IF_NEVER_LISTED;
+    boolean isRemoved = entry.absentFetches >= minAbsentFetches && !isLive(entry);
+    return isReplaced || isRemoved;
   }
 
   @Nullable Entry entry(String vm) {
@@ -159,7 +171,10 @@
     return entries.values().stream().filter(this::isLive).toList();
   }
 
-  /** Fraction of members not surely ended that are live, this VM included; 1 for a zone of one. */
+  /**
+   * Fraction of the members not known to have ended that are live, this VM included; 1 in a zone of
+   * one VM.
+   */
   double liveFraction() {
     int known = 0;
     int live = 0;
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/MembershipSettings.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/MembershipSettings.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * Times of membership inside a zone; they only work together.
+ * Timeouts and intervals of membership within a zone. They depend on each other.
  *
- * <p>A gate that is not confirmed for {@code confirmWindow} gives up half its slots. A relay takes
- * a silent member's targets over only after {@code takeOverSilence}, and then with the other half.
- * The difference of the two must exceed {@code pauseAllowance}, the longest pause that a gate may
- * overlook between its check and its dispatch.
+ * <p>A gate that is not confirmed for {@code confirmationWindow} reduces a holding to half its
+ * slots. A relay reassigns a silent member's targets only after {@code takeOverTimeout}, and then
+ * only the other half of the slots. The difference between the two must be at least {@code
+ * maxPause}, the longest pause that a gate may miss between its check and its dispatch.
  *
  * @param heartbeatInterval time between two heartbeats in a small zone
- * @param fullSlotsDelay how long a taken-over target's own load must have been watched before its
- *     new holder gets all slots
- * @param maxMovesPerSecond holdings that may move between live members in a second, per zone
+ * @param fullSlotsDelay how long a taken-over target's own load must be observed before its new
+ *     holder gets all slots
+ * @param maxMovesPerSecond holdings per zone that may move between live members per second
  */
 public record MembershipSettings(
     Duration heartbeatInterval,
@@ -24,21 +24,24 @@
     double maxMovesPerSecond) {
   private static final Duration HEARTBEAT_INTERVAL_PER_MEMBER = Duration.ofMillis(40);
 
-  /** Checks that no pause a gate may overlook reaches into a take-over. */
+  /** Checks that a pause missed by a gate cannot last into a take-over. */
   public MembershipSettings {
     if (confirmationWindow.plus(maxPause).compareTo(takeOverTimeout) > 0) {
       throw new IllegalArgumentException(
-          "take-over after "
+          "takeOverTimeout "
               + takeOverTimeout
-              + " is too early: a gate may be unconfirmed for "
+              + " is too short: a gate may be unconfirmed for "
               + confirmationWindow
-              + " and paused for "
+              + " and miss a pause of "
               + maxPause
               + "; use at least their sum");
     }
   }
 
-  /** A silent member's targets move after 4 s, so a member is lost to the zone for about that. */
+  /**
+   * Default settings. A silent member's targets move after 4 s, so the zone loses the use of its
+   * slots for about that long.
+   */
   public static MembershipSettings standard() {
     return new MembershipSettings(
         Duration.ofMillis(500),
@@ -50,9 +53,9 @@
   }
 
   /**
-   * Time between two heartbeats in a zone of {@code members}: longer in a large one, since all of
-   * them pass its relay, but twice in a confirm window at least, so that one late answer costs no
-   * slots.
+   * Time between two heartbeats in a zone of {@code memberCount} members. It grows with the zone,
+   * because the relay receives all of them, but at least two heartbeats fit into a confirmation
+   * window, so that one late answer costs no slots.
    */
   public Duration heartbeatInterval(int memberCount) {
     Duration bySize = HEARTBEAT_INTERVAL_PER_MEMBER.multipliedBy(memberCount);
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/Rendezvous.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/Rendezvous.java
@@ -8,21 +8,22 @@
 import java.util.Optional;
 
 /**
- * Rendezvous hashing: each subject goes to the candidate with the highest hash of the pair.
+ * Rendezvous hashing: each subject is assigned to the candidate with the highest hash of the pair.
  *
- * <p>When one of n candidates comes or goes, about one subject in n moves and no other does.
+ * <p>When one of n candidates is added or removed, about one subject in n moves and all others
+ * stay.
  */
 public final class Rendezvous {
   private static final Hasher64 HASHER = Hashing.komihash5_0();
 
   private Rendezvous() {}
 
-  /** The candidate for {@code subject}, or empty where there are no candidates. */
+  /** Returns the candidate for {@code subject}, or empty if there are no candidates. */
   public static Optional<String> choose(String subject, Collection<String> candidates) {
     return candidates.stream().max(byHash(subject));
   }
 
-  /** All candidates, best first. */
+  /** Returns all candidates, the preferred one first. */
   public static List<String> rank(String subject, Collection<String> candidates) {
     return candidates.stream().sorted(byHash(subject).reversed()).toList();
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/TargetReport.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/TargetReport.java
@@ -1,13 +1,14 @@
 package org.sageladder.core.membership;
 
 /**
- * What an entry VM tells its relay of one target.
+ * An entry VM's report to its relay on one target.
  *
- * @param targetIncarnation as the target itself tells it; 0 where not known
- * @param isDraining true once the target refused as leaving or its load said so
+ * @param targetIncarnation as reported by the target itself; 0 if unknown
+ * @param isDraining true once the target refused a request because it is leaving, or said so in its
+ *     load report
  * @param inFlight requests of this entry VM that the target has not answered yet
- * @param loadMatchesInFlight whether the target's own reading of its busy slots has lately been no
- *     higher than this entry VM's requests in flight, so that nobody else sends to it
+ * @param loadMatchesInFlight whether the busy slots reported by the target have recently not
+ *     exceeded this entry VM's requests in flight, so that no other VM sends to it
  */
 public record TargetReport(
     String target,
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/ZoneSummary.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/ZoneSummary.java
@@ -1,16 +1,16 @@
 package org.sageladder.core.membership;
 
 /**
- * What one zone reports of one service, for steering elsewhere.
+ * Load of one service in one zone, for steering in other zones.
  *
- * @param takenAtMillis wall clock of the zone when the numbers were taken
+ * @param takenAtMillis wall-clock time in the zone when the numbers were taken
  * @param slots slots that may be used
  * @param busy slots in use
  * @param queued requests waiting at gates
- * @param admittedPerSecond requests admitted a second of late
- * @param ceilingPerSecond most the zone will admit a second now, by cap and capacity
- * @param demandPerSecond requests a second that asked for a slot at the zone's gates, admitted or
- *     not, wherever their callers are
+ * @param admittedPerSecond recent rate of admitted requests
+ * @param ceilingPerSecond highest rate that the zone admits now, by cap and capacity
+ * @param demandPerSecond rate of requests for a slot at the zone's gates, admitted or not, from
+ *     callers anywhere
  */
 public record ZoneSummary(
     String zone,
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/ZoneView.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/ZoneView.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * Who is in a zone and who holds which target's slots, as made by the zone's relay.
+ * The members of a zone and the holders of its targets' slots, as determined by the zone's relay.
  *
- * <p>Views of one zone are ordered by {@code number}; a process never goes back to a lower one.
+ * <p>Views of one zone are ordered by {@code number}; a process never returns to a lower one.
  *
- * @param number made of the relay lease's fencing revision and a counter, so it grows over relays
+ * @param number composed of the fencing token of the relay's lease and a counter, so that it
+ *     increases across relays
  */
 public record ZoneView(String zone, long number, List<Member> members, List<Holding> holdings) {
-  /** Copies the lists, so that the view cannot change. */
+  /** Copies the lists, so that the view is immutable. */
   public ZoneView {
     members = List.copyOf(members);
     holdings = List.copyOf(holdings);
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/ZoneViewBuilder.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/ZoneViewBuilder.java
@@ -12,12 +12,13 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * Makes a zone's views out of heartbeats and the platform's list, in the zone's relay.
+ * Builds a zone's views from heartbeats and the platform's list; runs in the zone's relay.
  *
  * <pre>{@code
- * ViewMaker maker = ViewMaker.of(settings, time, "tartu-a", "vm-1", fencing, lastView, totalSlots);
- * maker.heartbeat(heartbeat);
- * maker.tick().ifPresent(view -> spreader.publish(encode(view)));
+ * ZoneViewBuilder builder =
+ *     ZoneViewBuilder.of(settings, time, "tartu-a", "vm-1", fencingToken, lastView, totalSlots);
+ * builder.onHeartbeat(heartbeat);
+ * builder.tick().ifPresent(view -> spreader.publish(encode(view)));
  * }</pre>
  *
  * <p>Not thread-safe.
@@ -62,11 +63,12 @@
   }
 
   /**
-   * A maker that goes on from {@code previous}.
+   * Returns a builder that continues from {@code previous}.
    *
    * @param relay this entry VM
-   * @param fencingToken the relay's fencing revision; views of a later relay have higher numbers
-   * @param totalSlots slots of one target of a service by the contract in force, 0 where unknown
+   * @param fencingToken fencing token of the relay's election; a later relay's views have higher
+   *     numbers
+   * @param totalSlots slots of one target of a service by the contract in force, 0 if unknown
    */
   public static ZoneViewBuilder of(
       MembershipSettings settings,
@@ -79,30 +81,31 @@
     return new ZoneViewBuilder(settings, time, zone, relay, fencingToken, previous, totalSlots);
   }
 
-  /** The fencing revision in a view's number. */
+  /** Returns the fencing token contained in a view's number. */
   public static long fencingTokenOf(long viewNumber) {
     return viewNumber >> COUNTER_BITS;
   }
 
-  /** Takes a heartbeat in and says what to answer. */
+  /** Applies a heartbeat and returns the answer to send. */
   public HeartbeatAnswer onHeartbeat(Heartbeat heartbeat) {
-    boolean current = members.onHeartbeat(heartbeat);
-    if (current) {
+    boolean isCurrent = members.onHeartbeat(heartbeat);
+    if (isCurrent) {
       planner.onTargetReports(heartbeat.targetReports());
     }
     MemberTable.Entry entry = members.entry(heartbeat.sender().vm());
-    long known = entry == null ? 0 : entry.member().incarnation();
-    boolean confirmed = current && hasView && heartbeat.viewNumber() >= lastView.number();
-    return new HeartbeatAnswer(heartbeat.sentNanos(), lastView.number(), true, confirmed, known);
+    long knownIncarnation = entry == null ? 0 : entry.member().incarnation();
+    boolean isConfirmed = isCurrent && hasView && heartbeat.viewNumber() >= lastView.number();
+    return new HeartbeatAnswer(
+        heartbeat.sentNanos(), lastView.number(), true, isConfirmed, knownIncarnation);
   }
 
-  /** Takes in a fetch of the platform's list. */
+  /** Applies a fetch of the platform's list. */
   public void onPlatformList(List<ListedVm> listings) {
     members.onPlatformList(listings);
     planner.onPlatformList(zone, listings);
   }
 
-  /** Sets which of the zone's targets another zone may be using half the slots of. */
+  /** Sets which targets of this zone may be in use by another zone, with half their slots. */
   public void setLentTargets(Predicate<String> isLent) {
     planner.setLentTargets(isLent);
   }
@@ -110,23 +113,25 @@
   /**
    * Lets members use half the slots of targets whose own zone has no entry VMs left.
    *
-   * <p>May be told again and again, and is told to each next relay.
+   * <p>Idempotent; must be called again for each next relay.
    */
   public void takeOver(String owningZone, List<Holding> holdings) {
     planner.takeOver(owningZone, holdings);
   }
 
-  /** Makes members stop using the targets of {@code homeZone}, whose entry VMs are back. */
+  /** Makes members stop using the targets of {@code owningZone}, whose entry VMs are back. */
   public void giveBack(String owningZone) {
     planner.giveBack(owningZone);
   }
 
-  /** Whether members hold targets of {@code homeZone}, or still have requests in flight there. */
+  /**
+   * Whether members hold targets of {@code owningZone} or still have requests in flight to them.
+   */
   public boolean holdsTargetsOf(String owningZone) {
     return planner.holdsTargetsOf(owningZone);
   }
 
-  /** A new view where something changed since the last one. */
+  /** Returns a new view if anything changed since the last one. */
   public Optional<RelayedView> tick() {
     members.tick();
     if (hasView && time.nanos() - lastViewNanos < MIN_VIEW_INTERVAL_NANOS) {
@@ -136,12 +141,12 @@
     ZoneView next =
         new ZoneView(zone, number, members.liveMembers(), planner.holdings(number, totalSlots));
     List<RelayedView.Withheld> withheld = planner.withheld();
-    boolean same =
+    boolean isUnchanged =
         hasView
             && next.members().equals(lastView.members())
             && next.holdings().equals(lastView.holdings())
             && withheld.equals(lastWithheld);
-    if (same) {
+    if (isUnchanged) {
       return Optional.empty();
     }
     lastWithheld = withheld;
@@ -151,17 +156,19 @@
     return Optional.of(new RelayedView(next, relay, withheld));
   }
 
-  /** Whether the counter in the view number is used up, so that the duty must be claimed anew. */
+  /**
+   * Whether the counter in the view number is exhausted, so that the relay must be elected again.
+   */
   public boolean isCounterExhausted() {
     return (lastView.number() & ((1L << COUNTER_BITS) - 1)) == (1L << COUNTER_BITS) - 2;
   }
 
-  /** Fraction of the zone's members that are heard, 0 to 1. */
+  /** Fraction of the zone's members that are live, from 0 to 1. */
   public double liveFraction() {
     return members.liveFraction();
   }
 
-  /** What the zone's gates did lately, added up for each service. */
+  /** Recent load of the zone's gates, summed per service. */
   public List<ZoneSummary> summaries() {
     Map<String, ZoneSummary> sums = new TreeMap<>();
     for (MemberTable.Entry entry : members.liveEntries()) {
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/package-info.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/package-info.java
@@ -1,4 +1,4 @@
-/** Entry VMs, targets, zone views and the state that steering reads. */
+/** Membership of entry VMs and targets, zone views, and the cluster state that steering reads. */
 @NullMarked
 package org.sageladder.core.membership;
 
--- a/sageladder-core/src/main/java/org/sageladder/core/message/HopByHopHeaders.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/message/HopByHopHeaders.java
@@ -5,10 +5,11 @@
 import java.util.Set;
 
 /**
- * The headers of one message that concern one connection only and are not passed on.
+ * The hop-by-hop headers of one message: those that apply to a single connection and are not
+ * forwarded.
  *
  * <pre>{@code
- * ConnectionHeaders headers = ConnectionHeaders.naming(request.values("Connection"));
+ * HopByHopHeaders headers = HopByHopHeaders.of(request.values("Connection"));
  * headers.contains("Keep-Alive"); // true: always; also true for names that Connection lists
  * }</pre>
  */
@@ -33,9 +34,10 @@
   }
 
   /**
-   * Those of a message.
+   * Returns the hop-by-hop headers of a message.
    *
-   * @param connectionValues the values of its {@code Connection} headers, each a list of names
+   * @param connectionValues the values of its {@code Connection} headers, each a comma-separated
+   *     list of header names
    */
   public static HopByHopHeaders of(Iterable<String> connectionValues) {
     Set<String> named = new HashSet<>();
@@ -47,7 +49,7 @@
     return new HopByHopHeaders(named);
   }
 
-  /** True where the header of that name, in any case, is not passed on. */
+  /** Returns whether the header with that name, in any case, is not forwarded. */
   public boolean contains(String header) {
     String name = header.toLowerCase(Locale.ROOT);
     return STANDARD.contains(name) || listed.contains(name);
--- a/sageladder-core/src/main/java/org/sageladder/core/message/package-info.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/message/package-info.java
@@ -1,4 +1,4 @@
-/** What holds for the messages that are passed on, whatever library reads and writes them. */
+/** Rules for forwarded messages that do not depend on the HTTP library. */
 @NullMarked
 package org.sageladder.core.message;
 
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/Decision.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/Decision.java
@@ -1,31 +1,36 @@
 package org.sageladder.core.permit;
 
-/** What a permit's home says to one copy of a request. */
+/**
+ * The issuer's decision on one copy of a request. The event log records the simple names of the
+ * kinds.
+ */
 public sealed interface Decision {
-  /** This copy is the one to run; end the execution exactly once. */
+  /** This copy is to be executed; the caller must end the execution exactly once. */
   record Execute(Execution execution) implements Decision {}
 
-  /** The request ran before; this is the answer it got. */
+  /** The request ran before; {@code answer} is what the target answered then. */
   record Replay(RecordedAnswer answer) implements Decision {}
 
-  /** An earlier copy is being run now; ask again with the same permit. */
+  /** An earlier copy is executing now; ask again later with the same permit. */
   record Running() implements Decision {}
 
-  /** An earlier copy was not run and no copy ever will be: a new try needs a fresh permit. */
+  /** No copy ran and none will run; a further attempt needs a new permit. */
   record NotRun() implements Decision {}
 
-  /** An earlier copy may have run and its answer is lost; no copy will be run. */
+  /** An earlier copy may have run, but its answer is lost; no further copy is executed. */
   record Unknown() implements Decision {}
 
-  /** So old that its state is gone: this copy is not run, an earlier one may have. */
+  /**
+   * The permit's state has been dropped. This copy is not executed; an earlier one may have run.
+   */
   record Expired() implements Decision {}
 
-  /** The permit was used for another request, or belongs to another service or key. */
+  /** The permit was used for another request, or belongs to another service or idempotency key. */
   record Mismatch(String reason) implements Decision {}
 
-  /** Another incarnation minted the permit; only that one may run it. */
+  /** Another incarnation minted the permit, and only that one may execute it. */
   record Foreign() implements Decision {}
 
-  /** This home has stopped; {@code successor} decides in its place. */
+  /** This issuer has stopped; {@code successor} decides in its place. */
   record Moved(String successor) implements Decision {}
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/Execution.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/Execution.java
@@ -1,35 +1,35 @@
 package org.sageladder.core.permit;
 
 /**
- * The one run of a permit; the first of its three ends counts.
+ * The single execution that a permit allows. The first outcome recorded counts.
  *
- * <p>Whoever holds it must end it on every path: an execution left open answers "running" until the
- * permit expires.
+ * <p>The owner must record an outcome on every path: an execution left open answers "running" until
+ * the permit expires.
  */
 public interface Execution {
-  /** The permit being run. */
+  /** The permit being executed. */
   Permit permit();
 
   /**
-   * The target ran the request and answered. May follow {@link #recordUnknown}: an answer that came
-   * late is still the true one.
+   * Records that the target ran the request and answered. Accepted also after {@link
+   * #recordUnknown}, since a late answer is still the true one.
    *
-   * @return false where the execution had ended in another way and the answer was not recorded
+   * @return false if the execution had ended in another way and the answer was not recorded
    */
   boolean recordAnswer(RecordedAnswer answer);
 
   /**
-   * No target ran the request. Closes the permit for good, so that a copy of the request that is
-   * still on its way cannot run after the caller was told "not run".
+   * Records that no target ran the request. Closes the permit for good, so that a copy still in
+   * transit cannot run after the caller was answered "not run".
    *
-   * @return false where the execution had already ended
+   * @return false if the execution had already ended
    */
   boolean recordNotRun();
 
   /**
-   * The request may have run.
+   * Records that the request may have run.
    *
-   * @return false where the execution had already ended
+   * @return false if the execution had already ended
    */
   boolean recordUnknown();
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/HandOverCodec.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/HandOverCodec.java
@@ -14,9 +14,10 @@
 import java.util.zip.InflaterInputStream;
 
 /**
- * Bytes of a hand-over, for the message that carries it to the successor.
+ * Encodes a hand-over for the message that carries it to the successor.
  *
- * <p>Runs of unused permits compress to almost nothing, so the size follows the permits used.
+ * <p>Runs of unused permits compress to almost nothing, so the size depends on the number of used
+ * permits.
  */
 public final class HandOverCodec {
   private static final int VERSION = 1;
@@ -24,7 +25,7 @@
 
   private HandOverCodec() {}
 
-  /** The compressed bytes. */
+  /** Encodes and compresses {@code handOver}. */
   public static byte[] encode(HandOver handOver) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(new DeflaterOutputStream(bytes))) {
@@ -48,26 +49,26 @@
   }
 
   /**
-   * Reads what {@link #encode} wrote.
+   * Decodes what {@link #encode} wrote.
    *
-   * @throws IOException where the bytes are cut or of another version
+   * @throws IOException if the bytes are truncated or of an unsupported version
    */
   public static HandOver decode(byte[] bytes) throws IOException {
     try (DataInputStream in =
         new DataInputStream(new InflaterInputStream(new ByteArrayInputStream(bytes)))) {
       int version = in.readByte();
       if (version != VERSION) {
-        throw new IOException("hand-over version " + version + " is not known, 1 would be");
+        throw new IOException("unsupported hand-over version " + version + ", expected 1");
       }
       String vm = in.readUTF();
       long incarnation = in.readLong();
       long nextSequence = in.readLong();
       List<HandOver.SegmentState> segments = new ArrayList<>();
-      for (int left = in.readInt(); left > 0; left--) {
+      for (int remaining = in.readInt(); remaining > 0; remaining--) {
         segments.add(readSegment(in));
       }
       Map<Long, RecordedAnswer> answers = new HashMap<>();
-      for (int left = in.readInt(); left > 0; left--) {
+      for (int remaining = in.readInt(); remaining > 0; remaining--) {
         answers.put(in.readLong(), readAnswer(in));
       }
       requireEndOfStream(in);
@@ -76,12 +77,13 @@
   }
 
   /**
-   * Reads to the end of the compressed bytes, where their checksum stands. Without this, bytes that
-   * were cut behind the last answer pass unchecked: reading them asks for no more than its length.
+   * Reads to the end of the compressed bytes, where the checksum is verified. Without this, bytes
+   * truncated after the last answer would be accepted, because reading the answer stops before the
+   * checksum.
    */
   private static void requireEndOfStream(DataInputStream in) throws IOException {
     if (in.read() >= 0) {
-      throw new IOException("bytes follow the hand-over's last answer");
+      throw new IOException("unexpected bytes after the last answer of the hand-over");
     }
   }
 
@@ -97,11 +99,11 @@
   }
 
   private static HandOver.SegmentState readSegment(DataInputStream in) throws IOException {
-    long first = in.readLong();
-    long endMillis = in.readLong();
+    long firstSequence = in.readLong();
+    long lastExpiryMillis = in.readLong();
     int count = in.readInt();
     if (count < 0 || count > MAX_PERMITS_PER_SEGMENT) {
-      throw new IOException("a segment of " + count + " permits; at most 65536 are possible");
+      throw new IOException("segment has " + count + " permits, at most 65536 are allowed");
     }
     byte[] states = new byte[count];
     in.readFully(states);
@@ -109,7 +111,7 @@
     for (int i = 0; i < count; i++) {
       digests[i] = in.readLong();
     }
-    return new HandOver.SegmentState(first, endMillis, states, digests);
+    return new HandOver.SegmentState(firstSequence, lastExpiryMillis, states, digests);
   }
 
   private static void write(DataOutputStream out, RecordedAnswer answer) throws IOException {
@@ -126,12 +128,12 @@
 
   private static RecordedAnswer readAnswer(DataInputStream in) throws IOException {
     int status = in.readUnsignedShort();
-    boolean bodyKept = in.readBoolean();
+    boolean isKept = in.readBoolean();
     List<RecordedAnswer.Header> headers = new ArrayList<>();
-    for (int left = in.readUnsignedShort(); left > 0; left--) {
+    for (int remaining = in.readUnsignedShort(); remaining > 0; remaining--) {
       headers.add(new RecordedAnswer.Header(in.readUTF(), in.readUTF()));
     }
     byte[] body = in.readNBytes(in.readInt());
-    return new RecordedAnswer(status, headers, body, bodyKept);
+    return new RecordedAnswer(status, headers, body, isKept);
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/OpenedPermit.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/OpenedPermit.java
@@ -1,18 +1,18 @@
 package org.sageladder.core.permit;
 
-/** What {@link PermitCodec#open} made of a permit's text. */
+/** The result of {@link PermitCodec#open}. */
 public sealed interface OpenedPermit {
-  /** The MAC matches: some entry VM of the customer minted it. */
+  /** The MAC is valid: an entry VM of the customer minted the permit. */
   record Valid(Permit permit) implements OpenedPermit {}
 
   /**
-   * The permit reads well but names a key that is not known here, so nothing is proved.
+   * The permit is well-formed, but its key is not known here, so it cannot be verified.
    *
-   * <p>Its home made it and knows the key, so pass it on there; refusing it here could call a
-   * request not run that runs elsewhere.
+   * <p>The issuer has the key, so forward the permit to it. Refusing the permit here could report a
+   * request as not run that is running elsewhere.
    */
   record UnknownKey(Permit unverifiedPermit, String keyId) implements OpenedPermit {}
 
-  /** Not a permit, or altered on its way. */
+  /** Malformed, or modified in transit. */
   record Invalid(String reason) implements OpenedPermit {}
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/PermitCodec.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/PermitCodec.java
@@ -17,10 +17,10 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Turns permits into header text that cannot be altered unnoticed, and back.
+ * Encodes permits as header text protected by a MAC, and decodes them.
  *
- * <p>The text is {@code KEYID.PAYLOAD.MAC}, payload and MAC in URL-safe base64; the MAC is
- * HMAC-SHA256 over key id and payload, cut to 128 bits.
+ * <p>The text is {@code KEYID.PAYLOAD.MAC}, with payload and MAC in URL-safe base64. The MAC is
+ * HMAC-SHA256 over key id and payload, truncated to 128 bits.
  *
  * <pre>{@code
  * PermitCodec codec = PermitCodec.of(() -> ring);
@@ -41,22 +41,22 @@
     this.ringSource = ringSource;
   }
 
-  /** A codec that asks {@code rings} for the keys of the moment at each call. */
+  /** Returns a codec that asks {@code ringSource} for the current keys at each call. */
   public static PermitCodec of(Supplier<KeyRing> ringSource) {
     return new PermitCodec(ringSource);
   }
 
-  /** The text form, sealed with the ring's signing key. */
+  /** Encodes a permit and signs it with the ring's signing key. */
   public String seal(Permit permit) {
     KeyRing.Key key = ringSource.get().signingKey();
     String payload = ENCODER.encodeToString(encode(permit));
     return key.id() + "." + payload + "." + ENCODER.encodeToString(mac(key, payload));
   }
 
-  /** Reads a permit's text and checks its MAC. */
+  /** Decodes a permit's text and verifies its MAC. */
   public OpenedPermit open(String text) {
     if (text.length() > MAX_TEXT_LENGTH) {
-      return invalid("it has " + text.length() + " characters, a permit has at most 1024");
+      return invalid("the permit has " + text.length() + " characters, at most 1024 are allowed");
     }
     String[] parts = text.split("\\.", -1);
     if (parts.length != 3) {
@@ -106,15 +106,15 @@
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(payload))) {
       int version = in.readByte();
       if (version != VERSION) {
-        throw new IOException("version " + version + " is not known, 1 would be");
+        throw new IOException("unsupported version " + version + ", expected 1");
       }
-      String home = in.readUTF();
+      String issuer = in.readUTF();
       long incarnation = in.readLong();
       long sequence = in.readLong();
       long expiryMillis = in.readLong();
       Permit permit =
           new Permit(
-              home,
+              issuer,
               incarnation,
               sequence,
               expiryMillis,
@@ -123,7 +123,7 @@
               in.readUTF(),
               in.readUTF());
       if (in.read() >= 0) {
-        throw new IOException("bytes follow its end");
+        throw new IOException("unexpected bytes after the end");
       }
       return permit;
     }
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/PermitHome.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/PermitHome.java
@@ -8,20 +8,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Mints the permits of one incarnation of an entry VM and decides which copy of a request may run.
+ * Issuer of the permits of one incarnation of an entry VM: mints permits and decides which copy of
+ * a request may run.
  *
- * <p>Memory is bounded by rate times lifetime: permits are numbered in sequence, and the state of a
- * number is dropped some time after its expiry. At a planned stop the states go to one successor,
- * which then decides in the place of the one that stopped.
+ * <p>Memory use is bounded by minting rate times lifetime: permits have consecutive sequence
+ * numbers, and their state is dropped some time after expiry. On a planned stop the states go to
+ * one successor, which then decides in place of the stopped VM.
  *
  * <pre>{@code
- * Permit permit = home.mint("kannelkoda", "donations", nowMillis).orElseThrow();
- * if (home.begin(permit, digest, nowMillis) instanceof Decision.Execute execute) {
- *   execute.execution().finish(answer);
+ * Permit permit = issuer.mint("kannelkoda", "donations", nowMillis).orElseThrow();
+ * if (issuer.beginExecution(permit, digest, nowMillis) instanceof Decision.Execute execute) {
+ *   execute.execution().recordAnswer(answer);
  * }
  * }</pre>
  *
- * <p>All methods are safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class PermitHome {
   private final String vm;
@@ -37,22 +38,22 @@
     this.ownTable = new PermitTable(limits);
   }
 
-  /** The home of the permits of {@code vm} in {@code incarnation}. */
+  /** Returns the issuer of the permits of {@code vm} in {@code incarnation}. */
   public static PermitHome of(String vm, long incarnation, Limits limits) {
     return new PermitHome(vm, incarnation, limits);
   }
 
   /**
-   * What bounds the state of a home.
+   * Bounds on the state of an issuer.
    *
    * @param lifetime time from minting to expiry
    * @param segmentSpan time that one segment of states covers
-   * @param retention time that states outlive the last expiry of their segment
-   * @param maxAnswerBytes most memory for recorded answers; the oldest go first
+   * @param retention how long states are kept after the last expiry in their segment
+   * @param maxAnswerBytes memory for recorded answers; the oldest are evicted first
    */
   public record Limits(
       Duration lifetime, Duration segmentSpan, Duration retention, long maxAnswerBytes) {
-    /** Two minutes to live and one more to be asked about, 16 MiB of answers. */
+    /** A lifetime of two minutes, one more minute of retention, and 16 MiB of answers. */
     public static Limits standard() {
       return new Limits(
           Duration.ofMinutes(2), Duration.ofSeconds(10), Duration.ofMinutes(1), 16L << 20);
@@ -68,9 +69,10 @@
   }
 
   /**
-   * A fresh permit, or empty once this home was handed over.
+   * Mints a permit; empty once this issuer is draining or closed.
    *
-   * @param binding digest of the idempotency key that the permit is for, or empty
+   * @param binding the only use that the permit is valid for, such as the digest of an idempotency
+   *     key; empty if unbound
    */
   public Optional<Permit> mint(String customer, String service, String binding, long nowMillis) {
     PermitTable.Minted minted = ownTable.mint(nowMillis);
@@ -89,12 +91,12 @@
             ""));
   }
 
-  /** The incarnation in its own permits. */
+  /** The incarnation that this issuer's own permits carry. */
   public long incarnation() {
     return incarnation;
   }
 
-  /** A fresh permit that is bound to no key, or empty once this home was handed over. */
+  /** Mints an unbound permit; empty once this issuer is draining or closed. */
   public Optional<Permit> mint(String customer, String service, long nowMillis) {
     return mint(customer, service, "", nowMillis);
   }
@@ -102,9 +104,10 @@
   /**
    * Decides on one copy of a request.
    *
-   * @param permit opened and verified
-   * @param requestDigest digest of what must be alike in every copy, such as method, path and body
-   * @param nowMillis wall clock of this VM
+   * @param permit a permit that was opened and verified
+   * @param requestDigest digest of what must be the same in every copy, such as method, path and
+   *     body
+   * @param nowMillis wall-clock time of this VM
    */
   public Decision beginExecution(Permit permit, String requestDigest, long nowMillis) {
     PermitTable table = tableFor(permit);
@@ -114,31 +117,31 @@
     return table.beginExecution(permit, fnv1aHash(requestDigest), nowMillis);
   }
 
-  /** True where this home decides on the permits of that incarnation. */
+  /** Returns whether this issuer decides on the permits of that incarnation. */
   public boolean decidesFor(String issuer, long issuerIncarnation) {
     return isOwn(issuer, issuerIncarnation)
         || adoptedTables.containsKey(new Incarnation(issuer, issuerIncarnation));
   }
 
   /**
-   * Begins no further run of its own permits and mints no more; a copy that might have been run is
-   * told "running", which asks its caller to come back when the successor decides.
+   * Stops minting permits and starting executions of its own permits. Until the successor decides,
+   * a copy that could have been executed is answered "running", so that its caller retries.
    */
   public void startDraining() {
     ownTable.startDraining();
   }
 
   /**
-   * Closes this home and returns its states for {@code successor}, or empty where another successor
-   * was named before; from then on every copy is told to ask the successor.
+   * Closes this issuer and returns its states for {@code successor}, or empty if another successor
+   * was named before. Afterwards every copy is referred to the successor.
    */
   public Optional<HandOver> close(String successor, long nowMillis) {
     return Optional.ofNullable(ownTable.close(vm, incarnation, successor, nowMillis));
   }
 
   /**
-   * Takes the permits of a stopped incarnation over; a second copy of the same hand-over changes
-   * nothing, so the sender may send again when the acknowledgement was lost.
+   * Takes over the permits of a stopped incarnation. Idempotent, so the sender may send the
+   * hand-over again if the acknowledgement was lost.
    */
   public void adopt(HandOver handOver) {
     adoptedTables.computeIfAbsent(
@@ -151,25 +154,25 @@
     adoptedTables.values().removeIf(table -> table.retainedCount(nowMillis) == 0);
   }
 
-  /** Executions that have not ended. */
+  /** Number of executions in progress, adopted permits included. */
   public int runningCount() {
-    int running = ownTable.runningCount();
+    int count = ownTable.runningCount();
     for (PermitTable table : adoptedTables.values()) {
-      running += table.runningCount();
+      count += table.runningCount();
     }
-    return running;
+    return count;
   }
 
-  /** Permits whose state is held now, adopted ones included. */
+  /** Number of permits whose state is retained, adopted ones included. */
   public long retainedCount(long nowMillis) {
-    long held = ownTable.retainedCount(nowMillis);
+    long count = ownTable.retainedCount(nowMillis);
     for (PermitTable table : adoptedTables.values()) {
-      held += table.retainedCount(nowMillis);
+      count += table.retainedCount(nowMillis);
     }
-    return held;
+    return count;
   }
 
-  /** Its own table and the adopted ones, for operators. */
+  /** Describes the table of own permits and the adopted tables, for operators. */
   @Override
   public String toString() {
     return vm
@@ -181,7 +184,7 @@
         + new TreeMap<>(adoptedTables);
   }
 
-  /** Executions of its own permits that have not ended. */
+  /** Number of executions in progress of this issuer's own permits. */
   public int runningOwnCount() {
     return ownTable.runningCount();
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/PermitKeys.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/PermitKeys.java
@@ -16,12 +16,14 @@
 /**
  * The MAC keys of a customer, kept under {@code keys/<customer>} in the platform's store.
  *
- * <p>The value is text with one key a line, the newest first: id, creation time in milliseconds,
- * secret in base64. Any entry VM may create or rotate them: compare-and-swap lets one win, and the
- * losers take the winner's. Where a write's answer is lost the value is read back.
+ * <p>The value is text with one key per line, newest first: id, creation time in milliseconds,
+ * secret in base64. Any entry VM may create or rotate the keys: compare-and-set lets one writer
+ * win, and the others adopt the winner's keys. If the answer to a write is lost, the value is read
+ * back.
  *
- * <p>While the store is down {@link #ring} still returns a ring: the last one read, or one made in
- * this process, whose permits other entry VMs pass on unread to their home.
+ * <p>While the store is down, {@link #ring} still returns a ring: the last one read, or one created
+ * in this process. Other entry VMs cannot verify permits of a local key and forward them to their
+ * issuer.
  *
  * <pre>{@code
  * PermitKeys keys = PermitKeys.of(store, "kannelkoda", Duration.ofDays(1), random);
@@ -51,22 +53,22 @@
   }
 
   /**
-   * The keys of {@code customer}, not yet read.
+   * Returns the keys of {@code customer}, not yet read from the store.
    *
-   * @param rotationPeriod age at which the signing key is replaced; a key verifies for two periods,
-   *     so the period must be at least the lifetime of a permit
+   * @param rotationPeriod age at which the signing key is replaced. A key verifies for two periods,
+   *     so the period must be at least the lifetime of a permit.
    */
   public static PermitKeys of(
       Store store, String customer, Duration rotationPeriod, SecureRandom random) {
     return new PermitKeys(store, customer, rotationPeriod, random);
   }
 
-  /** The keys of the moment; never blocks. */
+  /** The current keys; never blocks. */
   public KeyRing ring() {
     return ring;
   }
 
-  /** The keys that the store holds, as last read; empty while none were read. Never blocks. */
+  /** The stored keys as last read; empty if none have been read. Never blocks. */
   public Optional<KeyRing> storedRing() {
     List<KeyRing.Key> stored =
         ring.keys().stream().filter(each -> !each.id().equals(localKey.id())).toList();
@@ -74,9 +76,9 @@
   }
 
   /**
-   * Reads the keys, creates them where there are none and rotates them where the newest is old.
+   * Reads the keys, creates them if there are none, and rotates them if the newest is too old.
    *
-   * @throws StoreException where the store gave no answer; the ring stays as it was
+   * @throws StoreException if the store gave no result; the ring is then unchanged
    */
   public void refresh(long nowMillis) throws StoreException {
     for (int i = 0; i < MAX_ATTEMPTS; i++) {
@@ -98,17 +100,18 @@
     try {
       store.compareAndSet(storeKey, old == null ? 0 : old.revision(), format(keys), null);
     } catch (StoreException.OutcomeUnknown ignored) {
-      // The write may stand although its answer was lost; the next round reads what stands.
+      // The write may have taken effect although its answer was lost; the next attempt reads it
+      // back.
     }
   }
 
-  /** The new key first, then those that may still have live permits. */
+  /** Puts a new key first, followed by the keys that may still have live permits. */
   private List<KeyRing.Key> rotated(List<KeyRing.Key> old, long nowMillis) {
     List<KeyRing.Key> keys = new ArrayList<>();
     keys.add(newKey("K", nowMillis));
     for (KeyRing.Key each : old) {
-      // The key signed until now, so it verifies for one period more; one that was replaced a whole
-      // period ago has no live permit left.
+      // The previous key signed until now, so it verifies for one more period. A key that was
+      // replaced a whole period ago has no live permits left.
       if (keys.size() < 3) {
         keys.add(each);
       }
@@ -117,19 +120,22 @@
   }
 
   /**
-   * The key that signs first. A new key signs only once every entry VM has had time to read it:
-   * what entry VMs send each other under a key not read yet would be refused.
+   * Orders the keys so that the signing key is first. A new key signs only after every entry VM has
+   * had time to read it; others would refuse what is signed with a key they have not read yet.
    */
   private List<KeyRing.Key> orderForSigning(List<KeyRing.Key> keys, long nowMillis) {
-    long settled = nowMillis - propagationDelay().toMillis();
+    long propagatedBefore = nowMillis - propagationDelay().toMillis();
     List<KeyRing.Key> ordered = new ArrayList<>(keys);
-    if (ordered.size() > 1 && ordered.get(0).createdMillis() > settled) {
+    if (ordered.size() > 1 && ordered.get(0).createdMillis() > propagatedBefore) {
       ordered.add(1, ordered.remove(0));
     }
     return ordered;
   }
 
-  /** Time for which a new key is only verified with; refresh at least twice as often. */
+  /**
+   * How long a new key is used for verification only. {@link #refresh} must run at least twice in
+   * this time.
+   */
   public Duration propagationDelay() {
     return rotationPeriod.dividedBy(PROPAGATION_DELAYS_PER_ROTATION_PERIOD);
   }
@@ -169,7 +175,7 @@
     String[] parts = line.split(" ");
     if (parts.length != 3) {
       throw new IllegalStateException(
-          "a line of the stored keys has " + parts.length + " words, not ID MILLIS SECRET");
+          "line of the stored keys has " + parts.length + " fields, expected ID MILLIS SECRET");
     }
     KeyRing.Secret secret = KeyRing.Secret.of(Base64.getDecoder().decode(parts[2]));
     return new KeyRing.Key(parts[0], Long.parseLong(parts[1]), secret);
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/PermitTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/PermitTable.java
@@ -10,16 +10,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The states of all live permits of one incarnation, in segments that end by time.
+ * The states of all live permits of one incarnation, in segments that each cover a span of time.
  *
- * <p>A sequence below the lowest kept segment is expired by that fact alone, so a wall clock that
- * jumps back cannot revive a permit whose state is gone. One lock guards the whole table; nothing
- * is called while it is held.
+ * <p>A sequence number below the lowest retained segment counts as expired, so a wall clock that
+ * jumps back cannot revive a permit whose state was dropped. One lock guards the whole table; no
+ * outside code is called while it is held.
  */
 final class PermitTable {
   private final PermitHome.Limits limits;
   private final Object lock = new Object();
-  // All below is guarded by lock.
+  // The fields below are guarded by lock.
   private final Deque<Segment> segments = new ArrayDeque<>();
   private final Map<Long, RecordedAnswer> answers = new HashMap<>();
   private final Deque<Long> answerOrder = new ArrayDeque<>();
@@ -33,7 +33,7 @@
     this.limits = limits;
   }
 
-  /** A table that goes on where the one that was handed over ended. */
+  /** Returns a table that continues from the handed-over states. */
   static PermitTable restoredFrom(HandOver handOver, PermitHome.Limits limits) {
     PermitTable table = new PermitTable(limits);
     synchronized (table.lock) {
@@ -44,7 +44,9 @@
     return table;
   }
 
-  /** Sequence and expiry of a new permit, or null once the table was handed over. */
+  /**
+   * Mints a permit: its sequence number and expiry, or null once the table is draining or closed.
+   */
   @Nullable Minted mint(long nowMillis) {
     synchronized (lock) {
       if (successor != null || isDraining) {
@@ -96,8 +98,8 @@
   private Decision startExecution(
       Segment segment, int index, Permit permit, long digest, long now) {
     if (now >= permit.expiryMillis()) {
-      // The caller will be told "not run". That has to be kept as a state: the clock may jump back,
-      // or a successor's clock may be behind, and a later copy would run after all.
+      // The caller is answered "not run", so this must be recorded: if the clock jumps back, or a
+      // successor's clock is behind, a later copy would otherwise be executed.
       segment.markNotRun(index, digest);
       return new Decision.NotRun();
     }
@@ -113,7 +115,7 @@
     return answer == null ? RecordedAnswer.notKept() : answer;
   }
 
-  /** From now on mints none and begins none, so that what runs can end before the closing. */
+  /** Stops minting and starting executions, so that running ones can end before {@link #close}. */
   void startDraining() {
     synchronized (lock) {
       isDraining = true;
@@ -121,11 +123,11 @@
   }
 
   /**
-   * Closes the table for {@code to} and returns its states; the same for each call with that
-   * successor, null for any other.
+   * Closes the table for {@code successorVm} and returns its states. Returns the same for each call
+   * with that successor, and null for any other.
    *
-   * <p>Two successors could both run a permit that was unused at the closing. So the first named
-   * one stays the only one, also where it is not known whether it took the states over.
+   * <p>Two successors could both run a permit that was unused at the time of closing. So the first
+   * one named remains the only one, even if it is unknown whether it received the states.
    */
   @Nullable HandOver close(String vm, long incarnation, String successorVm, long nowMillis) {
     synchronized (lock) {
@@ -154,7 +156,10 @@
     }
   }
 
-  /** Who decides, the latest time seen and how many permits are in which state, by segment. */
+  /**
+   * Describes the successor, the latest time seen, and how many permits are in which state, by
+   * segment.
+   */
   @Override
   public String toString() {
     synchronized (lock) {
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/RecordedAnswer.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/RecordedAnswer.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * The answer of a target, kept so that a repeat of the permit gets the same one.
+ * A target's answer, kept so that a repeated request with the same permit gets the same one.
  *
- * @param status HTTP status of the answer, 100 to 999, or 0 where the answer is not kept
+ * @param status HTTP status of the answer, 100 to 999, or 0 if the answer was not kept
  * @param headers header lines as name and value
- * @param body whole body; empty where {@code bodyKept} is false
- * @param isKept false where the answer is not kept; the request ran all the same
+ * @param body complete body; empty if {@code kept} is false
+ * @param isKept false if the answer was not kept; the request did run
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record RecordedAnswer(int status, List<Header> headers, byte[] body, boolean isKept) {
   private static final int FIXED_BYTES = 64;
 
-  /** Copies the list, so that the headers cannot change. */
+  /** Copies the list of headers. The body is not copied. */
   public RecordedAnswer {
     headers = List.copyOf(headers);
   }
@@ -22,17 +22,17 @@
   /** One header line. */
   public record Header(String name, String value) {}
 
-  /** An answer kept whole; {@code body} must not change afterwards. */
+  /** Returns a complete answer; {@code body} must not change afterwards. */
   public static RecordedAnswer complete(int status, List<Header> headers, byte[] body) {
     return new RecordedAnswer(status, headers, body, true);
   }
 
-  /** The mere fact that the request ran, for an answer too large or too old to keep. */
+  /** Returns a record that the request ran, for an answer too large or too old to keep. */
   public static RecordedAnswer notKept() {
     return new RecordedAnswer(0, List.of(), new byte[0], false);
   }
 
-  /** Bytes of memory that the answer is reckoned to take. */
+  /** Estimated memory use in bytes. */
   public int memoryBytes() {
     int cost = FIXED_BYTES + body.length;
     for (Header header : headers) {
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/Segment.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/Segment.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** The states of a run of consecutive permits; nine bytes each. */
+/** The states of permits with consecutive sequence numbers, nine bytes each. */
 final class Segment {
   static final byte UNUSED = 0;
   static final byte RUNNING = 1;
@@ -38,7 +38,10 @@
     return segment;
   }
 
-  /** The states for a successor; what runs at the closing can only be told "unknown" there. */
+  /**
+   * Copies the states for a successor. An execution still running is handed over as unknown, since
+   * its outcome cannot reach the successor.
+   */
   HandOver.SegmentState toHandOverState() {
     byte[] copy = Arrays.copyOf(states, count);
     for (int i = 0; i < count; i++) {
@@ -62,7 +65,7 @@
     return runningCount;
   }
 
-  /** Expiry of the last permit. */
+  /** Latest expiry among the permits. */
   long lastExpiryMillis() {
     return lastExpiryMillis;
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/package-info.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/package-info.java
@@ -1,4 +1,4 @@
-/** Permits: at most one execution of a request that must not repeat. */
+/** Permits: at-most-once execution of requests that must not be repeated. */
 @NullMarked
 package org.sageladder.core.permit;
 
--- a/sageladder-core/src/main/java/org/sageladder/core/quarantine/CrashReportCodec.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quarantine/CrashReportCodec.java
@@ -9,13 +9,13 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Bytes of a crash report, for the message that carries it to the other entry VMs. */
+/** Encodes a crash report for the message that carries it to the other entry VMs. */
 public final class CrashReportCodec {
   private static final int MAX_FINGERPRINTS = 1_000;
 
   private CrashReportCodec() {}
 
-  /** The bytes; some 40 and 8 more for each fingerprint. */
+  /** Encodes {@code report} in about 40 bytes plus 8 bytes per fingerprint. */
   public static byte[] encode(CrashReport report) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -33,9 +33,10 @@
   }
 
   /**
-   * Reads what {@link #encode} wrote.
+   * Decodes what {@link #encode} wrote.
    *
-   * @throws IOException where the bytes are cut or name more fingerprints than any target has slots
+   * @throws IOException if the bytes are truncated or contain more fingerprints than any target has
+   *     slots
    */
   public static CrashReport decode(byte[] bytes) throws IOException {
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
@@ -45,7 +46,7 @@
       int count = in.readInt();
       if (count < 0 || count > MAX_FINGERPRINTS) {
         throw new IOException(
-            "a crash report of " + count + " requests; at most 1000 are possible");
+            "crash report has " + count + " fingerprints, at most 1000 are allowed");
       }
       Set<Long> fingerprints = new HashSet<>();
       for (int i = 0; i < count; i++) {
--- a/sageladder-core/src/main/java/org/sageladder/core/quarantine/Quarantine.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quarantine/Quarantine.java
@@ -10,30 +10,32 @@
 import java.util.Set;
 
 /**
- * Says which requests crashed two targets and must not reach a third.
+ * Decides which requests crashed two targets and must not be sent to a third.
  *
- * <p>The answer follows from the set of crash reports alone, whatever their order, so entry VMs
- * that have heard of the same crashes agree without asking each other. A fingerprint is held back
- * once two crashes name it and at least half of the crashes about the same time do: where a zone
- * goes down, many targets crash with different requests on them, and a request retried there is no
- * culprit.
+ * <p>The decision depends only on the set of crash reports, not on their order, so entry VMs that
+ * received the same reports agree without coordination. A fingerprint is quarantined once two
+ * crashes include it and so do at least half of the crashes at about the same time. The second
+ * condition covers the loss of a zone: many targets then crash with different requests on them, and
+ * a request that was retried within the zone did not cause the crashes.
  *
  * <pre>{@code
  * quarantine.add(new CrashReport("t-3", 1, now, Set.of(fingerprint)));
  * quarantine.add(new CrashReport("t-8", 4, now + 900, Set.of(fingerprint)));
- * quarantine.holds(fingerprint, now + 1000); // true, for a minute at first
+ * quarantine.isQuarantined(fingerprint, now + 1000); // true, for a minute at first
  * }</pre>
+ *
+ * <p>Thread-safe.
  */
 public final class Quarantine {
   /**
-   * What bounds a quarantine.
+   * Bounds on a quarantine.
    *
-   * @param crashRetention how long a crash counts
-   * @param initialDuration how long the second crash holds a fingerprint back; each further one
-   *     doubles
-   * @param maxDuration longest hold
-   * @param correlationWindow crashes within this time of each other are held against one another
-   * @param maxReports most crashes remembered; the oldest go first
+   * @param crashRetention how long a crash is taken into account
+   * @param initialDuration how long the second crash quarantines a fingerprint; each further crash
+   *     doubles it
+   * @param maxDuration maximum duration of a quarantine
+   * @param correlationWindow crashes at most this far apart count as simultaneous
+   * @param maxReports maximum number of crash reports kept; the oldest are evicted first
    */
   public record Limits(
       Duration crashRetention,
@@ -41,7 +43,10 @@
       Duration maxDuration,
       Duration correlationWindow,
       int maxReports) {
-    /** Ten minutes of memory, one minute to ten minutes of hold, 1,000 crashes. */
+    /**
+     * Crashes count for ten minutes, a quarantine lasts one to ten minutes, and at most 1,000
+     * crashes are kept.
+     */
     public static Limits standard() {
       return new Limits(
           Duration.ofMinutes(10),
@@ -56,24 +61,24 @@
 
   private final Limits limits;
   private final Object lock = new Object();
-  // Guarded by lock: crashes by identity, in the order they were heard of.
+  // Guarded by lock: crash reports by identity, in the order of arrival.
   private final Map<CrashId, CrashReport> reports = new java.util.LinkedHashMap<>();
-  // Replaced whole, so that the request path reads it without a lock.
+  // Replaced as a whole, so that the request path reads it without a lock.
   private volatile Map<Long, Long> quarantinedUntilMillis = Map.of();
 
   private Quarantine(Limits limits) {
     this.limits = limits;
   }
 
-  /** A quarantine that holds nothing back yet. */
+  /** Returns an empty quarantine. */
   public static Quarantine create(Limits limits) {
     return new Quarantine(limits);
   }
 
   /**
-   * Takes a crash seen here or told by another entry VM.
+   * Adds a crash seen here or reported by another entry VM.
    *
-   * @return true where it was not known, so that it is worth passing on
+   * @return true if it adds information and should be forwarded
    */
   public boolean add(CrashReport report) {
     synchronized (lock) {
@@ -90,7 +95,7 @@
     }
   }
 
-  /** Two entry VMs may have seen one crash with different requests in flight. */
+  /** Two entry VMs may report one crash with different requests in flight; the union counts. */
   private static CrashReport merge(CrashReport one, CrashReport other) {
     Set<Long> all = new HashSet<>(one.fingerprints());
     all.addAll(other.fingerprints());
@@ -115,60 +120,61 @@
             .add(report.atMillis());
       }
     }
-    Map<Long, Long> held = new HashMap<>();
+    Map<Long, Long> untilMillis = new HashMap<>();
     crashTimes.forEach(
         (fingerprint, times) -> {
           if (times.size() >= 2 && isInHalfOfCrashes(fingerprint, times)) {
-            held.put(fingerprint, latest(times) + quarantineDuration(times.size()).toMillis());
+            untilMillis.put(
+                fingerprint, latest(times) + quarantineDuration(times.size()).toMillis());
           }
         });
-    return Map.copyOf(held);
+    return Map.copyOf(untilMillis);
   }
 
-  /** True where at least half of the crashes about its latest ones had the fingerprint. */
+  /** Returns whether at least half of the crashes around its latest one include the fingerprint. */
   private boolean isInHalfOfCrashes(long fingerprint, List<Long> times) {
     long last = latest(times);
-    int about = 0;
-    int with = 0;
+    int nearbyCrashes = 0;
+    int crashesWithFingerprint = 0;
     for (CrashReport report : reports.values()) {
       if (Math.abs(report.atMillis() - last) <= limits.correlationWindow().toMillis()) {
-        about++;
-        with += report.fingerprints().contains(fingerprint) ? 1 : 0;
+        nearbyCrashes++;
+        crashesWithFingerprint += report.fingerprints().contains(fingerprint) ? 1 : 0;
       }
     }
-    return with * 2 >= about;
+    return crashesWithFingerprint * 2 >= nearbyCrashes;
   }
 
   private Duration quarantineDuration(int crashCount) {
-    Duration hold = limits.initialDuration();
-    for (int i = 2; i < crashCount && hold.compareTo(limits.maxDuration()) < 0; i++) {
-      hold = hold.multipliedBy(2);
+    Duration duration = limits.initialDuration();
+    for (int i = 2; i < crashCount && duration.compareTo(limits.maxDuration()) < 0; i++) {
+      duration = duration.multipliedBy(2);
     }
-    return hold.compareTo(limits.maxDuration()) < 0 ? hold : limits.maxDuration();
+    return duration.compareTo(limits.maxDuration()) < 0 ? duration : limits.maxDuration();
   }
 
   private static long latest(List<Long> times) {
     return times.stream().mapToLong(Long::longValue).max().orElse(0);
   }
 
-  /** True where the request with that fingerprint must not be sent to a target. */
+  /** Returns whether the request with that fingerprint must not be sent to a target. */
   public boolean isQuarantined(long fingerprint, long nowMillis) {
-    Long until = quarantinedUntilMillis.get(fingerprint);
-    return until != null && nowMillis < until;
+    Long untilMillis = quarantinedUntilMillis.get(fingerprint);
+    return untilMillis != null && nowMillis < untilMillis;
   }
 
-  /** True where nothing is held back, so that no fingerprint needs to be worked out. */
+  /** Returns whether nothing is quarantined, so that callers need not compute fingerprints. */
   public boolean isEmpty() {
     return quarantinedUntilMillis.isEmpty();
   }
 
-  /** Milliseconds until {@code fingerprint} may be tried again; 0 where it may now. */
+  /** Milliseconds until {@code fingerprint} may be tried again; 0 if it may be tried now. */
   public long remainingMillis(long fingerprint, long nowMillis) {
-    Long until = quarantinedUntilMillis.get(fingerprint);
-    return until == null ? 0 : Math.max(0, until - nowMillis);
+    Long untilMillis = quarantinedUntilMillis.get(fingerprint);
+    return untilMillis == null ? 0 : Math.max(0, untilMillis - nowMillis);
   }
 
-  /** Crashes that still count, for an entry VM that has just started. */
+  /** The crash reports that are still taken into account, for an entry VM that has just started. */
   public Collection<CrashReport> reports() {
     synchronized (lock) {
       return List.copyOf(reports.values());
--- a/sageladder-core/src/main/java/org/sageladder/core/quarantine/package-info.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quarantine/package-info.java
@@ -1,4 +1,4 @@
-/** Requests that crash the targets that run them. */
+/** Quarantine of requests that crash the targets they run on. */
 @NullMarked
 package org.sageladder.core.quarantine;
 
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/Backoff.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/Backoff.java
@@ -4,11 +4,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How long to wait before the next try of a call that failed.
+ * Exponential backoff with full jitter: the wait before the next attempt of a call that failed.
  *
- * <p>Guards against a stampede: when the store comes back after an outage, all relays find out
- * within one longest wait and, without jitter, in step. Each wait is drawn evenly between zero and
- * a bound that doubles ("full jitter"), so the calls spread over the whole bound.
+ * <p>When the store comes back after an outage, all relays notice within one maximum wait and,
+ * without jitter, would call at the same moments. Each wait is drawn uniformly between zero and a
+ * bound that doubles with each failure ("full jitter"), so the calls are spread over the whole
+ * bound.
  */
 public final class Backoff {
   private static final int MAX_DOUBLINGS = 10;
@@ -24,25 +25,28 @@
     this.random = random;
   }
 
-  /** Waits up to {@code first} after one failure, doubling up to {@code longest}. */
+  /**
+   * Returns a backoff that waits up to {@code initialWait} after the first failure, with a bound
+   * that doubles up to {@code maxWait}.
+   */
   public static Backoff of(Duration initialWait, Duration maxWait, RandomGenerator random) {
     return new Backoff(initialWait, maxWait, random);
   }
 
-  /** Counts a failure and returns the wait before the next try. */
+  /** Records a failure and returns the wait before the next attempt. */
   public Duration recordFailure() {
-    long bound =
+    long boundNanos =
         Math.min(maxWait.toNanos(), initialWait.toNanos() << Math.min(failureCount, MAX_DOUBLINGS));
     failureCount++;
-    return Duration.ofNanos(1 + (long) (random.nextDouble() * bound));
+    return Duration.ofNanos(1 + (long) (random.nextDouble() * boundNanos));
   }
 
-  /** Forgets earlier failures. */
+  /** Records a success, which resets the backoff. */
   public void recordSuccess() {
     failureCount = 0;
   }
 
-  /** Failures since the last success. */
+  /** Number of failures since the last success. */
   public int failureCount() {
     return failureCount;
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/ElectionCall.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/ElectionCall.java
@@ -1,17 +1,17 @@
 package org.sageladder.core.spread;
 
-/** A store call that the relay's duty wants made; one at a time. */
+/** A store call that the relay election requires; at most one is in flight. */
 public sealed interface ElectionCall {
-  /** Reads who has the duty. */
+  /** Reads the key that names the relay. */
   record ReadOwner(String key) implements ElectionCall {}
 
-  /** Opens a lease. */
+  /** Grants a lease. */
   record Grant() implements ElectionCall {}
 
-  /** Takes the duty's key under {@code lease}, if nobody has it. */
+  /** Creates the election's key under {@code lease}, if the key does not exist. */
   @SuppressWarnings("ArrayRecordComponent")
   record Claim(String key, byte[] value, long lease) implements ElectionCall {
-    /** Tells the value's length only, since it is bytes. */
+    /** Includes only the length of the value, which is binary. */
     @Override
     public String toString() {
       return "Claim[" + key + ", " + value.length + " bytes, lease " + lease + "]";
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/InitialSnapshot.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/InitialSnapshot.java
@@ -6,13 +6,14 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * Decides when a fresh entry VM knows enough to serve.
+ * Decides when a newly started entry VM has received enough state to serve.
  *
- * <p>Guards against a fresh VM that takes an old contract for the newest: it would serve a revision
- * that its neighbours left behind. The store's answer settles it; without the store, the highest
- * revision among the peers does, once all that were asked have answered or a short wait has passed
- * since the first answer. A peer that is itself fresh does not count. With neither store nor peer
- * the VM never becomes ready, because any guess could be a revert.
+ * <p>A newly started VM must not take an old contract for the latest one, or it would serve a
+ * revision that its peers have already replaced. An answer of the store is sufficient. Without the
+ * store, the highest revision among the peers counts, once all peers that were asked have answered
+ * or a short wait has passed since the first answer. A peer that is itself not ready does not
+ * count. With neither store nor peer the VM never becomes ready, because any contract it assumed
+ * could revert a newer one.
  */
 public final class InitialSnapshot {
   private final TimeSource time;
@@ -27,17 +28,17 @@
     this.peerWait = peerWait;
   }
 
-  /** Waits {@code waitForOthers} for further peers after the first one answered. */
+  /** Returns a snapshot that waits {@code peerWait} for further peers after the first answer. */
   public static InitialSnapshot of(TimeSource time, Duration peerWait) {
     return new InitialSnapshot(time, peerWait);
   }
 
-  /** Notes that {@code vm} was asked for its items. */
+  /** Records that {@code vm} was asked for its items. */
   public void recordRequest(String vm) {
     requestedPeers.add(vm);
   }
 
-  /** Notes that {@code vm} has sent all its items; ignored where it is not ready itself. */
+  /** Records that {@code vm} has sent all its items; ignored if that VM is not ready itself. */
   public void recordPeerAnswer(String vm, boolean isPeerReady) {
     if (!isPeerReady) {
       return;
@@ -48,12 +49,12 @@
     answeredPeers.add(vm);
   }
 
-  /** Notes that the store told what it holds. */
+  /** Records that the store has returned what it holds. */
   public void recordStoreAnswer() {
     hasStoreAnswered = true;
   }
 
-  /** Whether the highest revision that can be known has been taken. */
+  /** Whether the highest revision that can be known has been received. */
   public boolean isComplete() {
     if (hasStoreAnswered) {
       return true;
@@ -65,7 +66,7 @@
         || time.nanos() - firstAnswerNanos >= peerWait.toNanos();
   }
 
-  /** One line on what is known and what is missing, for operators. */
+  /** One line for operators on what has been received and what is missing. */
   public String explanation() {
     if (isComplete()) {
       return hasStoreAnswered
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/ItemKey.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/ItemKey.java
@@ -3,12 +3,12 @@
 import java.util.Comparator;
 
 /**
- * Names one thing that is spread.
+ * Identifies a propagated item.
  *
  * @param name at most {@value #MAX_NAME_LENGTH} characters
  */
 public record ItemKey(ItemKind kind, String name) implements Comparable<ItemKey> {
-  /** Longest name, so that a key has a known largest size in a message. */
+  /** Maximum length of a name, which bounds the size of a key in a message. */
   public static final int MAX_NAME_LENGTH = 128;
 
   private static final Comparator<ItemKey> ORDER =
@@ -22,7 +22,7 @@
               + name
               + "' has "
               + name.length()
-              + " characters; use 1 to "
+              + " characters, expected 1 to "
               + MAX_NAME_LENGTH);
     }
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/ItemKind.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/ItemKind.java
@@ -1,14 +1,17 @@
 package org.sageladder.core.spread;
 
-/** What an item is, most urgent first: the byte budget is spent in this order. */
+/** Kinds of items in order of urgency: the byte budget is spent in this order. */
 public enum ItemKind {
   /** An accepted contract; the name is the customer, the version the store's revision. */
   CONTRACT(true),
-  /** A zone view; the name is the zone, the version the view's number. */
+  /** A zone view; the name is the zone, the version the view number. */
   VIEW(true),
-  /** A small notice to everybody that expires, such as a quarantined fingerprint. */
+  /** A small notice for every entry VM that expires, such as a quarantined fingerprint. */
   NOTICE(true),
-  /** Load of one zone; the name is the zone. The next one replaces it, so loss is not repaired. */
+  /**
+   * Load of one zone; the name is the zone. The next summary replaces it, so a lost one is not
+   * repaired.
+   */
   SUMMARY(false);
 
   private final boolean isRepaired;
@@ -17,7 +20,7 @@
     this.isRepaired = repaired;
   }
 
-  /** Whether a lost item must be found and fetched by comparing digests. */
+  /** Whether lost items of this kind are detected by comparing digests and fetched again. */
   public boolean isRepaired() {
     return isRepaired;
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/Overlay.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/Overlay.java
@@ -7,18 +7,20 @@
 import java.util.TreeSet;
 
 /**
- * Who hands new items on to whom, so that no process talks to all others.
+ * The overlay network along which new items are forwarded, so that no process needs connections to
+ * all others.
  *
- * <p>Inside a zone: a tree with the relay as its root. Between zones: every relay has four
- * neighbours on a ring of zones (one step and about the square root of their number, both ways), so
- * that no single zone's loss separates others, and a path has at most about as many steps as that
- * root.
+ * <p>Within a zone it is a tree with the relay as its root. Between zones, every relay has four
+ * neighbours on a ring of zones: at distance one and at a distance of about the square root of the
+ * number of zones, in both directions. The loss of a single zone therefore does not partition the
+ * others, and the longest path has about as many hops as that square root.
  */
 public final class Overlay {
   private Overlay() {}
 
   /**
-   * Neighbours of {@code self} in the zone's tree: its parent and at most {@code fanOut} children.
+   * Returns the neighbours of {@code self} in the zone's tree: its parent and at most {@code
+   * fanOut} children.
    *
    * @param members all members of the zone, in any order
    * @param root the relay
@@ -44,7 +46,7 @@
   }
 
   /**
-   * As {@link #zoneTree}, but {@code leaf} hands nothing on to others: it hangs on the last member.
+   * Like {@link #zoneTree}, but {@code leaf} forwards nothing: it is attached to the last member.
    *
    * @param root a member other than {@code leaf}, unless there is no other
    */
@@ -56,19 +58,19 @@
     if (root.equals(leaf)) {
       return zoneTree(members, root, self, fanOut);
     }
-    String holder = others.isEmpty() ? root : others.get(others.size() - 1);
+    String leafParent = others.isEmpty() ? root : others.get(others.size() - 1);
     if (self.equals(leaf)) {
-      return List.of(holder);
+      return List.of(leafParent);
     }
     others.add(root);
     List<String> neighbours = new ArrayList<>(zoneTree(others, root, self, fanOut));
-    if (self.equals(holder)) {
+    if (self.equals(leafParent)) {
       neighbours.add(leaf);
     }
     return neighbours;
   }
 
-  /** Zones that the relay of {@code self} exchanges items with. */
+  /** Returns the zones whose relays exchange items with the relay of zone {@code self}. */
   public static Set<String> zoneNeighbours(List<String> zones, String self) {
     List<String> order = new ArrayList<>(new TreeSet<>(zones));
     int index = order.indexOf(self);
@@ -87,51 +89,54 @@
   }
 
   /**
-   * Zones that zone {@code self} hands a report of zone {@code origin} on to, so that each zone
-   * gets it exactly once: along the long steps of the ring, and from there along the short ones,
-   * both ways.
+   * Returns the zones to which zone {@code self} forwards a summary of zone {@code origin}, such
+   * that each zone receives it exactly once: along the long steps of the ring, and from there along
+   * the short ones, in both directions.
    *
-   * <p>A zone that cannot be reached is to be replaced by its own children, which this function
-   * gives too. All must use the same zones for that; the short and long steps are those of {@link
-   * #zoneNeighbours}, so that no further connections are needed.
+   * <p>The caller replaces a zone that is unreachable by that zone's own children, which this
+   * function returns as well. All callers must pass the same zones. The short and long steps are
+   * those of {@link #zoneNeighbours}, so no further connections are needed.
    *
    * @param zones all zones, reachable or not, in their natural order
    */
   public static List<String> summaryChildren(List<String> zones, String origin, String self) {
     int count = zones.size();
-    int start = Collections.binarySearch(zones, origin);
+    int originIndex = Collections.binarySearch(zones, origin);
     int index = Collections.binarySearch(zones, self);
-    if (start < 0 || index < 0) {
+    if (originIndex < 0 || index < 0) {
       return List.of();
     }
     int stride = stride(count);
-    int ahead = Math.floorMod(index - start, count);
+    int distanceAhead = Math.floorMod(index - originIndex, count);
     int half = count / 2;
     List<String> children = new ArrayList<>();
-    if (ahead <= half) {
-      for (int distance : childDistances(ahead, stride, half)) {
-        children.add(zones.get((start + distance) % count));
+    if (distanceAhead <= half) {
+      for (int distance : childDistances(distanceAhead, stride, half)) {
+        children.add(zones.get((originIndex + distance) % count));
       }
     }
-    int behind = Math.floorMod(-ahead, count);
+    int distanceBehind = Math.floorMod(-distanceAhead, count);
     int otherHalf = count - 1 - half;
-    if (behind <= otherHalf) {
-      for (int distance : childDistances(behind, stride, otherHalf)) {
-        children.add(zones.get(Math.floorMod(start - distance, count)));
+    if (distanceBehind <= otherHalf) {
+      for (int distance : childDistances(distanceBehind, stride, otherHalf)) {
+        children.add(zones.get(Math.floorMod(originIndex - distance, count)));
       }
     }
     return children;
   }
 
-  /** Distances from the origin that the zone at {@code distance} serves, at most {@code last}. */
+  /**
+   * Returns the distances from the origin, at most {@code last}, of the zones to which the zone at
+   * {@code distance} forwards.
+   */
   private static List<Integer> childDistances(int distance, int stride, int last) {
     List<Integer> steps = new ArrayList<>();
-    boolean onLongStep = distance % stride == 0;
-    if (onLongStep && distance + stride <= last) {
+    boolean isOnLongStep = distance % stride == 0;
+    if (isOnLongStep && distance + stride <= last) {
       steps.add(distance + stride);
     }
-    boolean nextIsLongStep = (distance + 1) % stride == 0;
-    if (!nextIsLongStep && distance + 1 <= last) {
+    boolean isNextOnLongStep = (distance + 1) % stride == 0;
+    if (!isNextOnLongStep && distance + 1 <= last) {
       steps.add(distance + 1);
     }
     return steps;
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/PayloadDelta.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/PayloadDelta.java
@@ -8,10 +8,11 @@
 import java.util.Optional;
 
 /**
- * The difference between two payloads: stretches to copy from the older one and bytes to insert.
+ * The difference between two payloads as instructions that copy ranges of the older one and insert
+ * bytes.
  *
- * <p>An operator's change touches a few places of a contract, its change id among them, so this
- * form carries a few hundred bytes where the contract has hundreds of thousands.
+ * <p>An operator's change affects a few places of a contract, one of them its change id, so a delta
+ * has a few hundred bytes for a contract of hundreds of thousands.
  *
  * <pre>{@code
  * PayloadDelta delta = PayloadDelta.between(older, newer);
@@ -19,47 +20,50 @@
  * }</pre>
  *
  * @param instructions triples of variable-length numbers (bytes to insert, bytes to copy, offset to
- *     copy from), each followed by the bytes to insert, which go before those copied
+ *     copy from), each followed by the bytes to insert, which precede those copied
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record PayloadDelta(byte[] instructions) {
   private static final int BLOCK_BYTES = 16;
   private static final int MAX_RESULT_BYTES = Item.MAX_PAYLOAD_BYTES;
 
-  /** The delta that makes {@code newer} of {@code older}. */
+  /** Computes the delta that turns {@code older} into {@code newer}. */
   public static PayloadDelta between(byte[] older, byte[] newer) {
-    Map<Long, Integer> blocks = new HashMap<>(2 * older.length / BLOCK_BYTES);
+    Map<Long, Integer> offsetsByHash = new HashMap<>(2 * older.length / BLOCK_BYTES);
     for (int at = 0; at + BLOCK_BYTES <= older.length; at += BLOCK_BYTES) {
-      blocks.putIfAbsent(blockHash(older, at), at);
+      offsetsByHash.putIfAbsent(blockHash(older, at), at);
     }
-    ByteArrayOutputStream program = new ByteArrayOutputStream();
-    int done = 0;
+    ByteArrayOutputStream instructions = new ByteArrayOutputStream();
+    int writtenUpTo = 0;
     int at = 0;
-    int expected = 0;
+    int expectedOffset = 0;
     while (at + BLOCK_BYTES <= newer.length) {
-      int from = findMatch(older, newer, at, expected, blocks);
+      int from = findMatch(older, newer, at, expectedOffset, offsetsByHash);
       if (from < 0) {
         at++;
-        expected++;
+        expectedOffset++;
         continue;
       }
-      int back = 0;
-      while (at - back > done
-          && from - back > 0
-          && newer[at - back - 1] == older[from - back - 1]) {
-        back++;
+      int backward = 0;
+      while (at - backward > writtenUpTo
+          && from - backward > 0
+          && newer[at - backward - 1] == older[from - backward - 1]) {
+        backward++;
       }
       int length = commonLength(older, from, newer, at);
-      writeInstruction(program, newer, done, at - back, from - back, length + back);
+      writeInstruction(
+          instructions, newer, writtenUpTo, at - backward, from - backward, length + backward);
       at += length;
-      done = at;
-      expected = from + length;
+      writtenUpTo = at;
+      expectedOffset = from + length;
     }
-    writeInstruction(program, newer, done, newer.length, 0, 0);
-    return new PayloadDelta(program.toByteArray());
+    writeInstruction(instructions, newer, writtenUpTo, newer.length, 0, 0);
+    return new PayloadDelta(instructions.toByteArray());
   }
 
-  /** The newer payload, or empty where {@code older} cannot be what the delta was made from. */
+  /**
+   * Returns the newer payload, or empty if the delta cannot have been computed from {@code older}.
+   */
   public Optional<byte[]> applyTo(byte[] older) {
     ByteBuffer in = ByteBuffer.wrap(instructions);
     ByteArrayOutputStream newer = new ByteArrayOutputStream(older.length);
@@ -67,14 +71,14 @@
       long insert = readVarint(in);
       long copy = readVarint(in);
       long from = readVarint(in);
-      boolean fits =
+      boolean isValid =
           insert >= 0
               && insert <= in.remaining()
               && copy >= 0
               && from >= 0
               && from + copy <= older.length
               && newer.size() + insert + copy <= MAX_RESULT_BYTES;
-      if (!fits) {
+      if (!isValid) {
         return Optional.empty();
       }
       newer.write(instructions, in.position(), (int) insert);
@@ -84,13 +88,17 @@
     return Optional.of(newer.toByteArray());
   }
 
-  /** Where the older payload has the block at {@code at}; tried first where the last copy ended. */
+  /**
+   * Returns the offset in the older payload of the block at {@code at}, or -1. The position where
+   * the last copy ended is tried first.
+   */
   private static int findMatch(
-      byte[] older, byte[] newer, int at, int expected, Map<Long, Integer> blocks) {
-    if (expected + BLOCK_BYTES <= older.length && blocksEqual(older, expected, newer, at)) {
-      return expected;
+      byte[] older, byte[] newer, int at, int expectedOffset, Map<Long, Integer> offsetsByHash) {
+    if (expectedOffset + BLOCK_BYTES <= older.length
+        && blocksEqual(older, expectedOffset, newer, at)) {
+      return expectedOffset;
     }
-    Integer from = blocks.get(blockHash(newer, at));
+    Integer from = offsetsByHash.get(blockHash(newer, at));
     return from != null && blocksEqual(older, from, newer, at) ? from : -1;
   }
 
@@ -119,26 +127,31 @@
   }
 
   private static void writeInstruction(
-      ByteArrayOutputStream program, byte[] newer, int done, int until, int from, int copy) {
-    if (until == done && copy == 0) {
+      ByteArrayOutputStream instructions,
+      byte[] newer,
+      int writtenUpTo,
+      int insertEnd,
+      int from,
+      int copy) {
+    if (insertEnd == writtenUpTo && copy == 0) {
       return;
     }
-    writeVarint(program, until - done);
-    writeVarint(program, copy);
-    writeVarint(program, from);
-    program.write(newer, done, until - done);
+    writeVarint(instructions, insertEnd - writtenUpTo);
+    writeVarint(instructions, copy);
+    writeVarint(instructions, from);
+    instructions.write(newer, writtenUpTo, insertEnd - writtenUpTo);
   }
 
   private static void writeVarint(ByteArrayOutputStream out, int number) {
-    int left = number;
-    while (left >= 0x80) {
-      out.write(left | 0x80);
-      left >>>= 7;
+    int remaining = number;
+    while (remaining >= 0x80) {
+      out.write(remaining | 0x80);
+      remaining >>>= 7;
     }
-    out.write(left);
+    out.write(remaining);
   }
 
-  /** The next number, or -1 where there is none. */
+  /** Reads the next number; returns -1 if there is none. */
   private static long readVarint(ByteBuffer in) {
     long number = 0;
     for (int shift = 0; shift < 35 && in.hasRemaining(); shift += 7) {
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/PeerMessages.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/PeerMessages.java
@@ -3,25 +3,25 @@
 import java.time.Duration;
 
 /**
- * Carries small payloads of other parts between the entry VMs of a customer.
+ * Exchanges small payloads of other components between the entry VMs of a customer.
  *
  * <pre>{@code
- * messages.on("share-transfer", (from, content) -> shares.receive(from, content));
+ * messages.setReceiver("share-transfer", (from, content) -> shares.receive(from, content));
  * messages.send("vm-7", "share-transfer", bytes);
- * messages.announce("quarantine", fingerprint, bytes, Duration.ofMinutes(10));
+ * messages.broadcast("quarantine", fingerprint, bytes, Duration.ofMinutes(10));
  * }</pre>
  *
- * <p>A payload may be lost, and an announcement may arrive more than once: a part that must know
- * builds an acknowledgement of its own and makes receiving idempotent.
+ * <p>A payload may be lost, and a broadcast may arrive more than once. A component that needs
+ * certainty must send its own acknowledgements and handle repeated payloads idempotently.
  */
 public interface PeerMessages {
-  /** Takes payloads of one topic; called from a control thread and must not block. */
+  /** Receives the payloads of one topic. Called from a control thread; must not block. */
   @FunctionalInterface
   interface Receiver {
     /**
-     * Takes one payload.
+     * Receives one payload.
      *
-     * @param from the VM that sent it; empty for an announcement, which any VM may have handed on
+     * @param from the VM that sent it; empty for a broadcast, which any VM may have forwarded
      */
     void receive(String from, byte[] content);
   }
@@ -31,21 +31,21 @@
    *
    * @param topic 1 to 64 characters
    * @param content at most 64 KiB
-   * @return false where it was surely not sent
+   * @return false if the payload was certainly not sent
    */
   boolean send(String vm, String topic, byte[] content);
 
   /**
-   * Tells all entry VMs, those that start within {@code keep} among them.
+   * Sends to all entry VMs, including those that start within {@code retention}.
    *
-   * @param id names what is announced within the topic; a later one with the same id replaces it
+   * @param id identifies the broadcast within the topic; a later one with the same id replaces it
    */
   void broadcast(String topic, String id, byte[] content, Duration retention);
 
-  /** Names who takes the payloads of {@code topic}; a later call replaces an earlier one. */
+  /** Sets the receiver of {@code topic}, replacing an earlier one. */
   void setReceiver(String topic, Receiver receiver);
 
-  /** Messages that go nowhere, for an entry VM without peers. */
+  /** Returns an implementation that sends nothing, for an entry VM without peers. */
   static PeerMessages none() {
     return new PeerMessages() {
       @Override
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/RelayElection.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/RelayElection.java
@@ -11,24 +11,25 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * Decides whether this entry VM is its zone's relay, and which store call comes next.
+ * Elects the zone's relay with a lease in the store: decides whether this entry VM is the relay,
+ * and which store call to make next.
  *
- * <p>The duty is a key in the store, bound to a lease; the revision of that key's write fences the
- * duty, since a later holder's is higher. A relay whose lease lapsed because the store is out of
- * reach goes on unchallenged: nobody else can take the key either. It steps down as soon as the
- * store says the lease has ended, or a view with a higher fencing revision is seen. Not
- * thread-safe.
+ * <p>The relay is named by a key in the store that is bound to a lease. The revision of the write
+ * that created the key is the fencing token: a later relay's is higher. A relay whose lease lapsed
+ * because the store is unreachable continues, since no other VM can take the key either. It steps
+ * down as soon as the store reports that the lease has ended, or when it sees a view with a higher
+ * fencing token. Not thread-safe.
  */
 public final class RelayElection {
-  /** What this entry VM is to its zone. */
+  /** The role of this entry VM in its zone. The event log records the names. */
   public enum State {
-    /** Another entry VM is relay, or nobody is. */
+    /** Another entry VM is the relay, or there is none. */
     FOLLOWING,
-    /** Relay under a lease that is valid now. */
+    /** Relay with a valid lease. */
     HOLDING,
-    /** Relay whose lease could not be renewed because the store does not answer. */
+    /** Relay whose lease has not been renewed in time because the store does not answer. */
     LAPSED,
-    /** Relay without ever having had a lease: old relay and store are both out of reach. */
+    /** Relay that never had a lease: the previous relay and the store are both unreachable. */
     ACTING
   }
 
@@ -70,7 +71,7 @@
   }
 
   /**
-   * The duty at {@code key}.
+   * Returns the election at {@code key}.
    *
    * @param vm this entry VM
    * @param incarnation makes the claim unique, so that a claim whose answer was lost is recognised
@@ -85,7 +86,7 @@
     return new RelayElection(settings, time, key, vm + '\n' + incarnation, random);
   }
 
-  /** What this entry VM is now; a valid lease lapses by itself. */
+  /** Current role of this entry VM; a valid lease lapses by time alone. */
   public State state() {
     if (state == State.HOLDING && time.nanos() - leaseValidUntilNanos >= 0) {
       state = State.LAPSED;
@@ -93,35 +94,37 @@
     return state;
   }
 
-  /** Whether this entry VM makes the zone's views, with or without a lease. */
+  /** Whether this entry VM is the relay, which builds the zone's views, with or without a lease. */
   public boolean isRelay() {
     return state() != State.FOLLOWING;
   }
 
-  /** The fencing revision of the duty; has meaning only while relaying. */
+  /** Fencing token of the relay; defined only while this VM is the relay. */
   public long fencingToken() {
     return fencingToken;
   }
 
-  /** Whether the last store call of the duty failed. */
+  /** Whether the last store call of the election failed. */
   public boolean isStoreFailing() {
     return isStoreFailing;
   }
 
   /**
-   * The store call to make now, if any; its end is reported by one of the {@code on} methods.
+   * Returns the store call to make now, if any. Its outcome must be reported by one of the {@code
+   * on} methods.
    *
-   * @param silentNanos how long the zone's relay has been silent here
-   * @param rank place of this VM among those that may follow; 0 tries first
-   * @param isEligible false while this VM leaves or has no snapshot yet
+   * @param silentNanos time since the last message of the zone's relay
+   * @param rank position of this VM among the candidates; 0 tries first
+   * @param isEligible false while this VM is draining or has no initial snapshot yet
    */
   public Optional<ElectionCall> nextCall(long silentNanos, int rank, boolean isEligible) {
     if (isCallInFlight || time.nanos() - nextCallNanos < 0) {
       return Optional.empty();
     }
-    long patience = settings.silenceTimeout().toNanos() + rank * settings.rankDelay().toNanos();
-    boolean candidate = isEligible && silentNanos >= patience;
-    if (step != Step.RENEW && state == State.FOLLOWING && !candidate) {
+    long requiredSilenceNanos =
+        settings.silenceTimeout().toNanos() + rank * settings.rankDelay().toNanos();
+    boolean isCandidate = isEligible && silentNanos >= requiredSilenceNanos;
+    if (step != Step.RENEW && state == State.FOLLOWING && !isCandidate) {
       step = Step.READ;
       return Optional.empty();
     }
@@ -130,8 +133,8 @@
   }
 
   private ElectionCall startCall() {
-    Long held = lease;
-    if (held == null && (step == Step.CLAIM || step == Step.RENEW)) {
+    Long heldLease = lease;
+    if (heldLease == null && (step == Step.CLAIM || step == Step.RENEW)) {
       step = Step.READ;
     }
     return switch (step) {
@@ -140,34 +143,37 @@
         leaseRequestedNanos = time.nanos();
         yield new ElectionCall.Grant();
       }
-      case CLAIM -> new ElectionCall.Claim(key, claim, held == null ? 0 : held);
+      case CLAIM -> new ElectionCall.Claim(key, claim, heldLease == null ? 0 : heldLease);
       case RENEW -> {
         leaseRequestedNanos = time.nanos();
-        yield new ElectionCall.Renew(held == null ? 0 : held);
+        yield new ElectionCall.Renew(heldLease == null ? 0 : heldLease);
       }
     };
   }
 
   /**
-   * Acts without a lease where relay and store have both been out of reach for long enough.
+   * Makes this VM act as relay without a lease if relay and store have both been unreachable for
+   * long enough.
    *
-   * @param lastFencingToken fencing revision of the last view seen
+   * @param lastFencingToken fencing token of the last view seen
+   * @return true if this VM started to act as relay
    */
   public boolean actWithoutLeaseIfAbandoned(long silentNanos, int rank, long lastFencingToken) {
-    long patience = settings.actingDelay().toNanos() + rank * settings.rankDelay().toNanos();
-    boolean abandoned =
+    long requiredSilenceNanos =
+        settings.actingDelay().toNanos() + rank * settings.rankDelay().toNanos();
+    boolean isAbandoned =
         state == State.FOLLOWING
-            && silentNanos >= patience
+            && silentNanos >= requiredSilenceNanos
             && isStoreFailing
             && time.nanos() - failingSinceNanos >= settings.silenceTimeout().toNanos();
-    if (abandoned) {
+    if (isAbandoned) {
       state = State.ACTING;
       fencingToken = lastFencingToken;
     }
-    return abandoned;
+    return isAbandoned;
   }
 
-  /** The owner was read. */
+  /** The key that names the relay was read. */
   public void onOwnerRead(Optional<StoredValue> owner) {
     onStoreAnswer();
     if (owner.isEmpty()) {
@@ -182,7 +188,7 @@
     waitWithJitter(RECHECK_INTERVAL);
   }
 
-  /** A lease was opened. */
+  /** The lease was granted. */
   public void onGranted(long grantedLease) {
     onStoreAnswer();
     if (step != Step.GRANT) {
@@ -204,9 +210,9 @@
   }
 
   /** The renewal was answered. */
-  public void onRenewed(boolean stillHeld) {
+  public void onRenewed(boolean isStillHeld) {
     onStoreAnswer();
-    if (lease == null || !stillHeld) {
+    if (lease == null || !isStillHeld) {
       stepDown();
       return;
     }
@@ -216,10 +222,10 @@
   }
 
   /**
-   * The call gave no result; it may have taken effect.
+   * The call returned no result; it may have taken effect.
    *
-   * <p>After a claim the next call reads the key: if it carries this incarnation's claim, the lost
-   * answer was a success.
+   * <p>After a claim, the next call reads the key: if it contains this incarnation's claim, the
+   * claim whose answer was lost had succeeded.
    */
   public void onFailure() {
     isCallInFlight = false;
@@ -233,25 +239,25 @@
     nextCallNanos = time.nanos() + backoff.recordFailure().toNanos();
   }
 
-  /** A view of this zone with a fencing revision was seen; a higher one ends this VM's duty. */
+  /** A view of this zone was seen; a higher fencing token than this VM's makes it step down. */
   public void onViewSeen(long seenFencingToken) {
     if (isRelay() && seenFencingToken > fencingToken) {
       stepDown();
     }
   }
 
-  /** A relay that may be followed was heard; one that only acts gives way to it. */
+  /** A message of a regular relay arrived; a relay that acts without a lease steps down. */
   public void onRelayMessage() {
     if (state == State.ACTING) {
       stepDown();
     }
   }
 
-  /** Gives the duty up, for a planned stop; returns the lease to revoke. */
+  /** Resigns for a planned stop; returns the lease to revoke. */
   public Optional<Long> resign() {
-    Long held = lease;
+    Long heldLease = lease;
     stepDown();
-    return Optional.ofNullable(held);
+    return Optional.ofNullable(heldLease);
   }
 
   private void becomeRelay(long revision) {
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/RelaySettings.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/RelaySettings.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * Times of the relay's duty.
+ * Timeouts and intervals of the relay election.
  *
- * @param leaseTimeToLive of the lease in the store
- * @param renewInterval how often the lease is renewed; a third of the time to live or less
- * @param silenceTimeout how long a relay must be silent before another entry VM tries for the duty
- * @param rankDelay how much longer each further candidate waits, so that they do not all try
- * @param actingDelay how long relay and store must both be out of reach before one acts without
- *     lease
+ * @param leaseTimeToLive time to live of the lease in the store
+ * @param renewInterval how often the lease is renewed; at most a third of its time to live
+ * @param silenceTimeout how long a relay must be silent before another entry VM becomes a candidate
+ * @param rankDelay additional wait of each further candidate, so that they do not all try at once
+ * @param actingDelay how long relay and store must both be unreachable before a VM acts as relay
+ *     without a lease
  */
 public record RelaySettings(
     Duration leaseTimeToLive,
@@ -18,7 +18,10 @@
     Duration silenceTimeout,
     Duration rankDelay,
     Duration actingDelay) {
-  /** Times that bring a new relay within about four seconds of the old one's death. */
+  /**
+   * Default settings, with which a new relay takes over within about four seconds of the old one's
+   * death.
+   */
   public static RelaySettings standard() {
     return new RelaySettings(
         Duration.ofSeconds(3),
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/SpreadMessage.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/SpreadMessage.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What two spreaders say to each other. */
+/** Messages between two {@link Spreader}s. */
 public sealed interface SpreadMessage {
   /** Items that the sender believes the receiver lacks. */
   record Push(List<Item> items, List<DeltaItem> deltas) implements SpreadMessage {
@@ -15,22 +15,22 @@
   }
 
   /**
-   * A newer version told as a difference.
+   * A newer version of an item, sent as a delta.
    *
-   * @param baseVersion version that the difference starts from
-   * @param payloadHash hash of the whole newer payload, so that a wrong base is noticed
+   * @param baseVersion version that the delta applies to
+   * @param payloadHash hash of the complete newer payload, which detects a wrong base
    */
   record DeltaItem(
       ItemKey key, long version, long baseVersion, long payloadHash, PayloadDelta delta) {}
 
-  /** Asks whether the receiver has the same repaired items; answered only where it has not. */
+  /** Offers a digest of the sender's repaired items; answered only if the receiver's differs. */
   record DigestOffer(long digest) implements SpreadMessage {}
 
   /**
-   * All repaired versions that the sender has.
+   * All versions of repaired items that the sender has.
    *
-   * @param isSnapshotRequest true where the sender is fresh and wants everything, summaries too,
-   *     ended by a {@link SnapshotEnd}
+   * @param isSnapshotRequest true if the sender has just started and requests all items, summaries
+   *     included, followed by a {@link SnapshotEnd}
    */
   record Versions(Map<ItemKey, VersionStamp> versions, boolean isSnapshotRequest)
       implements SpreadMessage {
@@ -43,20 +43,20 @@
   /**
    * A version and a short hash of its payload.
    *
-   * <p>The hash tells apart two payloads under one version, which two relays that both act without
-   * a lease can make.
+   * <p>The hash distinguishes two payloads with the same version, which two relays that both act
+   * without a lease can create.
    */
   record VersionStamp(long version, int payloadHash) {}
 
   /**
-   * Everything that the sender has was sent before this.
+   * Ends a snapshot: all items of the sender were sent before this.
    *
-   * @param isReady false where the sender is itself still fetching its first snapshot, so that its
+   * @param isReady false if the sender is itself still fetching its initial snapshot, so that its
    *     answer proves nothing
    */
   record SnapshotEnd(boolean isReady) implements SpreadMessage {}
 
-  /** Asks for whole items. */
+  /** Requests complete items. */
   record Pull(List<ItemKey> keys) implements SpreadMessage {
     /** Copies the list. */
     public Pull {
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/SpreadSettings.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/SpreadSettings.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * Limits of one spreader.
+ * Settings of a {@link Spreader}.
  *
- * @param bytesPerSecond budget for what may wait: summaries, notices and repairs
- * @param burstBytes most that may be sent at once after a quiet time
- * @param repairInterval mean time between two comparisons with a random peer
- * @param batchDelay how long items that are not urgent are gathered before they are sent together,
- *     so that one that a neighbour sends meanwhile is not sent back to it
- * @param quietPeriod how long after a change nothing is compared, since the change is still on its
- *     way
- * @param maxPushBytes most bytes of items put in one message, unless one item alone is larger
- * @param maxItems most keys kept
+ * @param bytesPerSecond byte budget for traffic that can wait: summaries, notices and repairs
+ * @param burstBytes maximum number of bytes sent at once after an idle time
+ * @param repairInterval mean time between two digest comparisons with a random peer
+ * @param batchDelay how long non-urgent items are collected before they are sent together. An item
+ *     that the neighbour sends in this time is not sent back to it.
+ * @param quietPeriod how long after a change no digests are compared, since the change is still
+ *     being propagated
+ * @param maxPushBytes maximum number of item bytes in one message, unless a single item is larger
+ * @param maxItems maximum number of keys kept
  */
 public record SpreadSettings(
     double bytesPerSecond,
@@ -24,7 +24,10 @@
     int maxPushBytes,
     int maxItems) {
 
-  /** 5 of the 7 KB a second a node may use for control; heartbeats take the rest. */
+  /**
+   * Default settings: 5 of the 7 KB per second that a node may use for control traffic; heartbeats
+   * use the rest.
+   */
   public static SpreadSettings standard() {
     return new SpreadSettings(
         5_000,
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/Spreader.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/Spreader.java
@@ -18,15 +18,17 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * Hands new items on to the neighbours at once and finds lost ones by comparing with random peers.
+ * Propagates versioned items: forwards new ones to the neighbours at once (gossip push) and repairs
+ * losses by comparing digests with random peers (anti-entropy).
  *
- * <p>Contracts and views are sent the moment they are accepted, as a difference where the neighbour
- * is known to have the version before; all else waits for {@link #tick()} and for the byte budget,
- * and a newer version replaces one that still waits. Not thread-safe: one control thread calls it.
+ * <p>Contracts and views are sent as soon as they are accepted, as a delta if the neighbour is
+ * known to have the previous version. All other items wait for {@link #tick()} and for the byte
+ * budget, and a newer version replaces one that is still waiting. Not thread-safe: one control
+ * thread calls it.
  *
  * <pre>{@code
  * Spreader spreader = Spreader.of(settings, time, random, links::send, state::accept);
- * spreader.neighbours(Overlay.zoneTree(members, relay, self, 2));
+ * spreader.setNeighbours(Overlay.zoneTree(members, relay, self, 2));
  * spreader.publish(Item.of(ItemKind.SUMMARY, "tartu-a", 17, bytes));
  * }</pre>
  */
@@ -53,7 +55,7 @@
   /** Sends one message to one entry VM; may drop it. */
   @FunctionalInterface
   public interface Network {
-    /** Returns false where the message was surely not sent. */
+    /** Returns false if the message was certainly not sent. */
     boolean send(String vm, SpreadMessage message);
   }
 
@@ -81,7 +83,10 @@
     this.quietUntilNanos = time.nanos();
   }
 
-  /** A spreader with an empty table; {@code accepted} is told each item that replaced another. */
+  /**
+   * Returns a spreader with an empty table; {@code onAccepted} is called with each item that enters
+   * the table.
+   */
   public static Spreader of(
       SpreadSettings settings,
       TimeSource time,
@@ -92,7 +97,8 @@
   }
 
   /**
-   * Sets who is handed new items; a neighbour that was not one before gets all that it may lack.
+   * Sets the neighbours to which new items are forwarded. A new neighbour is offered a digest, so
+   * that it receives what it lacks.
    */
   public void setNeighbours(Set<String> vms) {
     for (String vm : vms) {
@@ -105,36 +111,45 @@
   }
 
   /**
-   * Sets who is handed a summary on; all other items go to all neighbours.
+   * Sets the peers to which a summary is forwarded; all other items go to all neighbours.
    *
-   * <p>Summaries are most of the bytes where there are many zones. Sent over each link of a mesh,
-   * each passes a relay about eight times; along a tree from its origin, three times.
+   * <p>Summaries account for most of the bytes if there are many zones. Sent over every link of the
+   * mesh, each summary passes a relay about eight times; along a tree from its origin, three times.
    */
   public void setSummaryRoute(Function<Item, Set<String>> route) {
     summaryRoute = route;
   }
 
-  /** Sets whom to compare with at random. */
+  /** Sets the peers among which one is chosen at random for each digest comparison. */
   public void setRepairPeers(List<String> vms) {
     repairPeers = List.copyOf(vms);
   }
 
-  /** Tells peers' snapshots from now on that this process has loaded its own. */
+  /**
+   * Sets whether this process has completed its own initial snapshot, which is reported at the end
+   * of each snapshot sent to a peer.
+   */
   public void setReady(boolean nowReady) {
     isReady = nowReady;
   }
 
-  /** What is held. */
+  /** The table of items held here. */
   public VersionedTable table() {
     return table;
   }
 
-  /** Takes in an item of this process's own; false where a higher version is held. */
+  /**
+   * Publishes an item of this process; returns false if the same or a higher version is held, or
+   * the item cannot be kept.
+   */
   public boolean publish(Item item) {
     return merge(item, null);
   }
 
-  /** Forgets what {@code vm} is believed to have, since messages to it may have been lost. */
+  /**
+   * Discards the versions that {@code vm} is believed to have, since messages to it may have been
+   * lost.
+   */
   public void onLinkLost(String vm) {
     PeerState peer = peers.get(vm);
     if (peer != null) {
@@ -142,19 +157,19 @@
     }
   }
 
-  /** A connection with {@code vm} was made: compares with it where it is a neighbour. */
+  /** A connection to {@code vm} was opened: offers a digest if it is a neighbour. */
   public void onLinkOpened(String vm) {
     if (neighbours.contains(vm)) {
       network.send(vm, new SpreadMessage.DigestOffer(table.digest()));
     }
   }
 
-  /** Asks {@code vm} for everything it has. */
+  /** Requests all items of {@code vm}; returns false if the request was certainly not sent. */
   public boolean requestSnapshot(String vm) {
     return network.send(vm, new SpreadMessage.Versions(table.repairedVersionStamps(), true));
   }
 
-  /** Takes in what {@code from} said. */
+  /** Handles a message of {@code from}. */
   public void receive(String from, SpreadMessage message) {
     if (message instanceof SpreadMessage.Push push) {
       receivePush(from, push);
@@ -167,7 +182,10 @@
     }
   }
 
-  /** Sends what waits, as far as the budget goes, and compares with a peer when it is time. */
+  /**
+   * Sends waiting items as far as the byte budget allows, and compares digests with a random peer
+   * when due.
+   */
   public void tick() {
     table.dropExpired(time.wallMillis());
     if (time.nanos() - nextFlushNanos >= 0) {
@@ -186,7 +204,7 @@
     }
   }
 
-  /** Bytes that may be sent now without waiting; negative while an overdraft is paid back. */
+  /** Number of bytes that may be sent now; negative until an overdraft is repaid. */
   public double availableBudgetBytes() {
     return budget.available();
   }
@@ -195,17 +213,17 @@
     if (item.expiresAtMillis() > 0 && item.expiresAtMillis() <= time.wallMillis()) {
       return false;
     }
-    Optional<Item> held = table.item(item.key());
+    Optional<Item> heldItem = table.item(item.key());
     if (!table.merge(item)) {
       return false;
     }
-    held.ifPresent(older -> previousVersions.put(item.key(), older));
+    heldItem.ifPresent(older -> previousVersions.put(item.key(), older));
     if (item.key().kind().isRepaired()) {
       quietUntilNanos = time.nanos() + settings.quietPeriod().toNanos();
     }
     onAccepted.accept(item);
-    boolean summary = item.key().kind() == ItemKind.SUMMARY;
-    for (String vm : summary ? summaryRoute.apply(item) : neighbours) {
+    boolean isSummary = item.key().kind() == ItemKind.SUMMARY;
+    for (String vm : isSummary ? summaryRoute.apply(item) : neighbours) {
       if (!vm.equals(from)) {
         forward(vm, item);
       }
@@ -236,12 +254,12 @@
       if (table.version(delta.key()) >= delta.version()) {
         continue;
       }
-      Optional<Item> whole = applyDelta(delta);
-      if (whole.isEmpty()) {
+      Optional<Item> rebuilt = applyDelta(delta);
+      if (rebuilt.isEmpty()) {
         missing.add(delta.key());
         continue;
       }
-      merge(whole.get(), from);
+      merge(rebuilt.get(), from);
     }
     if (!missing.isEmpty()) {
       network.send(from, new SpreadMessage.Pull(missing));
@@ -269,10 +287,11 @@
   }
 
   /**
-   * Remembers that a neighbour has all that is held here.
+   * Records that a neighbour has the same repaired items as this process.
    *
-   * <p>Guards against sending the first change after a start whole: neighbours that each read the
-   * contract from the platform's service have never told each other which version they have.
+   * <p>After a start, neighbours that each read the contract from the platform's store have not
+   * exchanged versions. Without this record the first change would be sent to them in full instead
+   * of as a delta.
    */
   private void recordInSync(String vm) {
     if (!neighbours.contains(vm)) {
@@ -300,8 +319,8 @@
       network.send(from, new SpreadMessage.Pull(missing));
     }
     for (Item item : table.items()) {
-      boolean wanted = item.key().kind().isRepaired() || theirs.isSnapshotRequest();
-      if (wanted && mayReplace(item, theirs.versions().get(item.key()))) {
+      boolean isRequested = item.key().kind().isRepaired() || theirs.isSnapshotRequest();
+      if (isRequested && mayReplace(item, theirs.versions().get(item.key()))) {
         peer.pending.add(item.key());
       }
     }
@@ -328,11 +347,11 @@
   }
 
   /**
-   * Whether nothing that is compared came in of late.
+   * Whether no repaired item has changed recently.
    *
-   * <p>Guards against fetching a contract twice: while a change is on its way, nearly every
-   * comparison differs, and what the peer lacks would be pulled whole although it is about to
-   * arrive as a small difference. A real loss is still there at the next comparison.
+   * <p>Prevents a contract from being fetched twice: while a change is being propagated, nearly
+   * every comparison of digests differs, and a peer would pull the complete item although it is
+   * about to arrive as a small delta. A real loss is still detected by the next comparison.
    */
   private boolean isQuiet() {
     return time.nanos() - quietUntilNanos >= 0;
@@ -396,8 +415,8 @@
         || peer.knownVersions.getOrDefault(item.key(), 0L) != older.version()) {
       return Optional.empty();
     }
-    PayloadDelta difference = PayloadDelta.between(older.payload(), item.payload());
-    if (difference.instructions().length > item.payload().length / 2) {
+    PayloadDelta payloadDelta = PayloadDelta.between(older.payload(), item.payload());
+    if (payloadDelta.instructions().length > item.payload().length / 2) {
       return Optional.empty();
     }
     return Optional.of(
@@ -406,7 +425,7 @@
             item.version(),
             older.version(),
             HASHER.hashBytesToLong(item.payload()),
-            difference));
+            payloadDelta));
   }
 
   private static int deltaWireBytes(SpreadMessage.DeltaItem delta) {
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/TokenBucket.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/TokenBucket.java
@@ -3,8 +3,7 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * A budget that refills at a steady rate: bytes a second of control traffic, calls a second to the
- * store.
+ * A token bucket, used for bytes per second of control traffic and calls per second to the store.
  *
  * <p>Not thread-safe.
  */
@@ -23,22 +22,22 @@
     this.refilledNanos = time.nanos();
   }
 
-  /** A full bucket of {@code burst} tokens that gains {@code perSecond}. */
+  /** Returns a full bucket of {@code capacity} tokens that gains {@code refillPerSecond}. */
   public static TokenBucket of(TimeSource time, double refillPerSecond, double capacity) {
     if (!(refillPerSecond > 0) || !(capacity > 0)) {
       throw new IllegalArgumentException(
-          "a budget of "
+          "refill rate "
               + refillPerSecond
-              + " a second with a burst of "
+              + " per second and capacity "
               + capacity
-              + " lets nothing pass");
+              + " must both be positive");
     }
     return new TokenBucket(time, refillPerSecond, capacity);
   }
 
   /**
-   * Takes {@code amount} if anything is left; the bucket may go below zero, so that one large
-   * message passes and is paid for afterwards.
+   * Takes {@code amount} if any tokens are available. The balance may become negative, so that one
+   * large message passes and is paid for afterwards.
    */
   public boolean tryTake(double amount) {
     refill();
@@ -49,13 +48,13 @@
     return true;
   }
 
-  /** Takes {@code amount} even where nothing is left, for traffic that must not wait. */
+  /** Takes {@code amount} even if no tokens are available, for traffic that must not wait. */
   public void take(double amount) {
     refill();
     tokens -= amount;
   }
 
-  /** Tokens left now; negative while an overdraft is paid back. */
+  /** Tokens available now; negative until an overdraft is repaid. */
   public double available() {
     refill();
     return tokens;
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/VersionedTable.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/VersionedTable.java
@@ -11,10 +11,10 @@
 import java.util.TreeMap;
 
 /**
- * Keeps the highest version of every item that was offered.
+ * Keeps the highest version of every item.
  *
- * <p>Merging is commutative, associative and idempotent, so two tables that saw the same items in
- * any order are equal, and no key ever goes back to a lower version. Not thread-safe.
+ * <p>Merging is commutative, associative and idempotent, so two tables that received the same items
+ * in any order are equal, and no key returns to a lower version. Not thread-safe.
  *
  * <pre>{@code
  * table.merge(Item.of(CONTRACT, "kannelkoda", 8, newer)); // true
@@ -33,12 +33,15 @@
     this.maxItems = maxItems;
   }
 
-  /** An empty table that refuses new keys beyond {@code mostItems}, so a peer cannot fill it. */
+  /**
+   * Returns an empty table that rejects new keys beyond {@code maxItems}, so that a peer cannot
+   * fill the memory.
+   */
   public static VersionedTable withCapacity(int maxItems) {
     return new VersionedTable(maxItems);
   }
 
-  /** Takes {@code item} in if it replaces what is held; false where it does not. */
+  /** Stores {@code item} if it replaces the held version; returns false otherwise. */
   public boolean merge(Item item) {
     Item held = items.get(item.key());
     if (held == null && items.size() >= maxItems) {
@@ -61,7 +64,7 @@
     return Optional.ofNullable(items.get(key));
   }
 
-  /** The held version number of {@code key}, 0 where there is none. */
+  /** The held version number of {@code key}, 0 if there is none. */
   public long version(ItemKey key) {
     Item held = items.get(key);
     return held == null ? 0 : held.version();
@@ -72,7 +75,7 @@
     return new ArrayList<>(items.values());
   }
 
-  /** Versions and payload hashes of all items that are repaired, ordered by key. */
+  /** Versions and payload hashes of all items of repaired kinds, ordered by key. */
   public Map<ItemKey, SpreadMessage.VersionStamp> repairedVersionStamps() {
     SortedMap<ItemKey, SpreadMessage.VersionStamp> stamps = new TreeMap<>();
     for (Item item : items.values()) {
@@ -87,12 +90,14 @@
     return (int) HASHER.hashBytesToLong(item.payload());
   }
 
-  /** A hash over all repaired keys and versions; equal tables have equal digests. */
+  /**
+   * A hash over all keys, versions and payloads of repaired kinds; equal tables have equal digests.
+   */
   public long digest() {
     return digest;
   }
 
-  /** Forgets what has expired and returns its keys. */
+  /** Removes expired items and returns their keys. */
   public List<ItemKey> dropExpired(long wallMillis) {
     List<ItemKey> dropped = new ArrayList<>();
     if (wallMillis < earliestExpiryMillis) {
--- a/sageladder-core/src/main/java/org/sageladder/core/store/Store.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/store/Store.java
@@ -6,10 +6,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The platform's key-value service, as far as sageladder uses it.
+ * The platform's key-value store, as far as sageladder uses it.
  *
- * <p>Every call counts against the platform's rates, a waiting {@link #watch} as one. Calls block
- * and are made from control threads only, never on the request path.
+ * <p>Every call counts against the platform's rate limits; a waiting {@link #watch} counts as one
+ * call. Calls block and are made from control threads only, never on the request path.
  *
  * <pre>{@code
  * StoredValue old = store.read("contracts/kannelkoda").orElseThrow();
@@ -17,18 +17,18 @@
  * }</pre>
  */
 public interface Store extends AutoCloseable {
-  /** The value under {@code key}, or empty where there is none. */
+  /** Returns the value of {@code key}, or empty if the key does not exist. */
   Optional<StoredValue> read(String key) throws StoreException;
 
-  /** All values whose key starts with {@code prefix}, ordered by key. */
+  /** Returns all values whose key starts with {@code prefix}, ordered by key. */
   List<StoredValue> list(String prefix) throws StoreException;
 
   /**
-   * Writes {@code value} if the key still has {@code expectedRevision}; 0 means the key must not
-   * exist.
+   * Writes {@code value} if the key still has {@code expectedRevision}; 0 means that the key must
+   * not exist.
    *
-   * @param lease the lease whose end deletes the key, or null to keep it
-   * @throws StoreException.OutcomeUnknown where the write may have taken effect
+   * @param lease the lease whose end deletes the key, or null for a key without a lease
+   * @throws StoreException.OutcomeUnknown if the write may have taken effect
    */
   WriteResult compareAndSet(String key, long expectedRevision, byte[] value, @Nullable Long lease)
       throws StoreException;
@@ -36,10 +36,10 @@
   /** Deletes the key if it still has {@code expectedRevision}. */
   WriteResult compareAndDelete(String key, long expectedRevision) throws StoreException;
 
-  /** Opens a lease of {@code timeToLive} and returns its id. */
+  /** Grants a lease of {@code timeToLive} and returns its id. */
   long grantLease(Duration timeToLive) throws StoreException;
 
-  /** Renews a lease; false where it has already ended. */
+  /** Renews a lease; returns false if it has already ended. */
   boolean keepAlive(long lease) throws StoreException;
 
   /** Ends a lease and deletes the keys bound to it. */
@@ -48,8 +48,8 @@
   /**
    * Waits up to {@code wait} for changes under {@code prefix} after {@code afterRevision}.
    *
-   * <p>A watch may skip intermediate values of one key but always returns the latest one. The
-   * returned batch names the revision from which to watch next.
+   * <p>A watch may skip intermediate values of a key but always returns the latest one. The
+   * returned batch contains the revision from which to watch next.
    */
   WatchBatch watch(String prefix, long afterRevision, Duration wait) throws StoreException;
 
--- a/sageladder-core/src/main/java/org/sageladder/core/store/package-info.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/store/package-info.java
@@ -1,4 +1,4 @@
-/** What sageladder needs of the platform's key-value service. */
+/** The operations that sageladder needs of the platform's key-value store. */
 @NullMarked
 package org.sageladder.core.store;
 
--- a/sageladder-core/src/test/java/org/sageladder/core/event/EventBufferTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/event/EventBufferTest.java
@@ -29,8 +29,8 @@
     assertEquals(List.of(), buffer.readAfter(second.lastSequence(), 10).events());
   }
 
-  // Story: a reader comes back after a burst larger than the buffer and its time line would show a
-  // quiet stretch where there was none. Cause: the oldest events gave way between two reads.
+  // Guards against unnoticed gaps: a reader returns after a burst larger than the buffer, whose
+  // oldest events were overwritten, and its time line would seem to show an idle period.
   @Test
   void overwrittenEventsAreCounted() {
     EventBuffer buffer = EventBuffer.withCapacity(4, time);
@@ -44,8 +44,8 @@
     assertEquals(List.of("8", "9", "10", "11"), details(batch));
   }
 
-  // Story: events vanish from the time line under load though the buffer is large enough. Cause: a
-  // reader that steps over a slot whose writer has its number but has not stored its event yet.
+  // Guards against lost events under load in a large enough buffer: a reader must not step over a
+  // slot whose writer has taken a sequence number but has not stored its event yet.
   @Test
   void seenAndLostEventsAddUpWithConcurrentWriters() throws Exception {
     EventBuffer buffer = EventBuffer.withCapacity(256, time);
@@ -72,7 +72,8 @@
       batch.events().forEach(event -> seen.add(event.sequence()));
       lost += batch.lostCount();
       assertTrue(
-          !finished || batch.lastSequence() > next, "a read after the last write must go on");
+          !finished || batch.lastSequence() > next,
+          "a read after the last write must make progress");
       next = batch.lastSequence();
     }
 
--- a/sageladder-core/src/test/java/org/sageladder/core/membership/ConfirmationGuardTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/ConfirmationGuardTest.java
@@ -21,8 +21,8 @@
     assertEquals(3, guard.usableSlots(THREE_SLOTS));
   }
 
-  // The relay no longer hears this VM and will give half of its slots away. Heartbeats leave and
-  // nothing comes back; the count starts when the last confirmed one was sent.
+  // Guards against using slots that the relay assigns to another VM: heartbeats leave and no answer
+  // arrives. The confirmation window starts when the last confirmed heartbeat was sent.
   @Test
   void allowsHalfOnceUnconfirmedForTheWindow() {
     long sent = time.nanos();
@@ -35,24 +35,23 @@
     assertEquals(3, guard.usableSlots(THREE_SLOTS));
   }
 
-  // The process is stopped for a minute and goes on unaware. Its targets were given away meanwhile.
-  // A request worker may run before the control thread does, and must not dispatch.
+  // Guards against dispatching after a pause, during which the targets were assigned to other VMs.
+  // A request worker may run before the control thread does and must not dispatch.
   @Test
   void pausedVmDispatchesNothingUntilConfirmedAgain() {
     guard.onConfirmed(time.nanos());
     long sentBefore = time.nanos();
     time.advance(Duration.ofMinutes(1));
-    assertEquals(0, guard.usableSlots(THREE_SLOTS), "before the control thread ran");
+    assertEquals(0, guard.usableSlots(THREE_SLOTS), "before the control thread runs");
     guard.tick();
-    assertEquals(0, guard.usableSlots(THREE_SLOTS), "after it ran");
+    assertEquals(0, guard.usableSlots(THREE_SLOTS), "after it has run");
     guard.onConfirmed(sentBefore);
-    assertEquals(
-        0, guard.usableSlots(THREE_SLOTS), "an answer to a heartbeat from before the pause");
+    assertEquals(0, guard.usableSlots(THREE_SLOTS), "answer to a heartbeat sent before the pause");
     guard.onConfirmed(time.nanos());
     assertEquals(3, guard.usableSlots(THREE_SLOTS));
   }
 
-  // After a pause the VM finds itself cut off from its zone, while its targets still answer.
+  // After a pause the VM is cut off from its zone, while its targets still answer.
   @Test
   void cutOffVmServesWithRetainedSlotsAfterPause() {
     guard.onConfirmed(time.nanos());
--- a/sageladder-core/src/test/java/org/sageladder/core/membership/HoldingSafetyProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/HoldingSafetyProperties.java
@@ -10,14 +10,12 @@
 import net.jqwik.api.constraints.LongRange;
 
 class HoldingSafetyProperties {
-  // Members are cut off, paused, stopped, restarted and healed, and the relay changes, in any
-  // order.
-  // Were there a moment at which two members believe they may use more slots of one target together
-  // than it has, the target would be overloaded. Loads never agree here, so that nobody is given
-  // the
-  // whole of a silent member's slots on the strength of a reading. Requests are shorter than the
-  // confirm window; what a longer one still uses of a silent member's target, only the target's own
-  // load tells, and the next holder's gate minds it.
+  // Guards against overloading a target: at no moment may the members together use more slots than
+  // it has. Members are cut off, paused, stopped, restarted and reconnected, and the relay changes,
+  // in random order. Target loads never match here, so that no member gets all slots of a silent
+  // member's target because of a load report. Requests are shorter than the confirmation window:
+  // only the target's own load shows what a longer request still uses on a silent member's target,
+  // and the next holder's gate takes that load into account.
   @Property(tries = 60, seed = "20261202")
   void membersTogetherNeverUseMoreSlotsThanTargetHas(
       @ForAll @LongRange(min = 0, max = 100_000) long seed) {
@@ -25,12 +23,12 @@
     ZoneFake zone = new ZoneFake(4);
     zone.members.values().forEach(member -> member.loadMatchesInFlight = false);
     zone.run(Duration.ofSeconds(10));
-    long fencing = 1;
-    StringBuilder story = new StringBuilder();
+    long fencingToken = 1;
+    StringBuilder faults = new StringBuilder();
     for (int i = 0; i < 40; i++) {
       ZoneFake.MemberFake member = zone.members.get("vm-" + random.nextInt(4));
       int fault = random.nextInt(7);
-      story.append(fault).append(member.vm).append(' ');
+      faults.append(fault).append(member.vm).append(' ');
       switch (fault) {
         case 0 -> member.isCutOff = true;
         case 1 -> member.isCutOff = false;
@@ -44,14 +42,14 @@
         }
         default -> {
           if (random.nextInt(4) == 0) {
-            zone.startRelay(++fencing);
+            zone.startRelay(++fencingToken);
           }
         }
       }
       simulateRequests(zone, random);
       for (int step = random.nextInt(120); step >= 0; step--) {
         zone.step();
-        check(zone, story);
+        check(zone, faults);
       }
     }
   }
@@ -74,19 +72,19 @@
     }
   }
 
-  private static void check(ZoneFake zone, StringBuilder story) {
+  private static void check(ZoneFake zone, StringBuilder faults) {
     for (String target : zone.targetIncarnations.keySet()) {
-      int together = zone.slotsInUseOrUsable(target);
+      int slots = zone.slotsInUseOrUsable(target);
       assertTrue(
-          together <= ZoneFake.SLOTS,
+          slots <= ZoneFake.SLOTS,
           () ->
-              together
-                  + " slots of "
+              slots
+                  + " slots in use or usable on "
                   + target
-                  + " may be used: "
+                  + ": "
                   + zone.explain(target)
                   + " after "
-                  + story);
+                  + faults);
     }
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/membership/ZoneFake.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/ZoneFake.java
@@ -13,7 +13,10 @@
 import org.sageladder.core.platform.VmRole;
 import org.sageladder.core.time.VirtualTime;
 
-/** A zone with one view maker and members that can be cut off, paused, restarted or stopped. */
+/**
+ * A simulated zone with one view builder, and members that can be cut off, paused, restarted or
+ * stopped.
+ */
 final class ZoneFake {
   static final int SLOTS = 3;
   static final int TARGETS = 6;
@@ -41,7 +44,7 @@
     startRelay(1);
   }
 
-  /** One entry VM as its guard and its last seen view make it act. */
+  /** An entry VM that acts according to its guard and the last view it received. */
   final class MemberFake {
     final String vm;
     long incarnation = 1;
@@ -60,7 +63,7 @@
       this.vm = vm;
     }
 
-    /** Slots of the target that this member's gate would use at this moment. */
+    /** Slots of the target that this member's gate would use now. */
     int usableSlots(String target) {
       if (isDead || isPaused) {
         return 0;
@@ -105,7 +108,7 @@
     return member;
   }
 
-  /** A new relay with that fencing revision goes on from the last view. */
+  /** Starts a new relay with that fencing token, which continues from the last view. */
   void startRelay(long fencingToken) {
     builder =
         ZoneViewBuilder.of(
@@ -134,7 +137,9 @@
         .orElseThrow();
   }
 
-  /** Who may use how many slots of the target, and how its holding changed lately. */
+  /**
+   * Describes which members may use how many slots of the target, and the changes of its holding.
+   */
   String explain(String target) {
     StringBuilder text = new StringBuilder();
     members.forEach(
@@ -166,16 +171,19 @@
     }
   }
 
-  /** One tick of the relay and of all members; heartbeats every tenth and on each new view. */
+  /**
+   * Runs one tick of the relay and of all members; heartbeats are sent at every tenth step and on
+   * each new view.
+   */
   void step() {
     time.advance(STEP);
     steps++;
-    boolean beat = steps % 10 == 0;
+    boolean isHeartbeatDue = steps % 10 == 0;
     if (steps % 20 == 0) {
       builder.onPlatformList(platformList());
     }
-    Optional<RelayedView> made = builder.tick();
-    made.ifPresent(this::recordView);
+    Optional<RelayedView> newView = builder.tick();
+    newView.ifPresent(this::recordView);
     for (MemberFake member : members.values()) {
       endRequestsOfSilentMember(member);
       if (member.isDead || member.isPaused) {
@@ -186,11 +194,11 @@
         continue;
       }
       member.lastConnectedNanos = time.nanos();
-      boolean behind = member.currentView.number() < view.number();
-      if (behind) {
+      boolean isBehind = member.currentView.number() < view.number();
+      if (isBehind) {
         member.currentView = view;
       }
-      if (beat || behind) {
+      if (isHeartbeatDue || isBehind) {
         HeartbeatAnswer answer = builder.onHeartbeat(member.heartbeat());
         if (answer.isConfirmed()) {
           member.guard.onConfirmed(answer.echoedSentNanos());
@@ -199,9 +207,9 @@
     }
   }
 
-  private void recordView(RelayedView made) {
-    lastRelayedView = made;
-    ZoneView next = made.view();
+  private void recordView(RelayedView newView) {
+    lastRelayedView = newView;
+    ZoneView next = newView.view();
     view = next;
     for (Holding holding : next.holdings()) {
       List<String> changes =
@@ -213,7 +221,10 @@
     }
   }
 
-  /** Requests that were under way when a member fell silent end within the confirm window. */
+  /**
+   * Ends requests that were in flight when a member fell silent once the confirmation window has
+   * passed.
+   */
   private void endRequestsOfSilentMember(MemberFake member) {
     if (time.nanos() - member.lastConnectedNanos > settings.confirmationWindow().toNanos()) {
       member.inFlight.replaceAll((target, count) -> Math.min(count, member.usableSlots(target)));
@@ -221,15 +232,15 @@
   }
 
   private List<ListedVm> platformList() {
-    List<ListedVm> lines = new ArrayList<>();
+    List<ListedVm> listings = new ArrayList<>();
     for (MemberFake member : members.values()) {
       if (!member.isUnlisted) {
-        lines.add(listing(VmRole.ENTRY, member.vm, "", member.incarnation, false));
+        listings.add(listing(VmRole.ENTRY, member.vm, "", member.incarnation, false));
       }
     }
     targetIncarnations.forEach(
         (target, incarnation) ->
-            lines.add(
+            listings.add(
                 listing(
                     VmRole.TARGET,
                     target,
@@ -238,14 +249,15 @@
                     drainingTargets.contains(target))));
     targetsOfOtherZones.forEach(
         (target, zone) ->
-            lines.add(
+            listings.add(
                 new ListedVm(
                     VmRole.TARGET, target, "k", "search", zone, "127.0.0.1", 1, 2, 1, false)));
-    return lines;
+    return listings;
   }
 
   private static ListedVm listing(
-      VmRole role, String id, String service, long incarnation, boolean leaving) {
-    return new ListedVm(role, id, "k", service, "tartu-a", "127.0.0.1", 1, 2, incarnation, leaving);
+      VmRole role, String id, String service, long incarnation, boolean isLeaving) {
+    return new ListedVm(
+        role, id, "k", service, "tartu-a", "127.0.0.1", 1, 2, incarnation, isLeaving);
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/membership/ZoneViewBuilderTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/ZoneViewBuilderTest.java
@@ -25,8 +25,9 @@
     assertEquals(ZoneFake.TARGETS, zone.view().holdings().size());
   }
 
-  // A new VM joins and rendezvous hashing gives it a target whose old holder still has two requests
-  // running there. With all three slots at once, the target would run five.
+  // Guards against overloading a moved target: a new VM joins and is assigned a target on which the
+  // old holder still has two requests running. With all three slots at once, the target would run
+  // five.
   @Test
   void movedTargetExcludesSlotsInUseByOldHolder() {
     ZoneFake zone = new ZoneFake(1);
@@ -53,8 +54,8 @@
     }
   }
 
-  // A member falls silent. It may be dead, or only cut off and still sending to its targets with
-  // the half that its guard leaves it.
+  // A silent member may be dead, or only cut off and still sending to its targets with the half of
+  // the slots that its guard allows.
   @Test
   void silentMembersTargetsMoveWithHalfTheSlots() {
     ZoneFake zone = new ZoneFake(2);
@@ -92,7 +93,8 @@
     assertEquals(ZoneFake.SLOTS, zone.holding(target).slots());
   }
 
-  // The list lags and does not show a VM that has just started. It is heard, so it stays.
+  // The platform's list lags and does not show a VM that has just started. Its heartbeats arrive,
+  // so it stays a member.
   @Test
   void liveMemberMissingFromPlatformListStays() {
     ZoneFake zone = new ZoneFake(2);
@@ -101,8 +103,8 @@
     assertEquals(2, zone.view().members().size());
   }
 
-  // The platform's list still shows a target as leaving after it was started anew; and, the other
-  // way round, no longer shows as leaving one that still is.
+  // The platform's list may still show a target as leaving after a restart, or no longer show a
+  // target as leaving that still is.
   @Test
   void targetStaysDrainingUntilNextIncarnation() {
     ZoneFake zone = new ZoneFake(2);
@@ -132,11 +134,11 @@
     }
     zone.members.get("vm-0").isDraining = false;
     zone.run(Duration.ofSeconds(3));
-    assertTrue(zone.view().members().get(0).isDraining(), "leaving is not undone");
+    assertTrue(zone.view().members().get(0).isDraining(), "draining is never reset");
   }
 
-  // The relay itself is paused for a minute and hears nothing meanwhile. On waking, all members
-  // seem silent to it; taking their targets over would halve the whole zone's slots.
+  // Guards against a relay that considers all members silent after it was paused itself for a
+  // minute; taking over their targets would halve the slots of the whole zone.
   @Test
   void pausedRelayDoesNotConsiderMembersSilent() {
     ZoneFake zone = new ZoneFake(3);
@@ -160,8 +162,8 @@
     assertEquals(before.holdings(), zone.view().holdings());
   }
 
-  // A VM restarts faster than its silence is noticed. Messages of its earlier incarnation that are
-  // still on their way must not bring that one back.
+  // Guards against messages of an earlier incarnation: a VM restarts before its silence is noticed,
+  // and delayed messages must not replace the new incarnation by the old one.
   @Test
   void heartbeatOfEarlierIncarnationIsNotConfirmed() {
     ZoneFake zone = new ZoneFake(2);
@@ -184,7 +186,8 @@
     assertNotEquals(old, zone.view().members().get(0));
   }
 
-  // A cut-off member comes back. Its targets return a few at a time, not all in one view.
+  // When a cut-off member reconnects, its targets return to it a few at a time, not all in one
+  // view.
   @Test
   void reconnectedMemberRegainsItsTargets() {
     ZoneFake zone = new ZoneFake(2);
@@ -213,8 +216,9 @@
     return zone.view().holdings().stream().filter(h -> h.holder().equals(vm)).count();
   }
 
-  // A zone without entry VMs is back. If its targets were given back while requests of the members
-  // here are still under way there, the two zones together would use more than all slots.
+  // Guards against overloading targets that are given back to their own zone: while requests of
+  // this zone's members are still in flight to them, the two zones together would use more than all
+  // slots.
   @Test
   void takenOverTargetsAreGivenBackOnlyWithoutRequestsInFlight() {
     ZoneFake zone = new ZoneFake(3);
--- a/sageladder-core/src/test/java/org/sageladder/core/message/HopByHopHeadersTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/message/HopByHopHeadersTest.java
@@ -6,10 +6,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which headers end at a connection. */
+/** Tests which headers are hop-by-hop. */
 class HopByHopHeadersTest {
   /**
-   * A caller names a header of its own as one of its connection; passed on, it would reach targets.
+   * A caller may list a header of its own in {@code Connection}; if it were forwarded, it would
+   * reach targets.
    */
   @Test
   void headersListedInConnectionAreHopByHop() {
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/HandOverCodecTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/HandOverCodecTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a successor reads of a hand-over. */
+/** Tests the decoding of a hand-over at the successor. */
 class HandOverCodecTest {
   private final PermitHome issuer = PermitHome.of("a", 3, PermitHome.Limits.standard());
   private final PermitHome successor = PermitHome.of("b", 9, PermitHome.Limits.standard());
@@ -24,8 +24,8 @@
   }
 
   /**
-   * An archivist repeats a registration after the entry VM that ran it stopped for maintenance. The
-   * successor must give the answer that was recorded there, not run it again.
+   * Guards against a second execution: a request is repeated after the entry VM that ran it has
+   * stopped, and the successor must replay the recorded answer.
    */
   @Test
   void successorReplaysAnswerRecordedByStoppedIssuer() throws IOException {
@@ -49,7 +49,7 @@
     assertEquals(new Decision.Moved("b"), issuer.beginExecution(unused, "digest", 2_000));
   }
 
-  /** A hand-over cut on its way must not count as one that holds fewer permits. */
+  /** Guards against a truncated hand-over that is accepted as one with fewer permits. */
   @Test
   void truncatedBytesAreRejected() {
     for (int i = 0; i < 500; i++) {
@@ -62,23 +62,24 @@
     }
     byte[] bytes = HandOverCodec.encode(issuer.close("b", 1_000).orElseThrow());
     for (int length = 0; length < bytes.length - 4; length += 97) {
-      byte[] cut = Arrays.copyOf(bytes, length);
-      assertThrows(IOException.class, () -> HandOverCodec.decode(cut));
+      byte[] truncated = Arrays.copyOf(bytes, length);
+      assertThrows(IOException.class, () -> HandOverCodec.decode(truncated));
     }
   }
 
   /**
-   * The bytes are cut so near their end that all answers can still be read; what is missing is the
-   * check over them. It depends on the order of a map, and so on the start of the process, whether
-   * a cut at a given place is of this kind: about one run in some hundred let it pass.
+   * Guards against bytes that are truncated within the checksum, so that all answers can still be
+   * decoded. Whether a truncation at a given place is of this kind depends on the iteration order
+   * of a map, which differs between processes: about one run in several hundred accepted such
+   * bytes.
    */
   @Test
   void bytesWithTruncatedChecksumAreRejected() {
     start(mint()).recordAnswer(RecordedAnswer.complete(200, List.of(), new byte[] {1, 2, 3}));
     byte[] bytes = HandOverCodec.encode(issuer.close("b", 1_000).orElseThrow());
     for (int missing = 1; missing <= 12; missing++) {
-      byte[] cut = Arrays.copyOf(bytes, bytes.length - missing);
-      assertThrows(IOException.class, () -> HandOverCodec.decode(cut), "missing " + missing);
+      byte[] truncated = Arrays.copyOf(bytes, bytes.length - missing);
+      assertThrows(IOException.class, () -> HandOverCodec.decode(truncated), "missing " + missing);
     }
   }
 }
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/PermitCodecTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/PermitCodecTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 
-/** Sealing, altering and rotating. */
+/** Tests signing, tampering and key rotation. */
 class PermitCodecTest {
   private static final Permit PERMIT =
       new Permit("tallinn-a-1", 7, 4211, 99_000, "kannelkoda", "donations", "k1", "10.1.0.18:8080");
@@ -18,7 +18,7 @@
     return new KeyRing.Key(id, 0, KeyRing.Secret.of(secret));
   }
 
-  /** A permit must come back as it was, or its home cannot find its state. */
+  /** If a permit changed on the way, its issuer could not find its state. */
   @Test
   void sealedPermitOpensUnchanged() {
     PermitCodec codec = PermitCodec.of(() -> KeyRing.of(List.of(key("k1", 1))));
@@ -26,8 +26,8 @@
   }
 
   /**
-   * A caller changes one character to get a second run: another sequence would be unused. The MAC
-   * covers key id and payload, so each such change is refused.
+   * Guards against tampering: with another, unused sequence number a caller would get a second
+   * execution. The MAC covers key id and payload, so every such change must be refused.
    */
   @Test
   void permitWithChangedCharacterIsNotValid() {
@@ -39,15 +39,16 @@
         OpenedPermit opened = codec.open(changed);
         boolean sameBytes = opened.equals(codec.open(text)) && i == text.length() - 1;
         if (!changed.equals(text) && !sameBytes && opened instanceof OpenedPermit.Valid) {
-          throw new AssertionError("character " + i + " changed to " + other + " still opens");
+          throw new AssertionError(
+              "the permit with character " + i + " changed to " + other + " is still valid");
         }
       }
     }
   }
 
   /**
-   * An operator rotates the keys while an archivist's donation is on its way. With one key only the
-   * live permit would be refused, and the donation could be neither repeated nor settled.
+   * Guards against refusing a permit that is in use during a key rotation. With only the new key in
+   * the ring it would be refused, and its request could be neither repeated nor resolved.
    */
   @Test
   void livePermitRemainsValidAfterKeyRotation() {
@@ -60,14 +61,14 @@
   }
 
   /**
-   * An entry VM that has not read the newest key yet gets a permit sealed with it. Calling it
-   * invalid would say "not run" of a request that its home may be running.
+   * Guards against a wrong "not run" answer: an entry VM that has not read the newest key yet
+   * receives a permit signed with it, whose request the issuer may be running.
    */
   @Test
   void permitWithUnknownKeyIsNotInvalid() {
-    PermitCodec home = PermitCodec.of(() -> KeyRing.of(List.of(key("k2", 2))));
+    PermitCodec issuer = PermitCodec.of(() -> KeyRing.of(List.of(key("k2", 2))));
     PermitCodec behind = PermitCodec.of(() -> KeyRing.of(List.of(key("k1", 1))));
-    OpenedPermit opened = behind.open(home.seal(PERMIT));
+    OpenedPermit opened = behind.open(issuer.seal(PERMIT));
     assertEquals(new OpenedPermit.UnknownKey(PERMIT, "k2"), opened);
   }
 
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/PermitExplorerTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/PermitExplorerTest.java
@@ -9,14 +9,17 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Every order of steps on one permit up to a depth, states seen before left out. */
+/**
+ * Explores all sequences of steps on one permit up to a fixed depth, pruning states already
+ * visited.
+ */
 class PermitExplorerTest {
   private static final int DEPTH = 12;
 
   /**
-   * A collector bids once and wins the sheet twice. A copy of the bid waits in a slow entry VM
-   * while the home stops, hands over, restarts, or its clock jumps; then the copy arrives and runs
-   * although the permit had run, or the caller had been told "not run".
+   * Guards against a second execution and against an execution after the caller was answered "not
+   * run". A copy of the request is delayed while the issuer stops, hands over, restarts, or its
+   * clock jumps, and arrives afterwards.
    */
   @Test
   void noSequenceOfStepsRunsPermitTwiceOrAfterNotRunAnswer() {
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/PermitHomeProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/PermitHomeProperties.java
@@ -6,7 +6,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
 
-/** Long random orders of steps, beyond the depth of the explorer. */
+/** Random sequences of steps, longer than the depth of {@link PermitExplorerTest}. */
 class PermitHomeProperties {
   @Property(tries = 5_000, seed = "20261202")
   void permitRunsAtMostOnceInLongStepSequences(
@@ -20,16 +20,16 @@
     }
   }
 
-  /** Each permit keeps its own state and its own answer, whatever the others do. */
+  /** Each permit has its own state and answer, independent of the others. */
   @Property(tries = 300, seed = "20261203")
   void permitsOfOneIssuerAreIndependent(@ForAll @Size(max = 400) List<Boolean> isAnswered) {
-    PermitHome home = PermitHome.of("a", 1, PermitHome.Limits.standard());
+    PermitHome issuer = PermitHome.of("a", 1, PermitHome.Limits.standard());
     List<Permit> permits = new ArrayList<>();
     for (int i = 0; i < isAnswered.size(); i++) {
-      Permit permit = home.mint("kannelkoda", "donations", 1_000 + i * 100L).orElseThrow();
+      Permit permit = issuer.mint("kannelkoda", "donations", 1_000 + i * 100L).orElseThrow();
       permits.add(permit);
       Decision.Execute execute =
-          (Decision.Execute) home.beginExecution(permit, "r" + i, 1_000 + i * 100L);
+          (Decision.Execute) issuer.beginExecution(permit, "r" + i, 1_000 + i * 100L);
       if (isAnswered.get(i)) {
         execute
             .execution()
@@ -39,12 +39,12 @@
       }
     }
     for (int i = 0; i < isAnswered.size(); i++) {
-      Decision again = home.beginExecution(permits.get(i), "r" + i, 50_000);
-      boolean right =
+      Decision again = issuer.beginExecution(permits.get(i), "r" + i, 50_000);
+      boolean isExpected =
           isAnswered.get(i)
               ? again instanceof Decision.Replay replay && replay.answer().body()[0] == (byte) i
               : again instanceof Decision.NotRun;
-      if (!right) {
+      if (!isExpected) {
         fail("permit " + i + " got " + again, List.of());
       }
     }
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/PermitKeysTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/PermitKeysTest.java
@@ -16,7 +16,7 @@
 import org.sageladder.core.store.WatchBatch;
 import org.sageladder.core.store.WriteResult;
 
-/** Creating, sharing and rotating the MAC keys through the platform's store. */
+/** Tests creating, sharing and rotating the MAC keys through the platform's store. */
 class PermitKeysTest {
   private static final Duration PERIOD = Duration.ofHours(1);
   private static final Permit PERMIT =
@@ -47,8 +47,8 @@
   }
 
   /**
-   * An archivist's permit is sealed just before a rotation and used just after it. Were the old key
-   * dropped at once, the donation would be refused at every entry VM.
+   * Guards against dropping the old key too early: a permit signed just before a rotation and used
+   * just after it would be refused at every entry VM.
    */
   @Test
   void permitSealedBeforeRotationOpensAfterIt() throws Exception {
@@ -62,8 +62,8 @@
   }
 
   /**
-   * One entry VM has read the new key, the other has not. Were the new key used at once, what the
-   * first one seals for the second would be refused there.
+   * Guards against signing with a new key before all entry VMs have read it; those that have not
+   * would refuse the permits.
    */
   @Test
   void newKeySignsOnlyAfterPropagationDelay() throws Exception {
@@ -78,8 +78,9 @@
   }
 
   /**
-   * The store takes the write of a new key and its answer is lost. Writing another key over it
-   * would leave entry VMs that read the first one refusing permits of the second.
+   * Guards against overwriting a new key: the store applies the write and its answer is lost. If
+   * another key replaced the first one, entry VMs that had read the first would refuse permits
+   * signed with the second.
    */
   @Test
   void writeWithLostAnswerIsReadBack() throws Exception {
@@ -91,8 +92,8 @@
   }
 
   /**
-   * An entry VM starts while the store is down. It must still seal permits that it can open itself,
-   * and others must pass them on instead of calling them invalid.
+   * An entry VM that starts while the store is down must sign permits that it can open itself.
+   * Others must forward them to it instead of treating them as invalid.
    */
   @Test
   void permitsOfLocalKeyOpenOnlyAtTheirIssuerWhileStoreIsDown() throws Exception {
@@ -107,7 +108,7 @@
     assertOpens(first, text);
   }
 
-  /** One key under compare-and-swap; all that these tests need of a store. */
+  /** A store with a single key and compare-and-set, which is all that these tests need. */
   private static final class SingleKeyStore implements Store {
     boolean isDown;
     boolean loseNextAnswer;
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/PermitModel.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/PermitModel.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * One permit, its home, two possible successors, a target and what callers were told: run step by
- * step by the explorer and the properties, which check it after each step.
+ * A model of one permit, its issuer, two possible successors, a target, and the answers given to
+ * callers. The explorer and the properties run it step by step and check it after each step.
  */
 final class PermitModel {
   static final PermitHome.Limits LIMITS =
@@ -19,7 +19,7 @@
   private static final long START = 1_000;
   private static final long LATEST = START + 56;
 
-  /** What may happen next. */
+  /** The steps that may occur. */
   enum Step {
     COPY_AT_ISSUER,
     COPY_AT_SUCCESSORS,
@@ -53,7 +53,7 @@
   private boolean hasAnsweredNotRun;
   private boolean hasAnsweredRan;
 
-  /** False where the step cannot happen now. */
+  /** Applies a step; returns false if it cannot occur now. */
   boolean apply(Step step) {
     return switch (step) {
       case COPY_AT_ISSUER -> copyArrivesAt(issuer);
@@ -125,7 +125,7 @@
     return true;
   }
 
-  /** A message stays where it is: it may be sent again. */
+  /** Delivers all hand-over messages. They are kept, since they may be sent again. */
   private boolean handOverArrives() {
     for (Message message : messages) {
       message.to().adopt(message.state());
@@ -133,7 +133,10 @@
     return !messages.isEmpty();
   }
 
-  /** What the dead process had sent may still run; nobody hears of it. */
+  /**
+   * Restarts the issuer. Requests that the dead process had dispatched may still run, but no answer
+   * is received.
+   */
   private boolean issuerRestarts() {
     PermitHome dead = issuer;
     orphans += (int) dispatched.stream().filter(each -> each.vm() == dead).count();
@@ -148,24 +151,27 @@
     return now >= START && now <= LATEST;
   }
 
-  /** The promise that does not hold, or empty. */
+  /** The invariant that is violated, or empty. */
   Optional<String> violation() {
     if (executions > 1) {
       return Optional.of("the request ran " + executions + " times");
     }
     if (hasAnsweredNotRun && executions > 0) {
-      return Optional.of("told not run, and it ran");
+      return Optional.of("answered not run, but it ran");
     }
     if (hasAnsweredNotRun && (!dispatched.isEmpty() || orphans > 0)) {
-      return Optional.of("told not run, and a copy may still run");
+      return Optional.of("answered not run, but a copy may still run");
     }
     if (hasAnsweredRan && executions == 0) {
-      return Optional.of("told ran, and it did not run");
+      return Optional.of("answered ran, but it did not run");
     }
     return Optional.empty();
   }
 
-  /** All that the future depends on; two models with the same text need no second visit. */
+  /**
+   * Contains everything that determines the further behaviour; models with equal text need not be
+   * explored twice.
+   */
   @Override
   public String toString() {
     StringBuilder text = new StringBuilder();
--- a/sageladder-core/src/test/java/org/sageladder/core/quarantine/QuarantineTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/quarantine/QuarantineTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Holding back what crashes targets, and nothing else. */
+/** Tests that requests that crash targets, and no others, are quarantined. */
 class QuarantineTest {
   private static final long POISON = 666;
   private static final long START = 1_000_000;
@@ -23,8 +23,8 @@
   }
 
   /**
-   * A damaged recording crashes the target that opens it, and its caller sends it again. Without a
-   * quarantine each resend takes another target down, until none is left.
+   * Guards against a request that crashes every target it reaches: the caller sends it again after
+   * each crash, until no target is left.
    */
   @Test
   void secondCrashQuarantinesOnlyTheCommonRequest() {
@@ -37,7 +37,10 @@
     }
   }
 
-  /** The recording was repaired on the server: it must not be refused for ever. */
+  /**
+   * Guards against refusing a request for ever, although its cause may have been repaired on the
+   * server.
+   */
   @Test
   void quarantineExpiresAndDoublesWithNextCrash() {
     quarantine.add(crash(1, 0, POISON));
@@ -49,8 +52,8 @@
   }
 
   /**
-   * A zone loses its power: ten targets go within a second, and a lyric search retried inside the
-   * zone was on two of them. Quarantine would refuse a search that harmed nobody.
+   * Guards against quarantining an innocent request: ten targets of a zone fail within a second,
+   * and a search that was retried within the zone was on two of them.
    */
   @Test
   void requestRetriedDuringZoneFailureIsNotQuarantined() {
@@ -65,8 +68,8 @@
   }
 
   /**
-   * Each crash was seen by another entry VM, and the news travel in different orders. VMs that know
-   * the same crashes must refuse the same requests.
+   * Entry VMs receive reports of the same crashes in different orders and must refuse the same
+   * requests.
    */
   @Test
   void decisionDoesNotDependOnOrderOfReports() {
@@ -89,7 +92,7 @@
     }
   }
 
-  /** Two entry VMs saw one crash: it must not count as the second. */
+  /** One crash reported by two entry VMs must not count as two crashes. */
   @Test
   void crashReportedByTwoVmsCountsOnce() {
     quarantine.add(crash(1, 0, POISON));
@@ -98,7 +101,7 @@
     assertFalse(quarantine.isQuarantined(POISON, START + 10));
   }
 
-  /** What one entry VM tells the others must arrive as it was. */
+  /** A report must be decoded as it was encoded. */
   @Test
   void encodedReportDecodesUnchanged() throws java.io.IOException {
     CrashReport report = crash(3, 7, POISON, 8L);
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/BackoffTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/BackoffTest.java
@@ -11,8 +11,8 @@
   private static final Duration INITIAL_WAIT = Duration.ofMillis(100);
   private static final Duration MAX_WAIT = Duration.ofSeconds(3);
 
-  // The service comes back after an outage. Waiting without jitter, all relays of 94 zones would
-  // call in the same instant, and again after each longest wait, and take it down again.
+  // Guards against overloading the store when it comes back after an outage: without jitter, the
+  // relays of all 94 zones would call at the same moment, and again after each maximum wait.
   @Test
   void callsAfterOutageAreSpreadOverMaxWait() {
     int[] callsInTenth = new int[30];
@@ -27,7 +27,7 @@
       callsInTenth[(int) (after / 100)]++;
     }
     for (int calls : callsInTenth) {
-      assertTrue(calls <= 94 / 4, "too many calls in a tenth of a second: " + calls);
+      assertTrue(calls <= 94 / 4, "too many calls within 100 ms: " + calls);
     }
   }
 
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/InitialSnapshotTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/InitialSnapshotTest.java
@@ -19,8 +19,9 @@
     assertTrue(snapshot.explanation().contains("neither the store nor a ready peer"));
   }
 
-  // A whole zone restarts during a store outage; the fresh VMs ask each other. If a fresh peer's
-  // empty answer counted, all would be ready with nothing and serve unknown contracts as absent.
+  // Guards against becoming ready without any state: a whole zone restarts during a store outage,
+  // and the new VMs ask each other. If the empty answer of such a peer counted, all would become
+  // ready and treat existing contracts as absent.
   @Test
   void answerOfPeerThatIsNotReadyDoesNotCount() {
     snapshot.recordRequest("vm-2");
@@ -29,9 +30,8 @@
     assertFalse(snapshot.isComplete());
   }
 
-  // Store down, peers at mixed revisions: the first to answer may be the one that lags. The VM
-  // waits
-  // for the others it asked, but not for one that is dead.
+  // Guards against using an old revision while the store is down: the first peer to answer may be
+  // behind. The VM waits for the other peers that it asked, but not for one that is dead.
   @Test
   void waitsForAllRequestedPeersOrPeerWait() {
     snapshot.recordRequest("vm-2");
