--- a/sageladder-core/src/test/java/org/sageladder/core/spread/OverlayProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/OverlayProperties.java
@@ -33,8 +33,8 @@
     }
   }
 
-  // A zone is lost. If all paths between two others led through it, they would stop hearing each
-  // other although they can reach each other.
+  // Guards against a partition: if all paths between two zones led through a third one, its loss
+  // would separate them although they can reach each other.
   @Property(tries = 100, seed = "20261202")
   void lossOfOneZoneLeavesTheOthersConnected(
       @ForAll @IntRange(min = 3, max = 94) int size, @ForAll @IntRange(max = 93) int lostIndex) {
@@ -74,24 +74,24 @@
     members.forEach(vm -> assertTrue(tree.apply(vm).size() <= 4, vm));
   }
 
-  // Sent over every link of the mesh, each report passes a relay about eight times, and at 94 zones
-  // the reports alone are several times the byte budget.
+  // Guards against exceeding the byte budget: sent over every link of the mesh, each summary passes
+  // a relay about eight times, and at 94 zones the summaries alone are several times the budget.
   @Property(tries = 100, seed = "20261202")
   void summaryReachesEachZoneExactlyOnceOverExistingLinks(
       @ForAll @IntRange(min = 1, max = 94) int size, @ForAll @IntRange(max = 93) int originIndex) {
     List<String> zones = names("zone-", size);
     String origin = zones.get(originIndex % size);
-    Map<String, Integer> got = new HashMap<>(Map.of(origin, 1));
-    Deque<String> open = new ArrayDeque<>(List.of(origin));
-    while (!open.isEmpty()) {
-      String here = open.remove();
+    Map<String, Integer> receivedCounts = new HashMap<>(Map.of(origin, 1));
+    Deque<String> queue = new ArrayDeque<>(List.of(origin));
+    while (!queue.isEmpty()) {
+      String here = queue.remove();
       for (String child : Overlay.summaryChildren(zones, origin, here)) {
         assertTrue(Overlay.zoneNeighbours(zones, here).contains(child), here + " to " + child);
-        assertEquals(1, got.merge(child, 1, Integer::sum), child);
-        open.add(child);
+        assertEquals(1, receivedCounts.merge(child, 1, Integer::sum), child);
+        queue.add(child);
       }
     }
-    assertEquals(size, got.size());
+    assertEquals(size, receivedCounts.size());
   }
 
   private static List<String> names(String prefix, int size) {
@@ -101,12 +101,12 @@
   private static Map<String, Integer> hopsFrom(
       String start, Function<String, Collection<String>> neighbours) {
     Map<String, Integer> hops = new HashMap<>(Map.of(start, 0));
-    Deque<String> open = new ArrayDeque<>(List.of(start));
-    while (!open.isEmpty()) {
-      String here = open.remove();
+    Deque<String> queue = new ArrayDeque<>(List.of(start));
+    while (!queue.isEmpty()) {
+      String here = queue.remove();
       for (String next : neighbours.apply(here)) {
         if (hops.putIfAbsent(next, hops.get(here) + 1) == null) {
-          open.add(next);
+          queue.add(next);
         }
       }
     }
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/RelayElectionTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/RelayElectionTest.java
@@ -29,8 +29,9 @@
     assertEquals(41, election.fencingToken());
   }
 
-  // The claim takes effect but its answer is lost. Without reading back, the VM would believe that
-  // somebody else is relay while the store names it, and the zone would have no relay.
+  // Guards against a zone without a relay: the claim takes effect but its answer is lost. Without
+  // reading the key back, the VM would assume that another VM is the relay while the store names
+  // this one.
   @Test
   void recognisesOwnClaimAfterLostAnswer() {
     readFreeAndGrant();
@@ -45,9 +46,8 @@
     assertEquals(42, election.fencingToken());
   }
 
-  // A VM restarts within its old lease's time. The key still names it, but with the old
-  // incarnation;
-  // taking that for its own claim, it would renew a lease that it does not have.
+  // Guards against renewing a lease that this VM does not have: it restarts while the lease of its
+  // earlier incarnation is valid, so the key still names it, with the old incarnation.
   @Test
   void doesNotAcceptClaimOfEarlierIncarnation() {
     nextCall();
@@ -56,9 +56,8 @@
     assertFalse(election.isRelay());
   }
 
-  // The relay is paused for longer than its lease. Another VM becomes relay meanwhile. On waking
-  // the
-  // old one must not go on as if it held the lease.
+  // Guards against a relay that continues as lease holder after a pause longer than its lease, in
+  // which another VM has become relay.
   @Test
   void stepsDownAfterPauseBeyondLease() {
     becomeRelay(41);
@@ -69,9 +68,8 @@
     assertEquals(RelayElection.State.FOLLOWING, election.state());
   }
 
-  // The store is down for long. Nobody can take the duty, so the relay must go on, or the zone
-  // would
-  // stop replacing silent members exactly when it is on its own.
+  // While the store is down, no other VM can become relay. So the relay must continue, or silent
+  // members would not be replaced exactly when the zone is isolated.
   @Test
   void remainsRelayWhileStoreIsDownAndRenewsAfterwards() {
     becomeRelay(41);
@@ -96,8 +94,8 @@
     assertFalse(election.isRelay());
   }
 
-  // The store is down and then the relay dies too. Without a stand-in the zone would keep the dead
-  // VM's targets idle until the store is back.
+  // While the store is down, the relay dies too. Unless another VM acts as relay, the dead VM's
+  // targets stay idle until the store is back.
   @Test
   void actsWithoutLeaseOnlyIfRelayAndStoreAreUnreachable() {
     assertFalse(
@@ -106,33 +104,33 @@
     election.onFailure();
     assertFalse(
         election.actWithoutLeaseIfAbandoned(SILENT_NANOS, 0, 40),
-        "the store has failed only just now");
+        "the store has been failing for too short a time");
     time.advance(Duration.ofSeconds(2));
     assertFalse(
         election.actWithoutLeaseIfAbandoned(Duration.ofSeconds(2).toNanos(), 0, 40),
-        "relay heard lately");
+        "the relay has sent a message recently");
     assertFalse(
         election.actWithoutLeaseIfAbandoned(Duration.ofSeconds(4).toNanos(), 2, 40),
-        "two others come first");
+        "two other VMs have a higher rank");
     assertTrue(election.actWithoutLeaseIfAbandoned(SILENT_NANOS, 0, 40));
     assertEquals(RelayElection.State.ACTING, election.state());
     election.onRelayMessage();
     assertFalse(election.isRelay());
   }
 
-  // The store comes back after ten minutes. Tries that come in step from all zones would knock it
-  // down again; the wait between two tries must have grown, and differ between processes.
+  // Guards against overloading the store when it comes back after ten minutes: the wait between
+  // attempts must have grown, and must differ between processes.
   @Test
   void backsOffWhileStoreIsDown() {
-    int tries = 0;
+    int attempts = 0;
     for (int i = 0; i < 6_000; i++) {
       time.advance(Duration.ofMillis(100));
       if (election.nextCall(SILENT_NANOS, 0, true).isPresent()) {
-        tries++;
+        attempts++;
         election.onFailure();
       }
     }
-    assertTrue(tries > 100 && tries < 400, tries + " tries in ten minutes");
+    assertTrue(attempts > 100 && attempts < 400, attempts + " attempts in ten minutes");
   }
 
   @Test
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/SpreaderTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/SpreaderTest.java
@@ -40,8 +40,9 @@
     assertEquals(26, countPushes());
   }
 
-  // The relay dies after it told only some; or a link breaks and a push is lost. Those left out
-  // would stay behind until the next change, were it not for the comparison with random peers.
+  // Guards against processes that stay behind until the next change: the relay dies after sending
+  // to some neighbours only, or a push is lost with its link. Comparison with random peers repairs
+  // this.
   @Test
   void lostPushIsRepairedByRandomPeers() {
     List<String> members = startZone(9);
@@ -53,8 +54,8 @@
     tickUntilAllAt(5, members.subList(1, 9), 20);
   }
 
-  // Messages overtake each other: revision 6 arrives before revision 5. A process that then took 5
-  // would serve limits that the operator has already replaced.
+  // Guards against an older revision that arrives after a newer one; a process that accepted it
+  // would apply limits that the operator has already replaced.
   @Test
   void lateOlderRevisionIsIgnored() {
     startZone(2);
@@ -79,9 +80,9 @@
     assertTrue(push.deltas().get(0).delta().instructions().length < 20);
   }
 
-  // All VMs of a fleet have just started, and each relay read the contract from the store itself.
-  // None knows what its neighbours have, so the next change, one line of a contract of 300 KB,
-  // would be sent whole over every link.
+  // Guards against sending the first change after a start in full over every link, a contract of
+  // 300 KB for a change of one line: each relay has read the contract from the store itself, and
+  // none knows which version its neighbours have.
   @Test
   void changeIsSentAsDeltaAfterBothReadContractFromStore() {
     startZone(2);
@@ -102,8 +103,8 @@
     assertEquals(0, ((SpreadMessage.Push) sent.get(0)).items().size());
   }
 
-  // The sender believes that the receiver has revision 5, but that message was lost with its link.
-  // A difference put onto the wrong base would make a contract that nobody wrote.
+  // Guards against applying a delta to the wrong base: the sender assumes that the receiver has
+  // revision 5, but that message was lost with its link.
   @Test
   void deltaOnMissingBaseIsAnsweredByPull() {
     startZone(2);
@@ -115,20 +116,21 @@
     spreaders.get("vm-00").publish(contract(6, text + "120" + text));
     deliver();
     assertEquals(6, version("vm-01"));
-    Item whole = spreaders.get("vm-01").table().item(CONTRACT).orElseThrow();
-    assertTrue(Arrays.equals((text + "120" + text).getBytes(UTF_8), whole.payload()));
+    Item item = spreaders.get("vm-01").table().item(CONTRACT).orElseThrow();
+    assertTrue(Arrays.equals((text + "120" + text).getBytes(UTF_8), item.payload()));
   }
 
-  // A fresh VM asks a peer that holds much more than its byte budget allows in a second.
+  // A new VM requests a snapshot of a peer that holds much more than its byte budget allows per
+  // second.
   @Test
   void snapshotContainsAllItemsAndReadiness() {
     startZone(1);
-    Spreader full = spreaders.get("vm-00");
-    full.setReady(true);
+    Spreader peer = spreaders.get("vm-00");
+    peer.setReady(true);
     for (int i = 0; i < 300; i++) {
-      full.publish(Item.of(ItemKind.SUMMARY, "zone-" + i, 1, new byte[2_000]));
+      peer.publish(Item.of(ItemKind.SUMMARY, "zone-" + i, 1, new byte[2_000]));
     }
-    full.publish(contract(5, "whole contract"));
+    peer.publish(contract(5, "whole contract"));
     add("vm-99");
     spreaders.get("vm-99").requestSnapshot("vm-00");
     deliver();
@@ -137,8 +139,8 @@
     assertEquals(new SpreadMessage.SnapshotEnd(true), sent.get(sent.size() - 1));
   }
 
-  // Summaries of 94 zones change all the time. Sent each time they would use up the budget of
-  // control traffic; a newer one must replace one that waits.
+  // Summaries of 94 zones change all the time. Sending each of them would use up the control
+  // traffic budget, so a newer summary must replace one that is still waiting.
   @Test
   void summariesKeepToByteBudgetAndLatestIsSent() {
     startZone(2);
@@ -161,7 +163,7 @@
     SpreadSettings settings = SpreadSettings.standard();
     double allowed = settings.bytesPerSecond() * seconds + settings.burstBytes() + 200;
     assertTrue(bytes <= allowed, bytes + " bytes, " + allowed + " allowed");
-    assertTrue(bytes > allowed / 2, "the budget is used, not idle");
+    assertTrue(bytes > allowed / 2, "at least half of the budget is used");
     time.advance(Duration.ofSeconds(10));
     relay.tick();
     deliver();
@@ -169,7 +171,7 @@
     assertEquals(600, spreaders.get("vm-01").table().version(last));
   }
 
-  // Contracts must be in force within seconds also while summaries have used the budget up.
+  // Contracts must be in force within seconds, even while summaries have used up the budget.
   @Test
   void contractIsNotDelayedBySummaries() {
     startZone(2);
--- a/sageladder-core/src/test/java/org/sageladder/core/spread/VersionedTableProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/spread/VersionedTableProperties.java
@@ -30,8 +30,9 @@
     return item.list().ofMaxSize(30);
   }
 
-  // A late or repeated message brings an older revision after a newer one. If the order of arrival
-  // counted, two entry VMs would keep different contracts, or one would fall back.
+  // Guards against a dependency on the order of arrival: a late or repeated message brings an older
+  // revision after a newer one. Two entry VMs would then keep different contracts, or one would
+  // return to an older version.
   @Property(tries = 300, seed = "20261202")
   void mergeIsIndependentOfOrderAndRepetition(
       @ForAll("items") List<Item> items, @ForAll long seed) {
@@ -71,7 +72,8 @@
     assertArrayEquals(second, delta.applyTo(first).orElseThrow());
   }
 
-  // A program from a broken or hostile peer must not read outside the base or grow without bound.
+  // Instructions from a faulty or malicious peer must neither read outside the base nor produce an
+  // unbounded result.
   @Property(tries = 500, seed = "20261202")
   void arbitraryInstructionsYieldBoundedPayloadOrNothing(
       @ForAll byte[] program, @ForAll byte[] base) {
@@ -80,8 +82,9 @@
         .ifPresent(made -> assertTrue(made.length <= Item.MAX_PAYLOAD_BYTES));
   }
 
-  // Each change has a new change id at its start and the changed limit near its end. A difference
-  // that knew only one changed stretch carried the whole contract between them.
+  // Guards against large deltas: each change has a new change id near the start of a contract and
+  // the changed limit near its end. A delta with only one changed range contained everything
+  // between the two.
   @Example
   void deltaOfTwoDistantChangesIsSmall() {
     StringBuilder text = new StringBuilder();
