--- a/sageladder-forward/src/test/java/org/sageladder/forward/AbandonedRequestTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/AbandonedRequestTest.java
@@ -10,12 +10,12 @@
 import org.sageladder.forward.ForwardingFixture.Caller;
 
 /**
- * A withdrawn request ends with a reset of its connection.
+ * The connection of an abandoned request is closed with a reset.
  *
- * <p>A catalogue request was sent into a zone as its links were cut, then elsewhere, and answered.
- * The zone was emptied meanwhile; seven seconds later the links were back, and the first copy
- * arrived in the emptied zone and was run. An ordinary close leaves what the target has not taken
- * with the kernel, which goes on sending it for as long as the cut lasts.
+ * <p>A request was sent to a zone while its links were being cut, then answered by another zone.
+ * The first zone was evacuated. Seven seconds later its links recovered, and the first copy of the
+ * request was delivered and run there. After an ordinary close the kernel keeps retransmitting
+ * unacknowledged bytes for as long as the cut lasts.
  */
 class AbandonedRequestTest {
   private static final long LATER_START_MILLIS = System.currentTimeMillis() + 3_600_000;
@@ -28,8 +28,8 @@
   @Test
   void idempotentRequestOfAClosedCallerIsReset() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
-    try (ForwardingFixture bed = ForwardingFixture.open(silent)) {
-      try (Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(silent)) {
+      try (Caller caller = fixture.caller()) {
         caller.sendGet("/safe/1", "a");
         assertTrue(silent.firstRequest.await(1, TimeUnit.MINUTES));
       }
@@ -40,8 +40,8 @@
   @Test
   void nonIdempotentRequestOfAClosedCallerIsReset() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
-    try (ForwardingFixture bed = ForwardingFixture.open(silent)) {
-      try (Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(silent)) {
+      try (Caller caller = fixture.caller()) {
         caller.sendPost("/once/1", "a", "bid");
         assertTrue(silent.firstRequest.await(1, TimeUnit.MINUTES));
       }
@@ -52,8 +52,8 @@
   @Test
   void timedOutRequestIsReset() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
-    try (ForwardingFixture bed = ForwardingFixture.open(silent);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(silent);
+        Caller caller = fixture.caller()) {
       assertEquals(504, caller.exchange("/hasty/1", "a").status());
       assertReset(silent);
     }
@@ -62,38 +62,40 @@
   @Test
   void requestAtARestartedTargetIsReset() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
-    try (ForwardingFixture bed = ForwardingFixture.open(silent);
-        Caller caller = bed.caller()) {
-      bed.onLoop(() -> bed.forwarder.updateTarget(factsOfStart(silent, 1)));
+    try (ForwardingFixture fixture = ForwardingFixture.open(silent);
+        Caller caller = fixture.caller()) {
+      fixture.onLoop(() -> fixture.forwarder.updateTarget(factsOfStart(silent, 1)));
       caller.sendPost("/once/1", "a", "bid");
       assertTrue(silent.firstRequest.await(1, TimeUnit.MINUTES));
-      bed.onLoop(() -> bed.forwarder.updateTarget(factsOfStart(silent, LATER_START_MILLIS)));
+      fixture.onLoop(
+          () -> fixture.forwarder.updateTarget(factsOfStart(silent, LATER_START_MILLIS)));
       assertReset(silent);
     }
   }
 
-  /** Also the requests that a planned stop has no more time for. */
+  /** Covers requests that do not finish before a planned shutdown ends. */
   @Test
   void requestInFlightAtShutdownIsReset() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
-    try (ForwardingFixture bed = ForwardingFixture.open(silent);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(silent);
+        Caller caller = fixture.caller()) {
       caller.sendPost("/once/1", "a", "bid");
       assertTrue(silent.firstRequest.await(1, TimeUnit.MINUTES));
-      bed.onLoop(bed.forwarder::abandonAll);
+      fixture.onLoop(fixture.forwarder::abandonAll);
       assertReset(silent);
     }
   }
 
-  /** A connection without a request is closed in the ordinary way. */
+  /** A connection without a request is closed without a reset. */
   @Test
   void idleConnectionIsClosedWithoutReset() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> request.respond("done"));
-    try (ForwardingFixture bed = ForwardingFixture.open(target);
-        Caller caller = bed.caller()) {
-      bed.onLoop(() -> bed.forwarder.updateTarget(factsOfStart(target, 1)));
+    try (ForwardingFixture fixture = ForwardingFixture.open(target);
+        Caller caller = fixture.caller()) {
+      fixture.onLoop(() -> fixture.forwarder.updateTarget(factsOfStart(target, 1)));
       assertEquals("done", caller.exchange("/safe/1", "a").body());
-      bed.onLoop(() -> bed.forwarder.updateTarget(factsOfStart(target, LATER_START_MILLIS)));
+      fixture.onLoop(
+          () -> fixture.forwarder.updateTarget(factsOfStart(target, LATER_START_MILLIS)));
       assertEquals("closed", target.connectionEnds.poll(1, TimeUnit.MINUTES));
     }
   }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/ApiKeyForwardingTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ApiKeyForwardingTest.java
@@ -12,17 +12,18 @@
 import org.sageladder.core.routing.Workspace;
 import org.sageladder.forward.ForwardingFixture.Caller;
 
-/** A caller's API key: looked up here, and shown to no target. */
+/** API keys are checked by the entry VM and never forwarded to a target. */
 class ApiKeyForwardingTest {
-  private static ApiKeys keys(String... held) {
+  private static ApiKeys keys(String... apiKeys) {
     Workspace choir = new Workspace("choir", OptionalInt.empty(), Quota.unlimited(), Set.of());
-    return ApiKeys.builder().add(choir, List.of(held)).build();
+    return ApiKeys.builder().add(choir, List.of(apiKeys)).build();
   }
 
   private static ForwardingFixture fixture(ScriptedTarget target) throws Exception {
-    ForwardingFixture bed = ForwardingFixture.open(target);
-    bed.onLoop(() -> bed.forwarder.applyRules(ForwardingFixture.rules(2, keys("k1", "k2"))));
-    return bed;
+    ForwardingFixture fixture = ForwardingFixture.open(target);
+    fixture.onLoop(
+        () -> fixture.forwarder.applyRules(ForwardingFixture.rules(2, keys("k1", "k2"))));
+    return fixture;
   }
 
   private static int status(Caller caller, String path, String headers) throws Exception {
@@ -34,17 +35,19 @@
     return ScriptedTarget.of(request -> request.respond(request.path()));
   }
 
-  /** Guards against a key that reaches a target: whoever runs it could act for the workspace. */
+  /**
+   * Guards against a key that reaches a target, whose operator could then act for the workspace.
+   */
   @Test
   void targetReceivesTheWorkspaceNameInsteadOfTheKey() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingFixture bed = fixture(target);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = fixture(target);
+        Caller caller = fixture.caller()) {
       assertEquals(200, status(caller, "/safe/1", "key: k1\r\nWorkspace: other\r\n"));
       assertEquals(200, status(caller, "/safe/1", "KEY: k2\r\nConnection: workspace\r\n"));
-      for (ScriptedTarget.ReceivedRequest seen : target.receivedRequests) {
-        assertEquals("choir", seen.header("Workspace"));
-        assertEquals("", seen.header("Key"));
+      for (ScriptedTarget.ReceivedRequest request : target.receivedRequests) {
+        assertEquals("choir", request.header("Workspace"));
+        assertEquals("", request.header("Key"));
       }
     }
   }
@@ -52,8 +55,8 @@
   @Test
   void missingRepeatedOrUnknownKeyIsRefusedWithoutClosingTheConnection() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingFixture bed = fixture(target);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = fixture(target);
+        Caller caller = fixture.caller()) {
       assertEquals(401, status(caller, "/safe/1", ""));
       assertEquals(401, status(caller, "/safe/1", "Key: k9\r\n"));
       assertEquals(401, status(caller, "/safe/1", "Key: k1\r\nKey: k2\r\n"));
@@ -62,12 +65,12 @@
     }
   }
 
-  /** Guards against a forged workspace on routes that need no key. */
+  /** Guards against a forged workspace header on routes that require no key. */
   @Test
   void anonymousRouteNeedsNoKeyAndIgnoresAClaimedWorkspace() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingFixture bed = fixture(target);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = fixture(target);
+        Caller caller = fixture.caller()) {
       assertEquals(200, status(caller, "/open/1", "Workspace: choir\r\n"));
       assertEquals("", target.receivedRequests.get(0).header("Workspace"));
       assertEquals(200, status(caller, "/open/1", "Key: k1\r\n"));
@@ -77,24 +80,24 @@
     }
   }
 
-  /** Guards against a key taken away that opens requests on connections kept from before. */
+  /** Guards against a revoked key that still works on open connections. */
   @Test
   void revokedKeyIsRefusedOnAnOpenConnection() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingFixture bed = fixture(target);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = fixture(target);
+        Caller caller = fixture.caller()) {
       assertEquals(200, status(caller, "/safe/1", "Key: k1\r\n"));
-      bed.onLoop(() -> bed.forwarder.applyRules(ForwardingFixture.rules(3, keys("k2"))));
+      fixture.onLoop(() -> fixture.forwarder.applyRules(ForwardingFixture.rules(3, keys("k2"))));
       assertEquals(401, status(caller, "/safe/1", "Key: k1\r\n"));
       assertEquals(200, status(caller, "/safe/1", "Key: k2\r\n"));
     }
   }
 
-  /** Guards against a request sent again by a key that was taken away after its first sending. */
+  /** Guards against a retry with a key that was revoked after the first attempt. */
   @Test
   void requestWithRevokedKeyIsNotRetried() throws Exception {
     ForwardingFixture[] opened = new ForwardingFixture[1];
-    ScriptedTarget.Script refuse =
+    ScriptedTarget.Script refuseAfterRevoking =
         request -> {
           try {
             opened[0].onLoop(
@@ -107,37 +110,40 @@
                   + request.header("Id")
                   + "\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
         };
-    ScriptedTarget one = ScriptedTarget.of(refuse);
-    ScriptedTarget two = ScriptedTarget.of(refuse);
-    try (ForwardingFixture bed = ForwardingFixture.open(one, two)) {
-      opened[0] = bed;
-      bed.onLoop(() -> bed.forwarder.applyRules(ForwardingFixture.rules(2, keys("k1"))));
-      try (Caller caller = bed.caller()) {
+    ScriptedTarget one = ScriptedTarget.of(refuseAfterRevoking);
+    ScriptedTarget two = ScriptedTarget.of(refuseAfterRevoking);
+    try (ForwardingFixture fixture = ForwardingFixture.open(one, two)) {
+      opened[0] = fixture;
+      fixture.onLoop(() -> fixture.forwarder.applyRules(ForwardingFixture.rules(2, keys("k1"))));
+      try (Caller caller = fixture.caller()) {
         assertEquals(401, status(caller, "/safe/1", "Key: k1\r\n"));
       }
       assertEquals(1, one.receivedRequests.size() + two.receivedRequests.size());
     }
   }
 
-  /** Guards against 401, which is final, for a new key at a VM that cannot have seen it. */
+  /**
+   * Guards against a 401, which callers treat as final, for a new key at a VM that cannot have
+   * received it yet.
+   */
   @Test
   void unknownKeyIsRetryableWhileTheVmIsOutOfContact() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingFixture bed = fixture(target);
-        Caller caller = bed.caller()) {
-      bed.onLoop(() -> bed.forwarder.setStaleRulesCheck(() -> true));
+    try (ForwardingFixture fixture = fixture(target);
+        Caller caller = fixture.caller()) {
+      fixture.onLoop(() -> fixture.forwarder.setStaleRulesCheck(() -> true));
       caller.write("GET /safe/1 HTTP/1.1\r\nHost: h\r\nId: a\r\nKey: k9\r\n\r\n");
-      ForwardingFixture.Response answer = caller.readResponse();
-      assertEquals(503, answer.status());
-      assertFalse(answer.header("Retry-After").isEmpty());
+      ForwardingFixture.Response response = caller.readResponse();
+      assertEquals(503, response.status());
+      assertFalse(response.header("Retry-After").isEmpty());
     }
   }
 
   @Test
   void withoutWorkspacesKeyHeadersAreForwardedUnchanged() throws Exception {
     ScriptedTarget target = echo();
-    try (ForwardingFixture bed = ForwardingFixture.open(target);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(target);
+        Caller caller = fixture.caller()) {
       assertEquals(200, status(caller, "/safe/1", "Key: of the target\r\n"));
       assertEquals("of the target", target.receivedRequests.get(0).header("Key"));
     }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/CrashDetectorTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/CrashDetectorTest.java
@@ -12,9 +12,12 @@
 import org.sageladder.core.quarantine.CrashReport;
 import org.sageladder.forward.ForwardingFixture.Caller;
 
-/** Requests that crash their targets. */
+/** Requests that crash their targets are quarantined. */
 class CrashDetectorTest {
-  /** A target that is gone, port and all, as soon as it has read a request for {@code /bad}. */
+  /**
+   * A target that closes its port and connection when it has read a request for a path ending in
+   * "bad".
+   */
   private static ScriptedTarget crashingTarget() throws Exception {
     ScriptedTarget[] self = new ScriptedTarget[1];
     self[0] =
@@ -31,55 +34,59 @@
   }
 
   /**
-   * One request crashes each target that runs it, and its caller sends it again. After the second
-   * crash it is refused, and the targets that are left go on serving everybody else.
+   * A request crashes each target that runs it, and its caller sends it again. After the second
+   * crash it is refused, and the remaining targets go on serving other requests.
    */
   @Test
   void requestThatCrashedTwoTargetsIsNotSentToAThird() throws Exception {
     ScriptedTarget[] targets = {
       crashingTarget(), crashingTarget(), crashingTarget(), crashingTarget()
     };
-    try (ForwardingFixture bed = ForwardingFixture.open(targets)) {
-      BlockingQueue<CrashReport> told = new LinkedBlockingQueue<>();
-      bed.onLoop(() -> bed.forwarder.publishCrashesTo(told::add));
-      try (Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(targets)) {
+      BlockingQueue<CrashReport> published = new LinkedBlockingQueue<>();
+      fixture.onLoop(() -> fixture.forwarder.publishCrashesTo(published::add));
+      try (Caller caller = fixture.caller()) {
         assertEquals(502, caller.exchange("/safe/bad", "a").status());
       }
-      CrashReport second = told.poll(60, TimeUnit.SECONDS);
-      assertTrue(second != null, "the second crash is told to the other entry VMs");
-      try (Caller caller = bed.caller()) {
+      CrashReport second = published.poll(60, TimeUnit.SECONDS);
+      assertTrue(second != null, "the second crash is not reported to the other entry VMs");
+      try (Caller caller = fixture.caller()) {
         assertEquals(503, caller.exchange("/safe/bad", "b").status());
         assertEquals(200, caller.exchange("/safe/good", "c").status());
       }
       long reached =
           List.of(targets).stream().filter(target -> !target.receivedRequests.isEmpty()).count();
-      assertTrue(reached <= 3, "two crashed and one served, but " + reached + " were reached");
+      assertTrue(
+          reached <= 3, "two targets crash and one serves, but " + reached + " were reached");
     }
   }
 
-  /** Another entry VM met the request twice already: it crashes nothing here. */
+  /** A request that crashed a target here and another one at another entry VM is refused. */
   @Test
   void crashReportsOfOtherVmsAreCounted() throws Exception {
     ScriptedTarget target = crashingTarget();
-    try (ForwardingFixture bed = ForwardingFixture.open(target)) {
-      BlockingQueue<CrashReport> told = new LinkedBlockingQueue<>();
-      bed.onLoop(() -> bed.forwarder.publishCrashesTo(told::add));
-      try (Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(target)) {
+      BlockingQueue<CrashReport> published = new LinkedBlockingQueue<>();
+      fixture.onLoop(() -> fixture.forwarder.publishCrashesTo(published::add));
+      try (Caller caller = fixture.caller()) {
         caller.sendPost("/once/bad", "a", "x");
         assertEquals(502, caller.readResponse().status());
       }
-      CrashReport first = told.poll(60, TimeUnit.SECONDS);
-      assertTrue(first != null, "the crash is told, since its caller may go to another entry VM");
-      Set<Long> same = first.fingerprints();
-      ScriptedTarget next = crashingTarget();
-      bed.addTarget(next);
-      bed.onLoop(
-          () -> bed.forwarder.onCrashReport(new CrashReport("t-9", 1, first.atMillis(), same)));
-      try (Caller caller = bed.caller()) {
+      CrashReport first = published.poll(60, TimeUnit.SECONDS);
+      assertTrue(
+          first != null, "the crash is not reported, though its caller may use another entry VM");
+      Set<Long> fingerprints = first.fingerprints();
+      ScriptedTarget other = crashingTarget();
+      fixture.addTarget(other);
+      fixture.onLoop(
+          () ->
+              fixture.forwarder.onCrashReport(
+                  new CrashReport("t-9", 1, first.atMillis(), fingerprints)));
+      try (Caller caller = fixture.caller()) {
         caller.sendPost("/once/bad", "b", "x");
         assertEquals(503, caller.readResponse().status());
       }
-      assertEquals(0, next.receivedRequests.size());
+      assertEquals(0, other.receivedRequests.size());
     }
   }
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/ForwardingFixture.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ForwardingFixture.java
@@ -22,7 +22,7 @@
 import org.sageladder.core.routing.ServiceRule;
 import org.sageladder.core.routing.ServiceShare;
 
-/** A forwarder on a port of its own, with scripted targets. */
+/** A forwarder on its own port, with scripted targets. */
 final class ForwardingFixture implements AutoCloseable {
   static final CallerLimits LIMITS = new CallerLimits(2_048, 1 << 20, 60_000, 60_000);
 
@@ -52,18 +52,19 @@
   }
 
   /**
-   * A bed whose routes are {@code /safe/}, {@code /once/} and {@code /hasty/} of host {@code h}.
+   * Opens a fixture whose routes are {@code /safe/}, {@code /once/} and {@code /hasty/} of host
+   * {@code h}.
    */
   static ForwardingFixture open(ScriptedTarget... targets) throws Exception {
-    ForwardingFixture bed = new ForwardingFixture();
-    bed.onLoop(() -> bed.forwarder.applyRules(rules(1)));
+    ForwardingFixture fixture = new ForwardingFixture();
+    fixture.onLoop(() -> fixture.forwarder.applyRules(rules(1)));
     for (ScriptedTarget target : targets) {
-      bed.addTarget(target);
+      fixture.addTarget(target);
     }
-    return bed;
+    return fixture;
   }
 
-  /** A bed that knows no configuration. */
+  /** Opens a fixture without rules. */
   static ForwardingFixture withoutRules() throws Exception {
     return new ForwardingFixture();
   }
@@ -110,7 +111,10 @@
         LIMITS);
   }
 
-  /** The same routes, a further one {@code /open/} without keys, and these keys. */
+  /**
+   * Rules with the routes {@code /safe/}, {@code /once/} and the anonymous {@code /open/}, and
+   * these keys.
+   */
   static RoutingRules rules(long version, ApiKeys keys) {
     return RoutingRules.of(
         version,
@@ -144,7 +148,7 @@
         anonymous);
   }
 
-  /** A caller's connection. */
+  /** Opens a connection of a caller. */
   Caller caller() throws IOException {
     return new Caller(new Socket(InetAddress.getLoopbackAddress(), port));
   }
@@ -157,7 +161,7 @@
     loop.close();
   }
 
-  /** An answer as a caller reads it. */
+  /** A response as the caller receives it. */
   record Response(int status, String head, String body) {
     String header(String name) {
       return head.lines()
@@ -168,7 +172,7 @@
     }
   }
 
-  /** A caller that writes bytes as it likes. */
+  /** A caller that writes raw bytes. */
   static final class Caller implements AutoCloseable {
     private final Socket socket;
     private final InputStream in;
@@ -213,17 +217,18 @@
         }
         head.append((char) read);
       }
-      Response bare = new Response(Integer.parseInt(head.substring(9, 12)), head.toString(), "");
-      int length = Integer.parseInt(bare.header("content-length"));
+      Response headOnly =
+          new Response(Integer.parseInt(head.substring(9, 12)), head.toString(), "");
+      int length = Integer.parseInt(headOnly.header("content-length"));
       byte[] body = in.readNBytes(length);
       if (body.length < length) {
         throw new IOException("the body ended after " + body.length + " of " + length);
       }
       return new Response(
-          bare.status(), bare.head(), new String(body, StandardCharsets.ISO_8859_1));
+          headOnly.status(), headOnly.head(), new String(body, StandardCharsets.ISO_8859_1));
     }
 
-    /** True where the connection ends without another byte. */
+    /** True if the connection ends without another byte. */
     boolean isClosedByPeer() throws IOException {
       return in.read() < 0;
     }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/JsonLineLogTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/JsonLineLogTest.java
@@ -13,7 +13,7 @@
 import org.sageladder.core.event.EventKind;
 import org.sageladder.core.time.VirtualTime;
 
-/** Log lines: bounded, whole, never in the way. */
+/** Log lines are complete, the queue is bounded, and logging never blocks. */
 class JsonLineLogTest {
   private static void recordLines(JsonLineLog log, int count) {
     for (int i = 0; i < count; i++) {
@@ -21,63 +21,61 @@
     }
   }
 
-  /**
-   * Lines in a file were cut off in their middle where many had been written as one large piece.
-   */
+  /** Many lines written as one large chunk were truncated in the middle by the reader. */
   @Test
   void writesCompleteLinesInBoundedChunks() {
-    List<byte[]> pieces = new CopyOnWriteArrayList<>();
+    List<byte[]> chunks = new CopyOnWriteArrayList<>();
     OutputStream out =
         new OutputStream() {
           @Override
           public void write(int b) {
-            throw new IllegalStateException("byte by byte");
+            throw new IllegalStateException("written byte by byte");
           }
 
           @Override
           public void write(byte[] bytes) {
-            pieces.add(bytes);
+            chunks.add(bytes);
           }
         };
     JsonLineLog log = JsonLineLog.to(out, "e-1", VirtualTime.startingAt(5));
     recordLines(log, 300);
     log.close();
-    int newLines = 0;
-    for (byte[] piece : pieces) {
-      assertTrue(piece.length <= 4_096, piece.length + " bytes at once");
-      assertEquals('\n', piece[piece.length - 1]);
-      newLines += (int) new String(piece, StandardCharsets.UTF_8).lines().count();
+    int lineCount = 0;
+    for (byte[] chunk : chunks) {
+      assertTrue(chunk.length <= 4_096, chunk.length + " bytes in one write");
+      assertEquals('\n', chunk[chunk.length - 1]);
+      lineCount += (int) new String(chunk, StandardCharsets.UTF_8).lines().count();
     }
-    assertEquals(300, newLines);
+    assertEquals(300, lineCount);
   }
 
-  /** Whoever reads standard output has stopped; requests go on, and what is left out is counted. */
+  /** Standard output is blocked: recording goes on, and dropped lines are counted. */
   @Test
   void countsDroppedLinesAndNeverBlocks() throws Exception {
-    CountDownLatch reading = new CountDownLatch(1);
-    ByteArrayOutputStream read = new ByteArrayOutputStream();
-    OutputStream stuck =
+    CountDownLatch readerResumed = new CountDownLatch(1);
+    ByteArrayOutputStream written = new ByteArrayOutputStream();
+    OutputStream blocked =
         new OutputStream() {
           @Override
           public void write(int b) {
-            read.write(b);
+            written.write(b);
           }
 
           @Override
           public void write(byte[] bytes) {
             try {
-              reading.await();
+              readerResumed.await();
             } catch (InterruptedException e) {
               Thread.currentThread().interrupt();
             }
-            read.writeBytes(bytes);
+            written.writeBytes(bytes);
           }
         };
-    JsonLineLog log = JsonLineLog.to(stuck, "e-1", VirtualTime.startingAt(5));
+    JsonLineLog log = JsonLineLog.to(blocked, "e-1", VirtualTime.startingAt(5));
     recordLines(log, 20_000);
-    assertTrue(log.droppedLineCount() > 0, "a queue without bound");
+    assertTrue(log.droppedLineCount() > 0, "the queue is not bounded");
     assertTrue(log.droppedLineCount() < 20_000);
-    reading.countDown();
+    readerResumed.countDown();
     log.close();
   }
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/QuotaForwardingTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/QuotaForwardingTest.java
@@ -12,9 +12,9 @@
 import org.sageladder.core.routing.Workspace;
 import org.sageladder.forward.ForwardingFixture.Caller;
 
-/** A workspace's quota on one entry VM. */
+/** The quota of a workspace on one entry VM. */
 class QuotaForwardingTest {
-  /** A token in a thousand seconds: none is added while a test runs. */
+  /** One token per thousand seconds: none is added while a test runs. */
   private static final Quota BURST_OF_TWO = new Quota(0.001, 2);
 
   private static ForwardingFixture fixture(ScriptedTarget... targets) throws Exception {
@@ -25,9 +25,9 @@
                 new Workspace("museum", OptionalInt.empty(), Quota.unlimited(), Set.of()),
                 List.of("k2"))
             .build();
-    ForwardingFixture bed = ForwardingFixture.open(targets);
-    bed.onLoop(() -> bed.forwarder.applyRules(ForwardingFixture.rules(2, keys)));
-    return bed;
+    ForwardingFixture fixture = ForwardingFixture.open(targets);
+    fixture.onLoop(() -> fixture.forwarder.applyRules(ForwardingFixture.rules(2, keys)));
+    return fixture;
   }
 
   private static ForwardingFixture.Response exchange(Caller caller, String path, String key)
@@ -39,8 +39,8 @@
   @Test
   void requestOverQuotaIsRefusedWithoutAffectingOtherWorkspaces() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> request.respond("song"));
-    try (ForwardingFixture bed = fixture(target);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = fixture(target);
+        Caller caller = fixture.caller()) {
       assertEquals(200, exchange(caller, "/safe/1", "k1").status());
       assertEquals(200, exchange(caller, "/safe/2", "k1").status());
       ForwardingFixture.Response refused = exchange(caller, "/safe/3", "k1");
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Guards against a quota spent on requests that targets refused to run. */
+  /** Guards against quota that is spent on requests that targets refused to run. */
   @Test
   void quotaIsRefundedForRequestsThatDidNotRun() throws Exception {
     ScriptedTarget full =
@@ -61,8 +61,8 @@
                     "HTTP/1.1 503 Busy\r\nId: "
                         + request.header("Id")
                         + "\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"));
-    try (ForwardingFixture bed = fixture(full);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = fixture(full);
+        Caller caller = fixture.caller()) {
       for (int i = 0; i < 5; i++) {
         assertEquals(503, exchange(caller, "/safe/" + i, "k1").status());
       }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/RequestLogTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/RequestLogTest.java
@@ -14,7 +14,7 @@
 import org.sageladder.core.placing.TargetState;
 import org.sageladder.core.placing.TargetTable;
 
-/** What the log and the counters say of a request. */
+/** Log lines and counters of requests. */
 class RequestLogTest {
   private final Metrics metrics = new Metrics();
   private final RequestLog log = new RequestLog(EventSink.none(), metrics);
@@ -27,16 +27,17 @@
   }
 
   /**
-   * Callers of a new route were refused for seconds. The line said TOO_LATE and nothing of what it
-   * was worked out from, so that a long queue and a wrong guess looked the same.
+   * Requests of a new route were refused for seconds, and the log line contained only the reason
+   * TOO_LATE. Without the numbers behind the refusal, a long queue could not be distinguished from
+   * a wrong estimate.
    */
   @Test
   void refusalStatesTheEstimatesBehindIt() {
     Send best = new Send(target(), false, 1_500, 1_040);
     Refuse refuse = new Refuse(Reason.TOO_LATE, 1_040, new CandidateEstimate(best, 420, 4.1, 0));
     assertEquals(
-        "TOO_LATE at t-1: expected 1040 + 1500 ms by 0 runs, load 4.1 of 3 slots held 420 ms, 980"
-            + " left,",
+        "TOO_LATE at t-1: estimated wait + run 1040 + 1500 ms from 0 measured runs,"
+            + " load 4.1 of 3 slots, each held 420 ms, 980 ms left,",
         log.recordRefusal(refuse, 980));
     assertTrue(metrics.text().contains("sageladder_no_target_too_late 1"), metrics.text());
   }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/ResponseIntegrityTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ResponseIntegrityTest.java
@@ -10,11 +10,12 @@
 import org.sageladder.forward.ForwardingFixture.Caller;
 import org.sageladder.forward.ForwardingFixture.Response;
 
-/** Each caller gets the whole answer to its own request, or none that looks like it. */
+/** Each caller receives the complete response to its own request, or an error. */
 class ResponseIntegrityTest {
   /**
-   * A collector sees another lot's page: a target sent a second answer late, on a kept connection,
-   * just where the next request's answer is due. The id in the answer tells them apart.
+   * A target sends a late second response on a reused connection, where the response to the next
+   * request is expected. It must not reach that caller; the request id in the response
+   * distinguishes the two.
    */
   @Test
   void lateSecondResponseIsDiscarded() throws Exception {
@@ -26,8 +27,8 @@
               }
               request.respond("for " + request.header("Id"));
             });
-    try (ForwardingFixture bed = ForwardingFixture.open(target);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(target);
+        Caller caller = fixture.caller()) {
       assertEquals("for a", caller.exchange("/safe/1", "a").body());
       assertEquals("for b", caller.exchange("/safe/1", "b").body());
       assertEquals("for c", caller.exchange("/safe/1", "c").body());
@@ -35,12 +36,12 @@
   }
 
   /**
-   * An export arrives short and looks complete: an answer without length ends with its connection,
-   * and that connection was reset. Another target's whole answer is given instead.
+   * A response without length ends with its connection. If the connection was reset, the response
+   * is truncated and must not be returned as complete.
    */
   @Test
   void resetResponseWithoutLengthIsIncomplete() throws Exception {
-    ScriptedTarget breaking =
+    ScriptedTarget resetting =
         ScriptedTarget.of(
             request -> {
               request.write(
@@ -48,8 +49,8 @@
               Thread.sleep(100);
               request.reset();
             });
-    try (ForwardingFixture bed = ForwardingFixture.open(breaking);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(resetting);
+        Caller caller = fixture.caller()) {
       assertEquals(502, caller.exchange("/safe/1", "a").status());
     }
   }
@@ -63,24 +64,22 @@
                   "HTTP/1.1 200 OK\r\nId: " + request.header("Id") + "\r\nSeal: s\r\n\r\nall");
               request.connection().close();
             });
-    try (ForwardingFixture bed = ForwardingFixture.open(target);
-        Caller caller = bed.caller()) {
-      Response answer = caller.exchange("/safe/1", "a");
-      assertEquals(200, answer.status());
-      assertEquals("all", answer.body());
+    try (ForwardingFixture fixture = ForwardingFixture.open(target);
+        Caller caller = fixture.caller()) {
+      Response response = caller.exchange("/safe/1", "a");
+      assertEquals(200, response.status());
+      assertEquals("all", response.body());
     }
   }
 
-  /**
-   * A target breaks its answer off; the request may be repeated, so another target answers whole.
-   */
+  /** A truncated response to an idempotent request is replaced by that of another target. */
   @Test
   void truncatedResponseIsRetriedAtAnotherTarget() throws Exception {
-    CountDownLatch broken = new CountDownLatch(1);
+    CountDownLatch truncated = new CountDownLatch(1);
     ScriptedTarget.Script script =
         request -> {
-          if (broken.getCount() > 0) {
-            broken.countDown();
+          if (truncated.getCount() > 0) {
+            truncated.countDown();
             request.write(
                 ScriptedTarget.okResponse(request.header("Id"), "12345678").substring(0, 60));
             request.connection().close();
@@ -88,54 +87,54 @@
           }
           request.respond("whole");
         };
-    try (ForwardingFixture bed =
+    try (ForwardingFixture fixture =
             ForwardingFixture.open(ScriptedTarget.of(script), ScriptedTarget.of(script));
-        Caller caller = bed.caller()) {
+        Caller caller = fixture.caller()) {
       assertEquals("whole", caller.exchange("/safe/1", "a").body());
     }
   }
 
-  /** A success that no target made, or whose body was changed on its way, is no success. */
+  /** A success that no target created, or whose body was altered in transit, is not returned. */
   @Test
   void successWithoutASealIsNotForwarded() throws Exception {
     ScriptedTarget target =
         ScriptedTarget.of(
             request -> request.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"));
-    try (ForwardingFixture bed = ForwardingFixture.open(target);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(target);
+        Caller caller = fixture.caller()) {
       assertEquals(502, caller.exchange("/once/1", "a").status());
     }
   }
 
-  /** Bytes that are no answer are not passed on, and the connection is not used again. */
+  /** Malformed bytes are not forwarded. */
   @Test
   void malformedResponseIsNotForwarded() throws Exception {
     ScriptedTarget target =
         ScriptedTarget.of(request -> request.write("\u0001\u0002 nonsense\r\n\r\n"));
-    try (ForwardingFixture bed = ForwardingFixture.open(target);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(target);
+        Caller caller = fixture.caller()) {
       assertEquals(502, caller.exchange("/once/1", "a").status());
     }
   }
 
   /**
-   * A caller sends three requests at once; the second target is quicker than the first. Answers
-   * come in the order of the requests all the same.
+   * A target responds to pipelined requests out of order; the caller receives the order of its
+   * requests.
    */
   @Test
   void responsesKeepTheOrderOfTheRequests() throws Exception {
-    CountDownLatch others = new CountDownLatch(2);
+    CountDownLatch otherResponses = new CountDownLatch(2);
     ScriptedTarget target =
         ScriptedTarget.of(
             request -> {
               if (request.path().endsWith("slow")) {
-                others.await();
+                otherResponses.await();
               }
               request.respond(request.path());
-              others.countDown();
+              otherResponses.countDown();
             });
-    try (ForwardingFixture bed = ForwardingFixture.open(target);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(target);
+        Caller caller = fixture.caller()) {
       caller.sendGet("/safe/slow", "a");
       caller.sendGet("/safe/2", "b");
       caller.sendGet("/safe/3", "c");
@@ -146,39 +145,40 @@
   }
 
   /**
-   * A target answers a long body early and keeps its connection, still reading. Used again, the
-   * next request would be read as the rest of that body.
+   * A target responds before it has read a long body and keeps the connection. If it were reused,
+   * the next request would be read as the rest of that body.
    */
   @Test
   void responseBeforeTheEndOfTheBodyClosesTheConnection() throws Exception {
     ScriptedTarget target = ScriptedTarget.respondingEarly(request -> request.respond("early"));
-    try (ForwardingFixture bed = ForwardingFixture.open(target)) {
-      try (Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(target)) {
+      try (Caller caller = fixture.caller()) {
         caller.write(
             "POST /once/1 HTTP/1.1\r\nHost: h\r\nId: a\r\nContent-Length: 900000\r\n\r\n"
                 + "x".repeat(200_000));
         assertEquals("early", caller.readResponse().body());
         assertTrue(caller.isClosedByPeer(), "the rest of the body would be read as a request");
       }
-      try (Caller next = bed.caller()) {
-        assertEquals("early", next.exchange("/safe/1", "b").body());
+      try (Caller nextCaller = fixture.caller()) {
+        assertEquals("early", nextCaller.exchange("/safe/1", "b").body());
       }
       assertEquals(1, target.receivedRequests.get(1).indexOnConnection());
     }
   }
 
-  /** A large answer that breaks off in the middle reaches its caller as a broken connection. */
+  /** A truncated large response reaches the caller as a closed connection. */
   @Test
   void truncatedLargeResponseDoesNotLookComplete() throws Exception {
     ScriptedTarget target =
         ScriptedTarget.of(
             request -> {
-              String whole = ScriptedTarget.okResponse(request.header("Id"), "x".repeat(2_000_000));
-              request.write(whole.substring(0, 1_000_000));
+              String complete =
+                  ScriptedTarget.okResponse(request.header("Id"), "x".repeat(2_000_000));
+              request.write(complete.substring(0, 1_000_000));
               request.connection().close();
             });
-    try (ForwardingFixture bed = ForwardingFixture.open(target);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(target);
+        Caller caller = fixture.caller()) {
       caller.sendGet("/safe/1", "a");
       assertThrows(IOException.class, caller::readResponse);
     }
@@ -188,8 +188,8 @@
   void largeResponseIsForwardedCompletely() throws Exception {
     String body = "0123456789".repeat(300_000);
     ScriptedTarget target = ScriptedTarget.of(request -> request.respond(body));
-    try (ForwardingFixture bed = ForwardingFixture.open(target);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(target);
+        Caller caller = fixture.caller()) {
       assertEquals(body, caller.exchange("/safe/1", "a").body());
       assertEquals(body, caller.exchange("/safe/1", "b").body());
     }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/ScriptedTarget.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ScriptedTarget.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** A target that does with each request what the test says, byte by byte. */
+/** A target whose responses are scripted byte by byte by the test. */
 final class ScriptedTarget implements AutoCloseable {
-  /** One request as it came, and the connection to answer on. */
+  /** A received request, and the connection to respond on. */
   record ReceivedRequest(String head, String body, Socket connection, int indexOnConnection) {
     String header(String name) {
       return head.lines()
@@ -40,14 +40,14 @@
       write(okResponse(header("Id"), body));
     }
 
-    /** Ends the connection by a reset. */
+    /** Closes the connection with a reset. */
     void reset() throws IOException {
       connection.setSoLinger(true, 0);
       connection.close();
     }
   }
 
-  /** What becomes of a request. */
+  /** Handles one request. */
   @FunctionalInterface
   interface Script {
     void run(ReceivedRequest request) throws IOException, InterruptedException;
@@ -71,7 +71,7 @@
     return new ScriptedTarget(script, true);
   }
 
-  /** A target that answers before it has read the body. */
+  /** Creates a target that responds before it has read the body. */
   static ScriptedTarget respondingEarly(Script script) throws IOException {
     return new ScriptedTarget(script, false);
   }
@@ -100,7 +100,7 @@
       try {
         Socket socket = serverSocket.accept();
         start(() -> serve(socket));
-      } catch (IOException ended) {
+      } catch (IOException closed) {
         return;
       }
     }
@@ -130,8 +130,8 @@
   }
 
   private static int contentLength(String head) {
-    String found = new ReceivedRequest(head, "", new Socket(), 0).header("content-length");
-    return found.isEmpty() ? 0 : Integer.parseInt(found);
+    String length = new ReceivedRequest(head, "", new Socket(), 0).header("content-length");
+    return length.isEmpty() ? 0 : Integer.parseInt(length);
   }
 
   private static String readHead(InputStream in) throws IOException {
--- a/sageladder-forward/src/test/java/org/sageladder/forward/ShutdownTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/ShutdownTest.java
@@ -10,30 +10,30 @@
 import org.sageladder.forward.ForwardingFixture.Caller;
 import org.sageladder.forward.ForwardingFixture.Response;
 
-/** An entry VM's planned stop cuts nothing off. */
+/** A planned shutdown of an entry VM does not cut off requests. */
 class ShutdownTest {
   /**
-   * An auction house sends two pulls at once, then the VM is told to stop. The first answer closed
-   * the connection while the second pull was at its target, and the house got nothing for it.
+   * Two requests are pipelined before the shutdown begins. The response to the first one closed the
+   * connection while the second request was in flight at its target, so that its response was lost.
    */
   @Test
   void pipelinedRequestsAreAnsweredBeforeTheConnectionCloses() throws Exception {
-    CountDownLatch leaving = new CountDownLatch(1);
-    CountDownLatch both = new CountDownLatch(2);
+    CountDownLatch shutdownBegun = new CountDownLatch(1);
+    CountDownLatch bothReceived = new CountDownLatch(2);
     ScriptedTarget target =
         ScriptedTarget.of(
             request -> {
-              both.countDown();
-              leaving.await();
+              bothReceived.countDown();
+              shutdownBegun.await();
               request.respond(request.header("Id"));
             });
-    try (ForwardingFixture bed = ForwardingFixture.open(target);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(target);
+        Caller caller = fixture.caller()) {
       caller.sendGet("/safe/1", "a");
       caller.sendGet("/safe/2", "b");
-      assertTrue(both.await(60, TimeUnit.SECONDS));
-      bed.onLoop(() -> bed.forwarder.beginShutdown(60_000));
-      leaving.countDown();
+      assertTrue(bothReceived.await(60, TimeUnit.SECONDS));
+      fixture.onLoop(() -> fixture.forwarder.beginShutdown(60_000));
+      shutdownBegun.countDown();
       Response first = caller.readResponse();
       assertEquals("a", first.body());
       assertEquals("", first.header("Connection"));
@@ -44,11 +44,14 @@
     }
   }
 
-  /** The kernel closes the port a moment after it was told to; from then on it stays closed. */
-  private static void awaitConnectionRefused(ForwardingFixture bed) throws InterruptedException {
+  /**
+   * Waits until the kernel has closed the port, which takes a moment; after that it stays closed.
+   */
+  private static void awaitConnectionRefused(ForwardingFixture fixture)
+      throws InterruptedException {
     try {
       while (true) {
-        bed.caller().close();
+        fixture.caller().close();
         Thread.sleep(5);
       }
     } catch (IOException refused) {
@@ -57,46 +60,43 @@
   }
 
   /**
-   * A scholar's recording is asked for while the VM stops, and waits at its target when the time is
-   * over: the connection closed without an answer. Told at once that it has not run, it is fetched
-   * elsewhere.
+   * A request sent during the shutdown was still waiting at its target when the VM stopped, and its
+   * connection closed without a response. Refused at once as not run, it can be sent to another VM.
    */
   @Test
   void requestThatCannotFinishBeforeTheStopIsRefused() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> request.respond("ran"));
-    try (ForwardingFixture bed = ForwardingFixture.open(target);
-        Caller caller = bed.caller()) {
-      bed.onLoop(() -> bed.forwarder.beginShutdown(100));
-      Response answer = caller.exchange("/safe/1", "a");
-      assertEquals(503, answer.status());
-      assertEquals("close", answer.header("Connection"));
+    try (ForwardingFixture fixture = ForwardingFixture.open(target);
+        Caller caller = fixture.caller()) {
+      fixture.onLoop(() -> fixture.forwarder.beginShutdown(100));
+      Response response = caller.exchange("/safe/1", "a");
+      assertEquals(503, response.status());
+      assertEquals("close", response.header("Connection"));
       assertEquals(0, target.receivedRequests.size());
     }
   }
 
-  /**
-   * A request in flight when the VM stops listening gets its answer; new connections are refused.
-   */
+  /** A request in flight when the VM stops listening is answered; new connections are refused. */
   @Test
   void inFlightRequestFinishesAfterThePortIsClosed() throws Exception {
-    CountDownLatch closed = new CountDownLatch(1);
+    CountDownLatch portClosed = new CountDownLatch(1);
     ScriptedTarget target =
         ScriptedTarget.of(
             request -> {
-              closed.await();
+              portClosed.await();
               request.respond("whole");
             });
-    try (ForwardingFixture bed = ForwardingFixture.open(target);
-        Caller caller = bed.caller()) {
+    try (ForwardingFixture fixture = ForwardingFixture.open(target);
+        Caller caller = fixture.caller()) {
       caller.sendGet("/safe/1", "a");
       assertTrue(target.firstRequest.await(60, TimeUnit.SECONDS));
-      bed.onLoop(
+      fixture.onLoop(
           () -> {
-            bed.forwarder.beginShutdown(60_000);
-            bed.forwarder.stopListening();
+            fixture.forwarder.beginShutdown(60_000);
+            fixture.forwarder.stopListening();
           });
-      awaitConnectionRefused(bed);
-      closed.countDown();
+      awaitConnectionRefused(fixture);
+      portClosed.countDown();
       assertEquals("whole", caller.readResponse().body());
     }
   }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/TargetRestartTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/TargetRestartTest.java
@@ -9,7 +9,7 @@
 import org.sageladder.core.placing.TargetIncarnation;
 import org.sageladder.forward.ForwardingFixture.Caller;
 
-/** A target that starts again under its id: what was open to its former start ends with that. */
+/** A target restarts under the same id: connections and requests at its previous start end. */
 class TargetRestartTest {
   private static final long HOUR_MILLIS = 3_600_000;
 
@@ -27,23 +27,23 @@
         0);
   }
 
-  private static void updateTarget(ForwardingFixture bed, ScriptedTarget target, long born)
+  private static void updateTarget(ForwardingFixture fixture, ScriptedTarget target, long born)
       throws Exception {
-    bed.onLoop(() -> bed.forwarder.updateTarget(facts(target, born)));
+    fixture.onLoop(() -> fixture.forwarder.updateTarget(facts(target, born)));
   }
 
   /**
-   * The target crashed behind a cut: no reset ever came, and its kept connection looks sound. The
-   * next bid sent on it would be lost without anybody knowing whether it ran.
+   * The target crashed behind a network cut: no reset arrived, and its idle connection looks
+   * usable. A request sent on it would be lost with an unknown outcome.
    */
   @Test
   void connectionsToThePreviousStartAreNotReused() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> request.respond("done"));
-    try (ForwardingFixture bed = ForwardingFixture.open(target);
-        Caller caller = bed.caller()) {
-      updateTarget(bed, target, 1);
+    try (ForwardingFixture fixture = ForwardingFixture.open(target);
+        Caller caller = fixture.caller()) {
+      updateTarget(fixture, target, 1);
       assertEquals("done", caller.exchange("/safe/1", "a").body());
-      updateTarget(bed, target, 2);
+      updateTarget(fixture, target, 2);
       assertNotNull(target.connectionEnds.poll(1, TimeUnit.MINUTES));
       assertEquals("done", caller.exchange("/safe/2", "b").body());
       assertEquals(1, target.receivedRequests.get(1).indexOnConnection());
@@ -51,47 +51,49 @@
   }
 
   /**
-   * A search is in flight at a target that ended behind a cut. Its connection stays open and
-   * silent; without a look at the new start the caller would wait until its time is over.
+   * An idempotent request is in flight at a target that ended behind a network cut. Its connection
+   * stays open and silent, so that the caller would wait until the deadline if the restart were
+   * ignored.
    */
   @Test
   void idempotentRequestAtThePreviousStartIsRetriedAtAnotherTarget() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
     ScriptedTarget other = ScriptedTarget.of(request -> request.respond("found"));
-    try (ForwardingFixture bed = ForwardingFixture.open(silent);
-        Caller caller = bed.caller()) {
-      updateTarget(bed, silent, 1);
+    try (ForwardingFixture fixture = ForwardingFixture.open(silent);
+        Caller caller = fixture.caller()) {
+      updateTarget(fixture, silent, 1);
       caller.sendGet("/safe/1", "a");
       assertEquals(true, silent.firstRequest.await(1, TimeUnit.MINUTES));
-      bed.addTarget(other);
-      updateTarget(bed, silent, System.currentTimeMillis() + HOUR_MILLIS);
+      fixture.addTarget(other);
+      updateTarget(fixture, silent, System.currentTimeMillis() + HOUR_MILLIS);
       assertEquals("found", caller.readResponse().body());
     }
   }
 
   /**
-   * A bid is in flight at a target that has started again since. The former start may have run it,
-   * so that it is neither sent again nor called "not run"; its caller hears so at once.
+   * A non-idempotent request is in flight at a target that has restarted. The previous start may
+   * have run it, so it is neither retried nor reported as "not run", and the caller is answered at
+   * once.
    */
   @Test
   void nonIdempotentRequestAtThePreviousStartHasUnknownOutcome() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
     ScriptedTarget other = ScriptedTarget.of(request -> request.respond("won"));
-    try (ForwardingFixture bed = ForwardingFixture.open(silent);
-        Caller caller = bed.caller()) {
-      updateTarget(bed, silent, 1);
+    try (ForwardingFixture fixture = ForwardingFixture.open(silent);
+        Caller caller = fixture.caller()) {
+      updateTarget(fixture, silent, 1);
       caller.sendPost("/once/1", "a", "bid");
       assertEquals(true, silent.firstRequest.await(1, TimeUnit.MINUTES));
-      bed.addTarget(other);
-      updateTarget(bed, silent, System.currentTimeMillis() + HOUR_MILLIS);
+      fixture.addTarget(other);
+      updateTarget(fixture, silent, System.currentTimeMillis() + HOUR_MILLIS);
       assertEquals(502, caller.readResponse().status());
       assertEquals(0, other.receivedRequests.size());
     }
   }
 
   /**
-   * The new start's word comes a moment after a bid was sent to it on a new connection. The bid is
-   * with the new start, by clocks that differ a little, and goes on.
+   * The facts of the new start arrive shortly after a request was sent to it. Within the clock skew
+   * the request may be running at the new start, so it continues.
    */
   @Test
   void requestThatMayBeAtTheNewStartContinues() throws Exception {
@@ -103,12 +105,12 @@
               }
               request.respond("won");
             });
-    try (ForwardingFixture bed = ForwardingFixture.open(slow);
-        Caller caller = bed.caller()) {
-      updateTarget(bed, slow, 1);
+    try (ForwardingFixture fixture = ForwardingFixture.open(slow);
+        Caller caller = fixture.caller()) {
+      updateTarget(fixture, slow, 1);
       caller.sendPost("/once/1", "a", "bid");
       assertEquals(true, slow.firstRequest.await(1, TimeUnit.MINUTES));
-      updateTarget(bed, slow, System.currentTimeMillis() + 100);
+      updateTarget(fixture, slow, System.currentTimeMillis() + 100);
       assertEquals("won", caller.readResponse().body());
     }
   }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/TestDialect.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/TestDialect.java
@@ -4,7 +4,7 @@
 import org.jspecify.annotations.Nullable;
 import org.sageladder.core.placing.LoadReport;
 
-/** Headers of the tests' callers and targets. */
+/** Headers that the callers and targets of the tests use. */
 final class TestDialect implements Dialect {
   @Override
   public @Nullable String requestId(HttpHeaders request) {
@@ -48,18 +48,18 @@
   }
 
   @Override
-  public void addRequestId(HttpHeaders answer, String requestId) {
-    answer.set("Id", requestId);
+  public void addRequestId(HttpHeaders response, String requestId) {
+    response.set("Id", requestId);
   }
 
   @Override
-  public @Nullable String answeredRequestId(HttpHeaders answer) {
-    return answer.get("Id");
+  public @Nullable String answeredRequestId(HttpHeaders response) {
+    return response.get("Id");
   }
 
   @Override
-  public boolean isNotRun(int status, HttpHeaders answer) {
-    return isMisdirected(status) || answer.contains("Not-Run");
+  public boolean isNotRun(int status, HttpHeaders response) {
+    return isMisdirected(status) || response.contains("Not-Run");
   }
 
   @Override
@@ -68,12 +68,12 @@
   }
 
   @Override
-  public boolean isAuthentic(int status, HttpHeaders answer) {
-    return status != 200 || answer.contains("Seal");
+  public boolean isAuthentic(int status, HttpHeaders response) {
+    return status != 200 || response.contains("Seal");
   }
 
   @Override
-  public @Nullable LoadReport loadReport(HttpHeaders answer) {
+  public @Nullable LoadReport loadReport(HttpHeaders response) {
     return null;
   }
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/control/FakeStore.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/control/FakeStore.java
@@ -4,25 +4,25 @@
 import org.jspecify.annotations.Nullable;
 import org.sageladder.core.quarantine.CrashReport;
 
-/** A store that answers nothing but what a test overrides. */
+/** A store that does not respond, except to the calls that a test overrides. */
 abstract class FakeStore implements PlatformStore {
   @Override
   public void read(
-      @Nullable String afterKey, boolean mayBeStale, Consumer<StoreResult<StorePage>> then) {}
+      @Nullable String afterKey, boolean mayBeStale, Consumer<StoreResult<StorePage>> callback) {}
 
   @Override
-  public void grantLease(long durationMillis, Consumer<StoreResult<Long>> then) {}
+  public void grantLease(long durationMillis, Consumer<StoreResult<Long>> callback) {}
 
   @Override
-  public void renewLease(long leaseId, Consumer<StoreResult<Long>> then) {}
+  public void renewLease(long leaseId, Consumer<StoreResult<Long>> callback) {}
 
   @Override
-  public void revokeLease(long leaseId, Consumer<StoreResult<Long>> then) {}
+  public void revokeLease(long leaseId, Consumer<StoreResult<Long>> callback) {}
 
   @Override
   public void publishCrash(
-      String vmName, CrashReport report, long leaseId, Consumer<StoreResult<Long>> then) {}
+      String vmName, CrashReport report, long leaseId, Consumer<StoreResult<Long>> callback) {}
 
   @Override
-  public void writeEntry(EntryVm self, long leaseId, Consumer<StoreResult<Long>> then) {}
+  public void writeEntry(EntryVm self, long leaseId, Consumer<StoreResult<Long>> callback) {}
 }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/control/StoreFollowerTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/control/StoreFollowerTest.java
@@ -16,32 +16,32 @@
 import org.sageladder.core.event.EventSink;
 import org.sageladder.forward.Loop;
 
-/** Following the store through what goes wrong with it. */
+/** Following the store through its failures. */
 class StoreFollowerTest {
-  /** A store whose watches the test answers. */
+  /** A store whose watches are answered by the test. */
   private static final class WatchedStore extends FakeStore {
     final LinkedBlockingQueue<Consumer<StoreResult<StorePage>>> watches =
         new LinkedBlockingQueue<>();
 
     @Override
     public void read(
-        @Nullable String afterKey, boolean mayBeStale, Consumer<StoreResult<StorePage>> then) {
-      then.accept(new StoreResult.Done<>(page(10)));
+        @Nullable String afterKey, boolean mayBeStale, Consumer<StoreResult<StorePage>> callback) {
+      callback.accept(new StoreResult.Done<>(page(10)));
     }
 
     @Override
-    public void watch(long revision, long waitMillis, Consumer<StoreResult<StorePage>> then) {
-      watches.add(then);
+    public void watch(long revision, long waitMillis, Consumer<StoreResult<StorePage>> callback) {
+      watches.add(callback);
     }
   }
 
-  /** Notes the zones that were emptied, in order. */
+  /** Records the evacuated zones in order. */
   private static final class ZoneRecorder implements StoreFollower.Listener {
     final List<String> evacuated = new ArrayList<>();
 
     @Override
-    public void onChanged(String key, ItemContent fact) {
-      if (fact instanceof ItemContent.ZoneEvacuated zone) {
+    public void onChanged(String key, ItemContent content) {
+      if (content instanceof ItemContent.ZoneEvacuated zone) {
         evacuated.add(zone.zone());
       }
     }
@@ -76,7 +76,7 @@
   private Consumer<StoreResult<StorePage>> nextWatch() throws InterruptedException {
     Consumer<StoreResult<StorePage>> watch = store.watches.poll(60, TimeUnit.SECONDS);
     if (watch == null) {
-      throw new AssertionError("no watch was begun");
+      throw new AssertionError("no watch was started");
     }
     return watch;
   }
@@ -101,37 +101,35 @@
   }
 
   /**
-   * The store falls silent for 8 s and is back; the watch that waited then is never answered.
-   * Requests went by a configuration that had been replaced 2.6 s before, though renewals of the
-   * lease had been answered all that time.
+   * The store was silent for 8 s and recovered, but never answered the watch from that time. The VM
+   * went on using rules that had been replaced 2.6 s before, although lease renewals were answered.
    */
   @Test
   void watchIsRestartedAfterTheStoreWasSilent() throws Exception {
-    Consumer<StoreResult<StorePage>> forgotten = nextWatch();
+    Consumer<StoreResult<StorePage>> oldWatch = nextWatch();
     onLoop(() -> follower.onStoreCall(false));
     onLoop(() -> follower.onStoreCall(true));
-    Consumer<StoreResult<StorePage>> fresh = nextWatch();
-    onLoop(() -> fresh.accept(new StoreResult.Done<>(page(12, evacuated("z-1", 12)))));
+    Consumer<StoreResult<StorePage>> newWatch = nextWatch();
+    onLoop(() -> newWatch.accept(new StoreResult.Done<>(page(12, evacuated("z-1", 12)))));
     assertEquals(List.of("z-1"), zoneRecorder.evacuated);
-    onLoop(() -> forgotten.accept(new StoreResult.Done<>(page(11, evacuated("z-0", 11)))));
+    onLoop(() -> oldWatch.accept(new StoreResult.Done<>(page(11, evacuated("z-0", 11)))));
     assertEquals(List.of("z-1"), zoneRecorder.evacuated);
   }
 
-  /** Calls that are answered in calm times begin no watch: each costs. */
+  /** Answered calls start no new watch unless one failed before, since each watch is priced. */
   @Test
   void answeredCallsStartNoWatchWithoutAFailure() throws Exception {
-    Consumer<StoreResult<StorePage>> waiting = nextWatch();
+    Consumer<StoreResult<StorePage>> pendingWatch = nextWatch();
     onLoop(() -> follower.onStoreCall(true));
     onLoop(() -> follower.onStoreCall(true));
     assertEquals(0, store.watches.size());
-    onLoop(() -> waiting.accept(new StoreResult.Done<>(page(11, evacuated("z-1", 11)))));
+    onLoop(() -> pendingWatch.accept(new StoreResult.Done<>(page(11, evacuated("z-1", 11)))));
     assertEquals(List.of("z-1"), zoneRecorder.evacuated);
   }
 
   /**
-   * A target that left went on getting work for 1.2 s more, as if the store had just been away:
-   * before its first trouble the time since then was worked out from the lowest number there is,
-   * and overflowed.
+   * A removed target kept receiving requests for 1.2 s, as after a store outage: before the first
+   * failure, the time since the last one was computed from the smallest long, and overflowed.
    */
   @Test
   void noFailureIsReportedBeforeTheFirstOne() throws Exception {
--- a/sageladder-forward/src/test/java/org/sageladder/forward/control/ZoneChangeFeedTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/control/ZoneChangeFeedTest.java
@@ -13,7 +13,7 @@
 import org.sageladder.core.event.EventSink;
 import org.sageladder.forward.Loop;
 
-/** Whom a VM asks for the store's changes. */
+/** Selection of the VM that reads the changes of the store for a zone. */
 class ZoneChangeFeedTest {
   private static final long CONTACT_INTERVAL_MILLIS = 1_300;
 
@@ -22,9 +22,9 @@
     int watches;
 
     @Override
-    public void watch(long revision, long waitMillis, Consumer<StoreResult<StorePage>> then) {
+    public void watch(long revision, long waitMillis, Consumer<StoreResult<StorePage>> callback) {
       watches++;
-      then.accept(new StoreResult.Done<>(new StorePage(List.of(), false, revision)));
+      callback.accept(new StoreResult.Done<>(new StorePage(List.of(), false, revision)));
     }
   }
 
@@ -48,9 +48,9 @@
     return ZoneChangeFeed.of(
         loop,
         store,
-        (from, revision, millis, then) -> {
+        (from, revision, millis, callback) -> {
           askedPeers.add(from.name());
-          then.accept(peerResult);
+          callback.accept(peerResult);
         },
         vm(self, "z"),
         CONTACT_INTERVAL_MILLIS,
@@ -68,7 +68,7 @@
 
   private void awaitChanges(ZoneChangeFeed feed) throws Exception {
     CompletableFuture<Void> done = new CompletableFuture<>();
-    loop.execute(() -> feed.requestChanges(7, answer -> done.complete(null)));
+    loop.execute(() -> feed.requestChanges(7, result -> done.complete(null)));
     done.get();
   }
 
@@ -77,7 +77,7 @@
     loop.close();
   }
 
-  /** Guards against a zone in which every VM asks the store, or none does. */
+  /** Guards against a zone in which every VM reads the store, or none does. */
   @Test
   void oneVmPerZoneReadsTheStore() throws Exception {
     for (int i = 0; i < 10; i++) {
@@ -99,37 +99,37 @@
   }
 
   private ZoneChangeFeed followingFeed() {
-    ZoneChangeFeed first = feed("e-0");
+    ZoneChangeFeed firstFeed = feed("e-0");
     List<EntryVm> vms = zone(9);
-    first.updateLiveVms(vms);
-    // A VM that is not of the list is never its zone's reader.
+    firstFeed.updateLiveVms(vms);
+    // A VM that is not in the list is never the reader of its zone.
     ZoneChangeFeed feed = feed("e-none");
     feed.updateLiveVms(vms);
     return feed;
   }
 
-  /** Guards against a VM that stays blind behind a reader that is silent or cut off. */
+  /** Guards against a VM that misses changes because its reader is silent or out of contact. */
   @Test
   void failingOrStaleReaderIsBypassed() throws Exception {
-    for (StoreResult<PeerChangeSource.Changes> bad :
+    for (StoreResult<PeerChangeSource.Changes> badResult :
         List.<StoreResult<PeerChangeSource.Changes>>of(
             new StoreResult.Failed<>("no answer"),
             new StoreResult.Gone<>(),
             changes(CONTACT_INTERVAL_MILLIS + 501, false))) {
       ZoneChangeFeed feed = followingFeed();
-      int before = store.watches;
-      peerResult = bad;
+      int watchesBefore = store.watches;
+      peerResult = badResult;
       awaitChanges(feed);
-      assertEquals(before + 1, store.watches);
+      assertEquals(watchesBefore + 1, store.watches);
       assertTrue(feed.isReader());
-      int asks = askedPeers.size();
+      int askedBefore = askedPeers.size();
       awaitChanges(feed);
-      assertEquals(before + 2, store.watches);
-      assertEquals(asks, askedPeers.size());
+      assertEquals(watchesBefore + 2, store.watches);
+      assertEquals(askedBefore, askedPeers.size());
     }
   }
 
-  /** Guards against lapsed entries that followers would take for targets that left. */
+  /** Guards against lapsed entries that followers of the reader would treat as removed targets. */
   @Test
   void readersFailuresAreVisibleToItsFollowers() throws Exception {
     ZoneChangeFeed feed = followingFeed();
--- a/sageladder-forward/src/test/java/org/sageladder/forward/peer/QuotaCodecTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/peer/QuotaCodecTest.java
@@ -10,7 +10,7 @@
 import org.sageladder.core.quota.QuotaMessage.TokenGrant;
 import org.sageladder.core.quota.QuotaMessage.UsageReport;
 
-/** Quota messages as bytes. */
+/** Encoding and decoding of quota messages. */
 class QuotaCodecTest {
   private static final QuotaMessage REPORT = new UsageReport("koor õ", 7, 900, 12, 3, 2);
   private static final QuotaMessage GRANT = new TokenGrant("koor õ", 7, true, 3, 250);
@@ -22,7 +22,7 @@
     }
   }
 
-  /** Guards against a datagram of another writer that ends the event loop's task. */
+  /** Guards against a malformed datagram that throws an unexpected exception on the event loop. */
   @Test
   void corruptedDatagramsAreRejectedOrDecodedConsistently() throws Exception {
     Random random = new Random(20261203);
@@ -31,10 +31,10 @@
       bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
       int length = random.nextInt(4) == 0 ? random.nextInt(bytes.length) : bytes.length;
       try {
-        QuotaMessage read = QuotaCodec.decode(Arrays.copyOf(bytes, length));
-        assertEquals(read, QuotaCodec.decode(QuotaCodec.encode(read)));
-      } catch (QuotaCodec.MalformedException refused) {
-        // Refused as a whole, which is what the test asks for.
+        QuotaMessage decoded = QuotaCodec.decode(Arrays.copyOf(bytes, length));
+        assertEquals(decoded, QuotaCodec.decode(QuotaCodec.encode(decoded)));
+      } catch (QuotaCodec.MalformedException rejected) {
+        // Rejecting the whole datagram is a valid outcome.
       }
     }
   }
