--- a/sageladder-entry/src/main/java/org/sageladder/entry/EntryDaemon.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/EntryDaemon.java
@@ -35,7 +35,7 @@
 import org.sageladder.entry.control.Incarnations;
 import org.sageladder.entry.control.InnerKeys;
 import org.sageladder.entry.control.RelayControlPlane;
-import org.sageladder.entry.control.ViewEvents;
+import org.sageladder.entry.control.ViewEventRecorder;
 import org.sageladder.entry.exchange.CallerExchange;
 import org.sageladder.entry.exchange.InFlightCounter;
 import org.sageladder.entry.exchange.OutboundClient;
@@ -65,38 +65,38 @@
  */
 public final class EntryDaemon implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final int CONNECTIONS_PER_HOST = 390;
-  private static final Duration LOAD_PERIOD = Duration.ofSeconds(1);
-  private static final int EVENTS_PER_PAGE = 2_000;
+  private static final int MAX_CONNECTIONS_PER_HOST = 390;
+  private static final Duration LOAD_POLL_INTERVAL = Duration.ofSeconds(1);
+  private static final int MAX_EVENTS_PER_PAGE = 2_000;
   private static final Duration STOP_GRACE = Duration.ofSeconds(1);
-  private static final Duration KEY_PERIOD = Duration.ofDays(1);
+  private static final Duration KEY_ROTATION_PERIOD = Duration.ofDays(1);
 
   private final EntrySettings settings;
-  private final RelayControlPlane control;
-  private final HttpListener callers;
-  private final HttpListener operators;
+  private final RelayControlPlane controlPlane;
+  private final HttpListener callersListener;
+  private final HttpListener operatorsListener;
   private final EventSink events;
-  private final CountDownLatch drainAsked;
+  private final CountDownLatch drainRequested;
   private final PlannedStop plannedStop;
-  private final OpenParts parts;
+  private final ResourceStack resources;
 
   private EntryDaemon(
       EntrySettings settings,
-      RelayControlPlane control,
-      HttpListener callers,
-      HttpListener operators,
+      RelayControlPlane controlPlane,
+      HttpListener callersListener,
+      HttpListener operatorsListener,
       EventSink events,
-      CountDownLatch drainAsked,
+      CountDownLatch drainRequested,
       PlannedStop plannedStop,
-      OpenParts parts) {
+      ResourceStack resources) {
     this.settings = settings;
-    this.control = control;
-    this.callers = callers;
-    this.operators = operators;
+    this.controlPlane = controlPlane;
+    this.callersListener = callersListener;
+    this.operatorsListener = operatorsListener;
     this.events = events;
-    this.drainAsked = drainAsked;
+    this.drainRequested = drainRequested;
     this.plannedStop = plannedStop;
-    this.parts = parts;
+    this.resources = resources;
   }
 
   /**
@@ -106,53 +106,57 @@
    *     opened before is closed again
    */
   public static EntryDaemon start(EntrySettings settings) throws IOException, InterruptedException {
-    OpenParts parts = OpenParts.none();
+    ResourceStack resources = ResourceStack.empty();
     try {
-      return start(settings, parts);
+      return start(settings, resources);
     } catch (IOException | RuntimeException e) {
-      parts.close();
+      resources.close();
       throw e;
     }
   }
 
-  private static EntryDaemon start(EntrySettings settings, OpenParts parts)
+  private static EntryDaemon start(EntrySettings settings, ResourceStack resources)
       throws IOException, InterruptedException {
     TimeSource time = TimeSource.system();
     EventBuffer events = EventBuffer.withCapacity(settings.eventCapacity(), time);
     long startedMillis = time.wallMillis();
     PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     new JvmMemoryMetrics().bindTo(metrics);
-    Store store = parts.add(HttpStore.connect(settings.store().uri(), settings.store().timeout()));
+    Store store =
+        resources.add(HttpStore.connect(settings.store().uri(), settings.store().timeout()));
     VmList list = HttpVmList.connect(settings.vmList().uri(), settings.store().timeout());
     ScheduledExecutorService timers =
         Executors.newScheduledThreadPool(2, task -> new Thread(task, "timers"));
-    parts.add(timers::shutdownNow);
+    resources.add(timers::shutdownNow);
     OutboundClient client =
-        parts.add(OutboundClient.start(settings.callerLimits().workers(), CONNECTIONS_PER_HOST));
+        resources.add(
+            OutboundClient.start(
+                settings.callerLimits().workerThreads(), MAX_CONNECTIONS_PER_HOST));
     PermitKeys permitKeys =
-        PermitKeys.of(store, settings.customer(), KEY_PERIOD, new SecureRandom());
+        PermitKeys.of(store, settings.customer(), KEY_ROTATION_PERIOD, new SecureRandom());
     Member self = self(settings, store, time);
     RelayControlPlane control =
-        parts.add(controlPlane(settings, self, store, list, permitKeys, time, events));
-    parts.add(KeyRefresher.start(permitKeys, time));
+        resources.add(controlPlane(settings, self, store, list, permitKeys, time, events));
+    resources.add(KeyRefresher.start(permitKeys, time));
     ControlMetrics.bind(metrics, control);
     GateTable gates =
-        parts.add(gates(settings, self.incarnation(), control.guard(), time, timers, events));
+        resources.add(gates(settings, self.incarnation(), control.guard(), time, timers, events));
     RequestPipeline path =
         RequestPipeline.assemble(
             settings, client, timers, time, events, metrics, control, gates, permitKeys::ring);
     InFlightCounter inFlight = InFlightCounter.create();
     PlannedStop plannedStop = plannedStop(settings, control, inFlight, path, client, time);
-    parts.add(LoadPoller.start(gates, client, time, timers, LOAD_PERIOD));
+    resources.add(LoadPoller.start(gates, client, time, timers, LOAD_POLL_INTERVAL));
     gates.useHistorySender(
         HttpHistorySender.of(self, settings.customer(), path.codec(), client, time));
     control.onChange(gates::applyState);
-    control.onChange(ViewEvents.of(settings.vm(), settings.zone(), settings.customer(), events));
+    control.onChange(
+        ViewEventRecorder.of(settings.vm(), settings.zone(), settings.customer(), events));
     control.onChange(path::applyState);
-    control.summaries(gates::summaries);
-    control.targets(gates::targetReports);
-    control.targetProbe(HttpTargetProbe.of(client));
-    gauges(metrics, control, settings.customer());
+    control.setSummarySource(gates::summaries);
+    control.setTargetReportSource(gates::targetReports);
+    control.setTargetProbe(HttpTargetProbe.of(client));
+    registerContractGauge(metrics, control, settings.customer());
     CountDownLatch drainAsked = new CountDownLatch(1);
     OperatorPort operatorPort =
         OperatorPort.of(
@@ -162,37 +166,43 @@
             gates,
             after ->
                 EventPage.of(
-                    settings.vm(), startedMillis, settings.zone(), events, after, EVENTS_PER_PAGE),
+                    settings.vm(),
+                    startedMillis,
+                    settings.zone(),
+                    events,
+                    after,
+                    MAX_EVENTS_PER_PAGE),
             path.lookUpExplainer(),
             drainAsked::countDown);
     HttpListener operators =
-        parts.add(
+        resources.add(
             HttpListener.open(
                 settings.host(),
                 settings.ports().operators(),
                 limits(settings, 1),
                 () -> CallerExchange.create(operatorPort)));
     HttpListener callers =
-        parts.add(
+        resources.add(
             HttpListener.open(
                 settings.host(),
                 settings.ports().callers(),
-                limits(settings, settings.callerLimits().workers()),
+                limits(settings, settings.callerLimits().workerThreads()),
                 () -> CallerExchange.create(path.router(), inFlight)));
-    connectionMetrics(metrics, callers);
+    registerConnectionMetrics(metrics, callers);
     path.advertiseAddress(settings.host(), callers.port());
-    control.serving(callers.port());
+    control.startServing(callers.port());
     events.record(EventKind.STARTED, "", settings.customer(), settings.zone(), 0, settings.vm());
     logger.atInfo().log(
         "%s serves callers on %s:%d and operators on port %d",
         settings.vm(), settings.host(), callers.port(), operators.port());
     return new EntryDaemon(
-        settings, control, callers, operators, events, drainAsked, plannedStop, parts);
+        settings, control, callers, operators, events, drainAsked, plannedStop, resources);
   }
 
   private static ConnectionLimits limits(EntrySettings settings, int workers) {
     EntrySettings.CallerLimits limits = settings.callerLimits();
-    return new ConnectionLimits(workers, limits.headBytes(), limits.connections(), limits.idle());
+    return new ConnectionLimits(
+        workers, limits.maxHeadBytes(), limits.maxConnections(), limits.idleTimeout());
   }
 
   private static PlannedStop plannedStop(
@@ -229,7 +239,7 @@
       EventSink events) {
     // Each request that waits holds a caller's connection. Without a common bound background work
     // could hold them all, and a bid would find no connection to come in by.
-    QueueBudget waits = QueueBudget.of(settings.callerLimits().connections());
+    QueueBudget waits = QueueBudget.of(settings.callerLimits().maxConnections());
     return GateTable.create(
         settings.vm(),
         settings.zone(),
@@ -246,7 +256,7 @@
     long incarnation;
     try {
       incarnation =
-          Incarnations.atStart(
+          Incarnations.forThisStart(
               settings.incarnation(), settings.customer(), settings.vm(), store, time);
     } catch (StoreException e) {
       throw new IOException(
@@ -276,12 +286,12 @@
             .map(seed -> new PeerAddress("", seed.host(), seed.port()))
             .toList();
     ControlSettings control =
-        new ControlSettings(settings.customer(), self, seeds, settings.vmList().every());
+        new ControlSettings(settings.customer(), self, seeds, settings.vmList().fetchInterval());
     InnerKeys innerKeys = InnerKeys.of(settings.innerKeys(), keys::storedRing);
     return RelayControlPlane.start(control, store, list, innerKeys, time, events);
   }
 
-  private static void gauges(
+  private static void registerContractGauge(
       PrometheusMeterRegistry metrics, ControlPlane control, String customer) {
     Gauge.builder(
             "sageladder.contract.revision",
@@ -294,60 +304,63 @@
         .register(metrics);
   }
 
-  private static void connectionMetrics(PrometheusMeterRegistry metrics, HttpListener callers) {
-    Gauge.builder("sageladder.callers.connections", callers, HttpListener::openConnections)
+  private static void registerConnectionMetrics(
+      PrometheusMeterRegistry metrics, HttpListener callers) {
+    Gauge.builder("sageladder.callers.connections", callers, HttpListener::openConnectionCount)
         .description("Open connections at the callers' port")
         .register(metrics);
     FunctionCounter.builder(
-            "sageladder.callers.connections.refused", callers, HttpListener::refusedConnections)
+            "sageladder.callers.connections.refused", callers, HttpListener::refusedConnectionCount)
         .description("Connections closed at once, since callerLimits.connections were open")
         .register(metrics);
   }
 
   /** The port that callers use. */
   public int callersPort() {
-    return callers.port();
+    return callersListener.port();
   }
 
   /** The port that peers use. */
   public int innerPort() {
-    return control.innerPort();
+    return controlPlane.innerPort();
   }
 
   /** The port that operators' tools use. */
   public int operatorsPort() {
-    return operators.port();
+    return operatorsListener.port();
   }
 
   /** Whether this entry VM may serve what needs a contract. */
   public ControlPlane.Readiness readiness() {
-    return control.readiness();
+    return controlPlane.readiness();
   }
 
   /** True once a contract is in force here and {@code members} entry VMs are known. */
-  public boolean isServing(int members) {
+  public boolean isServing(int minMembers) {
     long known =
-        control.state().views().values().stream().mapToLong(view -> view.members().size()).sum();
-    return readiness() == ControlPlane.Readiness.READY && known >= members;
+        controlPlane.state().views().values().stream()
+            .mapToLong(view -> view.members().size())
+            .sum();
+    return readiness() == ControlPlane.Readiness.READY && known >= minMembers;
   }
 
   /** Returns once an operator has asked for a planned stop; the caller then stops the daemon. */
-  public void awaitDrainAsked() throws InterruptedException {
-    drainAsked.await();
+  public void awaitDrainRequest() throws InterruptedException {
+    drainRequested.await();
   }
 
   /** A planned stop: takes no new duties, lets what is in flight end, then closes. */
   public PlannedStop.Outcome stop() throws InterruptedException {
     events.record(EventKind.STOPPING, "", settings.customer(), "", 0, settings.vm());
     PlannedStop.Outcome outcome = plannedStop.run();
-    callers.stop(Timeout.of(STOP_GRACE));
+    callersListener.stop(Timeout.of(STOP_GRACE));
     close();
     return outcome;
   }
 
   @Override
   public void close() {
-    parts.close();
+    resources.close();
     events.record(EventKind.STOPPED, "", settings.customer(), "", 0, settings.vm());
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/EntryMain.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/EntryMain.java
@@ -43,7 +43,7 @@
     try {
       line = new DefaultParser().parse(options, args);
     } catch (ParseException e) {
-      misused(e.getMessage());
+      exitWithUsageError(e.getMessage());
       return;
     }
     if (line.hasOption("help")) {
@@ -51,7 +51,7 @@
       return;
     }
     if (!line.hasOption("settings")) {
-      misused("no settings file is named");
+      exitWithUsageError("no settings file is named");
       return;
     }
     EntrySettings settings;
@@ -77,8 +77,8 @@
         .addOption("h", "help", false, "");
   }
 
-  private static void misused(String what) {
-    System.err.println("sageladder-entry: " + what + "; use " + SYNTAX);
+  private static void exitWithUsageError(String problem) {
+    System.err.println("sageladder-entry: " + problem + "; use " + SYNTAX);
     System.exit(ExitCode.USAGE.status());
   }
 
@@ -114,7 +114,7 @@
                   Runtime.getRuntime().halt(ExitCode.OK.status());
                 },
                 "stop"));
-    daemon.awaitDrainAsked();
+    daemon.awaitDrainRequest();
     System.exit(ExitCode.OK.status());
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/KeyRefresher.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/KeyRefresher.java
@@ -14,11 +14,11 @@
 /** Keeps the permits' MAC keys in step with the platform's store, a few reads an hour. */
 final class KeyRefresher implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final Duration RETRY = Duration.ofSeconds(2);
+  private static final Duration RETRY_DELAY = Duration.ofSeconds(2);
 
   private final PermitKeys keys;
   private final TimeSource time;
-  private final ScheduledExecutorService thread =
+  private final ScheduledExecutorService scheduler =
       Executors.newSingleThreadScheduledExecutor(task -> new Thread(task, "keys"));
 
   private KeyRefresher(PermitKeys keys, TimeSource time) {
@@ -28,36 +28,36 @@
 
   static KeyRefresher start(PermitKeys keys, TimeSource time) {
     KeyRefresher refresher = new KeyRefresher(keys, time);
-    refresher.after(Duration.ZERO);
+    refresher.scheduleRefresh(Duration.ZERO);
     return refresher;
   }
 
   private void refresh() {
     try {
       keys.refresh(time.wallMillis());
-      after(untilNext());
+      scheduleRefresh(nextDelay());
     } catch (StoreException | RuntimeException e) {
       logger.atWarning().atMostEvery(1, TimeUnit.MINUTES).withCause(e).log(
           "the permits' keys cannot be read; those known stay in use");
-      after(RETRY);
+      scheduleRefresh(RETRY_DELAY);
     }
   }
 
   /** Spread over time, so that VMs started together do not read together for ever. */
-  private Duration untilNext() {
-    long most = keys.propagationDelay().toMillis() / 2;
-    return Duration.ofMillis(ThreadLocalRandom.current().nextLong(most / 2, most));
+  private Duration nextDelay() {
+    long maxMillis = keys.propagationDelay().toMillis() / 2;
+    return Duration.ofMillis(ThreadLocalRandom.current().nextLong(maxMillis / 2, maxMillis));
   }
 
-  private void after(Duration delay) {
-    if (!thread.isShutdown()) {
+  private void scheduleRefresh(Duration delay) {
+    if (!scheduler.isShutdown()) {
       ScheduledFuture<?> unused =
-          thread.schedule(this::refresh, delay.toMillis(), TimeUnit.MILLISECONDS);
+          scheduler.schedule(this::refresh, delay.toMillis(), TimeUnit.MILLISECONDS);
     }
   }
 
   @Override
   public void close() {
-    thread.shutdownNow();
+    scheduler.shutdownNow();
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/OpenParts.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/ResourceStack.java
@@ -16,28 +16,28 @@
  * <p>A part uses only parts opened before it, so none is used after its end; and a daemon whose
  * start fails half-way leaves no port or thread behind.
  */
-final class OpenParts implements AutoCloseable {
+final class ResourceStack implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  private final Deque<AutoCloseable> parts = new ArrayDeque<>();
+  private final Deque<AutoCloseable> resources = new ArrayDeque<>();
 
-  private OpenParts() {}
+  private ResourceStack() {}
 
-  static OpenParts none() {
-    return new OpenParts();
+  static ResourceStack empty() {
+    return new ResourceStack();
   }
 
   /** Adds a part that has just been opened, and returns it. */
-  <T extends AutoCloseable> T add(T part) {
-    parts.push(part);
-    return part;
+  <T extends AutoCloseable> T add(T resource) {
+    resources.push(resource);
+    return resource;
   }
 
   @Override
   public void close() {
-    while (!parts.isEmpty()) {
+    while (!resources.isEmpty()) {
       try {
-        parts.pop().close();
+        resources.pop().close();
       } catch (Exception e) {
         // The others must be closed all the same, or their threads keep the process alive.
         logger.atWarning().withCause(e).log("a part could not be closed");
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlEffects.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlEffects.java
@@ -12,23 +12,23 @@
   boolean send(String vm, InnerMessage message);
 
   /** Makes a peer's address known. */
-  void address(PeerAddress peer);
+  void addPeerAddress(PeerAddress peer);
 
   /** Makes a store call of the relay's duty; its end is reported to the machine. */
-  void call(ElectionCall call);
+  void startElectionCall(ElectionCall call);
 
   /** Asks a target of a silent zone whether it works for anybody; answers come to the machine. */
-  void probe(Holding target, Consumer<Boolean> answer);
+  void probeTarget(Holding target, Consumer<Boolean> onAnswer);
 
   /** Starts or stops watching the contract and fetching the list, which only a relay does. */
-  void relaying(boolean now);
+  void setRelay(boolean isRelay);
 
   /** Ends a lease that is no longer wanted. */
-  void revoke(long lease);
+  void revokeLease(long lease);
 
   /** Something that the request path reads has changed. */
-  void stateChanged();
+  void onStateChanged();
 
   /** A payload arrived; {@code from} is empty for an announcement. */
-  void payload(String from, String topic, byte[] content);
+  void deliverPayload(String from, String topic, byte[] content);
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlIdentity.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlIdentity.java
@@ -12,7 +12,7 @@
     return self.zone();
   }
 
-  Member member(int callersPort, boolean leaving) {
+  Member toMember(int callersPort, boolean isDraining) {
     return new Member(
         self.vm(),
         self.zone(),
@@ -20,6 +20,6 @@
         self.host(),
         callersPort,
         self.innerPort(),
-        leaving);
+        isDraining);
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlMetrics.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlMetrics.java
@@ -44,19 +44,20 @@
       FunctionCounter.builder(
               "sageladder.store.calls",
               plane,
-              p -> p.storeCalls().getOrDefault(kind, 0L).doubleValue())
+              p -> p.storeCallCounts().getOrDefault(kind, 0L).doubleValue())
           .tag("kind", kind)
           .description("Calls to the platform's service; a waiting watch is one")
           .register(metrics);
     }
-    counter(metrics, "sageladder.store.calls.refused", plane, RelayControlPlane::storeCallsRefused);
+    counter(
+        metrics, "sageladder.store.calls.refused", plane, RelayControlPlane::refusedStoreCallCount);
     gauge(metrics, "sageladder.control.links", plane, RelayControlPlane::openLinks);
-    gauge(metrics, "sageladder.control.relaying", plane, p -> p.relaying() ? 1 : 0);
+    gauge(metrics, "sageladder.control.relaying", plane, p -> p.isRelay() ? 1 : 0);
     gauge(metrics, "sageladder.control.lowest.revision", plane, ControlMetrics::lowestRevision);
   }
 
   private static double lowestRevision(RelayControlPlane plane) {
-    return plane.reports().stream().mapToLong(ZoneReport::lowestRevision).min().orElse(0);
+    return plane.zoneReports().stream().mapToLong(ZoneReport::lowestRevision).min().orElse(0);
   }
 
   private static <T> void counter(
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlPlane.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlPlane.java
@@ -29,7 +29,7 @@
   void onChange(Consumer<ClusterState> listener);
 
   /** Names where this entry VM's own summaries come from. */
-  void summaries(Supplier<List<ZoneSummary>> own);
+  void setSummarySource(Supplier<List<ZoneSummary>> source);
 
   /** Tells the others that this entry VM takes no new duties and holds no targets from now on. */
   void beginLeaving();
@@ -38,7 +38,7 @@
   Readiness readiness();
 
   /** Names where reports on the targets that this entry VM holds or still uses come from. */
-  default void targets(Supplier<List<TargetReport>> own) {}
+  default void setTargetReportSource(Supplier<List<TargetReport>> source) {}
 
   /** Says, before each dispatch, how many slots of a holding may be used now. */
   default HoldingGuard guard() {
@@ -46,7 +46,7 @@
   }
 
   /** Tells peers where callers reach this entry VM; only then does it join its zone's view. */
-  default void serving(int callersPort) {}
+  default void startServing(int callersPort) {}
 
   /** Small payloads to other entry VMs. */
   default PeerMessages messages() {
@@ -54,12 +54,12 @@
   }
 
   /** Latest report of each zone: lowest revision in force and who lags. */
-  default List<ZoneReport> reports() {
+  default List<ZoneReport> zoneReports() {
     return List.of();
   }
 
   /** Whether this entry VM is its zone's relay now. */
-  default boolean relaying() {
+  default boolean isRelay() {
     return false;
   }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlSettings.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlSettings.java
@@ -10,10 +10,10 @@
  *
  * @param self this VM, with the ports that peers and callers reach it on
  * @param seeds inner addresses of peers to try first; their names may be empty
- * @param listPeriod time between two fetches of the platform's list while relaying
+ * @param listFetchInterval time between two fetches of the platform's list while relaying
  */
 public record ControlSettings(
-    String customer, Member self, List<PeerAddress> seeds, Duration listPeriod) {
+    String customer, Member self, List<PeerAddress> seeds, Duration listFetchInterval) {
   /** Copies the list. */
   public ControlSettings {
     seeds = List.copyOf(seeds);
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/HttpTargetProbe.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/HttpTargetProbe.java
@@ -21,8 +21,8 @@
 public final class HttpTargetProbe implements TargetProbe {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final JsonMapper JSON = new JsonMapper();
-  private static final Duration CONNECT = Duration.ofMillis(500);
-  private static final int LARGEST_REPORT = 4096;
+  private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
+  private static final int MAX_REPORT_BYTES = 4096;
 
   private final RequestSender client;
 
@@ -36,27 +36,34 @@
   }
 
   @Override
-  public void ask(Holding target, Consumer<Boolean> answer) {
+  public void probe(Holding target, Consumer<Boolean> answer) {
     HttpHost host = new HttpHost(target.host(), target.port());
     BasicHttpRequest request = new BasicHttpRequest("GET", "/load");
     request.setScheme(host.getSchemeName());
     request.setAuthority(new URIAuthority(host));
-    client.send(host, request, null, BodyPipe.of(new byte[0]), CONNECT, new Load(target, answer));
+    client.send(
+        host,
+        request,
+        null,
+        BodyPipe.of(new byte[0]),
+        CONNECT_TIMEOUT,
+        new LoadListener(target, answer));
   }
 
-  private record Load(Holding target, Consumer<Boolean> answer) implements RequestSender.Listener {
+  private record LoadListener(Holding target, Consumer<Boolean> onAnswer)
+      implements RequestSender.Listener {
     @Override
     public void onResponse(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
       if (response.getCode() == 200) {
-        BodyCollector.collect(body, LARGEST_REPORT, this::tell);
+        BodyCollector.collect(body, MAX_REPORT_BYTES, this::reportIdle);
       }
     }
 
-    private void tell(byte[] bytes) {
+    private void reportIdle(byte[] bytes) {
       try {
         JsonNode load = JSON.readTree(bytes);
         boolean idle = load.path("busy").asInt(1) == 0 && !load.path("draining").asBoolean();
-        answer.accept(idle);
+        onAnswer.accept(idle);
       } catch (IOException e) {
         logger.atFine().withCause(e).log("target %s reports no readable load", target.target());
       }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/Incarnations.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/Incarnations.java
@@ -13,7 +13,7 @@
 /** The number that grows with each start of an entry VM. */
 public final class Incarnations {
   private static final int RANDOM_BITS = 16;
-  private static final int TRIES = 5;
+  private static final int MAX_ATTEMPTS = 5;
 
   private Incarnations() {}
 
@@ -25,7 +25,7 @@
    *
    * @throws StoreException where the settings want the store and it gives no answer
    */
-  public static long atStart(
+  public static long forThisStart(
       EntrySettings.Incarnation source, String customer, String vm, Store store, TimeSource time)
       throws StoreException {
     return switch (source.source()) {
@@ -41,12 +41,12 @@
   }
 
   private static long fromStore(String key, Store store) throws StoreException {
-    byte[] mark = new byte[Long.BYTES];
-    new SecureRandom().nextBytes(mark);
-    byte[] value = new String(mark, StandardCharsets.ISO_8859_1).getBytes(StandardCharsets.UTF_8);
-    StoreException last =
+    byte[] nonce = new byte[Long.BYTES];
+    new SecureRandom().nextBytes(nonce);
+    byte[] value = new String(nonce, StandardCharsets.ISO_8859_1).getBytes(StandardCharsets.UTF_8);
+    StoreException lastFailure =
         new StoreException.Unavailable(key + ": other writers kept winning", null);
-    for (int i = 0; i < TRIES; i++) {
+    for (int i = 0; i < MAX_ATTEMPTS; i++) {
       try {
         Optional<StoredValue> old = store.read(key);
         long expected = old.map(StoredValue::revision).orElse(0L);
@@ -55,9 +55,9 @@
         }
       } catch (StoreException e) {
         // A write whose answer was lost may stand; the next round writes over it with a higher one.
-        last = e;
+        lastFailure = e;
       }
     }
-    throw last;
+    throw lastFailure;
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/InnerKeys.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/InnerKeys.java
@@ -18,33 +18,33 @@
  * they come first and sign.
  */
 public final class InnerKeys implements Supplier<Optional<KeyRing>> {
-  private final List<KeyRing.Key> fromSettings;
-  private final Supplier<Optional<KeyRing>> fromStore;
+  private final List<KeyRing.Key> settingsKeys;
+  private final Supplier<Optional<KeyRing>> storedRing;
 
-  private InnerKeys(List<KeyRing.Key> fromSettings, Supplier<Optional<KeyRing>> fromStore) {
-    this.fromSettings = fromSettings;
-    this.fromStore = fromStore;
+  private InnerKeys(List<KeyRing.Key> settingsKeys, Supplier<Optional<KeyRing>> storedRing) {
+    this.settingsKeys = settingsKeys;
+    this.storedRing = storedRing;
   }
 
   /**
    * The keys of {@code settings}, and after them those that {@code fromStore} has at the moment.
    */
   public static InnerKeys of(
-      List<EntrySettings.InnerKey> settings, Supplier<Optional<KeyRing>> fromStore) {
+      List<EntrySettings.InnerKey> settings, Supplier<Optional<KeyRing>> storedRing) {
     List<KeyRing.Key> keys = new ArrayList<>();
     for (EntrySettings.InnerKey key : settings) {
       byte[] secret = Base64.getDecoder().decode(key.secret());
       keys.add(new KeyRing.Key(key.id(), 0, KeyRing.Secret.of(secret)));
     }
-    return new InnerKeys(List.copyOf(keys), fromStore);
+    return new InnerKeys(List.copyOf(keys), storedRing);
   }
 
   @Override
   public Optional<KeyRing> get() {
-    List<KeyRing.Key> keys = new ArrayList<>(fromSettings);
+    List<KeyRing.Key> keys = new ArrayList<>(settingsKeys);
     Set<String> ids = new HashSet<>();
     keys.forEach(key -> ids.add(key.id()));
-    for (KeyRing.Key key : fromStore.get().map(KeyRing::keys).orElse(List.of())) {
+    for (KeyRing.Key key : storedRing.get().map(KeyRing::keys).orElse(List.of())) {
       if (ids.add(key.id())) {
         keys.add(key);
       }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/PeerDirectory.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/PeerDirectory.java
@@ -24,20 +24,20 @@
 /** Which peers there are, from the views and, where there is no view yet, the platform's list. */
 final class PeerDirectory {
   private static final int TREE_FAN_OUT = 2;
-  private static final int SPEAKERS = 2;
-  private static final int OTHER_ZONES_TO_COMPARE_WITH = 2;
+  private static final int MAX_SPEAKERS = 2;
+  private static final int MAX_REMOTE_REPAIR_PEERS = 2;
 
   private final ControlIdentity identity;
   private final RandomGenerator random;
-  private final Map<String, ListedVm> listed = new TreeMap<>();
+  private final Map<String, ListedVm> listedVms = new TreeMap<>();
 
   /** What is known of the way to a peer. */
-  enum Reach {
-    OPEN,
+  enum Reachability {
+    REACHABLE,
     /** The last message surely did not arrive, a moment ago. */
-    LOST,
+    UNREACHABLE,
     /** The same, longer ago: a message may arrive again, but nothing may depend on it. */
-    TRIED_AGAIN
+    RETRYING
   }
 
   PeerDirectory(ControlIdentity identity, RandomGenerator random) {
@@ -46,17 +46,17 @@
   }
 
   /** Takes in the platform's list; returns the addresses it tells. */
-  List<PeerAddress> listed(List<ListedVm> lines) {
-    listed.clear();
+  List<PeerAddress> onPlatformList(List<ListedVm> vms) {
+    listedVms.clear();
     List<PeerAddress> addresses = new ArrayList<>();
-    for (ListedVm line : lines) {
+    for (ListedVm line : vms) {
       boolean peer =
           line.role() == VmRole.ENTRY
               && line.customer().equals(identity.customer())
               && line.innerPort() > 0
               && !line.id().equals(identity.vm());
       if (peer) {
-        listed.put(line.id(), line);
+        listedVms.put(line.id(), line);
         addresses.add(new PeerAddress(line.id(), line.host(), line.innerPort()));
       }
     }
@@ -64,7 +64,7 @@
   }
 
   /** Addresses that a view tells. */
-  List<PeerAddress> addresses(RelayedView view) {
+  List<PeerAddress> peerAddresses(RelayedView view) {
     return view.view().members().stream()
         .filter(member -> !member.vm().equals(identity.vm()))
         .map(member -> new PeerAddress(member.vm(), member.host(), member.innerPort()))
@@ -74,12 +74,12 @@
   /**
    * Whom to ask for a first snapshot: a few VMs of the own zone, one of another, and seeds.
    *
-   * @param most how many, so that a fresh VM does not load all its peers
+   * @param maxPeers how many, so that a fresh VM does not load all its peers
    */
-  List<String> snapshotPeers(Set<String> seeds, Map<String, RelayedView> views, int most) {
+  List<String> snapshotPeers(Set<String> seeds, Map<String, RelayedView> views, int maxPeers) {
     List<String> own = new ArrayList<>();
     List<String> others = new ArrayList<>(seeds);
-    for (ListedVm line : listed.values()) {
+    for (ListedVm line : listedVms.values()) {
       (line.zone().equals(identity.zone()) ? own : others).add(line.id());
     }
     for (RelayedView view : views.values()) {
@@ -88,20 +88,20 @@
       }
     }
     Set<String> chosen = new LinkedHashSet<>();
-    pick(own, most - 1, chosen);
-    pick(others, most, chosen);
+    addRandom(own, maxPeers - 1, chosen);
+    addRandom(others, maxPeers, chosen);
     chosen.remove(identity.vm());
     return List.copyOf(chosen);
   }
 
   /** Who gets new items from this VM at once. */
-  Set<String> neighbours(Map<String, RelayedView> views, boolean relaying) {
+  Set<String> neighbours(Map<String, RelayedView> views, boolean isRelay) {
     Set<String> neighbours = zoneNeighbours(views);
-    if (relaying) {
-      for (String zone : Overlay.zoneNeighbours(zones(views), identity.zone())) {
+    if (isRelay) {
+      for (String zone : Overlay.zoneNeighbours(knownZones(views), identity.zone())) {
         RelayedView view = views.get(zone);
         if (view == null) {
-          Rendezvous.choose(identity.zone(), listedIn(zone)).ifPresent(neighbours::add);
+          Rendezvous.choose(identity.zone(), listedVmsIn(zone)).ifPresent(neighbours::add);
         } else {
           neighbours.add(view.relay());
         }
@@ -119,26 +119,26 @@
    * <p>A zone whose speaker cannot be reached is replaced by the zones that it would have served;
    * else one lost zone would cut those behind it off from reports.
    */
-  Set<String> reportRoute(
+  Set<String> summaryRoute(
       Item report,
       Map<String, RelayedView> views,
       @Nullable Contract contract,
-      Function<String, Reach> reach) {
+      Function<String, Reachability> reachability) {
     RelayedView own = views.get(identity.zone());
     if (own == null) {
       return Set.of();
     }
-    Set<String> route = reportTree(report, own);
+    Set<String> route = summaryRouteInZone(report, own);
     if (speaker(own, report.version()).equals(identity.vm())) {
-      addOtherZones(report, views, contract, reach, route);
+      addRouteToOtherZones(report, views, contract, reachability, route);
     }
     route.remove(identity.vm());
     return route;
   }
 
-  private Set<String> reportTree(Item report, RelayedView own) {
+  private Set<String> summaryRouteInZone(Item report, RelayedView own) {
     String speaker = speaker(own, report.version());
-    boolean ownReport = ReportKeys.zone(report.key()).equals(identity.zone());
+    boolean ownReport = ReportKeys.reportingZone(report.key()).equals(identity.zone());
     if (ownReport && own.relay().equals(identity.vm())) {
       return new HashSet<>(Set.of(speaker));
     }
@@ -152,19 +152,19 @@
     return tree;
   }
 
-  private void addOtherZones(
+  private void addRouteToOtherZones(
       Item report,
       Map<String, RelayedView> views,
       @Nullable Contract contract,
-      Function<String, Reach> reach,
+      Function<String, Reachability> reachability,
       Set<String> route) {
-    String origin = ReportKeys.zone(report.key());
-    if (!ReportKeys.isNear(report.key())) {
-      addReachable(report, identity.zone(), views, reach, route);
+    String origin = ReportKeys.reportingZone(report.key());
+    if (!ReportKeys.isForRegion(report.key())) {
+      addReachableSpeakers(report, identity.zone(), views, reachability, route);
       return;
     }
     if (origin.equals(identity.zone())) {
-      for (String zone : regionOf(origin, contract)) {
+      for (String zone : zonesOfRegion(origin, contract)) {
         RelayedView view = views.get(zone);
         if (view != null) {
           route.add(speaker(view, report.version()));
@@ -188,7 +188,7 @@
             .filter(member -> !member.isDraining())
             .map(Member::vm)
             .filter(vm -> !vm.equals(view.relay()))
-            .limit(SPEAKERS)
+            .limit(MAX_SPEAKERS)
             .toList();
     if (speakers.isEmpty()) {
       return view.relay();
@@ -196,7 +196,7 @@
     return speakers.get((int) (version % speakers.size()));
   }
 
-  private static List<String> regionOf(String zone, @Nullable Contract contract) {
+  private static List<String> zonesOfRegion(String zone, @Nullable Contract contract) {
     if (contract == null) {
       return List.of();
     }
@@ -207,20 +207,20 @@
         .orElse(List.of());
   }
 
-  private static void addReachable(
+  private static void addReachableSpeakers(
       Item report,
       String from,
       Map<String, RelayedView> views,
-      Function<String, Reach> reach,
+      Function<String, Reachability> reachability,
       Set<String> route) {
     List<String> zones = List.copyOf(views.keySet());
     for (String child : Overlay.summaryChildren(zones, report.key().name(), from)) {
       String speaker = speaker(views.get(child), report.version());
-      if (reach.apply(speaker) != Reach.LOST) {
+      if (reachability.apply(speaker) != Reachability.UNREACHABLE) {
         route.add(speaker);
       }
-      if (reach.apply(speaker) != Reach.OPEN) {
-        addReachable(report, child, views, reach, route);
+      if (reachability.apply(speaker) != Reachability.REACHABLE) {
+        addReachableSpeakers(report, child, views, reachability, route);
       }
     }
   }
@@ -236,25 +236,25 @@
   }
 
   /** Whom to compare with at random: all of the own zone, and a few of others. */
-  List<String> comparisonPeers(Map<String, RelayedView> views) {
-    Set<String> peers = new TreeSet<>(listedIn(identity.zone()));
+  List<String> repairPeers(Map<String, RelayedView> views) {
+    Set<String> peers = new TreeSet<>(listedVmsIn(identity.zone()));
     RelayedView own = views.get(identity.zone());
     if (own != null) {
       peers.clear();
       own.view().members().forEach(member -> peers.add(member.vm()));
     }
     List<String> others = new ArrayList<>();
-    for (String zone : zones(views)) {
+    for (String zone : knownZones(views)) {
       if (!zone.equals(identity.zone())) {
         RelayedView view = views.get(zone);
         if (view == null) {
-          others.addAll(listedIn(zone));
+          others.addAll(listedVmsIn(zone));
         } else {
           others.add(view.relay());
         }
       }
     }
-    pick(others, OTHER_ZONES_TO_COMPARE_WITH, peers);
+    addRandom(others, MAX_REMOTE_REPAIR_PEERS, peers);
     peers.remove(identity.vm());
     return List.copyOf(peers);
   }
@@ -264,7 +264,7 @@
     Set<String> candidates = new TreeSet<>();
     RelayedView own = views.get(identity.zone());
     if (own == null) {
-      candidates.addAll(listedIn(identity.zone()));
+      candidates.addAll(listedVmsIn(identity.zone()));
     } else {
       for (Member member : own.view().members()) {
         if (!member.isDraining() && !member.vm().equals(own.relay())) {
@@ -276,23 +276,23 @@
     return Rendezvous.rank(identity.zone(), candidates).indexOf(identity.vm());
   }
 
-  private List<String> zones(Map<String, RelayedView> views) {
+  private List<String> knownZones(Map<String, RelayedView> views) {
     Set<String> zones = new TreeSet<>(views.keySet());
     zones.add(identity.zone());
-    listed.values().forEach(line -> zones.add(line.zone()));
+    listedVms.values().forEach(line -> zones.add(line.zone()));
     return List.copyOf(zones);
   }
 
-  private List<String> listedIn(String zone) {
-    return listed.values().stream()
+  private List<String> listedVmsIn(String zone) {
+    return listedVms.values().stream()
         .filter(line -> line.zone().equals(zone))
         .map(ListedVm::id)
         .toList();
   }
 
-  private void pick(List<String> from, int most, Set<String> into) {
+  private void addRandom(List<String> from, int maxCount, Set<String> into) {
     List<String> left = new ArrayList<>(new TreeSet<>(from));
-    for (int i = 0; i < most && !left.isEmpty(); i++) {
+    for (int i = 0; i < maxCount && !left.isEmpty(); i++) {
       into.add(left.remove(random.nextInt(left.size())));
     }
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/BudgetedStore.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RateLimitedStore.java
@@ -25,104 +25,104 @@
  * in a loop: beyond the budget a call fails here, as if the service were down, and its caller backs
  * off as it would then. A waiting watch counts as one call.
  */
-final class BudgetedStore implements Store, VmList {
+final class RateLimitedStore implements Store, VmList {
   private final Store store;
-  private final VmList list;
-  private final TokenBucket budget;
-  private final Map<String, LongAdder> calls = new ConcurrentHashMap<>();
-  private final LongAdder refused = new LongAdder();
+  private final VmList vmList;
+  private final TokenBucket tokenBucket;
+  private final Map<String, LongAdder> callCounts = new ConcurrentHashMap<>();
+  private final LongAdder refusedCallCount = new LongAdder();
 
-  private BudgetedStore(Store store, VmList list, TokenBucket budget) {
+  private RateLimitedStore(Store store, VmList vmList, TokenBucket tokenBucket) {
     this.store = store;
-    this.list = list;
-    this.budget = budget;
+    this.vmList = vmList;
+    this.tokenBucket = tokenBucket;
   }
 
   /** At most {@code perSecond} calls a second in the long run, {@code burst} at once. */
-  static BudgetedStore of(
-      Store store, VmList list, TimeSource time, double perSecond, double burst) {
-    return new BudgetedStore(store, list, TokenBucket.of(time, perSecond, burst));
+  static RateLimitedStore of(
+      Store store, VmList vmList, TimeSource time, double callsPerSecond, double maxBurst) {
+    return new RateLimitedStore(store, vmList, TokenBucket.of(time, callsPerSecond, maxBurst));
   }
 
   /** Calls made since the start by kind. */
-  Map<String, Long> counts() {
+  Map<String, Long> callCounts() {
     Map<String, Long> counts = new TreeMap<>();
-    calls.forEach((kind, count) -> counts.put(kind, count.sum()));
+    callCounts.forEach((kind, count) -> counts.put(kind, count.sum()));
     return counts;
   }
 
   /** Calls that the budget refused. */
-  long refusedCalls() {
-    return refused.sum();
+  long refusedCallCount() {
+    return refusedCallCount.sum();
   }
 
   @Override
   public Optional<StoredValue> read(String key) throws StoreException {
-    spend("read");
+    acquire("read");
     return store.read(key);
   }
 
   @Override
   public List<StoredValue> list(String prefix) throws StoreException {
-    spend("list");
+    acquire("list");
     return store.list(prefix);
   }
 
   @Override
   public WriteResult compareAndSet(
       String key, long expectedRevision, byte[] value, @Nullable Long lease) throws StoreException {
-    spend("compareAndSet");
+    acquire("compareAndSet");
     return store.compareAndSet(key, expectedRevision, value, lease);
   }
 
   @Override
   public WriteResult compareAndDelete(String key, long expectedRevision) throws StoreException {
-    spend("compareAndDelete");
+    acquire("compareAndDelete");
     return store.compareAndDelete(key, expectedRevision);
   }
 
   @Override
   public long grantLease(Duration timeToLive) throws StoreException {
-    spend("grantLease");
+    acquire("grantLease");
     return store.grantLease(timeToLive);
   }
 
   @Override
   public boolean keepAlive(long lease) throws StoreException {
-    spend("keepAlive");
+    acquire("keepAlive");
     return store.keepAlive(lease);
   }
 
   @Override
   public void revokeLease(long lease) throws StoreException {
-    spend("revokeLease");
+    acquire("revokeLease");
     store.revokeLease(lease);
   }
 
   @Override
   public WatchBatch watch(String prefix, long afterRevision, Duration wait) throws StoreException {
-    spend("watch");
+    acquire("watch");
     return store.watch(prefix, afterRevision, wait);
   }
 
   @Override
   public List<ListedVm> fetch() throws StoreException {
-    spend("vms");
-    return list.fetch();
+    acquire("vms");
+    return vmList.fetch();
   }
 
   /** The store belongs to the daemon, which closes it. */
   @Override
   public void close() {}
 
-  private void spend(String kind) throws StoreException {
-    synchronized (budget) {
-      if (!budget.tryTake(1)) {
-        refused.increment();
+  private void acquire(String kind) throws StoreException {
+    synchronized (tokenBucket) {
+      if (!tokenBucket.tryTake(1)) {
+        refusedCallCount.increment();
         throw new StoreException.Unavailable(
             "this process's budget of store calls is used up; " + kind + " was not sent", null);
       }
     }
-    calls.computeIfAbsent(kind, name -> new LongAdder()).increment();
+    callCounts.computeIfAbsent(kind, name -> new LongAdder()).increment();
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayControlPlane.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayControlPlane.java
@@ -47,48 +47,48 @@
  * The control plane in which one relay a zone talks to the platform and entry VMs hear the rest
  * from each other.
  *
- * <p>Threads: one control thread owns the {@link ControlMachine}; the links' thread and the store's
- * threads hand everything to it; one thread of its own calls the listeners, so that a slow listener
- * does not look like a pause of this VM.
+ * <p>Threads: one control thread owns the {@link ControlStateMachine}; the links' thread and the
+ * store's threads hand everything to it; one thread of its own calls the listeners, so that a slow
+ * listener does not look like a pause of this VM.
  */
 public final class RelayControlPlane implements ControlPlane {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final long TICK_MILLIS = 100;
-  private static final long QUIET_PUBLISH_NANOS = Duration.ofMillis(500).toNanos();
-  private static final long ALONE_NANOS = Duration.ofSeconds(5).toNanos();
-  private static final double STORE_CALLS_PER_SECOND = 4;
-  private static final double STORE_CALLS_BURST = 20;
+  private static final long TICK_INTERVAL_MILLIS = 100;
+  private static final long MIN_PUBLISH_INTERVAL_NANOS = Duration.ofMillis(500).toNanos();
+  private static final long RELAY_SILENCE_BEFORE_LIST_NANOS = Duration.ofSeconds(5).toNanos();
+  private static final double MAX_STORE_CALLS_PER_SECOND = 4;
+  private static final double MAX_STORE_CALL_BURST = 20;
 
   private final TimeSource time;
   private final EventSink events;
-  private final BudgetedStore store;
-  private final StoreWorker worker;
-  private final ControlMachine machine;
+  private final RateLimitedStore store;
+  private final StoreWorker storeWorker;
+  private final ControlStateMachine machine;
   private final InnerLinks links;
-  private final TopicTable topics = new TopicTable();
+  private final TopicDispatcher topicDispatcher = new TopicDispatcher();
   private final List<Consumer<ClusterState>> listeners = new CopyOnWriteArrayList<>();
-  private final ScheduledExecutorService control =
+  private final ScheduledExecutorService controlExecutor =
       Executors.newSingleThreadScheduledExecutor(task -> new Thread(task, "control"));
-  private final ExecutorService delivery =
+  private final ExecutorService deliveryExecutor =
       Executors.newSingleThreadExecutor(task -> new Thread(task, "state"));
-  private final AtomicBoolean deliveryDue = new AtomicBoolean();
+  private final AtomicBoolean isDeliveryScheduled = new AtomicBoolean();
   private final String customer;
   private volatile ClusterState state = ClusterState.empty();
-  private volatile List<ZoneReport> reports = List.of();
+  private volatile List<ZoneReport> zoneReports = List.of();
   private volatile Readiness readiness = Readiness.WAITING;
-  private volatile boolean relaying;
+  private volatile boolean isRelay;
   // Without one no target of a silent zone ever answers, and none is taken over.
   private volatile TargetProbe targetProbe = (target, answer) -> {};
   // Peers may connect before the constructor is done; what they say until then is dropped.
-  private volatile boolean begun;
+  private volatile boolean isStarted;
   private long lastPublishNanos;
   // Written and read by the delivery thread alone.
-  private long lastRevision;
+  private long lastRevisionInForce;
 
   private RelayControlPlane(
       ControlSettings settings,
-      ControlTimes times,
-      BudgetedStore store,
+      ControlTimings timings,
+      RateLimitedStore store,
       Supplier<Optional<KeyRing>> keys,
       TimeSource time,
       EventSink events)
@@ -98,16 +98,20 @@
     this.events = events;
     this.store = store;
     this.customer = settings.customer();
-    this.worker =
+    this.storeWorker =
         new StoreWorker(
-            store, customer, settings.listPeriod(), times.relay().leaseTimeToLive(), events);
+            store,
+            customer,
+            settings.listFetchInterval(),
+            timings.relay().leaseTimeToLive(),
+            events);
     this.links =
         InnerLinks.open(
             self.host(),
             self.innerPort(),
             new LinkIdentity(self.vm(), customer, self.incarnation()),
             keys,
-            new Inbox());
+            new LinkReceiver());
     Member reachable =
         new Member(
             self.vm(),
@@ -119,7 +123,8 @@
             false);
     ControlIdentity identity = new ControlIdentity(customer, reachable);
     this.machine =
-        new ControlMachine(identity, times, time, new SplittableRandom(), new Effects(), events);
+        new ControlStateMachine(
+            identity, timings, time, new SplittableRandom(), new Effects(), events);
   }
 
   /**
@@ -137,22 +142,23 @@
       TimeSource time,
       EventSink events)
       throws IOException {
-    BudgetedStore budgeted =
-        BudgetedStore.of(store, list, time, STORE_CALLS_PER_SECOND, STORE_CALLS_BURST);
+    RateLimitedStore budgeted =
+        RateLimitedStore.of(store, list, time, MAX_STORE_CALLS_PER_SECOND, MAX_STORE_CALL_BURST);
     RelayControlPlane plane =
-        new RelayControlPlane(settings, ControlTimes.standard(), budgeted, keys, time, events);
-    plane.begin(settings.seeds());
+        new RelayControlPlane(settings, ControlTimings.standard(), budgeted, keys, time, events);
+    plane.startThreads(settings.seeds());
     return plane;
   }
 
-  private void begin(List<PeerAddress> seeds) {
-    begun = true;
+  private void startThreads(List<PeerAddress> seeds) {
+    isStarted = true;
     seeds.forEach(seed -> links.introduce(seed.host(), seed.port()));
-    worker.start(
+    storeWorker.start(
         new StoreResults(),
         () -> state.contracts().values().stream().mapToLong(Contract::revision).max().orElse(0));
     ScheduledFuture<?> unused =
-        control.scheduleWithFixedDelay(this::tick, 0, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        controlExecutor.scheduleWithFixedDelay(
+            this::tick, 0, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   @Override
@@ -163,21 +169,21 @@
   @Override
   public void onChange(Consumer<ClusterState> listener) {
     listeners.add(listener);
-    delivery.execute(() -> listener.accept(state));
+    deliveryExecutor.execute(() -> listener.accept(state));
   }
 
   @Override
-  public void summaries(Supplier<List<ZoneSummary>> own) {
-    onControl(() -> machine.summaries(own));
+  public void setSummarySource(Supplier<List<ZoneSummary>> own) {
+    runOnControlThread(() -> machine.setSummarySource(own));
   }
 
   @Override
-  public void targets(Supplier<List<TargetReport>> own) {
-    onControl(() -> machine.targets(own));
+  public void setTargetReportSource(Supplier<List<TargetReport>> own) {
+    runOnControlThread(() -> machine.setTargetReportSource(own));
   }
 
   /** Sets how targets of a silent zone are asked whether they can be reached. */
-  public void targetProbe(TargetProbe probe) {
+  public void setTargetProbe(TargetProbe probe) {
     targetProbe = probe;
   }
 
@@ -187,8 +193,8 @@
   }
 
   @Override
-  public void serving(int callersPort) {
-    onControl(() -> machine.serving(callersPort));
+  public void startServing(int callersPort) {
+    runOnControlThread(() -> machine.startServing(callersPort));
   }
 
   @Override
@@ -197,13 +203,13 @@
   }
 
   @Override
-  public List<ZoneReport> reports() {
-    return reports;
+  public List<ZoneReport> zoneReports() {
+    return zoneReports;
   }
 
   @Override
-  public boolean relaying() {
-    return relaying;
+  public boolean isRelay() {
+    return isRelay;
   }
 
   /** What went over the links. */
@@ -217,13 +223,13 @@
   }
 
   /** Store calls made since the start by kind. */
-  public Map<String, Long> storeCalls() {
-    return store.counts();
+  public Map<String, Long> storeCallCounts() {
+    return store.callCounts();
   }
 
   /** Store calls that the budget refused. */
-  public long storeCallsRefused() {
-    return store.refusedCalls();
+  public long refusedStoreCallCount() {
+    return store.refusedCallCount();
   }
 
   /** The inner protocol's port. */
@@ -234,7 +240,7 @@
   @Override
   public void beginLeaving() {
     readiness = Readiness.LEAVING;
-    onControl(machine::leave);
+    runOnControlThread(machine::beginLeaving);
   }
 
   @Override
@@ -244,17 +250,17 @@
 
   @Override
   public void close() {
-    worker.close();
-    control.shutdownNow();
-    delivery.shutdownNow();
+    storeWorker.close();
+    controlExecutor.shutdownNow();
+    deliveryExecutor.shutdownNow();
     links.close();
   }
 
-  private void onControl(Runnable task) {
+  private void runOnControlThread(Runnable task) {
     try {
-      control.execute(
+      controlExecutor.execute(
           () -> {
-            run(task);
+            runAndLogFailure(task);
             publishIfUrgent();
           });
     } catch (RejectedExecutionException e) {
@@ -263,16 +269,18 @@
   }
 
   private void tick() {
-    run(machine::tick);
-    worker.listWanted(!machine.ready() || machine.relaySilenceNanos() > ALONE_NANOS);
-    boolean due = time.nanos() - lastPublishNanos >= QUIET_PUBLISH_NANOS;
-    if (machine.known().urgentlyChanged() || (due && machine.known().changed())) {
+    runAndLogFailure(machine::tick);
+    storeWorker.setListNeeded(
+        !machine.isReady() || machine.relaySilenceNanos() > RELAY_SILENCE_BEFORE_LIST_NANOS);
+    boolean due = time.nanos() - lastPublishNanos >= MIN_PUBLISH_INTERVAL_NANOS;
+    if (machine.replicatedState().hasUrgentChange()
+        || (due && machine.replicatedState().hasChanged())) {
       publish();
     }
   }
 
   /** A defect in one message's handling must not end the control thread, and with it the lease. */
-  private static void run(Runnable task) {
+  private static void runAndLogFailure(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
@@ -282,39 +290,39 @@
   }
 
   private void publishIfUrgent() {
-    if (machine.known().urgentlyChanged()) {
+    if (machine.replicatedState().hasUrgentChange()) {
       publish();
     }
   }
 
   private void publish() {
     lastPublishNanos = time.nanos();
-    state = machine.known().snapshot();
-    reports = new ArrayList<>(machine.known().reports().values());
-    if (readiness == Readiness.WAITING && machine.ready() && !state.contracts().isEmpty()) {
+    state = machine.replicatedState().takeSnapshot();
+    zoneReports = new ArrayList<>(machine.replicatedState().reports().values());
+    if (readiness == Readiness.WAITING && machine.isReady() && !state.contracts().isEmpty()) {
       readiness = Readiness.READY;
     }
-    if (deliveryDue.compareAndSet(false, true)) {
+    if (isDeliveryScheduled.compareAndSet(false, true)) {
       try {
-        delivery.execute(this::deliver);
+        deliveryExecutor.execute(this::notifyListeners);
       } catch (RejectedExecutionException e) {
         logger.atFine().log("the control plane is closed");
       }
     }
   }
 
-  private void deliver() {
-    deliveryDue.set(false);
+  private void notifyListeners() {
+    isDeliveryScheduled.set(false);
     ClusterState now = state;
     for (Consumer<ClusterState> listener : listeners) {
-      run(() -> listener.accept(now));
+      runAndLogFailure(() -> listener.accept(now));
     }
     Contract contract = now.contracts().get(customer);
-    if (contract != null && contract.revision() != lastRevision) {
-      lastRevision = contract.revision();
+    if (contract != null && contract.revision() != lastRevisionInForce) {
+      lastRevisionInForce = contract.revision();
       events.record(
           EventKind.CONTRACT_IN_FORCE, "", customer, "", contract.revision(), "in force here");
-      onControl(() -> machine.inForce(contract.revision()));
+      runOnControlThread(() -> machine.onContractInForce(contract.revision()));
     }
   }
 
@@ -325,85 +333,85 @@
     }
 
     @Override
-    public void address(PeerAddress peer) {
+    public void addPeerAddress(PeerAddress peer) {
       links.address(peer);
     }
 
     @Override
-    public void call(ElectionCall call) {
-      worker.call(call, machine.duty(), new StoreResults());
+    public void startElectionCall(ElectionCall call) {
+      storeWorker.startElectionCall(call, machine.election(), new StoreResults());
     }
 
     @Override
-    public void probe(Holding target, Consumer<Boolean> answer) {
-      targetProbe.ask(target, idle -> onControl(() -> answer.accept(idle)));
+    public void probeTarget(Holding target, Consumer<Boolean> answer) {
+      targetProbe.probe(target, idle -> runOnControlThread(() -> answer.accept(idle)));
     }
 
     @Override
-    public void relaying(boolean now) {
-      relaying = now;
-      worker.relaying(now);
+    public void setRelay(boolean now) {
+      isRelay = now;
+      storeWorker.setRelay(now);
     }
 
     @Override
-    public void revoke(long lease) {
-      worker.revoke(lease);
+    public void revokeLease(long lease) {
+      storeWorker.revokeLease(lease);
     }
 
     @Override
-    public void stateChanged() {
+    public void onStateChanged() {
       // The change is seen after each step of the control thread.
     }
 
     @Override
-    public void payload(String from, String topic, byte[] content) {
-      topics.deliver(from, topic, content);
+    public void deliverPayload(String from, String topic, byte[] content) {
+      topicDispatcher.deliver(from, topic, content);
     }
   }
 
-  private final class Inbox implements InnerLinks.Receiver {
+  private final class LinkReceiver implements InnerLinks.Receiver {
     @Override
     public void received(String vm, InnerMessage message) {
-      if (!begun) {
+      if (!isStarted) {
         return;
       }
-      onControl(() -> machine.received(vm, message));
+      runOnControlThread(() -> machine.onMessage(vm, message));
     }
 
     @Override
     public void opened(String vm) {
-      if (!begun) {
+      if (!isStarted) {
         return;
       }
-      onControl(() -> machine.opened(vm));
+      runOnControlThread(() -> machine.onLinkOpened(vm));
     }
 
     @Override
     public void lost(String vm) {
       events.record(EventKind.LINK_DROPPED, "", customer, vm, 0, "");
-      onControl(() -> machine.lost(vm));
+      runOnControlThread(() -> machine.onLinkLost(vm));
     }
   }
 
   private final class StoreResults implements StoreWorker.Results {
     @Override
-    public void onControl(Runnable task) {
-      RelayControlPlane.this.onControl(task);
+    public void runOnControlThread(Runnable task) {
+      RelayControlPlane.this.runOnControlThread(task);
     }
 
     @Override
-    public void firstRead(Optional<StoredValue> contract) {
-      machine.storeAnswered(contract);
+    public void onInitialRead(Optional<StoredValue> contract) {
+      machine.onInitialStoreRead(contract);
     }
 
     @Override
-    public void watched(StoredValue contract) {
-      machine.storedContract(contract);
+    public void onContractChanged(StoredValue contract) {
+      machine.onStoredContract(contract);
     }
 
     @Override
-    public void listed(List<ListedVm> lines) {
-      machine.listed(lines);
+    public void onPlatformList(List<ListedVm> lines) {
+      machine.onPlatformList(lines);
     }
   }
 
@@ -415,12 +423,12 @@
 
     @Override
     public void broadcast(String topic, String id, byte[] content, Duration keep) {
-      onControl(() -> machine.announce(topic, id, content, keep));
+      runOnControlThread(() -> machine.broadcast(topic, id, content, keep));
     }
 
     @Override
     public void setReceiver(String topic, Receiver receiver) {
-      topics.on(topic, receiver);
+      topicDispatcher.register(topic, receiver);
     }
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayRole.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayRole.java
@@ -25,100 +25,102 @@
 
 /** What an entry VM does while it is its zone's relay: views, reports and answers to heartbeats. */
 final class RelayRole {
-  private static final int MOST_LAGGING_NAMED = 5;
+  private static final int MAX_LAGGING_NAMED = 5;
   private static final double MAJORITY = 0.5;
 
   private final ControlIdentity identity;
-  private final ControlTimes times;
+  private final ControlTimings timings;
   private final TimeSource time;
-  private final KnownState known;
+  private final ReplicatedState replicatedState;
   private final VersionedTable table;
-  private final RelayElection duty;
+  private final RelayElection election;
   private final Consumer<Item> publish;
   private final EventSink events;
   private final ZoneTakeOver takeOver;
-  private @Nullable ZoneViewBuilder maker;
-  private long makerFencing;
-  private List<ListedVm> lastList = List.of();
+  private @Nullable ZoneViewBuilder viewBuilder;
+  private long fencingToken;
+  private List<ListedVm> platformList = List.of();
   private long nextReportNanos;
-  private long nextNearReportNanos;
+  private long nextRegionReportNanos;
   private long lastTickNanos;
-  private long distrustUntilNanos;
+  private long confirmationBlockedUntilNanos;
 
   RelayRole(
       ControlIdentity identity,
-      ControlTimes times,
+      ControlTimings timings,
       TimeSource time,
-      KnownState known,
+      ReplicatedState replicatedState,
       VersionedTable table,
-      RelayElection duty,
+      RelayElection election,
       Consumer<Item> publish,
       TargetProbe probe,
       EventSink events) {
     this.identity = identity;
-    this.times = times;
+    this.timings = timings;
     this.time = time;
-    this.known = known;
+    this.replicatedState = replicatedState;
     this.table = table;
-    this.duty = duty;
+    this.election = election;
     this.publish = publish;
     this.events = events;
-    this.takeOver = new ZoneTakeOver(identity, time, known, table, probe, publish, events);
+    this.takeOver =
+        new ZoneTakeOver(identity, time, replicatedState, table, probe, publish, events);
     this.lastTickNanos = time.nanos();
-    this.distrustUntilNanos = time.nanos();
+    this.confirmationBlockedUntilNanos = time.nanos();
   }
 
   /** Whether this VM makes views now. */
-  boolean active() {
-    return maker != null;
+  boolean isActive() {
+    return viewBuilder != null;
   }
 
   /** This VM has loaded its first snapshot. */
-  void started() {
-    takeOver.away();
+  void onReady() {
+    takeOver.assumeLent();
   }
 
-  void listed(List<ListedVm> lines) {
-    lastList = lines.stream().filter(line -> line.customer().equals(identity.customer())).toList();
-    ZoneViewBuilder making = maker;
-    if (making != null) {
-      making.onPlatformList(lastList);
+  void onPlatformList(List<ListedVm> vms) {
+    platformList =
+        vms.stream().filter(line -> line.customer().equals(identity.customer())).toList();
+    ZoneViewBuilder builder = viewBuilder;
+    if (builder != null) {
+      builder.onPlatformList(platformList);
     }
   }
 
   /** Starts or stops with the duty, and publishes what is due. */
   void tick() {
-    notePause();
-    if (!duty.isRelay()) {
-      stop();
+    detectPause();
+    if (!election.isRelay()) {
+      stopBuilding();
       return;
     }
-    if (maker == null || makerFencing != duty.fencingToken()) {
-      begin();
+    if (viewBuilder == null || fencingToken != election.fencingToken()) {
+      startBuilding();
     }
-    ZoneViewBuilder making = maker;
-    if (making == null) {
+    ZoneViewBuilder builder = viewBuilder;
+    if (builder == null) {
       return;
     }
-    takeOver.tick(making);
-    Optional<RelayedView> view = making.tick();
+    takeOver.tick(builder);
+    Optional<RelayedView> view = builder.tick();
     view.ifPresent(this::publishView);
-    publishReports(making);
+    publishReports(builder);
   }
 
   /** The answer to a heartbeat, as long as this VM is relay. */
-  Optional<HeartbeatAnswer> heartbeat(Heartbeat heartbeat) {
-    ZoneViewBuilder making = maker;
-    if (making == null) {
+  Optional<HeartbeatAnswer> onHeartbeat(Heartbeat heartbeat) {
+    ZoneViewBuilder builder = viewBuilder;
+    if (builder == null) {
       return Optional.empty();
     }
-    HeartbeatAnswer answer = making.onHeartbeat(heartbeat);
+    HeartbeatAnswer answer = builder.onHeartbeat(heartbeat);
     return Optional.of(
         new HeartbeatAnswer(
             answer.echoedSentNanos(),
             answer.viewNumber(),
             answer.isRelay(),
-            answer.isConfirmed() && mayConfirm(making),
+            answer.isConfirmed() && canConfirm(builder),
             answer.knownIncarnation()));
   }
 
@@ -130,71 +132,71 @@
    * until a next one's view would have reached it, and needs to hear most of the zone, so that of
    * two parts of a split zone at most one is confirmed in full.
    */
-  private boolean mayConfirm(ZoneViewBuilder making) {
-    if (duty.state() == RelayElection.State.HOLDING) {
+  private boolean canConfirm(ZoneViewBuilder builder) {
+    if (election.state() == RelayElection.State.HOLDING) {
       return true;
     }
-    boolean rested = time.nanos() - distrustUntilNanos >= 0;
-    return rested && making.liveFraction() > MAJORITY;
+    boolean isPastBlock = time.nanos() - confirmationBlockedUntilNanos >= 0;
+    return isPastBlock && builder.liveFraction() > MAJORITY;
   }
 
-  private void notePause() {
+  private void detectPause() {
     long now = time.nanos();
-    if (now - lastTickNanos > times.membership().takeOverTimeout().toNanos()) {
-      takeOver.away();
+    if (now - lastTickNanos > timings.membership().takeOverTimeout().toNanos()) {
+      takeOver.assumeLent();
     }
-    if (now - lastTickNanos > times.membership().maxPause().toNanos()) {
-      distrustUntilNanos = now + times.membership().takeOverTimeout().toNanos();
+    if (now - lastTickNanos > timings.membership().maxPause().toNanos()) {
+      confirmationBlockedUntilNanos = now + timings.membership().takeOverTimeout().toNanos();
     }
     lastTickNanos = now;
   }
 
-  private void begin() {
-    makerFencing = duty.fencingToken();
-    maker =
+  private void startBuilding() {
+    fencingToken = election.fencingToken();
+    viewBuilder =
         ZoneViewBuilder.of(
-            times.membership(),
+            timings.membership(),
             time,
             identity.zone(),
             identity.vm(),
-            makerFencing,
-            known.view(identity.zone()),
+            fencingToken,
+            replicatedState.view(identity.zone()),
             this::slotsPerTarget);
-    takeOverAgain(maker);
-    maker.onPlatformList(lastList);
+    restoreTakeOvers(viewBuilder);
+    viewBuilder.onPlatformList(platformList);
     nextReportNanos = time.nanos() + Duration.ofMillis(200).toNanos();
-    nextNearReportNanos = nextReportNanos;
+    nextRegionReportNanos = nextReportNanos;
     events.record(
         EventKind.LEASE_GAINED,
         "",
         identity.customer(),
         identity.zone(),
-        makerFencing,
-        "relay, " + duty.state());
+        fencingToken,
+        "relay, " + election.state());
   }
 
   /** Targets of another zone that the relay before took over look like the own zone's. */
-  private void takeOverAgain(ZoneViewBuilder making) {
-    making.setLentTargets(takeOver::lent);
-    for (String zone : known.regionMates()) {
-      known
+  private void restoreTakeOvers(ZoneViewBuilder builder) {
+    builder.setLentTargets(takeOver::isLent);
+    for (String zone : replicatedState.otherZonesOfRegion()) {
+      replicatedState
           .takeOver(zone)
           .filter(view -> view.relay().equals(identity.zone()))
-          .ifPresent(view -> making.takeOver(zone, view.view().holdings()));
+          .ifPresent(view -> builder.takeOver(zone, view.view().holdings()));
     }
   }
 
-  private void stop() {
-    if (maker == null) {
+  private void stopBuilding() {
+    if (viewBuilder == null) {
       return;
     }
-    maker = null;
+    viewBuilder = null;
     events.record(
-        EventKind.LEASE_LOST, "", identity.customer(), identity.zone(), makerFencing, "no relay");
+        EventKind.LEASE_LOST, "", identity.customer(), identity.zone(), fencingToken, "no relay");
   }
 
   private int slotsPerTarget(String service) {
-    Contract contract = known.contract();
+    Contract contract = replicatedState.contract();
     if (contract == null) {
       return 0;
     }
@@ -209,39 +211,40 @@
 
   /**
    * Reports to all zones as often as the byte budget lets so many zones report, and to those of the
-   * own region, on which steering leans first, each {@link ControlTimes#report}.
+   * own region, on which steering leans first, each {@link ControlTimings#reportInterval}.
    */
-  private void publishReports(ZoneViewBuilder making) {
+  private void publishReports(ZoneViewBuilder builder) {
     long now = time.nanos();
     if (now - nextReportNanos >= 0) {
-      nextReportNanos = now + times.reportEvery(known.views().size()).toNanos();
-      nextNearReportNanos = now + times.report().toNanos();
-      publishReport(making, ReportKeys.far(identity.zone()));
-    } else if (now - nextNearReportNanos >= 0) {
-      nextNearReportNanos = now + times.report().toNanos();
-      publishReport(making, ReportKeys.near(identity.zone()));
+      nextReportNanos =
+          now + timings.reportIntervalToAllZones(replicatedState.views().size()).toNanos();
+      nextRegionReportNanos = now + timings.reportInterval().toNanos();
+      publishReport(builder, ReportKeys.forAllZones(identity.zone()));
+    } else if (now - nextRegionReportNanos >= 0) {
+      nextRegionReportNanos = now + timings.reportInterval().toNanos();
+      publishReport(builder, ReportKeys.forRegion(identity.zone()));
     }
   }
 
-  private void publishReport(ZoneViewBuilder making, ItemKey key) {
-    Map<String, Long> revisions = making.revisionsInForce();
+  private void publishReport(ZoneViewBuilder builder, ItemKey key) {
+    Map<String, Long> revisions = builder.revisionsInForce();
     long lowest = revisions.values().stream().mapToLong(Long::longValue).min().orElse(0);
     List<String> lagging =
         revisions.entrySet().stream()
-            .filter(entry -> entry.getValue() < known.revision())
+            .filter(entry -> entry.getValue() < replicatedState.contractRevision())
             .map(Map.Entry::getKey)
-            .limit(MOST_LAGGING_NAMED)
+            .limit(MAX_LAGGING_NAMED)
             .toList();
     ZoneReport report =
         new ZoneReport(
             identity.zone(),
             identity.customer(),
             time.wallMillis(),
-            making.summaries(),
+            builder.summaries(),
             revisions.size(),
             lowest,
             lagging);
-    long version = Math.max(makerFencing << 20, table.version(key) + 1);
+    long version = Math.max(fencingToken << 20, table.version(key) + 1);
     publish.accept(new Item(key, version, 0, MembershipCodec.encode(report)));
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/KnownState.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ReplicatedState.java
@@ -31,33 +31,33 @@
  * <p>The table of items already refuses lower versions; this class refuses content that cannot be
  * read, and keeps what was in force before.
  */
-final class KnownState {
+final class ReplicatedState {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   private final ControlIdentity identity;
   private final TimeSource time;
-  private final ControlTimes times;
-  private final Map<String, Long> heardNanos = new HashMap<>();
-  private final Set<String> silent = new TreeSet<>();
+  private final ControlTimings timings;
+  private final Map<String, Long> lastHeardNanos = new HashMap<>();
+  private final Set<String> silentZones = new TreeSet<>();
   private final Map<String, RelayedView> views = new TreeMap<>();
   private final Map<String, ZoneReport> reports = new TreeMap<>();
   private final Map<String, RelayedView> takeOvers = new TreeMap<>();
   private @Nullable Contract contract;
-  private boolean changed;
-  private boolean urgent;
+  private boolean hasChanged;
+  private boolean hasUrgentChange;
 
   /** Nothing is known; zones not heard for long count as lost. */
-  KnownState(ControlIdentity identity, TimeSource time, ControlTimes times) {
+  ReplicatedState(ControlIdentity identity, TimeSource time, ControlTimings timings) {
     this.identity = identity;
     this.time = time;
-    this.times = times;
+    this.timings = timings;
   }
 
   /** Takes an item in; true where its content could be read and concerns this customer. */
   boolean accept(Item item) {
     try {
       boolean taken = decode(item);
-      changed |= taken;
+      hasChanged |= taken;
       return taken;
     } catch (ProtocolException | SettingsException | RuntimeException e) {
       logger.atSevere().atMostEvery(10, TimeUnit.SECONDS).withCause(e).log(
@@ -69,21 +69,21 @@
 
   private boolean decode(Item item) throws ProtocolException, SettingsException {
     return switch (item.key().kind()) {
-      case CONTRACT -> contract(item);
+      case CONTRACT -> acceptContract(item);
       case VIEW -> {
         if (ZoneTakeOver.isTakeOver(item.key())) {
           RelayedView taken = MembershipCodec.decodeView(item.payload());
           takeOvers.put(taken.view().zone(), taken);
           yield false;
         }
-        heard(item.key().name());
+        recordHeard(item.key().name());
         views.put(item.key().name(), MembershipCodec.decodeView(item.payload()));
-        urgent = true;
+        hasUrgentChange = true;
         yield true;
       }
       case SUMMARY -> {
         ZoneReport report = MembershipCodec.decodeReport(item.payload());
-        heard(report.zone());
+        recordHeard(report.zone());
         ZoneReport held = reports.get(report.zone());
         boolean newer = held == null || report.takenAtMillis() >= held.takenAtMillis();
         if (newer) {
@@ -95,7 +95,7 @@
     };
   }
 
-  private boolean contract(Item item) throws SettingsException {
+  private boolean acceptContract(Item item) throws SettingsException {
     if (!item.key().name().equals(identity.customer())) {
       return false;
     }
@@ -109,12 +109,12 @@
       return false;
     }
     contract = read;
-    urgent = true;
+    hasUrgentChange = true;
     return true;
   }
 
   /** Revision of the contract known here, 0 for none. */
-  long revision() {
+  long contractRevision() {
     Contract known = contract;
     return known == null ? 0 : known.revision();
   }
@@ -140,16 +140,17 @@
   }
 
   boolean isSilent(String zone) {
-    return silent.contains(zone);
+    return silentZones.contains(zone);
   }
 
   /** Whether anything was heard lately of any of {@code zones}. */
-  boolean hearsAny(List<String> zones) {
-    return zones.stream().anyMatch(zone -> heardNanos.containsKey(zone) && !silent.contains(zone));
+  boolean isAnyLive(List<String> zones) {
+    return zones.stream()
+        .anyMatch(zone -> lastHeardNanos.containsKey(zone) && !silentZones.contains(zone));
   }
 
   /** Zones of the own zone's region but itself, by the contract in force. */
-  List<String> regionMates() {
+  List<String> otherZonesOfRegion() {
     Contract known = contract;
     if (known == null) {
       return List.of();
@@ -167,10 +168,10 @@
     return new TreeMap<>(reports);
   }
 
-  private void heard(String zone) {
-    heardNanos.put(zone, time.nanos());
-    if (silent.remove(zone)) {
-      urgent = true;
+  private void recordHeard(String zone) {
+    lastHeardNanos.put(zone, time.nanos());
+    if (silentZones.remove(zone)) {
+      hasUrgentChange = true;
     }
   }
 
@@ -181,42 +182,44 @@
    * it would name dead VMs for ever. A zone that is only cut off from this one cannot be reached
    * from here either. The own zone never counts as silent.
    */
-  Set<String> noteSilence() {
-    Set<String> fresh = new TreeSet<>();
-    long patience = times.zoneSilence(views.size()).toNanos();
-    for (Map.Entry<String, Long> entry : heardNanos.entrySet()) {
-      boolean quiet = time.nanos() - entry.getValue() > patience;
-      if (quiet && !entry.getKey().equals(identity.zone()) && silent.add(entry.getKey())) {
-        fresh.add(entry.getKey());
+  Set<String> detectSilentZones() {
+    Set<String> newlySilent = new TreeSet<>();
+    long timeoutNanos = timings.zoneSilenceTimeout(views.size()).toNanos();
+    for (Map.Entry<String, Long> entry : lastHeardNanos.entrySet()) {
+      boolean isOverdue = time.nanos() - entry.getValue() > timeoutNanos;
+      if (isOverdue && !entry.getKey().equals(identity.zone()) && silentZones.add(entry.getKey())) {
+        newlySilent.add(entry.getKey());
       }
     }
-    if (!fresh.isEmpty()) {
-      urgent = true;
-      changed = true;
+    if (!newlySilent.isEmpty()) {
+      hasUrgentChange = true;
+      hasChanged = true;
     }
-    return fresh;
+    return newlySilent;
   }
 
-  /** Whether a contract or a view changed since the last {@link #snapshot}. */
-  boolean urgentlyChanged() {
-    return urgent;
+  /** Whether a contract or a view changed since the last {@link #takeSnapshot}. */
+  boolean hasUrgentChange() {
+    return hasUrgentChange;
   }
 
-  /** Whether anything changed since the last {@link #snapshot}. */
-  boolean changed() {
-    return changed;
+  /** Whether anything changed since the last {@link #takeSnapshot}. */
+  boolean hasChanged() {
+    return hasChanged;
   }
 
   /** Everything known, for the request path. */
-  ClusterState snapshot() {
-    changed = false;
-    urgent = false;
+  ClusterState takeSnapshot() {
+    hasChanged = false;
+    hasUrgentChange = false;
     Map<String, ZoneView> plain = new HashMap<>();
     views.forEach(
-        (zone, view) -> plain.put(zone, silent.contains(zone) ? empty(view.view()) : view.view()));
+        (zone, view) ->
+            plain.put(
+                zone, silentZones.contains(zone) ? withoutMembers(view.view()) : view.view()));
     List<ZoneSummary> summaries = new ArrayList<>();
     for (ZoneReport report : reports.values()) {
-      if (!silent.contains(report.zone())) {
+      if (!silentZones.contains(report.zone())) {
         summaries.addAll(report.summaries());
       }
     }
@@ -225,7 +228,7 @@
     return new ClusterState(contracts, plain, summaries);
   }
 
-  private static ZoneView empty(ZoneView view) {
+  private static ZoneView withoutMembers(ZoneView view) {
     return new ZoneView(view.zone(), view.number(), List.of(), List.of());
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ReportKeys.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ReportKeys.java
@@ -8,25 +8,25 @@
  * often, to the zones of the same region.
  */
 final class ReportKeys {
-  private static final String NEAR_SUFFIX = "/near";
+  private static final String REGION_SUFFIX = "/near";
 
   private ReportKeys() {}
 
-  static ItemKey far(String zone) {
+  static ItemKey forAllZones(String zone) {
     return new ItemKey(ItemKind.SUMMARY, zone);
   }
 
-  static ItemKey near(String zone) {
-    return new ItemKey(ItemKind.SUMMARY, zone + NEAR_SUFFIX);
+  static ItemKey forRegion(String zone) {
+    return new ItemKey(ItemKind.SUMMARY, zone + REGION_SUFFIX);
   }
 
-  static boolean isNear(ItemKey key) {
-    return key.name().endsWith(NEAR_SUFFIX);
+  static boolean isForRegion(ItemKey key) {
+    return key.name().endsWith(REGION_SUFFIX);
   }
 
   /** The zone that a report's key names. */
-  static String zone(ItemKey key) {
+  static String reportingZone(ItemKey key) {
     String name = key.name();
-    return isNear(key) ? name.substring(0, name.length() - NEAR_SUFFIX.length()) : name;
+    return isForRegion(key) ? name.substring(0, name.length() - REGION_SUFFIX.length()) : name;
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/StoreWorker.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/StoreWorker.java
@@ -28,80 +28,80 @@
  */
 final class StoreWorker implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final Duration WATCH_WAIT = Duration.ofSeconds(20);
-  private static final Duration FIRST_RETRY = Duration.ofMillis(100);
-  private static final Duration LONGEST_RETRY = Duration.ofSeconds(3);
-  private static final Duration LIST_PAUSE_OUTSIDE_DUTY = Duration.ofSeconds(5);
-  private static final long IDLE_MILLIS = 250;
+  private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
+  private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(100);
+  private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(3);
+  private static final Duration NON_RELAY_LIST_FETCH_INTERVAL = Duration.ofSeconds(5);
+  private static final long POLL_INTERVAL_MILLIS = 250;
 
-  private final BudgetedStore store;
+  private final RateLimitedStore store;
   private final String contractKey;
-  private final Duration listPeriod;
-  private final Duration leaseTime;
+  private final Duration listFetchInterval;
+  private final Duration leaseTimeToLive;
   private final EventSink events;
-  private final ExecutorService threads =
+  private final ExecutorService executor =
       Executors.newCachedThreadPool(
           task -> {
             Thread thread = new Thread(task, "store");
             thread.setDaemon(true);
             return thread;
           });
-  private volatile boolean relaying;
-  private volatile boolean closed;
-  private volatile boolean listWanted = true;
-  private volatile boolean failing;
+  private volatile boolean isRelay;
+  private volatile boolean isClosed;
+  private volatile boolean isListNeeded = true;
+  private volatile boolean isFailing;
 
   StoreWorker(
-      BudgetedStore store,
+      RateLimitedStore store,
       String customer,
-      Duration listPeriod,
-      Duration leaseTime,
+      Duration listFetchInterval,
+      Duration leaseTimeToLive,
       EventSink events) {
     this.store = store;
     this.contractKey = StoredContract.keyOf(customer);
-    this.listPeriod = listPeriod;
-    this.leaseTime = leaseTime;
+    this.listFetchInterval = listFetchInterval;
+    this.leaseTimeToLive = leaseTimeToLive;
     this.events = events;
   }
 
   /** What the control thread is told. */
   interface Results {
     /** Runs on the control thread. */
-    void onControl(Runnable task);
+    void runOnControlThread(Runnable task);
 
     /** The store's answer to a fresh VM. */
-    void firstRead(Optional<StoredValue> contract);
+    void onInitialRead(Optional<StoredValue> contract);
 
-    void watched(StoredValue contract);
+    void onContractChanged(StoredValue contract);
 
-    void listed(List<ListedVm> lines);
+    void onPlatformList(List<ListedVm> vms);
   }
 
   /**
    * Starts the threads that read the contract once, watch it while relaying, and fetch the list.
    */
   void start(Results results, LongSupplier knownRevision) {
-    threads.execute(() -> readOnce(results));
-    threads.execute(() -> watchWhileRelaying(results, knownRevision));
-    threads.execute(() -> listAsNeeded(results));
+    executor.execute(() -> readContract(results));
+    executor.execute(() -> watchContractWhileRelay(results, knownRevision));
+    executor.execute(() -> fetchListWhileNeeded(results));
   }
 
-  void relaying(boolean now) {
-    relaying = now;
+  void setRelay(boolean newIsRelay) {
+    isRelay = newIsRelay;
   }
 
   /** Whether the list is needed although this VM is no relay: it is fresh, or hears nobody. */
-  void listWanted(boolean wanted) {
-    listWanted = wanted;
+  void setListNeeded(boolean isNeeded) {
+    isListNeeded = isNeeded;
   }
 
   /** Makes a call of the duty. */
-  void call(ElectionCall call, RelayElection duty, Results results) {
-    threads.execute(() -> make(call, duty, results));
+  void startElectionCall(ElectionCall call, RelayElection election, Results results) {
+    executor.execute(() -> runElectionCall(call, election, results));
   }
 
-  void revoke(long lease) {
-    threads.execute(
+  void revokeLease(long lease) {
+    executor.execute(
         () -> {
           try {
             store.revokeLease(lease);
@@ -111,129 +111,131 @@
         });
   }
 
-  private void make(ElectionCall call, RelayElection duty, Results results) {
+  private void runElectionCall(ElectionCall call, RelayElection election, Results results) {
     try {
-      Runnable end = end(call, duty);
-      up();
-      results.onControl(end);
+      Runnable reportResult = performElectionCall(call, election);
+      recordSuccess();
+      results.runOnControlThread(reportResult);
     } catch (StoreException | RuntimeException e) {
-      down(e);
-      results.onControl(duty::onFailure);
+      recordFailure(e);
+      results.runOnControlThread(election::onFailure);
     }
   }
 
-  private Runnable end(ElectionCall call, RelayElection duty) throws StoreException {
+  private Runnable performElectionCall(ElectionCall call, RelayElection election)
+      throws StoreException {
     if (call instanceof ElectionCall.ReadOwner read) {
       var owner = store.read(read.key());
-      return () -> duty.onOwnerRead(owner);
+      return () -> election.onOwnerRead(owner);
     }
     if (call instanceof ElectionCall.Claim claim) {
       var result = store.compareAndSet(claim.key(), 0, claim.value(), claim.lease());
-      return () -> duty.onClaimed(result);
+      return () -> election.onClaimed(result);
     }
     if (call instanceof ElectionCall.Renew renew) {
       boolean held = store.keepAlive(renew.lease());
-      return () -> duty.onRenewed(held);
+      return () -> election.onRenewed(held);
     }
-    long lease = store.grantLease(leaseTime);
-    return () -> duty.onGranted(lease);
+    long lease = store.grantLease(leaseTimeToLive);
+    return () -> election.onGranted(lease);
   }
 
-  private void readOnce(Results results) {
+  private void readContract(Results results) {
     Backoff backoff = backoff();
-    while (!closed) {
+    while (!isClosed) {
       try {
         Optional<StoredValue> contract = store.read(contractKey);
-        up();
-        results.onControl(() -> results.firstRead(contract));
+        recordSuccess();
+        results.runOnControlThread(() -> results.onInitialRead(contract));
         return;
       } catch (StoreException | RuntimeException e) {
-        down(e);
-        rest(backoff.recordFailure());
+        recordFailure(e);
+        sleep(backoff.recordFailure());
       }
     }
   }
 
-  private void watchWhileRelaying(Results results, LongSupplier knownRevision) {
+  private void watchContractWhileRelay(Results results, LongSupplier knownRevision) {
     Backoff backoff = backoff();
     long after = 0;
-    boolean was = false;
-    while (!closed) {
-      if (!relaying) {
-        was = false;
-        rest(Duration.ofMillis(IDLE_MILLIS));
+    boolean wasRelay = false;
+    while (!isClosed) {
+      if (!isRelay) {
+        wasRelay = false;
+        sleep(Duration.ofMillis(POLL_INTERVAL_MILLIS));
         continue;
       }
-      if (!was) {
-        was = true;
+      if (!wasRelay) {
+        wasRelay = true;
         after = knownRevision.getAsLong();
       }
       try {
-        WatchBatch batch = ((Store) store).watch(contractKey, after, WATCH_WAIT);
+        WatchBatch batch = ((Store) store).watch(contractKey, after, WATCH_TIMEOUT);
         after = batch.nextRevision();
-        up();
+        recordSuccess();
         backoff.recordSuccess();
-        forEachContract(batch, value -> results.onControl(() -> results.watched(value)));
+        forEachContract(
+            batch, value -> results.runOnControlThread(() -> results.onContractChanged(value)));
       } catch (StoreException | RuntimeException e) {
-        down(e);
-        rest(backoff.recordFailure());
+        recordFailure(e);
+        sleep(backoff.recordFailure());
       }
     }
   }
 
-  private void forEachContract(WatchBatch batch, Consumer<StoredValue> taker) {
+  private void forEachContract(WatchBatch batch, Consumer<StoredValue> consumer) {
     for (StoredValue value : batch.changed()) {
       if (value.key().equals(contractKey)) {
-        taker.accept(value);
+        consumer.accept(value);
       }
     }
   }
 
-  private void listAsNeeded(Results results) {
+  private void fetchListWhileNeeded(Results results) {
     Backoff backoff = backoff();
-    while (!closed) {
-      if (!relaying && !listWanted) {
-        rest(Duration.ofMillis(IDLE_MILLIS));
+    while (!isClosed) {
+      if (!isRelay && !isListNeeded) {
+        sleep(Duration.ofMillis(POLL_INTERVAL_MILLIS));
         continue;
       }
       try {
         List<ListedVm> lines = store.fetch();
         backoff.recordSuccess();
-        results.onControl(() -> results.listed(lines));
-        restUntilNextList();
+        results.runOnControlThread(() -> results.onPlatformList(lines));
+        awaitNextFetch();
       } catch (StoreException | RuntimeException e) {
-        down(e);
-        rest(backoff.recordFailure());
+        recordFailure(e);
+        sleep(backoff.recordFailure());
       }
     }
   }
 
-  private void restUntilNextList() {
-    boolean asRelay = relaying;
-    Duration pause = asRelay ? listPeriod : LIST_PAUSE_OUTSIDE_DUTY;
+  private void awaitNextFetch() {
+    boolean wasRelay = isRelay;
+    Duration pause = wasRelay ? listFetchInterval : NON_RELAY_LIST_FETCH_INTERVAL;
     long end = System.nanoTime() + pause.toNanos();
-    while (!closed && relaying == asRelay && System.nanoTime() - end < 0) {
-      rest(Duration.ofMillis(IDLE_MILLIS));
+    while (!isClosed && isRelay == wasRelay && System.nanoTime() - end < 0) {
+      sleep(Duration.ofMillis(POLL_INTERVAL_MILLIS));
     }
   }
 
   private static Backoff backoff() {
-    return Backoff.of(FIRST_RETRY, LONGEST_RETRY, ThreadLocalRandom.current());
+    return Backoff.of(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY, ThreadLocalRandom.current());
   }
 
-  private void up() {
-    if (failing) {
-      failing = false;
+  private void recordSuccess() {
+    if (isFailing) {
+      isFailing = false;
       events.record(EventKind.STORE_UP, "", "", "", 0, "answers again");
     }
   }
 
-  private void down(Exception cause) {
-    if (closed) {
+  private void recordFailure(Exception cause) {
+    if (isClosed) {
       return;
     }
-    if (!failing) {
-      failing = true;
+    if (!isFailing) {
+      isFailing = true;
       events.record(EventKind.STORE_DOWN, "", "", "", 0, String.valueOf(cause.getMessage()));
     }
     logger.atWarning().atMostEvery(10, TimeUnit.SECONDS).log(
@@ -241,18 +243,18 @@
         cause.getMessage());
   }
 
-  private void rest(Duration pause) {
+  private void sleep(Duration pause) {
     try {
       TimeUnit.NANOSECONDS.sleep(pause.toNanos());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      closed = true;
+      isClosed = true;
     }
   }
 
   @Override
   public void close() {
-    closed = true;
-    threads.shutdownNow();
+    isClosed = true;
+    executor.shutdownNow();
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/TargetProbe.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/TargetProbe.java
@@ -9,8 +9,8 @@
   /**
    * Asks {@code target}; returns at once.
    *
-   * @param answer told true where the target answered that none of its slots is busy; never told
+   * @param onAnswer told true where the target answered that none of its slots is busy; never told
    *     where it gives no answer
    */
-  void ask(Holding target, Consumer<Boolean> answer);
+  void probe(Holding target, Consumer<Boolean> onAnswer);
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/TopicTable.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/TopicDispatcher.java
@@ -7,12 +7,12 @@
 import org.sageladder.core.spread.PeerMessages;
 
 /** Who takes the payloads of which topic; thread-safe. */
-final class TopicTable {
+final class TopicDispatcher {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   private final Map<String, PeerMessages.Receiver> receivers = new ConcurrentHashMap<>();
 
-  void on(String topic, PeerMessages.Receiver receiver) {
+  void register(String topic, PeerMessages.Receiver receiver) {
     receivers.put(topic, receiver);
   }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ViewEvents.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ViewEventRecorder.java
@@ -21,16 +21,16 @@
  *
  * <p>Called by one thread.
  */
-public final class ViewEvents implements Consumer<ClusterState> {
+public final class ViewEventRecorder implements Consumer<ClusterState> {
   private final String vm;
   private final String zone;
   private final String customer;
   private final EventSink events;
   private Set<String> members = Set.of();
   private Set<String> targets = Set.of();
-  private Set<String> leaving = Set.of();
+  private Set<String> drainingTargets = Set.of();
 
-  private ViewEvents(String vm, String zone, String customer, EventSink events) {
+  private ViewEventRecorder(String vm, String zone, String customer, EventSink events) {
     this.vm = vm;
     this.zone = zone;
     this.customer = customer;
@@ -38,8 +38,8 @@
   }
 
   /** Events of the entry VM {@code vm}, which has seen no view yet. */
-  public static ViewEvents of(String vm, String zone, String customer, EventSink events) {
-    return new ViewEvents(vm, zone, customer, events);
+  public static ViewEventRecorder of(String vm, String zone, String customer, EventSink events) {
+    return new ViewEventRecorder(vm, zone, customer, events);
   }
 
   @Override
@@ -48,33 +48,33 @@
     if (view == null) {
       return;
     }
-    Set<String> nowMembers = view.members().stream().map(Member::vm).collect(Collectors.toSet());
-    record(EventKind.MEMBER_JOINED, nowMembers, members, view.number());
-    record(EventKind.MEMBER_LEFT, members, nowMembers, view.number());
-    members = nowMembers;
-    Set<String> nowTargets = new HashSet<>();
-    Set<String> nowLeaving = new HashSet<>();
+    Set<String> newMembers = view.members().stream().map(Member::vm).collect(Collectors.toSet());
+    record(EventKind.MEMBER_JOINED, newMembers, members, view.number());
+    record(EventKind.MEMBER_LEFT, members, newMembers, view.number());
+    members = newMembers;
+    Set<String> newTargets = new HashSet<>();
+    Set<String> newDraining = new HashSet<>();
     for (Holding holding : view.holdings()) {
       if (holding.holder().equals(vm)) {
-        (holding.isDraining() ? nowLeaving : nowTargets).add(holding.target());
+        (holding.isDraining() ? newDraining : newTargets).add(holding.target());
       }
     }
-    record(EventKind.TARGET_HELD, nowTargets, targets, view.number());
-    record(EventKind.TARGET_LEAVING, nowLeaving, leaving, view.number());
-    nowTargets.addAll(nowLeaving);
-    Set<String> before = new HashSet<>(targets);
-    before.addAll(leaving);
-    record(EventKind.TARGET_GIVEN_UP, before, nowTargets, view.number());
-    nowTargets.removeAll(nowLeaving);
-    targets = nowTargets;
-    leaving = nowLeaving;
+    record(EventKind.TARGET_HELD, newTargets, targets, view.number());
+    record(EventKind.TARGET_LEAVING, newDraining, drainingTargets, view.number());
+    newTargets.addAll(newDraining);
+    Set<String> previousTargets = new HashSet<>(targets);
+    previousTargets.addAll(drainingTargets);
+    record(EventKind.TARGET_GIVEN_UP, previousTargets, newTargets, view.number());
+    newTargets.removeAll(newDraining);
+    targets = newTargets;
+    drainingTargets = newDraining;
   }
 
   /** One event for each name that is in {@code these} and not in {@code others}. */
-  private void record(EventKind kind, Set<String> these, Set<String> others, long number) {
-    these.stream()
-        .filter(name -> !others.contains(name))
+  private void record(EventKind kind, Set<String> present, Set<String> absent, long viewNumber) {
+    present.stream()
+        .filter(name -> !absent.contains(name))
         .sorted()
-        .forEach(name -> events.record(kind, "", customer, name, number, "by the zone's view"));
+        .forEach(name -> events.record(kind, "", customer, name, viewNumber, "by the zone's view"));
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ZoneTakeOver.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ZoneTakeOver.java
@@ -38,154 +38,158 @@
  */
 final class ZoneTakeOver {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final String PREFIX = "taken-over/";
-  private static final Duration BETWEEN_PROBES = Duration.ofSeconds(1);
+  private static final String KEY_PREFIX = "taken-over/";
+  private static final Duration PROBE_INTERVAL = Duration.ofSeconds(1);
 
   /** How long a zone that was away may not know yet that its targets were taken over. */
-  private static final Duration UNSURE = Duration.ofSeconds(4);
+  private static final Duration LOAN_PROPAGATION_DELAY = Duration.ofSeconds(4);
 
   private final ControlIdentity identity;
   private final TimeSource time;
-  private final KnownState known;
+  private final ReplicatedState replicatedState;
   private final VersionedTable table;
   private final TargetProbe probe;
   private final Consumer<Item> publish;
   private final EventSink events;
-  private final Map<String, Set<String>> idle = new HashMap<>();
+  private final Map<String, Set<String>> idleTargetsByZone = new HashMap<>();
   private long nextProbeNanos;
-  private long unsureUntilNanos;
-  private boolean hadContact;
+  private long assumeLentUntilNanos;
+  private boolean hadRegionContact;
 
   ZoneTakeOver(
       ControlIdentity identity,
       TimeSource time,
-      KnownState known,
+      ReplicatedState replicatedState,
       VersionedTable table,
       TargetProbe probe,
       Consumer<Item> publish,
       EventSink events) {
     this.identity = identity;
     this.time = time;
-    this.known = known;
+    this.replicatedState = replicatedState;
     this.table = table;
     this.probe = probe;
     this.publish = publish;
     this.events = events;
     this.nextProbeNanos = time.nanos();
-    this.unsureUntilNanos = time.nanos();
-    away();
+    this.assumeLentUntilNanos = time.nanos();
+    assumeLent();
   }
 
   static boolean isTakeOver(ItemKey key) {
-    return key.kind() == ItemKind.VIEW && key.name().startsWith(PREFIX);
+    return key.kind() == ItemKind.VIEW && key.name().startsWith(KEY_PREFIX);
   }
 
   /** This VM has just started or was paused: others may have taken its zone's targets over. */
-  void away() {
-    unsureUntilNanos = time.nanos() + UNSURE.toNanos();
+  void assumeLent() {
+    assumeLentUntilNanos = time.nanos() + LOAN_PROPAGATION_DELAY.toNanos();
   }
 
   /** Whether another zone may be using half of that target of the own zone. */
-  boolean lent(String target) {
-    if (known.regionMates().isEmpty()) {
+  boolean isLent(String target) {
+    if (replicatedState.otherZonesOfRegion().isEmpty()) {
       return false;
     }
-    boolean taken =
-        known.takeOver(identity.zone()).stream()
+    boolean isTakenOver =
+        replicatedState.takeOver(identity.zone()).stream()
             .flatMap(view -> view.view().holdings().stream())
             .anyMatch(holding -> holding.target().equals(target));
-    return taken || time.nanos() - unsureUntilNanos < 0;
+    return isTakenOver || time.nanos() - assumeLentUntilNanos < 0;
   }
 
   /** One round of the relay. */
-  void tick(ZoneViewBuilder maker) {
-    List<String> mates = known.regionMates();
-    noteContact(mates);
-    boolean probing = time.nanos() - nextProbeNanos >= 0;
-    if (probing) {
-      nextProbeNanos = time.nanos() + BETWEEN_PROBES.toNanos();
+  void tick(ZoneViewBuilder builder) {
+    List<String> otherZones = replicatedState.otherZonesOfRegion();
+    updateContact(otherZones);
+    boolean isProbeDue = time.nanos() - nextProbeNanos >= 0;
+    if (isProbeDue) {
+      nextProbeNanos = time.nanos() + PROBE_INTERVAL.toNanos();
     }
-    for (String zone : mates) {
-      if (known.isSilent(zone)) {
-        silent(zone, mates, maker, probing);
+    for (String zone : otherZones) {
+      if (replicatedState.isSilent(zone)) {
+        handleSilentZone(zone, otherZones, builder, isProbeDue);
       } else {
-        idle.remove(zone);
-        giveBack(zone, maker);
+        idleTargetsByZone.remove(zone);
+        giveBack(zone, builder);
       }
     }
   }
 
   /** After a cut both sides may have gone on for long; the other one's items are on their way. */
-  private void noteContact(List<String> mates) {
-    boolean contact = known.hearsAny(mates);
-    if (contact && !hadContact) {
-      away();
+  private void updateContact(List<String> otherZones) {
+    boolean hasContact = replicatedState.isAnyLive(otherZones);
+    if (hasContact && !hadRegionContact) {
+      assumeLent();
     }
-    hadContact = contact;
+    hadRegionContact = hasContact;
   }
 
-  private void silent(String zone, List<String> mates, ZoneViewBuilder maker, boolean probing) {
-    Optional<RelayedView> taken = active(zone);
+  private void handleSilentZone(
+      String zone, List<String> otherZones, ZoneViewBuilder builder, boolean isProbeDue) {
+    Optional<RelayedView> taken = activeTakeOver(zone);
     if (taken.isPresent() && taken.get().relay().equals(identity.zone())) {
-      maker.takeOver(zone, taken.get().view().holdings());
+      builder.takeOver(zone, taken.get().view().holdings());
       return;
     }
-    maker.giveBack(zone);
-    boolean byOther = taken.isPresent() && !known.isSilent(taken.get().relay());
-    if (byOther || !successor(zone, mates).equals(identity.zone())) {
-      idle.remove(zone);
+    builder.giveBack(zone);
+    boolean isTakenByOther = taken.isPresent() && !replicatedState.isSilent(taken.get().relay());
+    if (isTakenByOther || !successorZone(zone, otherZones).equals(identity.zone())) {
+      idleTargetsByZone.remove(zone);
       return;
     }
-    if (probing) {
-      takeIdle(zone, maker);
-      ask(zone);
+    if (isProbeDue) {
+      takeOverIdleTargets(zone, builder);
+      probeTargets(zone);
     }
   }
 
-  private Optional<RelayedView> active(String zone) {
-    return known.takeOver(zone).filter(view -> !view.view().holdings().isEmpty());
+  private Optional<RelayedView> activeTakeOver(String zone) {
+    return replicatedState.takeOver(zone).filter(view -> !view.view().holdings().isEmpty());
   }
 
   /** The zone that serves for {@code zone}: all zones of the region that hear each other agree. */
-  private String successor(String zone, List<String> mates) {
+  private String successorZone(String zone, List<String> otherZones) {
     List<String> candidates = new ArrayList<>(List.of(identity.zone()));
-    for (String mate : mates) {
-      boolean lives =
-          known.view(mate).map(view -> !view.view().members().isEmpty()).orElse(false)
-              && !known.isSilent(mate);
-      if (lives) {
-        candidates.add(mate);
+    for (String otherZone : otherZones) {
+      boolean isLive =
+          replicatedState
+                  .view(otherZone)
+                  .map(view -> !view.view().members().isEmpty())
+                  .orElse(false)
+              && !replicatedState.isSilent(otherZone);
+      if (isLive) {
+        candidates.add(otherZone);
       }
     }
     return Rendezvous.choose(zone, candidates).orElse(identity.zone());
   }
 
-  private void ask(String zone) {
+  private void probeTargets(String zone) {
     Set<String> answered = new TreeSet<>();
-    idle.put(zone, answered);
-    for (Holding holding : homeHoldings(zone)) {
+    idleTargetsByZone.put(zone, answered);
+    for (Holding holding : lastHoldings(zone)) {
       if (!holding.isDraining()) {
-        probe.ask(holding, nobody -> note(nobody, holding, answered));
+        probe.probe(holding, nobody -> recordAnswer(nobody, holding, answered));
       }
     }
   }
 
-  private static void note(boolean nobody, Holding holding, Set<String> answered) {
-    if (nobody) {
+  private static void recordAnswer(boolean isIdle, Holding holding, Set<String> answered) {
+    if (isIdle) {
       answered.add(holding.target());
     }
   }
 
   /** Takes what answered to the last round of probes. */
-  private void takeIdle(String zone, ZoneViewBuilder maker) {
-    Set<String> answered = idle.getOrDefault(zone, Set.of());
+  private void takeOverIdleTargets(String zone, ZoneViewBuilder builder) {
+    Set<String> answered = idleTargetsByZone.getOrDefault(zone, Set.of());
     List<Holding> taken =
-        homeHoldings(zone).stream().filter(holding -> answered.contains(holding.target())).toList();
+        lastHoldings(zone).stream().filter(holding -> answered.contains(holding.target())).toList();
     if (taken.isEmpty()) {
       return;
     }
-    announce(zone, taken);
-    maker.takeOver(zone, taken);
+    publishTakeOver(zone, taken);
+    builder.takeOver(zone, taken);
     logger.atWarning().log(
         "zone %s is silent while %d of its targets answer: using half of their slots",
         zone, taken.size());
@@ -198,22 +202,22 @@
         "taken over by " + identity.zone() + ", targets " + taken.size());
   }
 
-  private List<Holding> homeHoldings(String zone) {
-    return known.view(zone).map(view -> view.view().holdings()).orElse(List.of());
+  private List<Holding> lastHoldings(String zone) {
+    return replicatedState.view(zone).map(view -> view.view().holdings()).orElse(List.of());
   }
 
-  private void giveBack(String zone, ZoneViewBuilder maker) {
-    maker.giveBack(zone);
-    Optional<RelayedView> taken = active(zone);
-    boolean mine = taken.isPresent() && taken.get().relay().equals(identity.zone());
-    if (mine && !maker.holdsTargetsOf(zone)) {
-      announce(zone, List.of());
+  private void giveBack(String zone, ZoneViewBuilder builder) {
+    builder.giveBack(zone);
+    Optional<RelayedView> taken = activeTakeOver(zone);
+    boolean isOwnTakeOver = taken.isPresent() && taken.get().relay().equals(identity.zone());
+    if (isOwnTakeOver && !builder.holdsTargetsOf(zone)) {
+      publishTakeOver(zone, List.of());
       logger.atInfo().log("zone %s is back and has its targets' slots again", zone);
     }
   }
 
-  private void announce(String zone, List<Holding> holdings) {
-    ItemKey key = new ItemKey(ItemKind.VIEW, PREFIX + zone);
+  private void publishTakeOver(String zone, List<Holding> holdings) {
+    ItemKey key = new ItemKey(ItemKind.VIEW, KEY_PREFIX + zone);
     long version = Math.max(time.wallMillis(), table.version(key) + 1);
     ZoneView view = new ZoneView(zone, version, List.of(), holdings);
     byte[] payload = MembershipCodec.encode(new RelayedView(view, identity.zone(), List.of()));
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/OpenConnections.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/ConnectionLimiter.java
@@ -13,33 +13,33 @@
  * process, and then neither targets nor peers can be reached. A connection beyond the limit is
  * closed before anything was read from it, so its caller may go to another entry VM at once.
  */
-final class OpenConnections extends SessionObserver {
-  private final int most;
-  private final AtomicInteger open = new AtomicInteger();
-  private final AtomicLong refused = new AtomicLong();
+final class ConnectionLimiter extends SessionObserver {
+  private final int maxConnections;
+  private final AtomicInteger openCount = new AtomicInteger();
+  private final AtomicLong refusedCount = new AtomicLong();
 
-  OpenConnections(int most) {
-    this.most = most;
+  ConnectionLimiter(int maxConnections) {
+    this.maxConnections = maxConnections;
   }
 
-  int open() {
-    return open.get();
+  int openCount() {
+    return openCount.get();
   }
 
-  long refused() {
-    return refused.get();
+  long refusedCount() {
+    return refusedCount.get();
   }
 
   @Override
   public void connected(IOSession session) {
-    if (open.incrementAndGet() > most) {
-      refused.incrementAndGet();
+    if (openCount.incrementAndGet() > maxConnections) {
+      refusedCount.incrementAndGet();
       session.close(CloseMode.IMMEDIATE);
     }
   }
 
   @Override
   public void disconnected(IOSession session) {
-    open.decrementAndGet();
+    openCount.decrementAndGet();
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/HttpListener.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/HttpListener.java
@@ -31,15 +31,15 @@
 
 /** One listening HTTP port of an entry VM. */
 public final class HttpListener implements AutoCloseable {
-  private static final int LONGEST_LINE_SHARE = 2;
-  private static final int MOST_HEADERS = 100;
+  private static final int HEAD_TO_LINE_RATIO = 2;
+  private static final int MAX_HEADERS = 100;
 
   private final HttpAsyncServer server;
   private final int port;
-  private final OpenConnections connections;
+  private final ConnectionLimiter connectionLimiter;
 
-  private HttpListener(HttpAsyncServer server, int port, OpenConnections connections) {
-    this.connections = connections;
+  private HttpListener(HttpAsyncServer server, int port, ConnectionLimiter connectionLimiter) {
+    this.connectionLimiter = connectionLimiter;
     this.server = server;
     this.port = port;
   }
@@ -51,19 +51,16 @@
    * @throws java.net.BindException where the port is taken
    */
   public static HttpListener open(
-      String host,
-      int port,
-      ConnectionLimits limits,
-      Supplier<AsyncServerExchangeHandler> exchanges)
+      String host, int port, ConnectionLimits limits, Supplier<AsyncServerExchangeHandler> handlers)
       throws java.io.IOException, InterruptedException {
-    OpenConnections connections = new OpenConnections(limits.connections());
-    HttpAsyncServer server = server(limits, connections, exchanges);
+    ConnectionLimiter connectionLimiter = new ConnectionLimiter(limits.maxConnections());
+    HttpAsyncServer server = server(limits, connectionLimiter, handlers);
     server.start();
     try {
       ListenerEndpoint endpoint =
           server.listen(new InetSocketAddress(host, port), URIScheme.HTTP).get();
       int opened = ((InetSocketAddress) endpoint.getAddress()).getPort();
-      return new HttpListener(server, opened, connections);
+      return new HttpListener(server, opened, connectionLimiter);
     } catch (ExecutionException e) {
       server.close(CloseMode.IMMEDIATE);
       throw new java.io.IOException(
@@ -73,35 +70,35 @@
 
   private static HttpAsyncServer server(
       ConnectionLimits limits,
-      OpenConnections connections,
-      Supplier<AsyncServerExchangeHandler> exchanges) {
+      ConnectionLimiter connectionLimiter,
+      Supplier<AsyncServerExchangeHandler> handlers) {
     Http1Config config =
         Http1Config.custom()
-            .setMaxLineLength(limits.headBytes() / LONGEST_LINE_SHARE)
-            .setMaxHeaderCount(MOST_HEADERS)
+            .setMaxLineLength(limits.maxHeadBytes() / HEAD_TO_LINE_RATIO)
+            .setMaxHeaderCount(MAX_HEADERS)
             .build();
     ServerHttp1StreamDuplexerFactory streams =
         new ServerHttp1StreamDuplexerFactory(
             HttpProcessors.customServer("sageladder")
-                .addFirst(RequestFraming.check())
-                .addLast(numbered())
+                .addFirst(RequestFramingValidator.create())
+                .addLast(resultHeaders())
                 .build(),
             new DefaultAsyncResponseExchangeHandlerFactory(
-                (request, context) -> exchanges, BasicAsyncServerExpectationDecorator::new),
+                (request, context) -> handlers, BasicAsyncServerExpectationDecorator::new),
             config,
             CharCodingConfig.DEFAULT,
             DefaultConnectionReuseStrategy.INSTANCE,
             new DefaultHttpRequestParserFactory(config),
             new DefaultHttpResponseWriterFactory(config),
-            RequestFraming.lengths(),
+            RequestFramingValidator.contentLengthStrategy(),
             DefaultContentLengthStrategy.INSTANCE,
             null,
             null);
     return new HttpAsyncServer(
-        IdleHandler.decorate(new ServerHttp1IOEventHandlerFactory(streams, null, null)),
+        IdleConnectionHandler.decorate(new ServerHttp1IOEventHandlerFactory(streams, null, null)),
         IOReactorConfig.custom()
-            .setIoThreadCount(limits.workers())
-            .setSoTimeout(Timeout.of(limits.idle()))
+            .setIoThreadCount(limits.workerThreads())
+            .setSoTimeout(Timeout.of(limits.idleTimeout()))
             .setTcpNoDelay(true)
             .setSoReuseAddress(true)
             .setBacklogSize(1024)
@@ -109,24 +106,24 @@
             .build(),
         HangUpSession.decorator(),
         null,
-        connections,
+        connectionLimiter,
         null,
         null,
         null);
   }
 
   /** Gives a number to the answers that the HTTP library makes for requests it cannot read. */
-  private static HttpResponseInterceptor numbered() {
+  private static HttpResponseInterceptor resultHeaders() {
     return (response, entity, context) -> {
       if (response.getCode() < 400 || response.containsHeader(Headers.RESULT)) {
         return;
       }
-      mark(response, RequestFraming.refused(context));
+      addResultHeaders(response, RequestFramingValidator.isRejected(context));
     };
   }
 
-  private static void mark(HttpResponse response, boolean badLength) {
-    if (badLength) {
+  private static void addResultHeaders(HttpResponse response, boolean hasInvalidLength) {
+    if (hasInvalidLength) {
       LocalReplies.addResultHeaders(response, ResultCode.BODY_LENGTH_INVALID);
       return;
     }
@@ -141,13 +138,13 @@
   }
 
   /** Connections that are open now. */
-  public int openConnections() {
-    return connections.open();
+  public int openConnectionCount() {
+    return connectionLimiter.openCount();
   }
 
   /** Connections that were closed at once because as many as allowed were open. */
-  public long refusedConnections() {
-    return connections.refused();
+  public long refusedConnectionCount() {
+    return connectionLimiter.refusedCount();
   }
 
   /** Closes all connections that have no exchange, then the rest after {@code grace}. */
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/IdleHandler.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/IdleConnectionHandler.java
@@ -17,20 +17,21 @@
  * and one day the port refuses everybody. The HTTP library's own timeout would also cut off a
  * caller whose export waits long for a slot; such a connection has more requests than answers.
  */
-final class IdleHandler implements IOEventHandler {
-  private final IOEventHandler handler;
+final class IdleConnectionHandler implements IOEventHandler {
+  private final IOEventHandler delegate;
 
   // Both are used by the connection's one I/O thread alone.
-  private long sinceNanos = System.nanoTime();
-  private long answersSeen;
+  private long lastActivityNanos = System.nanoTime();
+  private long lastResponseCount;
 
-  private IdleHandler(IOEventHandler handler) {
-    this.handler = handler;
+  private IdleConnectionHandler(IOEventHandler delegate) {
+    this.delegate = delegate;
   }
 
   /** Decorates each connection that {@code factory} makes. */
   static IOEventHandlerFactory decorate(IOEventHandlerFactory factory) {
-    return (session, attachment) -> new IdleHandler(factory.createHandler(session, attachment));
+    return (session, attachment) ->
+        new IdleConnectionHandler(factory.createHandler(session, attachment));
   }
 
   /**
@@ -43,12 +44,12 @@
   @Override
   public void timeout(IOSession session, Timeout timeout) {
     long now = System.nanoTime();
-    EndpointDetails details = ((HttpConnection) handler).getEndpointDetails();
-    long answers = details.getResponseCount();
-    if (details.getRequestCount() > answers || answers != answersSeen) {
-      answersSeen = answers;
-      sinceNanos = now;
-    } else if (now - sinceNanos > timeout.toNanoseconds()) {
+    EndpointDetails details = ((HttpConnection) delegate).getEndpointDetails();
+    long responseCount = details.getResponseCount();
+    if (details.getRequestCount() > responseCount || responseCount != lastResponseCount) {
+      lastResponseCount = responseCount;
+      lastActivityNanos = now;
+    } else if (now - lastActivityNanos > timeout.toNanoseconds()) {
       // The library would reset it, and a caller that sends at this moment could not tell why.
       session.close(CloseMode.GRACEFUL);
     }
@@ -56,26 +57,26 @@
 
   @Override
   public void connected(IOSession session) throws IOException {
-    handler.connected(session);
+    delegate.connected(session);
   }
 
   @Override
   public void inputReady(IOSession session, ByteBuffer bytes) throws IOException {
-    handler.inputReady(session, bytes);
+    delegate.inputReady(session, bytes);
   }
 
   @Override
   public void outputReady(IOSession session) throws IOException {
-    handler.outputReady(session);
+    delegate.outputReady(session);
   }
 
   @Override
   public void exception(IOSession session, Exception cause) {
-    handler.exception(session, cause);
+    delegate.exception(session, cause);
   }
 
   @Override
   public void disconnected(IOSession session) {
-    handler.disconnected(session);
+    delegate.disconnected(session);
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/OperatorPort.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/OperatorPort.java
@@ -32,8 +32,8 @@
   private final ControlPlane control;
   private final GateTable gates;
   private final EventSource events;
-  private final LookUpExplainer explanation;
-  private final Runnable drain;
+  private final LookUpExplainer lookUpExplainer;
+  private final Runnable startDrain;
 
   private OperatorPort(
       String vm,
@@ -41,28 +41,28 @@
       ControlPlane control,
       GateTable gates,
       EventSource events,
-      LookUpExplainer explanation,
-      Runnable drain) {
+      LookUpExplainer lookUpExplainer,
+      Runnable startDrain) {
     this.vm = vm;
     this.metrics = metrics;
     this.control = control;
     this.gates = gates;
     this.events = events;
-    this.explanation = explanation;
-    this.drain = drain;
+    this.lookUpExplainer = lookUpExplainer;
+    this.startDrain = startDrain;
   }
 
   /** Where the events that this port serves come from. */
   @FunctionalInterface
   public interface EventSource {
     /** The events after {@code sequence}. */
-    EventPage after(long sequence);
+    EventPage readAfter(long sequence);
   }
 
   /**
    * The routes of the operators' port of {@code vm}.
    *
-   * @param drain begins a planned stop; must return at once and may be run more than once
+   * @param startDrain begins a planned stop; must return at once and may be run more than once
    */
   public static OperatorPort of(
       String vm,
@@ -70,9 +70,9 @@
       ControlPlane control,
       GateTable gates,
       EventSource events,
-      LookUpExplainer explanation,
-      Runnable drain) {
-    return new OperatorPort(vm, metrics, control, gates, events, explanation, drain);
+      LookUpExplainer lookUpExplainer,
+      Runnable startDrain) {
+    return new OperatorPort(vm, metrics, control, gates, events, lookUpExplainer, startDrain);
   }
 
   @Override
@@ -94,7 +94,7 @@
     } else if (path.equals("/v1/drain") && exchange.request().getMethod().equals("POST")) {
       LocalReplies.send(
           exchange, new BasicHttpResponse(202), JSON.createObjectNode().put("draining", true));
-      drain.run();
+      startDrain.run();
     } else {
       LocalReplies.send(
           exchange,
@@ -121,11 +121,11 @@
         exchange,
         new BasicHttpResponse(200),
         ContentType.APPLICATION_JSON,
-        new String(events.after(after).toJson(), StandardCharsets.UTF_8));
+        new String(events.readAfter(after).toJson(), StandardCharsets.UTF_8));
   }
 
   private void explain(CallerExchange exchange, String path) {
-    ObjectNode json = explanation.explain(path, control.state());
+    ObjectNode json = lookUpExplainer.explain(path, control.state());
     if (json == null) {
       LocalReplies.send(
           exchange,
@@ -147,7 +147,7 @@
     ObjectNode views = json.putObject("views");
     state.views().values().forEach(view -> describe(view, views.putObject(view.zone())));
     ObjectNode zones = json.putObject("zones");
-    control.reports().forEach(report -> describe(report, zones.putObject(report.zone())));
+    control.zoneReports().forEach(report -> describe(report, zones.putObject(report.zone())));
     ObjectNode held = json.putObject("gates");
     gates
         .byService()
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/RequestFraming.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/RequestFramingValidator.java
@@ -20,32 +20,32 @@
  * closes the connection without an answer for a bad length and takes a length beside chunks; here
  * both get a numbered 400, after which the connection closes and nothing more is read from it.
  */
-final class RequestFraming implements HttpRequestInterceptor {
-  private static final String INVALID = "sageladder.body-length-invalid";
-  private static final int MOST_DIGITS = 18;
+final class RequestFramingValidator implements HttpRequestInterceptor {
+  private static final String INVALID_LENGTH_ATTRIBUTE = "sageladder.body-length-invalid";
+  private static final int MAX_LENGTH_DIGITS = 18;
 
-  private RequestFraming() {}
+  private RequestFramingValidator() {}
 
-  static RequestFraming check() {
-    return new RequestFraming();
+  static RequestFramingValidator create() {
+    return new RequestFramingValidator();
   }
 
   /** Reads no body where the length is invalid, so that {@link #process} gets to refuse it. */
-  static ContentLengthStrategy lengths() {
+  static ContentLengthStrategy contentLengthStrategy() {
     return message ->
         isValid(message) ? DefaultContentLengthStrategy.INSTANCE.determineLength(message) : 0;
   }
 
   /** True where the exchange was refused for its body's length. */
-  static boolean refused(HttpContext context) {
-    return context.getAttribute(INVALID) != null;
+  static boolean isRejected(HttpContext context) {
+    return context.getAttribute(INVALID_LENGTH_ATTRIBUTE) != null;
   }
 
   @Override
   public void process(HttpRequest request, @Nullable EntityDetails entity, HttpContext context)
       throws ProtocolException {
     if (!isValid(request)) {
-      context.setAttribute(INVALID, true);
+      context.setAttribute(INVALID_LENGTH_ATTRIBUTE, true);
       throw new ProtocolException("Content-Length and Transfer-Encoding: expected one of the two");
     }
   }
@@ -64,7 +64,7 @@
 
   private static boolean isLength(String text) {
     return !text.isEmpty()
-        && text.length() <= MOST_DIGITS
+        && text.length() <= MAX_LENGTH_DIGITS
         && text.chars().allMatch(c -> c >= '0' && c <= '9');
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestPipeline.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestPipeline.java
@@ -97,7 +97,7 @@
             lookUps,
             permitEnforcer,
             peerHandler,
-            settings.callerLimits().bodyBytes()),
+            settings.callerLimits().maxBodyBytes()),
         lookUps,
         time,
         issuer,
--- a/sageladder-entry/src/main/java/org/sageladder/entry/settings/EntrySettings.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/settings/EntrySettings.java
@@ -41,10 +41,10 @@
     Logs logs,
     CallerLimits callerLimits,
     int eventCapacity) {
-  private static final int HIGHEST_PORT = 65_535;
-  private static final Duration SHORTEST_IDLE = Duration.ofMinutes(1);
-  private static final Duration LONGEST_IDLE = Duration.ofHours(1);
-  private static final Duration USUAL_IDLE = Duration.ofMinutes(2);
+  private static final int MAX_PORT = 65_535;
+  private static final Duration MIN_IDLE_TIMEOUT = Duration.ofMinutes(1);
+  private static final Duration MAX_IDLE_TIMEOUT = Duration.ofHours(1);
+  private static final Duration DEFAULT_IDLE_TIMEOUT = Duration.ofMinutes(2);
   private static final Pattern ANY_TEXT = Pattern.compile(".*", Pattern.DOTALL);
   private static final Pattern INNER_KEY =
       Pattern.compile("[A-Za-z0-9]{1,16}:(?:[A-Za-z0-9+/]{4}){5,}(?:[A-Za-z0-9+/]{2,3}={1,2})?");
@@ -70,9 +70,9 @@
   /**
    * The platform's list of live and leaving VMs.
    *
-   * @param every time between two fetches
+   * @param fetchInterval time between two fetches
    */
-  public record VmListSettings(URI uri, Duration every) {}
+  public record VmListSettings(URI uri, Duration fetchInterval) {}
 
   /** IP number and TCP port of a peer's inner protocol. */
   public record PeerAddress(String host, int port) {
@@ -129,14 +129,18 @@
   /**
    * Limits of the callers' port.
    *
-   * @param headBytes largest request head
-   * @param bodyBytes largest request body
-   * @param connections most open connections
-   * @param workers threads of the pool that serves them
-   * @param idle time after which a connection is closed on which nothing moves
+   * @param maxHeadBytes largest request head
+   * @param maxBodyBytes largest request body
+   * @param maxConnections most open connections
+   * @param workerThreads threads of the pool that serves them
+   * @param idleTimeout time after which a connection is closed on which nothing moves
    */
   public record CallerLimits(
-      int headBytes, long bodyBytes, int connections, int workers, Duration idle) {}
+      int maxHeadBytes,
+      long maxBodyBytes,
+      int maxConnections,
+      int workerThreads,
+      Duration idleTimeout) {}
 
   /**
    * Reads and checks a settings file.
@@ -189,16 +193,16 @@
     SettingsSection section = root.section("ports", "callers", "inner", "operators");
     Ports ports =
         new Ports(
-            section.wholeNumber("callers", 0, HIGHEST_PORT),
-            section.wholeNumber("inner", 0, HIGHEST_PORT),
-            section.wholeNumber("operators", 0, HIGHEST_PORT));
-    refuseClash(section, "inner", ports.inner(), "callers", ports.callers());
-    refuseClash(section, "operators", ports.operators(), "callers", ports.callers());
-    refuseClash(section, "operators", ports.operators(), "inner", ports.inner());
+            section.wholeNumber("callers", 0, MAX_PORT),
+            section.wholeNumber("inner", 0, MAX_PORT),
+            section.wholeNumber("operators", 0, MAX_PORT));
+    requireDistinctPorts(section, "inner", ports.inner(), "callers", ports.callers());
+    requireDistinctPorts(section, "operators", ports.operators(), "callers", ports.callers());
+    requireDistinctPorts(section, "operators", ports.operators(), "inner", ports.inner());
     return ports;
   }
 
-  private static void refuseClash(
+  private static void requireDistinctPorts(
       SettingsSection section, String key, int port, String otherKey, int otherPort)
       throws SettingsException {
     if (port != 0 && port == otherPort) {
@@ -227,8 +231,8 @@
     List<PeerAddress> seeds = new ArrayList<>();
     for (String text : root.texts("seeds", Names.ADDRESS, Names.ADDRESS_ALLOWED)) {
       PeerAddress seed = PeerAddress.parse(text);
-      if (seed.port() > HIGHEST_PORT) {
-        throw root.error("seeds", text, "ports from 1 to " + HIGHEST_PORT);
+      if (seed.port() > MAX_PORT) {
+        throw root.error("seeds", text, "ports from 1 to " + MAX_PORT);
       }
       seeds.add(seed);
     }
@@ -280,6 +284,6 @@
         section.has("bodyBytes") ? section.longNumber("bodyBytes", 0, 1L << 40) : 1L << 30,
         section.wholeNumber("connections", 1, 100_000, 4_000),
         section.wholeNumber("workers", 1, 256, 4),
-        section.duration("idle", SHORTEST_IDLE, LONGEST_IDLE, USUAL_IDLE));
+        section.duration("idle", MIN_IDLE_TIMEOUT, MAX_IDLE_TIMEOUT, DEFAULT_IDLE_TIMEOUT));
   }
 }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/OpenPartsTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/ResourceStackTest.java
@@ -7,14 +7,14 @@
 import org.junit.jupiter.api.Test;
 
 /** How a daemon's parts end. */
-class OpenPartsTest {
+class ResourceStackTest {
   private final List<String> closed = new ArrayList<>();
 
   // An operator stops an entry VM and finds a stack trace in its log each time: the connections to
   // targets were closed before the poller that uses them.
   @Test
-  void whatUsesAPartIsClosedBeforeIt() {
-    try (OpenParts parts = OpenParts.none()) {
+  void resourcesAreClosedInReverseOrder() {
+    try (ResourceStack parts = ResourceStack.empty()) {
       parts.add(() -> closed.add("connections"));
       parts.add(() -> closed.add("poller"));
     }
@@ -24,8 +24,8 @@
   // A port is taken, so the daemon cannot start; one part fails to close, and the threads of the
   // others would keep a process alive that serves nobody.
   @Test
-  void aPartThatCannotBeClosedLeavesNoOtherOpen() {
-    try (OpenParts parts = OpenParts.none()) {
+  void failureToCloseOneResourceDoesNotKeepOthersOpen() {
+    try (ResourceStack parts = ResourceStack.empty()) {
       parts.add(() -> closed.add("store"));
       parts.add(
           () -> {
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/MachineFakes.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineFixture.java
@@ -29,44 +29,44 @@
 import org.sageladder.protocol.PeerAddress;
 
 /** A few control machines on a virtual clock, with a store and links that can fail. */
-final class MachineFakes {
+final class ControlStateMachineFixture {
   static final String CUSTOMER = "k";
   static final Duration STEP = Duration.ofMillis(25);
 
   final VirtualTime time = VirtualTime.startingAt(1_700_000_000_000L);
-  final Map<String, NodeFake> nodes = new TreeMap<>();
-  final Set<String> cutZones = new HashSet<>();
-  final Set<String> targetsOutOfReach = new HashSet<>();
+  final Map<String, FakeNode> nodes = new TreeMap<>();
+  final Set<String> partitionedZones = new HashSet<>();
+  final Set<String> zonesWithUnreachableTargets = new HashSet<>();
   final Set<String> busyTargets = new HashSet<>();
-  boolean storeDown;
-  private final Queue<Runnable> wire = new ArrayDeque<>();
+  boolean isStoreDown;
+  private final Queue<Runnable> pendingMessages = new ArrayDeque<>();
   private final Map<String, StoredValue> values = new HashMap<>();
-  private final Map<String, Long> leaseOfKey = new HashMap<>();
-  private final Map<Long, Long> leaseEnds = new HashMap<>();
+  private final Map<String, Long> leaseByKey = new HashMap<>();
+  private final Map<Long, Long> leaseExpiryNanos = new HashMap<>();
   private @Nullable StoredValue contract;
   private long revision;
   private long nextLease = 1;
   private int steps;
 
   /** One entry VM. */
-  final class NodeFake implements ControlEffects {
+  final class FakeNode implements ControlEffects {
     final String vm;
     final String zone;
-    final ControlMachine machine;
+    final ControlStateMachine machine;
     final List<String> payloads = new ArrayList<>();
-    boolean paused;
-    boolean dead;
-    boolean listKnown = true;
-    private boolean firstRead;
+    boolean isPaused;
+    boolean isDead;
+    boolean isListKnown = true;
+    private boolean hasReadContract;
 
-    NodeFake(String vm, String zone) {
+    FakeNode(String vm, String zone) {
       this.vm = vm;
       this.zone = zone;
       Member self = new Member(vm, zone, time.nanos() + 1, "127.0.0.1", 80, 81, false);
       this.machine =
-          new ControlMachine(
+          new ControlStateMachine(
               new ControlIdentity(CUSTOMER, self),
-              ControlTimes.standard(),
+              ControlTimings.standard(),
               time,
               new SplittableRandom(vm.hashCode()),
               this,
@@ -74,82 +74,82 @@
     }
 
     long revision() {
-      return machine.known().revision();
+      return machine.replicatedState().contractRevision();
     }
 
-    boolean relaying() {
-      return machine.duty().isRelay();
+    boolean isRelay() {
+      return machine.election().isRelay();
     }
 
     @Override
     public boolean send(String to, InnerMessage message) {
-      NodeFake target = nodes.get(to);
-      if (target == null || target.dead || separated(this, target)) {
+      FakeNode target = nodes.get(to);
+      if (target == null || target.isDead || isPartitioned(this, target)) {
         return false;
       }
-      wire.add(() -> target.take(vm, message));
+      pendingMessages.add(() -> target.deliver(vm, message));
       return true;
     }
 
-    private void take(String from, InnerMessage message) {
-      if (!dead && !paused) {
-        machine.received(from, message);
+    private void deliver(String from, InnerMessage message) {
+      if (!isDead && !isPaused) {
+        machine.onMessage(from, message);
       }
     }
 
     @Override
-    public void address(PeerAddress peer) {}
+    public void addPeerAddress(PeerAddress peer) {}
 
     @Override
-    public void call(ElectionCall call) {
-      wire.add(() -> answer(this, call));
+    public void startElectionCall(ElectionCall call) {
+      pendingMessages.add(() -> answerElectionCall(this, call));
     }
 
     @Override
-    public void probe(Holding target, Consumer<Boolean> answer) {
-      NodeFake home = nodes.get(target.target().substring("target-".length()));
-      boolean reached = home != null && !targetsOutOfReach.contains(home.zone);
-      if (reached && !separated(this, home)) {
-        wire.add(() -> answer.accept(!busyTargets.contains(target.target())));
+    public void probeTarget(Holding target, Consumer<Boolean> answer) {
+      FakeNode holder = nodes.get(target.target().substring("target-".length()));
+      boolean isReachable = holder != null && !zonesWithUnreachableTargets.contains(holder.zone);
+      if (isReachable && !isPartitioned(this, holder)) {
+        pendingMessages.add(() -> answer.accept(!busyTargets.contains(target.target())));
       }
     }
 
     @Override
-    public void relaying(boolean now) {}
+    public void setRelay(boolean now) {}
 
     @Override
-    public void revoke(long lease) {
+    public void revokeLease(long lease) {
       endLease(lease);
     }
 
     @Override
-    public void stateChanged() {
-      machine.inForce(machine.known().revision());
+    public void onStateChanged() {
+      machine.onContractInForce(machine.replicatedState().contractRevision());
     }
 
     @Override
-    public void payload(String from, String topic, byte[] content) {
+    public void deliverPayload(String from, String topic, byte[] content) {
       payloads.add(from + ":" + topic + ":" + content.length);
     }
   }
 
-  NodeFake add(String vm, String zone) {
-    NodeFake node = new NodeFake(vm, zone);
+  FakeNode addNode(String vm, String zone) {
+    FakeNode node = new FakeNode(vm, zone);
     nodes.put(vm, node);
     return node;
   }
 
   /** Stores a new revision of the contract. */
-  long accept(double serviceMillis) {
+  long storeContract(double serviceMillis) {
     revision++;
-    Contract changed = Sample.contract(serviceMillis);
+    Contract changed = SampleContract.contract(serviceMillis);
     byte[] value = new StoredContract("c" + revision, "maie", changed).toBytes();
     contract = new StoredValue(StoredContract.keyOf(CUSTOMER), revision, value);
     return revision;
   }
 
-  void run(Duration length) {
-    for (long i = 0; i < length.toNanos() / STEP.toNanos(); i++) {
+  void advance(Duration duration) {
+    for (long i = 0; i < duration.toNanos() / STEP.toNanos(); i++) {
       step();
     }
   }
@@ -158,99 +158,99 @@
     time.advance(STEP);
     steps++;
     expireLeases();
-    for (NodeFake node : nodes.values()) {
-      if (node.dead || node.paused) {
+    for (FakeNode node : nodes.values()) {
+      if (node.isDead || node.isPaused) {
         continue;
       }
-      if (node.listKnown && steps % 40 == 1) {
-        node.machine.listed(list());
+      if (node.isListKnown && steps % 40 == 1) {
+        node.machine.onPlatformList(platformList());
       }
-      serveStore(node);
+      deliverStoreData(node);
       node.machine.tick();
     }
-    while (!wire.isEmpty()) {
-      wire.remove().run();
+    while (!pendingMessages.isEmpty()) {
+      pendingMessages.remove().run();
     }
   }
 
   /** The store's part that needs no call of the duty: the first read and the relay's watch. */
-  private void serveStore(NodeFake node) {
-    if (storeDown || cutZones.contains(node.zone)) {
+  private void deliverStoreData(FakeNode node) {
+    if (isStoreDown || partitionedZones.contains(node.zone)) {
       return;
     }
-    if (!node.firstRead) {
-      node.firstRead = true;
-      node.machine.storeAnswered(Optional.ofNullable(contract));
+    if (!node.hasReadContract) {
+      node.hasReadContract = true;
+      node.machine.onInitialStoreRead(Optional.ofNullable(contract));
     }
     StoredValue now = contract;
-    if (now != null && node.relaying()) {
-      node.machine.storedContract(now);
+    if (now != null && node.isRelay()) {
+      node.machine.onStoredContract(now);
     }
   }
 
-  private void answer(NodeFake node, ElectionCall call) {
-    if (node.dead || node.paused || storeDown || cutZones.contains(node.zone)) {
-      node.machine.duty().onFailure();
+  private void answerElectionCall(FakeNode node, ElectionCall call) {
+    if (node.isDead || node.isPaused || isStoreDown || partitionedZones.contains(node.zone)) {
+      node.machine.election().onFailure();
       return;
     }
     if (call instanceof ElectionCall.ReadOwner read) {
-      node.machine.duty().onOwnerRead(Optional.ofNullable(values.get(read.key())));
+      node.machine.election().onOwnerRead(Optional.ofNullable(values.get(read.key())));
     } else if (call instanceof ElectionCall.Grant) {
       long lease = nextLease++;
-      leaseEnds.put(lease, time.nanos() + Duration.ofSeconds(3).toNanos());
-      node.machine.duty().onGranted(lease);
+      leaseExpiryNanos.put(lease, time.nanos() + Duration.ofSeconds(3).toNanos());
+      node.machine.election().onGranted(lease);
     } else if (call instanceof ElectionCall.Claim claim) {
-      node.machine.duty().onClaimed(claim(claim));
+      node.machine.election().onClaimed(claim(claim));
     } else if (call instanceof ElectionCall.Renew renew) {
-      boolean held = leaseEnds.containsKey(renew.lease());
+      boolean held = leaseExpiryNanos.containsKey(renew.lease());
       if (held) {
-        leaseEnds.put(renew.lease(), time.nanos() + Duration.ofSeconds(3).toNanos());
+        leaseExpiryNanos.put(renew.lease(), time.nanos() + Duration.ofSeconds(3).toNanos());
       }
-      node.machine.duty().onRenewed(held);
+      node.machine.election().onRenewed(held);
     }
   }
 
   private WriteResult claim(ElectionCall.Claim claim) {
-    StoredValue old = values.get(claim.key());
-    if (old != null || !leaseEnds.containsKey(claim.lease())) {
-      return new WriteResult.Conflict(old);
+    StoredValue existing = values.get(claim.key());
+    if (existing != null || !leaseExpiryNanos.containsKey(claim.lease())) {
+      return new WriteResult.Conflict(existing);
     }
     revision++;
     values.put(claim.key(), new StoredValue(claim.key(), revision, claim.value()));
-    leaseOfKey.put(claim.key(), claim.lease());
+    leaseByKey.put(claim.key(), claim.lease());
     return new WriteResult.Written(revision);
   }
 
   private void expireLeases() {
-    List<Long> over =
-        leaseEnds.entrySet().stream()
+    List<Long> expired =
+        leaseExpiryNanos.entrySet().stream()
             .filter(entry -> entry.getValue() - time.nanos() <= 0)
             .map(Map.Entry::getKey)
             .toList();
-    over.forEach(this::endLease);
+    expired.forEach(this::endLease);
   }
 
   private void endLease(long lease) {
-    leaseEnds.remove(lease);
-    leaseOfKey.entrySet().stream()
+    leaseExpiryNanos.remove(lease);
+    leaseByKey.entrySet().stream()
         .filter(entry -> entry.getValue() == lease)
         .map(Map.Entry::getKey)
         .toList()
         .forEach(
             key -> {
-              leaseOfKey.remove(key);
+              leaseByKey.remove(key);
               values.remove(key);
             });
   }
 
-  private boolean separated(NodeFake from, NodeFake to) {
-    boolean cut = cutZones.contains(from.zone) || cutZones.contains(to.zone);
+  private boolean isPartitioned(FakeNode from, FakeNode to) {
+    boolean cut = partitionedZones.contains(from.zone) || partitionedZones.contains(to.zone);
     return cut && !from.zone.equals(to.zone);
   }
 
-  private List<ListedVm> list() {
+  private List<ListedVm> platformList() {
     List<ListedVm> lines = new ArrayList<>();
-    for (NodeFake node : nodes.values()) {
+    for (FakeNode node : nodes.values()) {
       lines.add(
           new ListedVm(
               VmRole.ENTRY, node.vm, CUSTOMER, "", node.zone, "127.0.0.1", 80, 81, 0, false));
@@ -271,8 +271,8 @@
   }
 
   /** A small contract. */
-  static final class Sample {
-    private Sample() {}
+  static final class SampleContract {
+    private SampleContract() {}
 
     static Contract contract(double serviceMillis) {
       Contract.ShiftCap cap = new Contract.ShiftCap(0.25, Duration.ofSeconds(5));
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/FixedState.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/FixedControlPlane.java
@@ -10,7 +10,7 @@
 import org.sageladder.core.membership.ZoneView;
 
 /** A control plane that knows the given members of one zone, and no more ever. */
-public record FixedState(List<Member> members) implements ControlPlane {
+public record FixedControlPlane(List<Member> members) implements ControlPlane {
   @Override
   public ClusterState state() {
     ZoneView view = new ZoneView("riga-1", 1, members, List.of());
@@ -21,7 +21,7 @@
   public void onChange(Consumer<ClusterState> listener) {}
 
   @Override
-  public void summaries(Supplier<List<ZoneSummary>> own) {}
+  public void setSummarySource(Supplier<List<ZoneSummary>> own) {}
 
   @Override
   public void beginLeaving() {}
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/BudgetedStoreTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/RateLimitedStoreTest.java
@@ -15,20 +15,20 @@
 import org.sageladder.core.store.WatchBatch;
 import org.sageladder.core.time.VirtualTime;
 
-class BudgetedStoreTest {
-  private static final double PER_SECOND = 4;
-  private static final int BURST = 20;
+class RateLimitedStoreTest {
+  private static final double CALLS_PER_SECOND = 4;
+  private static final int MAX_BURST = 20;
 
   private final VirtualTime time = VirtualTime.startingAt(1_000_000);
-  private final AtomicInteger reached = new AtomicInteger();
-  private final BudgetedStore store =
-      BudgetedStore.of(countingStore(), List::of, time, PER_SECOND, BURST);
+  private final AtomicInteger sentCalls = new AtomicInteger();
+  private final RateLimitedStore store =
+      RateLimitedStore.of(countingStore(), List::of, time, CALLS_PER_SECOND, MAX_BURST);
 
   // A watch that the service answers at once without a change makes its caller ask again at once.
   // From 94 relays that is the whole of the service's read rate; the caller must be held back here,
   // and a call held back must look like an outage, so that the caller backs off.
   @Test
-  void loopOfCallsIsHeldToTheBudgetAndWatchesCountAsCalls() {
+  void callsIncludingWatchesAreRateLimited() {
     int tries = 0;
     for (int tenth = 0; tenth < 600; tenth++) {
       for (int i = 0; i < 5; i++) {
@@ -37,24 +37,25 @@
       }
       time.advance(Duration.ofMillis(100));
     }
-    double allowed = BURST + PER_SECOND * 60;
-    assertTrue(reached.get() <= allowed + 1, reached + " of " + allowed);
-    assertTrue(reached.get() >= allowed - 2, reached + " of " + allowed);
-    assertEquals(tries - reached.get(), store.refusedCalls());
-    assertEquals(reached.get(), store.counts().values().stream().mapToLong(Long::longValue).sum());
-    assertTrue(store.counts().get("watch") > 0);
+    double allowed = MAX_BURST + CALLS_PER_SECOND * 60;
+    assertTrue(sentCalls.get() <= allowed + 1, sentCalls + " of " + allowed);
+    assertTrue(sentCalls.get() >= allowed - 2, sentCalls + " of " + allowed);
+    assertEquals(tries - sentCalls.get(), store.refusedCallCount());
+    assertEquals(
+        sentCalls.get(), store.callCounts().values().stream().mapToLong(Long::longValue).sum());
+    assertTrue(store.callCounts().get("watch") > 0);
   }
 
   @Test
-  void callBeyondTheBudgetFailsAsUnavailableAndIsNotSent() {
-    for (int i = 0; i < BURST; i++) {
+  void callBeyondTheLimitFailsAsUnavailableAndIsNotSent() {
+    for (int i = 0; i < MAX_BURST; i++) {
       tryTo(this::read);
     }
     assertThrows(StoreException.Unavailable.class, this::read);
-    assertEquals(BURST, reached.get());
+    assertEquals(MAX_BURST, sentCalls.get());
     time.advance(Duration.ofMillis(300));
     tryTo(this::read);
-    assertEquals(BURST + 1, reached.get());
+    assertEquals(MAX_BURST + 1, sentCalls.get());
   }
 
   private interface Call {
@@ -83,7 +84,7 @@
             Store.class.getClassLoader(),
             new Class<?>[] {Store.class},
             (proxy, method, arguments) -> {
-              reached.incrementAndGet();
+              sentCalls.incrementAndGet();
               return method.getName().equals("watch")
                   ? new WatchBatch(List.of(), List.of(), 1)
                   : Optional.empty();
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ViewEventsTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ViewEventRecorderTest.java
@@ -11,10 +11,10 @@
 import org.sageladder.core.membership.Member;
 import org.sageladder.core.membership.ZoneView;
 
-class ViewEventsTest {
+class ViewEventRecorderTest {
   private final List<String> recorded = new ArrayList<>();
-  private final ViewEvents events =
-      ViewEvents.of(
+  private final ViewEventRecorder events =
+      ViewEventRecorder.of(
           "a",
           "z",
           "c",
@@ -24,11 +24,11 @@
   // Story: after a drain an operator asks when the gate stopped sending, and the time line tells
   // nothing between the list's sign and the last answer. Cause: views were recorded by number only.
   @Test
-  void eachChangeOfTheZonesViewIsToldOnce() {
-    see(1, List.of("a"), holding("t1", "a", false), holding("t2", "a", false));
-    see(2, List.of("a", "b"), holding("t1", "a", true), holding("t2", "b", false));
-    see(2, List.of("a", "b"), holding("t1", "a", true), holding("t2", "b", false));
-    see(3, List.of("a"), holding("t2", "a", false));
+  void eachChangeOfTheZoneViewIsRecordedOnce() {
+    applyView(1, List.of("a"), holding("t1", "a", false), holding("t2", "a", false));
+    applyView(2, List.of("a", "b"), holding("t1", "a", true), holding("t2", "b", false));
+    applyView(2, List.of("a", "b"), holding("t1", "a", true), holding("t2", "b", false));
+    applyView(3, List.of("a"), holding("t2", "a", false));
 
     assertEquals(
         List.of(
@@ -44,7 +44,7 @@
         recorded);
   }
 
-  private void see(long number, List<String> members, Holding... holdings) {
+  private void applyView(long number, List<String> members, Holding... holdings) {
     List<Member> seen =
         members.stream().map(vm -> new Member(vm, "z", 1, "127.0.0.1", 1, 2, false)).toList();
     ZoneView view = new ZoneView("z", number, seen, List.of(holdings));
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ZoneTakeOverTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ZoneTakeOverTest.java
@@ -9,130 +9,131 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.membership.Holding;
 import org.sageladder.core.membership.RelayedView;
-import org.sageladder.entry.control.MachineFakes.NodeFake;
+import org.sageladder.entry.control.ControlStateMachineFixture.FakeNode;
 
 class ZoneTakeOverTest {
   private static final int SLOTS = 3;
-  private static final String DEAD = "tartu-1";
-  private static final String NEIGHBOUR = "tartu-2";
+  private static final String SILENT_ZONE = "tartu-1";
+  private static final String NEIGHBOUR_ZONE = "tartu-2";
 
-  private final MachineFakes fakes = new MachineFakes();
+  private final ControlStateMachineFixture fixture = new ControlStateMachineFixture();
 
   @BeforeEach
   void startTwoZonesOfOneRegion() {
-    fakes.accept(20);
+    fixture.storeContract(20);
     for (int i = 1; i <= 6; i++) {
-      fakes.add("vm-" + i, i <= 3 ? DEAD : NEIGHBOUR);
+      fixture.addNode("vm-" + i, i <= 3 ? SILENT_ZONE : NEIGHBOUR_ZONE);
     }
-    fakes.run(Duration.ofSeconds(12));
-    assertEquals(SLOTS, usable("target-vm-1", DEAD));
+    fixture.advance(Duration.ofSeconds(12));
+    assertEquals(SLOTS, usableSlots("target-vm-1", SILENT_ZONE));
   }
 
   // Story: all entry VMs of a zone die at once, its targets go on. Nobody is left to hold them, and
   // callers of the zone are turned away although a third of the customer's capacity is idle.
   @Test
-  void targetsOfADeadZoneAreServedByItsNeighbourWithPartOfTheSlots() {
-    zone(DEAD).forEach(node -> node.dead = true);
-    runWithoutOverload(Duration.ofSeconds(5));
-    assertEquals(0, usable("target-vm-1", NEIGHBOUR), "a pause could still end");
-    runWithoutOverload(Duration.ofSeconds(8));
+  void neighbourUsesPartOfTheSlotsOfAFailedZonesTargets() {
+    nodesInZone(SILENT_ZONE).forEach(node -> node.isDead = true);
+    advanceAndCheckSlots(Duration.ofSeconds(5));
+    assertEquals(0, usableSlots("target-vm-1", NEIGHBOUR_ZONE), "a pause could still end");
+    advanceAndCheckSlots(Duration.ofSeconds(8));
     for (int i = 1; i <= 3; i++) {
-      assertEquals(1, usable("target-vm-" + i, NEIGHBOUR));
+      assertEquals(1, usableSlots("target-vm-" + i, NEIGHBOUR_ZONE));
     }
-    assertEquals(SLOTS, usable("target-vm-4", NEIGHBOUR));
+    assertEquals(SLOTS, usableSlots("target-vm-4", NEIGHBOUR_ZONE));
   }
 
   // Story: a zone is cut off and serves on. Taken for dead, its targets would get work from two
   // sides. Cause: silence alone; but under a cut the targets are out of reach, too.
   @Test
-  void nobodyTakesOverAZoneThatIsOnlyCutOff() {
-    fakes.cutZones.add(DEAD);
-    runWithoutOverload(Duration.ofSeconds(60));
-    assertEquals(SLOTS, usable("target-vm-1", DEAD));
-    assertEquals(0, usable("target-vm-1", NEIGHBOUR));
+  void partitionedZoneIsNotTakenOver() {
+    fixture.partitionedZones.add(SILENT_ZONE);
+    advanceAndCheckSlots(Duration.ofSeconds(60));
+    assertEquals(SLOTS, usableSlots("target-vm-1", SILENT_ZONE));
+    assertEquals(0, usableSlots("target-vm-1", NEIGHBOUR_ZONE));
   }
 
   // Story: only the entry VMs are cut off, their targets can be reached from both sides. The
   // targets are at work for the silent zone, which shows that it lives.
   @Test
-  void busyTargetOfASilentZoneIsLeftAlone() {
-    fakes.busyTargets.add("target-vm-1");
-    zone(DEAD).forEach(node -> node.dead = true);
-    runWithoutOverload(Duration.ofSeconds(15));
-    assertEquals(0, usable("target-vm-1", NEIGHBOUR));
-    assertEquals(1, usable("target-vm-2", NEIGHBOUR));
+  void busyTargetOfASilentZoneIsNotTakenOver() {
+    fixture.busyTargets.add("target-vm-1");
+    nodesInZone(SILENT_ZONE).forEach(node -> node.isDead = true);
+    advanceAndCheckSlots(Duration.ofSeconds(15));
+    assertEquals(0, usableSlots("target-vm-1", NEIGHBOUR_ZONE));
+    assertEquals(1, usableSlots("target-vm-2", NEIGHBOUR_ZONE));
   }
 
   // Story: the zone's VMs are replaced while the neighbour has its targets. Starting with all slots
   // before they know, both zones together would send more than the targets take.
   @Test
-  void slotsGoBackWithoutDoubleHoldingWhenTheZoneIsBack() {
-    zone(DEAD).forEach(node -> node.dead = true);
-    fakes.run(Duration.ofSeconds(15));
+  void slotsAreReturnedWithoutOverlapWhenTheZoneRestarts() {
+    nodesInZone(SILENT_ZONE).forEach(node -> node.isDead = true);
+    fixture.advance(Duration.ofSeconds(15));
     for (int i = 1; i <= 3; i++) {
-      fakes.add("vm-" + i, DEAD);
+      fixture.addNode("vm-" + i, SILENT_ZONE);
     }
-    runWithoutOverload(Duration.ofSeconds(25));
+    advanceAndCheckSlots(Duration.ofSeconds(25));
     for (int i = 1; i <= 3; i++) {
-      assertEquals(SLOTS, usable("target-vm-" + i, DEAD));
-      assertEquals(0, usable("target-vm-" + i, NEIGHBOUR));
+      assertEquals(SLOTS, usableSlots("target-vm-" + i, SILENT_ZONE));
+      assertEquals(0, usableSlots("target-vm-" + i, NEIGHBOUR_ZONE));
     }
   }
 
   // Story: a whole zone is paused for longer than the silence and wakes unaware. It still has its
   // views and would go on with all slots while the neighbour uses half of them.
   @Test
-  void zoneThatWakesFromAPauseOfAllItsVmsWaitsForItsSlots() {
-    zone(DEAD).forEach(node -> node.paused = true);
-    fakes.run(Duration.ofSeconds(15));
-    assertEquals(1, usable("target-vm-1", NEIGHBOUR));
-    zone(DEAD).forEach(node -> node.paused = false);
-    runWithoutOverload(Duration.ofSeconds(30));
-    assertEquals(SLOTS, usable("target-vm-1", DEAD));
-    assertEquals(0, usable("target-vm-1", NEIGHBOUR));
+  void zoneResumedAfterAPauseWaitsForItsSlots() {
+    nodesInZone(SILENT_ZONE).forEach(node -> node.isPaused = true);
+    fixture.advance(Duration.ofSeconds(15));
+    assertEquals(1, usableSlots("target-vm-1", NEIGHBOUR_ZONE));
+    nodesInZone(SILENT_ZONE).forEach(node -> node.isPaused = false);
+    advanceAndCheckSlots(Duration.ofSeconds(30));
+    assertEquals(SLOTS, usableSlots("target-vm-1", SILENT_ZONE));
+    assertEquals(0, usableSlots("target-vm-1", NEIGHBOUR_ZONE));
   }
 
   // Story: the neighbour's relay dies while it has the targets. The next relay finds them in its
   // zone's last view and would take them for its own, with all slots.
   @Test
-  void nextRelayOfTheNeighbourKeepsToPartOfTheSlots() {
-    zone(DEAD).forEach(node -> node.dead = true);
-    fakes.run(Duration.ofSeconds(15));
-    NodeFake relay = zone(NEIGHBOUR).stream().filter(NodeFake::relaying).findFirst().orElseThrow();
-    relay.dead = true;
-    runWithoutOverload(Duration.ofSeconds(20));
+  void nextRelayOfTheNeighbourStillUsesPartOfTheSlots() {
+    nodesInZone(SILENT_ZONE).forEach(node -> node.isDead = true);
+    fixture.advance(Duration.ofSeconds(15));
+    FakeNode relay =
+        nodesInZone(NEIGHBOUR_ZONE).stream().filter(FakeNode::isRelay).findFirst().orElseThrow();
+    relay.isDead = true;
+    advanceAndCheckSlots(Duration.ofSeconds(20));
     int together = 0;
     for (int i = 1; i <= 3; i++) {
-      int used = usable("target-vm-" + i, NEIGHBOUR);
+      int used = usableSlots("target-vm-" + i, NEIGHBOUR_ZONE);
       assertTrue(used <= 1, "target-vm-" + i + " " + used);
       together += used;
     }
     assertTrue(together >= 1, "all were lost with the relay");
   }
 
-  private void runWithoutOverload(Duration length) {
-    long steps = length.toNanos() / MachineFakes.STEP.toNanos();
+  private void advanceAndCheckSlots(Duration length) {
+    long steps = length.toNanos() / ControlStateMachineFixture.STEP.toNanos();
     for (long step = 0; step < steps; step++) {
-      fakes.step();
+      fixture.step();
       for (int i = 1; i <= 6; i++) {
         String target = "target-vm-" + i;
-        int home = usable(target, DEAD);
-        int elsewhere = usable(target, NEIGHBOUR);
+        int ownSlots = usableSlots(target, SILENT_ZONE);
+        int neighbourSlots = usableSlots(target, NEIGHBOUR_ZONE);
         assertTrue(
-            home + elsewhere <= SLOTS,
-            target + " at step " + step + ": " + home + " and " + elsewhere);
+            ownSlots + neighbourSlots <= SLOTS,
+            target + " at step " + step + ": " + ownSlots + " and " + neighbourSlots);
       }
     }
   }
 
   /** Slots of the target that entry VMs of that zone would use now. */
-  private int usable(String target, String zone) {
+  private int usableSlots(String target, String zone) {
     int slots = 0;
-    for (NodeFake node : zone(zone)) {
-      if (node.dead || node.paused) {
+    for (FakeNode node : nodesInZone(zone)) {
+      if (node.isDead || node.isPaused) {
         continue;
       }
-      RelayedView view = node.machine.known().view(zone).orElse(null);
+      RelayedView view = node.machine.replicatedState().view(zone).orElse(null);
       List<Holding> holdings = view == null ? List.of() : view.view().holdings();
       for (Holding holding : holdings) {
         if (holding.target().equals(target) && holding.holder().equals(node.vm)) {
@@ -143,7 +144,7 @@
     return slots;
   }
 
-  private List<NodeFake> zone(String zone) {
-    return fakes.nodes.values().stream().filter(node -> node.zone.equals(zone)).toList();
+  private List<FakeNode> nodesInZone(String zone) {
+    return fixture.nodes.values().stream().filter(node -> node.zone.equals(zone)).toList();
   }
 }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/http/HttpListenerTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/http/HttpListenerTest.java
@@ -23,10 +23,10 @@
 /** What a port grants to its connections. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class HttpListenerTest {
-  private static final Duration LONG = Duration.ofMinutes(10);
+  private static final Duration LONG_IDLE_TIMEOUT = Duration.ofMinutes(10);
 
   /** Much longer than the port's looks for idle connections, 200 ms, as in every real setting. */
-  private static final Duration IDLE = Duration.ofSeconds(2);
+  private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(2);
 
   private static HttpListener open(int connections, Duration idle, CallerExchange.Handler handler)
       throws IOException, InterruptedException {
@@ -37,7 +37,7 @@
         () -> CallerExchange.create(handler));
   }
 
-  private static void refuse(CallerExchange exchange) {
+  private static void respondNotFound(CallerExchange exchange) {
     LocalReplies.send(exchange, Result.notRun(ResultCode.UNKNOWN_ROUTE, "nothing is served here"));
   }
 
@@ -45,7 +45,7 @@
     return new Socket(InetAddress.getLoopbackAddress(), listener.port());
   }
 
-  private static void ask(Socket socket) throws IOException {
+  private static void sendRequest(Socket socket) throws IOException {
     byte[] request = "GET / HTTP/1.1\r\nHost: e\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
     socket.getOutputStream().write(request);
   }
@@ -66,29 +66,29 @@
   // descriptor left for targets, and every caller got "no target". Now those beyond the limit are
   // closed at once, the others go on, and room that is given back is used again.
   @Test
-  void connectionsBeyondTheLimitAreClosedAndTheOthersServed() throws Exception {
-    try (HttpListener listener = open(2, LONG, HttpListenerTest::refuse);
+  void connectionsBeyondTheLimitAreClosedAndOthersServed() throws Exception {
+    try (HttpListener listener = open(2, LONG_IDLE_TIMEOUT, HttpListenerTest::respondNotFound);
         Socket first = connect(listener)) {
-      ask(first);
+      sendRequest(first);
       assertEquals("HTTP/1.1 404 Not Found", statusLine(first));
       try (Socket second = connect(listener)) {
-        ask(second);
+        sendRequest(second);
         assertEquals("HTTP/1.1 404 Not Found", statusLine(second));
         try (Socket third = connect(listener)) {
           assertThrows(
               IOException.class,
               () -> {
-                ask(third);
+                sendRequest(third);
                 statusLine(third);
               });
         }
-        assertEquals(1, listener.refusedConnections());
+        assertEquals(1, listener.refusedConnectionCount());
       }
-      while (listener.openConnections() > 1) {
+      while (listener.openConnectionCount() > 1) {
         Thread.sleep(1);
       }
       try (Socket fourth = connect(listener)) {
-        ask(fourth);
+        sendRequest(fourth);
         assertEquals("HTTP/1.1 404 Not Found", statusLine(fourth));
       }
     }
@@ -98,26 +98,26 @@
   // closed after the idle time; a scholar whose export waits for a slot much longer than that, on a
   // connection on which nothing moves either, gets the answer all the same.
   @Test
-  void silentConnectionsAreClosedButNoneThatWaitsForItsAnswer() throws Exception {
+  void idleConnectionsAreClosedUnlessARequestAwaitsItsResponse() throws Exception {
     BlockingQueue<CallerExchange> waiting = new LinkedBlockingQueue<>();
-    try (HttpListener listener = open(10, IDLE, waiting::add);
-        Socket scholar = askUntilHeard(listener, waiting)) {
+    try (HttpListener listener = open(10, IDLE_TIMEOUT, waiting::add);
+        Socket scholar = connectWithPendingRequest(listener, waiting)) {
       CallerExchange export = waiting.take();
       try (Socket silent = connect(listener)) {
         assertTrue(silent.getInputStream().read() < 0, "closed by the entry VM");
       }
-      refuse(export);
+      respondNotFound(export);
       assertEquals("HTTP/1.1 404 Not Found", statusLine(scholar));
     }
   }
 
   /** On a busy machine the idle time may pass before the request is sent; then it is sent anew. */
-  private static Socket askUntilHeard(HttpListener listener, BlockingQueue<CallerExchange> heard)
-      throws IOException {
+  private static Socket connectWithPendingRequest(
+      HttpListener listener, BlockingQueue<CallerExchange> heard) throws IOException {
     while (true) {
       Socket socket = connect(listener);
       socket.setSoTimeout(10);
-      if (isHeard(socket, heard)) {
+      if (isReceived(socket, heard)) {
         socket.setSoTimeout(0);
         return socket;
       }
@@ -125,9 +125,9 @@
     }
   }
 
-  private static boolean isHeard(Socket socket, BlockingQueue<CallerExchange> heard) {
+  private static boolean isReceived(Socket socket, BlockingQueue<CallerExchange> heard) {
     try {
-      ask(socket);
+      sendRequest(socket);
       while (heard.isEmpty()) {
         if (isClosed(socket)) {
           return false;
--- a/sageladder-entry/src/test/java/org/sageladder/entry/http/IdleHandlerTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/http/IdleConnectionHandlerTest.java
@@ -14,35 +14,35 @@
 import org.junit.jupiter.api.Test;
 
 /** Which connections count as idle. */
-class IdleHandlerTest {
-  private static final Timeout LONG = Timeout.ofMinutes(10);
-  private static final Timeout AT_ONCE = Timeout.ZERO_MILLISECONDS;
+class IdleConnectionHandlerTest {
+  private static final Timeout LONG_TIMEOUT = Timeout.ofMinutes(10);
+  private static final Timeout ZERO_TIMEOUT = Timeout.ZERO_MILLISECONDS;
 
   private final List<String> closed = new ArrayList<>();
-  private long requests;
-  private long answers;
+  private long requestCount;
+  private long responseCount;
 
   // A scholar's export waited minutes for a slot. Its answer is handed to the connection, which
   // counts it as given; before its first byte is written the port looks for idle connections, finds
   // that nothing has moved for long and nobody waits, and cuts the scholar off.
   @Test
-  void anAnswerThatIsAboutToBeWrittenIsNotCutOff() throws IOException {
+  void connectionIsNotClosedBeforeItsResponseIsWritten() throws IOException {
     IOEventHandler idle =
-        IdleHandler.decorate((session, attachment) -> (IOEventHandler) connection())
+        IdleConnectionHandler.decorate((session, attachment) -> (IOEventHandler) connection())
             .createHandler(null, null);
-    requests = 1;
-    answers = 1;
-    idle.timeout(session(), AT_ONCE);
+    requestCount = 1;
+    responseCount = 1;
+    idle.timeout(session(), ZERO_TIMEOUT);
     assertEquals(List.of(), closed, "answered since the last look");
-    requests = 2;
-    idle.timeout(session(), AT_ONCE);
+    requestCount = 2;
+    idle.timeout(session(), ZERO_TIMEOUT);
     assertEquals(List.of(), closed, "waits");
-    answers = 2;
-    idle.timeout(session(), AT_ONCE);
+    responseCount = 2;
+    idle.timeout(session(), ZERO_TIMEOUT);
     assertEquals(List.of(), closed, "answered since the last look");
-    idle.timeout(session(), LONG);
+    idle.timeout(session(), LONG_TIMEOUT);
     assertEquals(List.of(), closed, "not idle for long enough");
-    idle.timeout(session(), AT_ONCE);
+    idle.timeout(session(), ZERO_TIMEOUT);
     assertEquals(List.of("GRACEFUL"), closed);
   }
 
@@ -61,22 +61,22 @@
     return Proxy.newProxyInstance(
         getClass().getClassLoader(),
         new Class<?>[] {IOEventHandler.class, HttpConnection.class},
-        (proxy, method, arguments) -> new Counts());
+        (proxy, method, arguments) -> new FakeEndpointDetails());
   }
 
-  private final class Counts extends EndpointDetails {
-    Counts() {
+  private final class FakeEndpointDetails extends EndpointDetails {
+    FakeEndpointDetails() {
       super(null, null, null);
     }
 
     @Override
     public long getRequestCount() {
-      return requests;
+      return requestCount;
     }
 
     @Override
     public long getResponseCount() {
-      return answers;
+      return responseCount;
     }
 
     @Override
--- a/sageladder-entry/src/test/java/org/sageladder/entry/request/PermitEnforcerTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/request/PermitEnforcerTest.java
@@ -21,7 +21,7 @@
 import org.sageladder.core.permit.PermitCodec;
 import org.sageladder.core.permit.PermitHome;
 import org.sageladder.core.time.TimeSource;
-import org.sageladder.entry.control.FixedState;
+import org.sageladder.entry.control.FixedControlPlane;
 import org.sageladder.entry.exchange.CallerExchange;
 import org.sageladder.entry.exchange.RequestSender;
 
@@ -73,7 +73,7 @@
     PermitEnforcer permits =
         new PermitEnforcer(
             context(),
-            new FixedState(List.of()),
+            new FixedControlPlane(List.of()),
             codec,
             PermitHome.of("entry-1", 1, PermitHome.Limits.standard()),
             new PermitSuccessors());
--- a/sageladder-entry/src/test/java/org/sageladder/entry/settings/EntrySettingsTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/settings/EntrySettingsTest.java
@@ -13,7 +13,7 @@
 import org.sageladder.platform.settings.SettingsException;
 
 class EntrySettingsTest {
-  private static final String GOOD =
+  private static final String VALID_YAML =
       """
       vm: tallinn-1-a
       customer: kannelkoda
@@ -40,86 +40,86 @@
       """;
 
   @Test
-  void goodSettingsAreReadWithTheirDefaults() throws Exception {
-    EntrySettings settings = EntrySettings.parse("entry.yaml", GOOD);
+  void validSettingsAreReadWithDefaults() throws Exception {
+    EntrySettings settings = EntrySettings.parse("entry.yaml", VALID_YAML);
 
     assertEquals(new EntrySettings.Ports(7101, 0, 0), settings.ports());
     assertEquals(List.of(new EntrySettings.PeerAddress("127.0.0.1", 7201)), settings.seeds());
     assertEquals(EntrySettings.LogFormat.JSON, settings.logs().format());
-    assertEquals(16_384, settings.callerLimits().headBytes());
+    assertEquals(16_384, settings.callerLimits().maxHeadBytes());
   }
 
-  static Stream<Arguments> mistakes() {
+  static Stream<Arguments> invalidSettings() {
     return Stream.of(
-        mistake(
+        invalidSetting(
             "unknown key",
             "vmList:",
             "vmlist:",
             "entry.yaml: vmlist: unknown key; did you mean 'vmList'? Allowed here: callerLimits,"
                 + " customer, eventCapacity, host, incarnation, innerKeys, logs, ports, seeds, store, vm, vmList, zone"),
-        mistake(
+        invalidSetting(
             "missing key",
             "zone: tallinn-1\n",
             "",
             "entry.yaml: zone: missing; give a name of 1 to 63 lower case letters a-z, digits and"
                 + " hyphens inside"),
-        mistake(
+        invalidSetting(
             "wrong type",
             "workers: 4",
             "workers: four",
             "entry.yaml: callerLimits.workers: 'four' is not allowed; give a whole number from 1"
                 + " to 256"),
-        mistake(
+        invalidSetting(
             "port out of range",
             "callers: 7101",
             "callers: 70000",
             "entry.yaml: ports.callers: '70000' is not allowed; give a whole number from 0 to"
                 + " 65535"),
-        mistake(
+        invalidSetting(
             "clash of ports",
             "operators: 0",
             "operators: 7101",
             "entry.yaml: ports.operators: 7101 is not allowed; give a port that ports.callers does"
                 + " not use, or 0"),
-        mistake(
+        invalidSetting(
             "duration without unit",
             "timeout: 500ms",
             "timeout: 500",
             "entry.yaml: store.timeout: '500' is not allowed; give a duration from 10ms to 30s,"
                 + " such as 250ms, 6s or 10m"),
-        mistake(
+        invalidSetting(
             "host name in place of an IP number",
             "host: 127.0.0.1",
             "host: localhost",
             "entry.yaml: host: 'localhost' is not allowed; give an IP number such as 10.0.0.7"),
-        mistake(
+        invalidSetting(
             "unknown choice",
             "format: json",
             "format: xml",
             "entry.yaml: logs.format: 'xml' is not allowed; give one of text, json"),
-        mistake(
+        invalidSetting(
             "seed without port",
             "127.0.0.1:7201",
             "127.0.0.1",
             "entry.yaml: seeds[0]: '127.0.0.1' is not allowed; give an IP number and port such as"
                 + " 10.0.0.7:7101"),
-        mistake(
+        invalidSetting(
             "inner key with a short secret, which must not be shown",
             "seeds:",
             "innerKeys: ['k1:c2hvcnQ=']\nseeds:",
             "entry.yaml: innerKeys: (not shown) is not allowed; give an id of letters and digits, a"
                 + " colon and at least 16 bytes in base64"),
-        mistake(
+        invalidSetting(
             "key given twice",
             "host: 127.0.0.1",
             "host: 127.0.0.1\nhost: 127.0.0.2",
             "entry.yaml: line 5: Duplicate field 'host'"),
-        mistake(
+        invalidSetting(
             "list in place of keys",
             "store:\n  uri: http://127.0.0.1:7000\n  timeout: 500ms",
             "store: [1]",
             "entry.yaml: store: [1] is not allowed; give keys uri, timeout"),
-        mistake(
+        invalidSetting(
             "fixed incarnation without number",
             "source: clock",
             "source: fixed",
@@ -128,11 +128,11 @@
   }
 
   @Test
-  void innerKeysAreReadInTheirOrderAndNeverPrinted() throws SettingsException {
+  void innerKeysKeepTheirOrderAndAreNotPrinted() throws SettingsException {
     EntrySettings settings =
         EntrySettings.parse(
             "entry.yaml",
-            GOOD
+            VALID_YAML
                 + "innerKeys: ['k2:c2FnZWxhZGRlci1iZW5jaC1rZXk=', 'k1:MDEyMzQ1Njc4OWFiY2RlZg==']\n");
     assertEquals(
         List.of("k2", "k1"),
@@ -142,19 +142,19 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("mistakes")
-  void eachMistakeGivesOneLineNamingFileKeyValueAndWhatIsAllowed(
+  void invalidSettingIsReportedWithFileKeyValueAndAllowedValues(
       String name, String good, String bad, String message) {
     SettingsException error =
         assertThrows(
             SettingsException.class,
-            () -> EntrySettings.parse("entry.yaml", GOOD.replace(good, bad)),
+            () -> EntrySettings.parse("entry.yaml", VALID_YAML.replace(good, bad)),
             name);
 
     assertEquals(message, error.getMessage());
   }
 
   @Test
-  void absentFileIsNamed() {
+  void missingFileIsReported() {
     SettingsException error =
         assertThrows(
             SettingsException.class, () -> EntrySettings.read(Path.of("no-such-file.yaml")));
@@ -163,7 +163,7 @@
         "no-such-file.yaml: cannot be read (NoSuchFileException); give a file", error.getMessage());
   }
 
-  private static Arguments mistake(String name, String good, String bad, String message) {
+  private static Arguments invalidSetting(String name, String good, String bad, String message) {
     return Arguments.of(name, good, bad, message);
   }
 }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/stop/PlannedStopTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/stop/PlannedStopTest.java
@@ -23,7 +23,7 @@
 import org.sageladder.core.permit.PermitHome;
 import org.sageladder.core.time.TimeSource;
 import org.sageladder.entry.control.ControlPlane;
-import org.sageladder.entry.control.FixedState;
+import org.sageladder.entry.control.FixedControlPlane;
 import org.sageladder.entry.exchange.BodyCollector;
 import org.sageladder.entry.exchange.BodyPipe;
 import org.sageladder.entry.exchange.CallerExchange;
@@ -49,7 +49,7 @@
   private PlannedStop stop(RequestSender outbound, Member... peers) {
     byte[] secret = new byte[32];
     KeyRing ring = KeyRing.of(List.of(new KeyRing.Key("k", 0, KeyRing.Secret.of(secret))));
-    ControlPlane control = new FixedState(List.of(peers));
+    ControlPlane control = new FixedControlPlane(List.of(peers));
     PermitHandOver handOver =
         PermitHandOver.of(
             "entry-1",
