--- a/sageladder-entry/src/main/java/org/sageladder/entry/EntryDaemon.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/EntryDaemon.java
@@ -65,9 +65,9 @@
  */
 public final class EntryDaemon implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final int MAX_CONNECTIONS_PER_HOST = 390;
+  private static final int MAX_HOST_CONNECTIONS = 390;
   private static final Duration LOAD_POLL_INTERVAL = Duration.ofSeconds(1);
-  private static final int MAX_EVENTS_PER_PAGE = 2_000;
+  private static final int MAX_PAGE_EVENTS = 2_000;
   private static final Duration STOP_GRACE = Duration.ofSeconds(1);
   private static final Duration KEY_ROTATION_PERIOD = Duration.ofDays(1);
 
@@ -124,40 +124,41 @@
     new JvmMemoryMetrics().bindTo(metrics);
     Store store =
         resources.add(HttpStore.connect(settings.store().uri(), settings.store().timeout()));
-    VmList list = HttpVmList.connect(settings.vmList().uri(), settings.store().timeout());
+    VmList vmList = HttpVmList.connect(settings.vmList().uri(), settings.store().timeout());
     ScheduledExecutorService timers =
         Executors.newScheduledThreadPool(2, task -> new Thread(task, "timers"));
     resources.add(timers::shutdownNow);
     OutboundClient client =
         resources.add(
-            OutboundClient.start(
-                settings.callerLimits().workerThreads(), MAX_CONNECTIONS_PER_HOST));
+            OutboundClient.start(settings.callerLimits().workerThreads(), MAX_HOST_CONNECTIONS));
     PermitKeys permitKeys =
         PermitKeys.of(store, settings.customer(), KEY_ROTATION_PERIOD, new SecureRandom());
-    Member self = self(settings, store, time);
+    Member self = createSelf(settings, store, time);
     RelayControlPlane control =
-        resources.add(controlPlane(settings, self, store, list, permitKeys, time, events));
+        resources.add(startControlPlane(settings, self, store, vmList, permitKeys, time, events));
     resources.add(KeyRefresher.start(permitKeys, time));
     ControlMetrics.bind(metrics, control);
     GateTable gates =
-        resources.add(gates(settings, self.incarnation(), control.guard(), time, timers, events));
-    RequestPipeline path =
+        resources.add(
+            createGateTable(settings, self.incarnation(), control.guard(), time, timers, events));
+    RequestPipeline pipeline =
         RequestPipeline.assemble(
             settings, client, timers, time, events, metrics, control, gates, permitKeys::ring);
     InFlightCounter inFlight = InFlightCounter.create();
-    PlannedStop plannedStop = plannedStop(settings, control, inFlight, path, client, time);
+    PlannedStop plannedStop =
+        createPlannedStop(settings, control, inFlight, pipeline, client, time);
     resources.add(LoadPoller.start(gates, client, time, timers, LOAD_POLL_INTERVAL));
     gates.useHistorySender(
-        HttpHistorySender.of(self, settings.customer(), path.codec(), client, time));
+        HttpHistorySender.of(self, settings.customer(), pipeline.codec(), client, time));
     control.onChange(gates::applyState);
     control.onChange(
         ViewEventRecorder.of(settings.vm(), settings.zone(), settings.customer(), events));
-    control.onChange(path::applyState);
+    control.onChange(pipeline::applyState);
     control.setSummarySource(gates::summaries);
     control.setTargetReportSource(gates::targetReports);
     control.setTargetProbe(HttpTargetProbe.of(client));
     registerContractGauge(metrics, control, settings.customer());
-    CountDownLatch drainAsked = new CountDownLatch(1);
+    CountDownLatch drainRequested = new CountDownLatch(1);
     OperatorPort operatorPort =
         OperatorPort.of(
             settings.vm(),
@@ -166,63 +167,58 @@
             gates,
             after ->
                 EventPage.of(
-                    settings.vm(),
-                    startedMillis,
-                    settings.zone(),
-                    events,
-                    after,
-                    MAX_EVENTS_PER_PAGE),
-            path.lookUpExplainer(),
-            drainAsked::countDown);
+                    settings.vm(), startedMillis, settings.zone(), events, after, MAX_PAGE_EVENTS),
+            pipeline.lookUpExplainer(),
+            drainRequested::countDown);
     HttpListener operators =
         resources.add(
             HttpListener.open(
                 settings.host(),
                 settings.ports().operators(),
-                limits(settings, 1),
+                connectionLimits(settings, 1),
                 () -> CallerExchange.create(operatorPort)));
     HttpListener callers =
         resources.add(
             HttpListener.open(
                 settings.host(),
                 settings.ports().callers(),
-                limits(settings, settings.callerLimits().workerThreads()),
-                () -> CallerExchange.create(path.router(), inFlight)));
+                connectionLimits(settings, settings.callerLimits().workerThreads()),
+                () -> CallerExchange.create(pipeline.router(), inFlight)));
     registerConnectionMetrics(metrics, callers);
-    path.advertiseAddress(settings.host(), callers.port());
+    pipeline.advertiseAddress(settings.host(), callers.port());
     control.startServing(callers.port());
     events.record(EventKind.STARTED, "", settings.customer(), settings.zone(), 0, settings.vm());
     logger.atInfo().log(
         "%s serves callers on %s:%d and operators on port %d",
         settings.vm(), settings.host(), callers.port(), operators.port());
     return new EntryDaemon(
-        settings, control, callers, operators, events, drainAsked, plannedStop, resources);
+        settings, control, callers, operators, events, drainRequested, plannedStop, resources);
   }
 
-  private static ConnectionLimits limits(EntrySettings settings, int workers) {
+  private static ConnectionLimits connectionLimits(EntrySettings settings, int workerThreads) {
     EntrySettings.CallerLimits limits = settings.callerLimits();
     return new ConnectionLimits(
-        workers, limits.maxHeadBytes(), limits.maxConnections(), limits.idleTimeout());
+        workerThreads, limits.maxHeadBytes(), limits.maxConnections(), limits.idleTimeout());
   }
 
-  private static PlannedStop plannedStop(
+  private static PlannedStop createPlannedStop(
       EntrySettings settings,
-      ControlPlane control,
+      ControlPlane controlPlane,
       InFlightCounter inFlight,
-      RequestPipeline path,
+      RequestPipeline pipeline,
       OutboundClient client,
       TimeSource time) {
     return PlannedStop.of(
-        control,
+        controlPlane,
         inFlight,
-        path.issuer(),
+        pipeline.issuer(),
         PermitHandOver.of(
             settings.vm(),
             settings.zone(),
             settings.customer(),
-            control,
-            path.issuer(),
-            path.codec(),
+            controlPlane,
+            pipeline.issuer(),
+            pipeline.codec(),
             PermitHome.Limits.standard(),
             client,
             time),
@@ -230,7 +226,7 @@
         PlannedStop.Limits.standard());
   }
 
-  private static GateTable gates(
+  private static GateTable createGateTable(
       EntrySettings settings,
       long incarnation,
       HoldingGuard guard,
@@ -239,7 +235,7 @@
       EventSink events) {
     // Each request that waits holds a caller's connection. Without a common bound background work
     // could hold them all, and a bid would find no connection to come in by.
-    QueueBudget waits = QueueBudget.of(settings.callerLimits().maxConnections());
+    QueueBudget queueBudget = QueueBudget.of(settings.callerLimits().maxConnections());
     return GateTable.create(
         settings.vm(),
         settings.zone(),
@@ -248,10 +244,16 @@
         incarnation,
         service ->
             ServiceGate.create(
-                settings.customer(), service, time, Scheduler.of(timers), events, waits, guard));
+                settings.customer(),
+                service,
+                time,
+                Scheduler.of(timers),
+                events,
+                queueBudget,
+                guard));
   }
 
-  private static Member self(EntrySettings settings, Store store, TimeSource time)
+  private static Member createSelf(EntrySettings settings, Store store, TimeSource time)
       throws IOException {
     long incarnation;
     try {
@@ -272,12 +274,12 @@
         false);
   }
 
-  private static RelayControlPlane controlPlane(
+  private static RelayControlPlane startControlPlane(
       EntrySettings settings,
       Member self,
       Store store,
-      VmList list,
-      PermitKeys keys,
+      VmList vmList,
+      PermitKeys permitKeys,
       TimeSource time,
       EventSink events)
       throws IOException {
@@ -285,17 +287,17 @@
         settings.seeds().stream()
             .map(seed -> new PeerAddress("", seed.host(), seed.port()))
             .toList();
-    ControlSettings control =
+    ControlSettings controlSettings =
         new ControlSettings(settings.customer(), self, seeds, settings.vmList().fetchInterval());
-    InnerKeys innerKeys = InnerKeys.of(settings.innerKeys(), keys::storedRing);
-    return RelayControlPlane.start(control, store, list, innerKeys, time, events);
+    InnerKeys innerKeys = InnerKeys.of(settings.innerKeys(), permitKeys::storedRing);
+    return RelayControlPlane.start(controlSettings, store, vmList, innerKeys, time, events);
   }
 
   private static void registerContractGauge(
-      PrometheusMeterRegistry metrics, ControlPlane control, String customer) {
+      PrometheusMeterRegistry metrics, ControlPlane controlPlane, String customer) {
     Gauge.builder(
             "sageladder.contract.revision",
-            control,
+            controlPlane,
             plane -> {
               var contract = plane.state().contracts().get(customer);
               return contract == null ? 0 : contract.revision();
@@ -305,12 +307,15 @@
   }
 
   private static void registerConnectionMetrics(
-      PrometheusMeterRegistry metrics, HttpListener callers) {
-    Gauge.builder("sageladder.callers.connections", callers, HttpListener::openConnectionCount)
+      PrometheusMeterRegistry metrics, HttpListener callersListener) {
+    Gauge.builder(
+            "sageladder.callers.connections", callersListener, HttpListener::openConnectionCount)
         .description("Open connections at the callers' port")
         .register(metrics);
     FunctionCounter.builder(
-            "sageladder.callers.connections.refused", callers, HttpListener::refusedConnectionCount)
+            "sageladder.callers.connections.refused",
+            callersListener,
+            HttpListener::refusedConnectionCount)
         .description("Connections closed at once, since callerLimits.connections were open")
         .register(metrics);
   }
@@ -337,11 +342,11 @@
 
   /** True once a contract is in force here and {@code members} entry VMs are known. */
   public boolean isServing(int minMembers) {
-    long known =
+    long knownMembers =
         controlPlane.state().views().values().stream()
             .mapToLong(view -> view.members().size())
             .sum();
-    return readiness() == ControlPlane.Readiness.READY && known >= minMembers;
+    return readiness() == ControlPlane.Readiness.READY && knownMembers >= minMembers;
   }
 
   /** Returns once an operator has asked for a planned stop; the caller then stops the daemon. */
--- a/sageladder-entry/src/main/java/org/sageladder/entry/EntryMain.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/EntryMain.java
@@ -39,30 +39,30 @@
   /** Runs the daemon until it is told to stop; exits by the table in docs/CONFIGURATION.md. */
   public static void main(String[] args) throws InterruptedException {
     Options options = options();
-    CommandLine line;
+    CommandLine commandLine;
     try {
-      line = new DefaultParser().parse(options, args);
+      commandLine = new DefaultParser().parse(options, args);
     } catch (ParseException e) {
       exitWithUsageError(e.getMessage());
       return;
     }
-    if (line.hasOption("help")) {
+    if (commandLine.hasOption("help")) {
       System.out.print(HELP);
       return;
     }
-    if (!line.hasOption("settings")) {
+    if (!commandLine.hasOption("settings")) {
       exitWithUsageError("no settings file is named");
       return;
     }
     EntrySettings settings;
     try {
-      settings = EntrySettings.read(Path.of(line.getOptionValue("settings")));
+      settings = EntrySettings.read(Path.of(commandLine.getOptionValue("settings")));
     } catch (SettingsException e) {
       System.err.println("sageladder-entry: " + e.getMessage());
       System.exit(ExitCode.BAD_SETTINGS.status());
       return;
     }
-    if (line.hasOption("check")) {
+    if (commandLine.hasOption("check")) {
       System.out.println("settings of " + settings.vm() + " are well formed");
       return;
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlMetrics.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlMetrics.java
@@ -11,7 +11,7 @@
 
 /** Meters of the control plane; docs/MEMBERSHIP.md says what to watch. */
 public final class ControlMetrics {
-  private static final List<String> STORE_CALLS =
+  private static final List<String> STORE_CALL_KINDS =
       List.of(
           "read",
           "list",
@@ -26,13 +26,13 @@
   private ControlMetrics() {}
 
   /** Registers the meters of {@code plane}. */
-  public static void bind(MeterRegistry metrics, RelayControlPlane plane) {
-    LinkCounters links = plane.linkCounters();
-    counter(metrics, "sageladder.control.bytes.in", links, LinkCounters::bytesIn);
-    counter(metrics, "sageladder.control.bytes.out", links, LinkCounters::bytesOut);
-    counter(metrics, "sageladder.control.frames.in", links, LinkCounters::framesIn);
-    counter(metrics, "sageladder.control.frames.out", links, LinkCounters::framesOut);
-    counter(metrics, "sageladder.control.unsent", links, LinkCounters::unsentMessages);
+  public static void bind(MeterRegistry metrics, RelayControlPlane controlPlane) {
+    LinkCounters links = controlPlane.linkCounters();
+    registerCounter(metrics, "sageladder.control.bytes.in", links, LinkCounters::bytesIn);
+    registerCounter(metrics, "sageladder.control.bytes.out", links, LinkCounters::bytesOut);
+    registerCounter(metrics, "sageladder.control.frames.in", links, LinkCounters::framesIn);
+    registerCounter(metrics, "sageladder.control.frames.out", links, LinkCounters::framesOut);
+    registerCounter(metrics, "sageladder.control.unsent", links, LinkCounters::unsentMessages);
     for (ProtocolException.Reason reason : ProtocolException.Reason.values()) {
       FunctionCounter.builder(
               "sageladder.control.dropped", links, counters -> counters.dropCount(reason))
@@ -40,32 +40,42 @@
           .description("Inner connections dropped because of what the peer sent")
           .register(metrics);
     }
-    for (String kind : STORE_CALLS) {
+    for (String kind : STORE_CALL_KINDS) {
       FunctionCounter.builder(
               "sageladder.store.calls",
-              plane,
+              controlPlane,
               p -> p.storeCallCounts().getOrDefault(kind, 0L).doubleValue())
           .tag("kind", kind)
           .description("Calls to the platform's service; a waiting watch is one")
           .register(metrics);
     }
-    counter(
-        metrics, "sageladder.store.calls.refused", plane, RelayControlPlane::refusedStoreCallCount);
-    gauge(metrics, "sageladder.control.links", plane, RelayControlPlane::openLinks);
-    gauge(metrics, "sageladder.control.relaying", plane, p -> p.isRelay() ? 1 : 0);
-    gauge(metrics, "sageladder.control.lowest.revision", plane, ControlMetrics::lowestRevision);
+    registerCounter(
+        metrics,
+        "sageladder.store.calls.refused",
+        controlPlane,
+        RelayControlPlane::refusedStoreCallCount);
+    registerGauge(metrics, "sageladder.control.links", controlPlane, RelayControlPlane::openLinks);
+    registerGauge(metrics, "sageladder.control.relaying", controlPlane, p -> p.isRelay() ? 1 : 0);
+    registerGauge(
+        metrics,
+        "sageladder.control.lowest.revision",
+        controlPlane,
+        ControlMetrics::lowestRevision);
   }
 
-  private static double lowestRevision(RelayControlPlane plane) {
-    return plane.zoneReports().stream().mapToLong(ZoneReport::lowestRevision).min().orElse(0);
+  private static double lowestRevision(RelayControlPlane controlPlane) {
+    return controlPlane.zoneReports().stream()
+        .mapToLong(ZoneReport::lowestRevision)
+        .min()
+        .orElse(0);
   }
 
-  private static <T> void counter(
+  private static <T> void registerCounter(
       MeterRegistry metrics, String name, T source, ToDoubleFunction<T> value) {
     FunctionCounter.builder(name, source, value).register(metrics);
   }
 
-  private static <T> void gauge(
+  private static <T> void registerGauge(
       MeterRegistry metrics, String name, T source, ToDoubleFunction<T> value) {
     Gauge.builder(name, source, value).register(metrics);
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlStateMachine.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlStateMachine.java
@@ -226,12 +226,12 @@
   }
 
   private PeerDirectory.Reachability reachability(String vm) {
-    Long lost = linkLostNanos.get(vm);
-    if (lost == null) {
+    Long lostNanos = linkLostNanos.get(vm);
+    if (lostNanos == null) {
       return PeerDirectory.Reachability.REACHABLE;
     }
-    boolean lately = time.nanos() - lost < LOST_LINK_AVOIDANCE.toNanos();
-    return lately ? PeerDirectory.Reachability.UNREACHABLE : PeerDirectory.Reachability.RETRYING;
+    boolean isRecent = time.nanos() - lostNanos < LOST_LINK_AVOIDANCE.toNanos();
+    return isRecent ? PeerDirectory.Reachability.UNREACHABLE : PeerDirectory.Reachability.RETRYING;
   }
 
   void onLinkLost(String vm) {
@@ -358,18 +358,18 @@
   }
 
   private void advanceElection() {
-    long silence = time.nanos() - relayLastHeardNanos;
+    long silenceNanos = time.nanos() - relayLastHeardNanos;
     // The rank counts only among those that find the relay silent, and costs a hash for each
     // member.
-    boolean isRelaySilent = silence >= timings.relay().silenceTimeout().toNanos();
+    boolean isRelaySilent = silenceNanos >= timings.relay().silenceTimeout().toNanos();
     int rank = isRelaySilent ? directory.rank(replicatedState.views()) : 0;
     boolean isEligible = isReady && !isLeaving && callersPort > 0;
-    election.nextCall(silence, rank, isEligible).ifPresent(effects::startElectionCall);
+    election.nextCall(silenceNanos, rank, isEligible).ifPresent(effects::startElectionCall);
     if (isEligible) {
-      long lastNumber =
+      long lastViewNumber =
           replicatedState.view(identity.zone()).map(view -> view.view().number()).orElse(0L);
       election.actWithoutLeaseIfAbandoned(
-          silence, rank, ZoneViewBuilder.fencingTokenOf(lastNumber));
+          silenceNanos, rank, ZoneViewBuilder.fencingTokenOf(lastViewNumber));
     }
   }
 
@@ -407,9 +407,10 @@
   }
 
   private void sendHeartbeat() {
-    int members =
+    int memberCount =
         replicatedState.view(identity.zone()).map(view -> view.view().members().size()).orElse(0);
-    nextHeartbeatNanos = time.nanos() + timings.membership().heartbeatInterval(members).toNanos();
+    nextHeartbeatNanos =
+        time.nanos() + timings.membership().heartbeatInterval(memberCount).toNanos();
     if (!isReady || callersPort == 0) {
       return;
     }
@@ -437,24 +438,25 @@
     if (!from.equals(heartbeat.sender().vm())) {
       return;
     }
-    long number =
+    long viewNumber =
         replicatedState.view(identity.zone()).map(view -> view.view().number()).orElse(0L);
     HeartbeatAnswer answer =
         relayRole
             .onHeartbeat(heartbeat)
-            .orElseGet(() -> new HeartbeatAnswer(heartbeat.sentNanos(), number, false, false, 0));
+            .orElseGet(
+                () -> new HeartbeatAnswer(heartbeat.sentNanos(), viewNumber, false, false, 0));
     effects.send(from, new InnerMessage.BeatAnswer(answer));
   }
 
   private void onHeartbeatAnswer(String from, HeartbeatAnswer answer) {
     Optional<RelayedView> view = replicatedState.view(identity.zone());
-    long number = view.map(seen -> seen.view().number()).orElse(0L);
-    if (answer.viewNumber() > number) {
+    long viewNumber = view.map(seen -> seen.view().number()).orElse(0L);
+    if (answer.viewNumber() > viewNumber) {
       ItemKey key = new ItemKey(ItemKind.VIEW, identity.zone());
       effects.send(from, new InnerMessage.Spread(new SpreadMessage.Pull(List.of(key))));
     }
-    boolean fromRelay = view.map(seen -> seen.relay().equals(from)).orElse(false);
-    if (!fromRelay) {
+    boolean isFromRelay = view.map(seen -> seen.relay().equals(from)).orElse(false);
+    if (!isFromRelay) {
       return;
     }
     if (!answer.isRelay()) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/HttpTargetProbe.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/HttpTargetProbe.java
@@ -24,15 +24,15 @@
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
   private static final int MAX_REPORT_BYTES = 4096;
 
-  private final RequestSender client;
+  private final RequestSender sender;
 
-  private HttpTargetProbe(RequestSender client) {
-    this.client = client;
+  private HttpTargetProbe(RequestSender sender) {
+    this.sender = sender;
   }
 
   /** A probe that sends with {@code client}. */
-  public static HttpTargetProbe of(RequestSender client) {
-    return new HttpTargetProbe(client);
+  public static HttpTargetProbe of(RequestSender sender) {
+    return new HttpTargetProbe(sender);
   }
 
   @Override
@@ -41,7 +41,7 @@
     BasicHttpRequest request = new BasicHttpRequest("GET", "/load");
     request.setScheme(host.getSchemeName());
     request.setAuthority(new URIAuthority(host));
-    client.send(
+    sender.send(
         host,
         request,
         null,
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/Incarnations.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/Incarnations.java
@@ -36,8 +36,8 @@
   }
 
   private static long fromClock(TimeSource time) {
-    long random = new SecureRandom().nextInt(1 << RANDOM_BITS);
-    return time.wallMillis() << RANDOM_BITS | random;
+    long randomBits = new SecureRandom().nextInt(1 << RANDOM_BITS);
+    return time.wallMillis() << RANDOM_BITS | randomBits;
   }
 
   private static long fromStore(String key, Store store) throws StoreException {
@@ -48,9 +48,10 @@
         new StoreException.Unavailable(key + ": other writers kept winning", null);
     for (int i = 0; i < MAX_ATTEMPTS; i++) {
       try {
-        Optional<StoredValue> old = store.read(key);
-        long expected = old.map(StoredValue::revision).orElse(0L);
-        if (store.compareAndSet(key, expected, value, null) instanceof WriteResult.Written done) {
+        Optional<StoredValue> current = store.read(key);
+        long expectedRevision = current.map(StoredValue::revision).orElse(0L);
+        if (store.compareAndSet(key, expectedRevision, value, null)
+            instanceof WriteResult.Written done) {
           return done.revision();
         }
       } catch (StoreException e) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/PeerDirectory.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/PeerDirectory.java
@@ -49,15 +49,15 @@
   List<PeerAddress> onPlatformList(List<ListedVm> vms) {
     listedVms.clear();
     List<PeerAddress> addresses = new ArrayList<>();
-    for (ListedVm line : vms) {
-      boolean peer =
-          line.role() == VmRole.ENTRY
-              && line.customer().equals(identity.customer())
-              && line.innerPort() > 0
-              && !line.id().equals(identity.vm());
-      if (peer) {
-        listedVms.put(line.id(), line);
-        addresses.add(new PeerAddress(line.id(), line.host(), line.innerPort()));
+    for (ListedVm vm : vms) {
+      boolean isPeer =
+          vm.role() == VmRole.ENTRY
+              && vm.customer().equals(identity.customer())
+              && vm.innerPort() > 0
+              && !vm.id().equals(identity.vm());
+      if (isPeer) {
+        listedVms.put(vm.id(), vm);
+        addresses.add(new PeerAddress(vm.id(), vm.host(), vm.innerPort()));
       }
     }
     return addresses;
@@ -77,19 +77,19 @@
    * @param maxPeers how many, so that a fresh VM does not load all its peers
    */
   List<String> snapshotPeers(Set<String> seeds, Map<String, RelayedView> views, int maxPeers) {
-    List<String> own = new ArrayList<>();
-    List<String> others = new ArrayList<>(seeds);
-    for (ListedVm line : listedVms.values()) {
-      (line.zone().equals(identity.zone()) ? own : others).add(line.id());
+    List<String> ownZoneVms = new ArrayList<>();
+    List<String> otherVms = new ArrayList<>(seeds);
+    for (ListedVm vm : listedVms.values()) {
+      (vm.zone().equals(identity.zone()) ? ownZoneVms : otherVms).add(vm.id());
     }
     for (RelayedView view : views.values()) {
       for (Member member : view.view().members()) {
-        (member.zone().equals(identity.zone()) ? own : others).add(member.vm());
+        (member.zone().equals(identity.zone()) ? ownZoneVms : otherVms).add(member.vm());
       }
     }
     Set<String> chosen = new LinkedHashSet<>();
-    addRandom(own, maxPeers - 1, chosen);
-    addRandom(others, maxPeers, chosen);
+    addRandom(ownZoneVms, maxPeers - 1, chosen);
+    addRandom(otherVms, maxPeers, chosen);
     chosen.remove(identity.vm());
     return List.copyOf(chosen);
   }
@@ -124,30 +124,30 @@
       Map<String, RelayedView> views,
       @Nullable Contract contract,
       Function<String, Reachability> reachability) {
-    RelayedView own = views.get(identity.zone());
-    if (own == null) {
+    RelayedView ownView = views.get(identity.zone());
+    if (ownView == null) {
       return Set.of();
     }
-    Set<String> route = summaryRouteInZone(report, own);
-    if (speaker(own, report.version()).equals(identity.vm())) {
+    Set<String> route = summaryRouteInZone(report, ownView);
+    if (speaker(ownView, report.version()).equals(identity.vm())) {
       addRouteToOtherZones(report, views, contract, reachability, route);
     }
     route.remove(identity.vm());
     return route;
   }
 
-  private Set<String> summaryRouteInZone(Item report, RelayedView own) {
-    String speaker = speaker(own, report.version());
-    boolean ownReport = ReportKeys.reportingZone(report.key()).equals(identity.zone());
-    if (ownReport && own.relay().equals(identity.vm())) {
+  private Set<String> summaryRouteInZone(Item report, RelayedView ownView) {
+    String speaker = speaker(ownView, report.version());
+    boolean isOwnReport = ReportKeys.reportingZone(report.key()).equals(identity.zone());
+    if (isOwnReport && ownView.relay().equals(identity.vm())) {
       return new HashSet<>(Set.of(speaker));
     }
-    List<String> names = own.view().members().stream().map(Member::vm).toList();
+    List<String> names = ownView.view().members().stream().map(Member::vm).toList();
     Set<String> tree =
         new HashSet<>(
-            Overlay.zoneTreeWithLeaf(names, speaker, own.relay(), identity.vm(), TREE_FAN_OUT));
-    if (ownReport) {
-      tree.remove(own.relay());
+            Overlay.zoneTreeWithLeaf(names, speaker, ownView.relay(), identity.vm(), TREE_FAN_OUT));
+    if (isOwnReport) {
+      tree.remove(ownView.relay());
     }
     return tree;
   }
@@ -209,12 +209,12 @@
 
   private static void addReachableSpeakers(
       Item report,
-      String from,
+      String zone,
       Map<String, RelayedView> views,
       Function<String, Reachability> reachability,
       Set<String> route) {
     List<String> zones = List.copyOf(views.keySet());
-    for (String child : Overlay.summaryChildren(zones, report.key().name(), from)) {
+    for (String child : Overlay.summaryChildren(zones, report.key().name(), zone)) {
       String speaker = speaker(views.get(child), report.version());
       if (reachability.apply(speaker) != Reachability.UNREACHABLE) {
         route.add(speaker);
@@ -227,10 +227,10 @@
 
   private Set<String> zoneNeighbours(Map<String, RelayedView> views) {
     Set<String> neighbours = new HashSet<>();
-    RelayedView own = views.get(identity.zone());
-    if (own != null) {
-      List<String> names = own.view().members().stream().map(Member::vm).toList();
-      neighbours.addAll(Overlay.zoneTree(names, own.relay(), identity.vm(), TREE_FAN_OUT));
+    RelayedView ownView = views.get(identity.zone());
+    if (ownView != null) {
+      List<String> names = ownView.view().members().stream().map(Member::vm).toList();
+      neighbours.addAll(Overlay.zoneTree(names, ownView.relay(), identity.vm(), TREE_FAN_OUT));
     }
     return neighbours;
   }
@@ -238,23 +238,23 @@
   /** Whom to compare with at random: all of the own zone, and a few of others. */
   List<String> repairPeers(Map<String, RelayedView> views) {
     Set<String> peers = new TreeSet<>(listedVmsIn(identity.zone()));
-    RelayedView own = views.get(identity.zone());
-    if (own != null) {
+    RelayedView ownView = views.get(identity.zone());
+    if (ownView != null) {
       peers.clear();
-      own.view().members().forEach(member -> peers.add(member.vm()));
+      ownView.view().members().forEach(member -> peers.add(member.vm()));
     }
-    List<String> others = new ArrayList<>();
+    List<String> otherZoneVms = new ArrayList<>();
     for (String zone : knownZones(views)) {
       if (!zone.equals(identity.zone())) {
         RelayedView view = views.get(zone);
         if (view == null) {
-          others.addAll(listedVmsIn(zone));
+          otherZoneVms.addAll(listedVmsIn(zone));
         } else {
-          others.add(view.relay());
+          otherZoneVms.add(view.relay());
         }
       }
     }
-    addRandom(others, MAX_REMOTE_REPAIR_PEERS, peers);
+    addRandom(otherZoneVms, MAX_REMOTE_REPAIR_PEERS, peers);
     peers.remove(identity.vm());
     return List.copyOf(peers);
   }
@@ -262,12 +262,12 @@
   /** This VM's place among those that follow a relay that fell silent; 0 is first. */
   int rank(Map<String, RelayedView> views) {
     Set<String> candidates = new TreeSet<>();
-    RelayedView own = views.get(identity.zone());
-    if (own == null) {
+    RelayedView ownView = views.get(identity.zone());
+    if (ownView == null) {
       candidates.addAll(listedVmsIn(identity.zone()));
     } else {
-      for (Member member : own.view().members()) {
-        if (!member.isDraining() && !member.vm().equals(own.relay())) {
+      for (Member member : ownView.view().members()) {
+        if (!member.isDraining() && !member.vm().equals(ownView.relay())) {
           candidates.add(member.vm());
         }
       }
@@ -290,10 +290,10 @@
         .toList();
   }
 
-  private void addRandom(List<String> from, int maxCount, Set<String> into) {
-    List<String> left = new ArrayList<>(new TreeSet<>(from));
-    for (int i = 0; i < maxCount && !left.isEmpty(); i++) {
-      into.add(left.remove(random.nextInt(left.size())));
+  private void addRandom(List<String> candidates, int maxCount, Set<String> selected) {
+    List<String> remaining = new ArrayList<>(new TreeSet<>(candidates));
+    for (int i = 0; i < maxCount && !remaining.isEmpty(); i++) {
+      selected.add(remaining.remove(random.nextInt(remaining.size())));
     }
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/RateLimitedStore.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RateLimitedStore.java
@@ -115,14 +115,14 @@
   @Override
   public void close() {}
 
-  private void acquire(String kind) throws StoreException {
+  private void acquire(String callKind) throws StoreException {
     synchronized (tokenBucket) {
       if (!tokenBucket.tryTake(1)) {
         refusedCallCount.increment();
         throw new StoreException.Unavailable(
-            "this process's budget of store calls is used up; " + kind + " was not sent", null);
+            "this process's budget of store calls is used up; " + callKind + " was not sent", null);
       }
     }
-    callCounts.computeIfAbsent(kind, name -> new LongAdder()).increment();
+    callCounts.computeIfAbsent(callKind, name -> new LongAdder()).increment();
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayControlPlane.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayControlPlane.java
@@ -63,7 +63,7 @@
   private final EventSink events;
   private final RateLimitedStore store;
   private final StoreWorker storeWorker;
-  private final ControlStateMachine machine;
+  private final ControlStateMachine stateMachine;
   private final InnerLinks links;
   private final TopicDispatcher topicDispatcher = new TopicDispatcher();
   private final List<Consumer<ClusterState>> listeners = new CopyOnWriteArrayList<>();
@@ -112,7 +112,7 @@
             new LinkIdentity(self.vm(), customer, self.incarnation()),
             keys,
             new LinkReceiver());
-    Member reachable =
+    Member boundSelf =
         new Member(
             self.vm(),
             self.zone(),
@@ -121,8 +121,8 @@
             self.port(),
             links.port(),
             false);
-    ControlIdentity identity = new ControlIdentity(customer, reachable);
-    this.machine =
+    ControlIdentity identity = new ControlIdentity(customer, boundSelf);
+    this.stateMachine =
         new ControlStateMachine(
             identity, timings, time, new SplittableRandom(), new Effects(), events);
   }
@@ -137,17 +137,18 @@
   public static RelayControlPlane start(
       ControlSettings settings,
       Store store,
-      VmList list,
+      VmList vmList,
       Supplier<Optional<KeyRing>> keys,
       TimeSource time,
       EventSink events)
       throws IOException {
-    RateLimitedStore budgeted =
-        RateLimitedStore.of(store, list, time, MAX_STORE_CALLS_PER_SECOND, MAX_STORE_CALL_BURST);
-    RelayControlPlane plane =
-        new RelayControlPlane(settings, ControlTimings.standard(), budgeted, keys, time, events);
-    plane.startThreads(settings.seeds());
-    return plane;
+    RateLimitedStore rateLimitedStore =
+        RateLimitedStore.of(store, vmList, time, MAX_STORE_CALLS_PER_SECOND, MAX_STORE_CALL_BURST);
+    RelayControlPlane controlPlane =
+        new RelayControlPlane(
+            settings, ControlTimings.standard(), rateLimitedStore, keys, time, events);
+    controlPlane.startThreads(settings.seeds());
+    return controlPlane;
   }
 
   private void startThreads(List<PeerAddress> seeds) {
@@ -173,13 +174,13 @@
   }
 
   @Override
-  public void setSummarySource(Supplier<List<ZoneSummary>> own) {
-    runOnControlThread(() -> machine.setSummarySource(own));
+  public void setSummarySource(Supplier<List<ZoneSummary>> source) {
+    runOnControlThread(() -> stateMachine.setSummarySource(source));
   }
 
   @Override
-  public void setTargetReportSource(Supplier<List<TargetReport>> own) {
-    runOnControlThread(() -> machine.setTargetReportSource(own));
+  public void setTargetReportSource(Supplier<List<TargetReport>> source) {
+    runOnControlThread(() -> stateMachine.setTargetReportSource(source));
   }
 
   /** Sets how targets of a silent zone are asked whether they can be reached. */
@@ -189,12 +190,12 @@
 
   @Override
   public HoldingGuard guard() {
-    return machine.guard();
+    return stateMachine.guard();
   }
 
   @Override
   public void startServing(int callersPort) {
-    runOnControlThread(() -> machine.startServing(callersPort));
+    runOnControlThread(() -> stateMachine.startServing(callersPort));
   }
 
   @Override
@@ -240,7 +241,7 @@
   @Override
   public void beginLeaving() {
     readiness = Readiness.LEAVING;
-    runOnControlThread(machine::beginLeaving);
+    runOnControlThread(stateMachine::beginLeaving);
   }
 
   @Override
@@ -269,12 +270,13 @@
   }
 
   private void tick() {
-    runAndLogFailure(machine::tick);
+    runAndLogFailure(stateMachine::tick);
     storeWorker.setListNeeded(
-        !machine.isReady() || machine.relaySilenceNanos() > RELAY_SILENCE_BEFORE_LIST_NANOS);
-    boolean due = time.nanos() - lastPublishNanos >= MIN_PUBLISH_INTERVAL_NANOS;
-    if (machine.replicatedState().hasUrgentChange()
-        || (due && machine.replicatedState().hasChanged())) {
+        !stateMachine.isReady()
+            || stateMachine.relaySilenceNanos() > RELAY_SILENCE_BEFORE_LIST_NANOS);
+    boolean isPublishDue = time.nanos() - lastPublishNanos >= MIN_PUBLISH_INTERVAL_NANOS;
+    if (stateMachine.replicatedState().hasUrgentChange()
+        || (isPublishDue && stateMachine.replicatedState().hasChanged())) {
       publish();
     }
   }
@@ -290,16 +292,16 @@
   }
 
   private void publishIfUrgent() {
-    if (machine.replicatedState().hasUrgentChange()) {
+    if (stateMachine.replicatedState().hasUrgentChange()) {
       publish();
     }
   }
 
   private void publish() {
     lastPublishNanos = time.nanos();
-    state = machine.replicatedState().takeSnapshot();
-    zoneReports = new ArrayList<>(machine.replicatedState().reports().values());
-    if (readiness == Readiness.WAITING && machine.isReady() && !state.contracts().isEmpty()) {
+    state = stateMachine.replicatedState().buildClusterState();
+    zoneReports = new ArrayList<>(stateMachine.replicatedState().reports().values());
+    if (readiness == Readiness.WAITING && stateMachine.isReady() && !state.contracts().isEmpty()) {
       readiness = Readiness.READY;
     }
     if (isDeliveryScheduled.compareAndSet(false, true)) {
@@ -313,16 +315,16 @@
 
   private void notifyListeners() {
     isDeliveryScheduled.set(false);
-    ClusterState now = state;
+    ClusterState currentState = state;
     for (Consumer<ClusterState> listener : listeners) {
-      runAndLogFailure(() -> listener.accept(now));
+      runAndLogFailure(() -> listener.accept(currentState));
     }
-    Contract contract = now.contracts().get(customer);
+    Contract contract = currentState.contracts().get(customer);
     if (contract != null && contract.revision() != lastRevisionInForce) {
       lastRevisionInForce = contract.revision();
       events.record(
           EventKind.CONTRACT_IN_FORCE, "", customer, "", contract.revision(), "in force here");
-      runOnControlThread(() -> machine.onContractInForce(contract.revision()));
+      runOnControlThread(() -> stateMachine.onContractInForce(contract.revision()));
     }
   }
 
@@ -339,18 +341,18 @@
 
     @Override
     public void startElectionCall(ElectionCall call) {
-      storeWorker.startElectionCall(call, machine.election(), new StoreResults());
+      storeWorker.startElectionCall(call, stateMachine.election(), new StoreResults());
     }
 
     @Override
-    public void probeTarget(Holding target, Consumer<Boolean> answer) {
-      targetProbe.probe(target, idle -> runOnControlThread(() -> answer.accept(idle)));
+    public void probeTarget(Holding target, Consumer<Boolean> onAnswer) {
+      targetProbe.probe(target, idle -> runOnControlThread(() -> onAnswer.accept(idle)));
     }
 
     @Override
-    public void setRelay(boolean now) {
-      isRelay = now;
-      storeWorker.setRelay(now);
+    public void setRelay(boolean newIsRelay) {
+      isRelay = newIsRelay;
+      storeWorker.setRelay(newIsRelay);
     }
 
     @Override
@@ -375,7 +377,7 @@
       if (!isStarted) {
         return;
       }
-      runOnControlThread(() -> machine.onMessage(vm, message));
+      runOnControlThread(() -> stateMachine.onMessage(vm, message));
     }
 
     @Override
@@ -383,13 +385,13 @@
       if (!isStarted) {
         return;
       }
-      runOnControlThread(() -> machine.onLinkOpened(vm));
+      runOnControlThread(() -> stateMachine.onLinkOpened(vm));
     }
 
     @Override
     public void lost(String vm) {
       events.record(EventKind.LINK_DROPPED, "", customer, vm, 0, "");
-      runOnControlThread(() -> machine.onLinkLost(vm));
+      runOnControlThread(() -> stateMachine.onLinkLost(vm));
     }
   }
 
@@ -401,17 +403,17 @@
 
     @Override
     public void onInitialRead(Optional<StoredValue> contract) {
-      machine.onInitialStoreRead(contract);
+      stateMachine.onInitialStoreRead(contract);
     }
 
     @Override
     public void onContractChanged(StoredValue contract) {
-      machine.onStoredContract(contract);
+      stateMachine.onStoredContract(contract);
     }
 
     @Override
-    public void onPlatformList(List<ListedVm> lines) {
-      machine.onPlatformList(lines);
+    public void onPlatformList(List<ListedVm> vms) {
+      stateMachine.onPlatformList(vms);
     }
   }
 
@@ -422,8 +424,8 @@
     }
 
     @Override
-    public void broadcast(String topic, String id, byte[] content, Duration keep) {
-      runOnControlThread(() -> machine.broadcast(topic, id, content, keep));
+    public void broadcast(String topic, String id, byte[] content, Duration retention) {
+      runOnControlThread(() -> stateMachine.broadcast(topic, id, content, retention));
     }
 
     @Override
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayRole.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayRole.java
@@ -26,7 +26,7 @@
 /** What an entry VM does while it is its zone's relay: views, reports and answers to heartbeats. */
 final class RelayRole {
   private static final int MAX_LAGGING_NAMED = 5;
-  private static final double MAJORITY = 0.5;
+  private static final double MAJORITY_FRACTION = 0.5;
 
   private final ControlIdentity identity;
   private final ControlTimings timings;
@@ -34,7 +34,7 @@
   private final ReplicatedState replicatedState;
   private final VersionedTable table;
   private final RelayElection election;
-  private final Consumer<Item> publish;
+  private final Consumer<Item> publisher;
   private final EventSink events;
   private final ZoneTakeOver takeOver;
   private @Nullable ZoneViewBuilder viewBuilder;
@@ -52,7 +52,7 @@
       ReplicatedState replicatedState,
       VersionedTable table,
       RelayElection election,
-      Consumer<Item> publish,
+      Consumer<Item> publisher,
       TargetProbe probe,
       EventSink events) {
     this.identity = identity;
@@ -61,10 +61,10 @@
     this.replicatedState = replicatedState;
     this.table = table;
     this.election = election;
-    this.publish = publish;
+    this.publisher = publisher;
     this.events = events;
     this.takeOver =
-        new ZoneTakeOver(identity, time, replicatedState, table, probe, publish, events);
+        new ZoneTakeOver(identity, time, replicatedState, table, probe, publisher, events);
     this.lastTickNanos = time.nanos();
     this.confirmationBlockedUntilNanos = time.nanos();
   }
@@ -80,8 +80,7 @@
   }
 
   void onPlatformList(List<ListedVm> vms) {
-    platformList =
-        vms.stream().filter(line -> line.customer().equals(identity.customer())).toList();
+    platformList = vms.stream().filter(vm -> vm.customer().equals(identity.customer())).toList();
     ZoneViewBuilder builder = viewBuilder;
     if (builder != null) {
       builder.onPlatformList(platformList);
@@ -137,7 +136,7 @@
       return true;
     }
     boolean isPastBlock = time.nanos() - confirmationBlockedUntilNanos >= 0;
-    return isPastBlock && builder.liveFraction() > MAJORITY;
+    return isPastBlock && builder.liveFraction() > MAJORITY_FRACTION;
   }
 
   private void detectPause() {
@@ -204,7 +203,7 @@
   }
 
   private void publishView(RelayedView view) {
-    publish.accept(
+    publisher.accept(
         Item.of(
             ItemKind.VIEW, identity.zone(), view.view().number(), MembershipCodec.encode(view)));
   }
@@ -228,7 +227,7 @@
 
   private void publishReport(ZoneViewBuilder builder, ItemKey key) {
     Map<String, Long> revisions = builder.revisionsInForce();
-    long lowest = revisions.values().stream().mapToLong(Long::longValue).min().orElse(0);
+    long lowestRevision = revisions.values().stream().mapToLong(Long::longValue).min().orElse(0);
     List<String> lagging =
         revisions.entrySet().stream()
             .filter(entry -> entry.getValue() < replicatedState.contractRevision())
@@ -242,9 +241,9 @@
             time.wallMillis(),
             builder.summaries(),
             revisions.size(),
-            lowest,
+            lowestRevision,
             lagging);
     long version = Math.max(fencingToken << 20, table.version(key) + 1);
-    publish.accept(new Item(key, version, 0, MembershipCodec.encode(report)));
+    publisher.accept(new Item(key, version, 0, MembershipCodec.encode(report)));
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ReplicatedState.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ReplicatedState.java
@@ -56,9 +56,9 @@
   /** Takes an item in; true where its content could be read and concerns this customer. */
   boolean accept(Item item) {
     try {
-      boolean taken = decode(item);
-      hasChanged |= taken;
-      return taken;
+      boolean isAccepted = decode(item);
+      hasChanged |= isAccepted;
+      return isAccepted;
     } catch (ProtocolException | SettingsException | RuntimeException e) {
       logger.atSevere().atMostEvery(10, TimeUnit.SECONDS).withCause(e).log(
           "%s at version %d cannot be read; what was known before stays in force",
@@ -72,8 +72,8 @@
       case CONTRACT -> acceptContract(item);
       case VIEW -> {
         if (ZoneTakeOver.isTakeOver(item.key())) {
-          RelayedView taken = MembershipCodec.decodeView(item.payload());
-          takeOvers.put(taken.view().zone(), taken);
+          RelayedView takeOver = MembershipCodec.decodeView(item.payload());
+          takeOvers.put(takeOver.view().zone(), takeOver);
           yield false;
         }
         recordHeard(item.key().name());
@@ -84,12 +84,12 @@
       case SUMMARY -> {
         ZoneReport report = MembershipCodec.decodeReport(item.payload());
         recordHeard(report.zone());
-        ZoneReport held = reports.get(report.zone());
-        boolean newer = held == null || report.takenAtMillis() >= held.takenAtMillis();
-        if (newer) {
+        ZoneReport previous = reports.get(report.zone());
+        boolean isNewer = previous == null || report.takenAtMillis() >= previous.takenAtMillis();
+        if (isNewer) {
           reports.put(report.zone(), report);
         }
-        yield newer;
+        yield isNewer;
       }
       case NOTICE -> false;
     };
@@ -99,24 +99,24 @@
     if (!item.key().name().equals(identity.customer())) {
       return false;
     }
-    Contract read =
+    Contract stored =
         StoredContract.fromStored(
                 new StoredValue(
                     StoredContract.keyOf(identity.customer()), item.version(), item.payload()))
             .contract();
-    Contract before = contract;
-    if (before != null && before.revision() >= read.revision()) {
+    Contract current = contract;
+    if (current != null && current.revision() >= stored.revision()) {
       return false;
     }
-    contract = read;
+    contract = stored;
     hasUrgentChange = true;
     return true;
   }
 
   /** Revision of the contract known here, 0 for none. */
   long contractRevision() {
-    Contract known = contract;
-    return known == null ? 0 : known.revision();
+    Contract current = contract;
+    return current == null ? 0 : current.revision();
   }
 
   @Nullable Contract contract() {
@@ -151,11 +151,11 @@
 
   /** Zones of the own zone's region but itself, by the contract in force. */
   List<String> otherZonesOfRegion() {
-    Contract known = contract;
-    if (known == null) {
+    Contract current = contract;
+    if (current == null) {
       return List.of();
     }
-    return known.regions().stream()
+    return current.regions().stream()
         .map(Contract.Region::zones)
         .filter(zones -> zones.contains(identity.zone()))
         .flatMap(List::stream)
@@ -198,24 +198,24 @@
     return newlySilent;
   }
 
-  /** Whether a contract or a view changed since the last {@link #takeSnapshot}. */
+  /** Whether a contract or a view changed since the last {@link #buildClusterState}. */
   boolean hasUrgentChange() {
     return hasUrgentChange;
   }
 
-  /** Whether anything changed since the last {@link #takeSnapshot}. */
+  /** Whether anything changed since the last {@link #buildClusterState}. */
   boolean hasChanged() {
     return hasChanged;
   }
 
   /** Everything known, for the request path. */
-  ClusterState takeSnapshot() {
+  ClusterState buildClusterState() {
     hasChanged = false;
     hasUrgentChange = false;
-    Map<String, ZoneView> plain = new HashMap<>();
+    Map<String, ZoneView> zoneViews = new HashMap<>();
     views.forEach(
         (zone, view) ->
-            plain.put(
+            zoneViews.put(
                 zone, silentZones.contains(zone) ? withoutMembers(view.view()) : view.view()));
     List<ZoneSummary> summaries = new ArrayList<>();
     for (ZoneReport report : reports.values()) {
@@ -223,9 +223,10 @@
         summaries.addAll(report.summaries());
       }
     }
-    Contract known = contract;
-    Map<String, Contract> contracts = known == null ? Map.of() : Map.of(identity.customer(), known);
-    return new ClusterState(contracts, plain, summaries);
+    Contract current = contract;
+    Map<String, Contract> contracts =
+        current == null ? Map.of() : Map.of(identity.customer(), current);
+    return new ClusterState(contracts, zoneViews, summaries);
   }
 
   private static ZoneView withoutMembers(ZoneView view) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/StoreWorker.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/StoreWorker.java
@@ -133,8 +133,8 @@
       return () -> election.onClaimed(result);
     }
     if (call instanceof ElectionCall.Renew renew) {
-      boolean held = store.keepAlive(renew.lease());
-      return () -> election.onRenewed(held);
+      boolean isHeld = store.keepAlive(renew.lease());
+      return () -> election.onRenewed(isHeld);
     }
     long lease = store.grantLease(leaseTimeToLive);
     return () -> election.onGranted(lease);
@@ -157,7 +157,7 @@
 
   private void watchContractWhileRelay(Results results, LongSupplier knownRevision) {
     Backoff backoff = backoff();
-    long after = 0;
+    long afterRevision = 0;
     boolean wasRelay = false;
     while (!isClosed) {
       if (!isRelay) {
@@ -167,11 +167,11 @@
       }
       if (!wasRelay) {
         wasRelay = true;
-        after = knownRevision.getAsLong();
+        afterRevision = knownRevision.getAsLong();
       }
       try {
-        WatchBatch batch = ((Store) store).watch(contractKey, after, WATCH_TIMEOUT);
-        after = batch.nextRevision();
+        WatchBatch batch = ((Store) store).watch(contractKey, afterRevision, WATCH_TIMEOUT);
+        afterRevision = batch.nextRevision();
         recordSuccess();
         backoff.recordSuccess();
         forEachContract(
@@ -199,9 +199,9 @@
         continue;
       }
       try {
-        List<ListedVm> lines = store.fetch();
+        List<ListedVm> vms = store.fetch();
         backoff.recordSuccess();
-        results.runOnControlThread(() -> results.onPlatformList(lines));
+        results.runOnControlThread(() -> results.onPlatformList(vms));
         awaitNextFetch();
       } catch (StoreException | RuntimeException e) {
         recordFailure(e);
@@ -213,8 +213,8 @@
   private void awaitNextFetch() {
     boolean wasRelay = isRelay;
     Duration pause = wasRelay ? listFetchInterval : NON_RELAY_LIST_FETCH_INTERVAL;
-    long end = System.nanoTime() + pause.toNanos();
-    while (!isClosed && isRelay == wasRelay && System.nanoTime() - end < 0) {
+    long endNanos = System.nanoTime() + pause.toNanos();
+    while (!isClosed && isRelay == wasRelay && System.nanoTime() - endNanos < 0) {
       sleep(Duration.ofMillis(POLL_INTERVAL_MILLIS));
     }
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/TopicDispatcher.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/TopicDispatcher.java
@@ -10,15 +10,15 @@
 final class TopicDispatcher {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  private final Map<String, PeerMessages.Receiver> receivers = new ConcurrentHashMap<>();
+  private final Map<String, PeerMessages.Receiver> receiversByTopic = new ConcurrentHashMap<>();
 
   void register(String topic, PeerMessages.Receiver receiver) {
-    receivers.put(topic, receiver);
+    receiversByTopic.put(topic, receiver);
   }
 
   /** A payload of a topic that nobody takes is dropped: its sender may be of a later release. */
   void deliver(String from, String topic, byte[] content) {
-    PeerMessages.Receiver receiver = receivers.get(topic);
+    PeerMessages.Receiver receiver = receiversByTopic.get(topic);
     if (receiver == null) {
       logger.atFine().log("nobody takes topic '%s' from '%s'", topic, from);
       return;
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ZoneTakeOver.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ZoneTakeOver.java
@@ -49,7 +49,7 @@
   private final ReplicatedState replicatedState;
   private final VersionedTable table;
   private final TargetProbe probe;
-  private final Consumer<Item> publish;
+  private final Consumer<Item> publisher;
   private final EventSink events;
   private final Map<String, Set<String>> idleTargetsByZone = new HashMap<>();
   private long nextProbeNanos;
@@ -62,14 +62,14 @@
       ReplicatedState replicatedState,
       VersionedTable table,
       TargetProbe probe,
-      Consumer<Item> publish,
+      Consumer<Item> publisher,
       EventSink events) {
     this.identity = identity;
     this.time = time;
     this.replicatedState = replicatedState;
     this.table = table;
     this.probe = probe;
-    this.publish = publish;
+    this.publisher = publisher;
     this.events = events;
     this.nextProbeNanos = time.nanos();
     this.assumeLentUntilNanos = time.nanos();
@@ -126,13 +126,14 @@
 
   private void handleSilentZone(
       String zone, List<String> otherZones, ZoneViewBuilder builder, boolean isProbeDue) {
-    Optional<RelayedView> taken = activeTakeOver(zone);
-    if (taken.isPresent() && taken.get().relay().equals(identity.zone())) {
-      builder.takeOver(zone, taken.get().view().holdings());
+    Optional<RelayedView> takeOver = currentTakeOver(zone);
+    if (takeOver.isPresent() && takeOver.get().relay().equals(identity.zone())) {
+      builder.takeOver(zone, takeOver.get().view().holdings());
       return;
     }
     builder.giveBack(zone);
-    boolean isTakenByOther = taken.isPresent() && !replicatedState.isSilent(taken.get().relay());
+    boolean isTakenByOther =
+        takeOver.isPresent() && !replicatedState.isSilent(takeOver.get().relay());
     if (isTakenByOther || !successorZone(zone, otherZones).equals(identity.zone())) {
       idleTargetsByZone.remove(zone);
       return;
@@ -143,7 +144,7 @@
     }
   }
 
-  private Optional<RelayedView> activeTakeOver(String zone) {
+  private Optional<RelayedView> currentTakeOver(String zone) {
     return replicatedState.takeOver(zone).filter(view -> !view.view().holdings().isEmpty());
   }
 
@@ -165,41 +166,43 @@
   }
 
   private void probeTargets(String zone) {
-    Set<String> answered = new TreeSet<>();
-    idleTargetsByZone.put(zone, answered);
+    Set<String> idleTargets = new TreeSet<>();
+    idleTargetsByZone.put(zone, idleTargets);
     for (Holding holding : lastHoldings(zone)) {
       if (!holding.isDraining()) {
-        probe.probe(holding, nobody -> recordAnswer(nobody, holding, answered));
+        probe.probe(holding, nobody -> recordAnswer(nobody, holding, idleTargets));
       }
     }
   }
 
-  private static void recordAnswer(boolean isIdle, Holding holding, Set<String> answered) {
+  private static void recordAnswer(boolean isIdle, Holding holding, Set<String> idleTargets) {
     if (isIdle) {
-      answered.add(holding.target());
+      idleTargets.add(holding.target());
     }
   }
 
   /** Takes what answered to the last round of probes. */
   private void takeOverIdleTargets(String zone, ZoneViewBuilder builder) {
-    Set<String> answered = idleTargetsByZone.getOrDefault(zone, Set.of());
-    List<Holding> taken =
-        lastHoldings(zone).stream().filter(holding -> answered.contains(holding.target())).toList();
-    if (taken.isEmpty()) {
+    Set<String> idleTargets = idleTargetsByZone.getOrDefault(zone, Set.of());
+    List<Holding> idleHoldings =
+        lastHoldings(zone).stream()
+            .filter(holding -> idleTargets.contains(holding.target()))
+            .toList();
+    if (idleHoldings.isEmpty()) {
       return;
     }
-    publishTakeOver(zone, taken);
-    builder.takeOver(zone, taken);
+    publishTakeOver(zone, idleHoldings);
+    builder.takeOver(zone, idleHoldings);
     logger.atWarning().log(
         "zone %s is silent while %d of its targets answer: using half of their slots",
-        zone, taken.size());
+        zone, idleHoldings.size());
     events.record(
         EventKind.VIEW_CHANGED,
         "",
         identity.customer(),
         zone,
         0,
-        "taken over by " + identity.zone() + ", targets " + taken.size());
+        "taken over by " + identity.zone() + ", targets " + idleHoldings.size());
   }
 
   private List<Holding> lastHoldings(String zone) {
@@ -208,8 +211,8 @@
 
   private void giveBack(String zone, ZoneViewBuilder builder) {
     builder.giveBack(zone);
-    Optional<RelayedView> taken = activeTakeOver(zone);
-    boolean isOwnTakeOver = taken.isPresent() && taken.get().relay().equals(identity.zone());
+    Optional<RelayedView> takeOver = currentTakeOver(zone);
+    boolean isOwnTakeOver = takeOver.isPresent() && takeOver.get().relay().equals(identity.zone());
     if (isOwnTakeOver && !builder.holdsTargetsOf(zone)) {
       publishTakeOver(zone, List.of());
       logger.atInfo().log("zone %s is back and has its targets' slots again", zone);
@@ -221,6 +224,6 @@
     long version = Math.max(time.wallMillis(), table.version(key) + 1);
     ZoneView view = new ZoneView(zone, version, List.of(), holdings);
     byte[] payload = MembershipCodec.encode(new RelayedView(view, identity.zone(), List.of()));
-    publish.accept(Item.of(ItemKind.VIEW, key.name(), version, payload));
+    publisher.accept(Item.of(ItemKind.VIEW, key.name(), version, payload));
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/HttpListener.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/HttpListener.java
@@ -54,7 +54,7 @@
       String host, int port, ConnectionLimits limits, Supplier<AsyncServerExchangeHandler> handlers)
       throws java.io.IOException, InterruptedException {
     ConnectionLimiter connectionLimiter = new ConnectionLimiter(limits.maxConnections());
-    HttpAsyncServer server = server(limits, connectionLimiter, handlers);
+    HttpAsyncServer server = createServer(limits, connectionLimiter, handlers);
     server.start();
     try {
       ListenerEndpoint endpoint =
@@ -68,7 +68,7 @@
     }
   }
 
-  private static HttpAsyncServer server(
+  private static HttpAsyncServer createServer(
       ConnectionLimits limits,
       ConnectionLimiter connectionLimiter,
       Supplier<AsyncServerExchangeHandler> handlers) {
@@ -81,7 +81,7 @@
         new ServerHttp1StreamDuplexerFactory(
             HttpProcessors.customServer("sageladder")
                 .addFirst(RequestFramingValidator.create())
-                .addLast(resultHeaders())
+                .addLast(resultHeaderInterceptor())
                 .build(),
             new DefaultAsyncResponseExchangeHandlerFactory(
                 (request, context) -> handlers, BasicAsyncServerExpectationDecorator::new),
@@ -113,7 +113,7 @@
   }
 
   /** Gives a number to the answers that the HTTP library makes for requests it cannot read. */
-  private static HttpResponseInterceptor resultHeaders() {
+  private static HttpResponseInterceptor resultHeaderInterceptor() {
     return (response, entity, context) -> {
       if (response.getCode() < 400 || response.containsHeader(Headers.RESULT)) {
         return;
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/OperatorPort.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/OperatorPort.java
@@ -29,8 +29,8 @@
 
   private final String vm;
   private final PrometheusMeterRegistry metrics;
-  private final ControlPlane control;
-  private final GateTable gates;
+  private final ControlPlane controlPlane;
+  private final GateTable gateTable;
   private final EventSource events;
   private final LookUpExplainer lookUpExplainer;
   private final Runnable startDrain;
@@ -38,15 +38,15 @@
   private OperatorPort(
       String vm,
       PrometheusMeterRegistry metrics,
-      ControlPlane control,
-      GateTable gates,
+      ControlPlane controlPlane,
+      GateTable gateTable,
       EventSource events,
       LookUpExplainer lookUpExplainer,
       Runnable startDrain) {
     this.vm = vm;
     this.metrics = metrics;
-    this.control = control;
-    this.gates = gates;
+    this.controlPlane = controlPlane;
+    this.gateTable = gateTable;
     this.events = events;
     this.lookUpExplainer = lookUpExplainer;
     this.startDrain = startDrain;
@@ -67,12 +67,13 @@
   public static OperatorPort of(
       String vm,
       PrometheusMeterRegistry metrics,
-      ControlPlane control,
-      GateTable gates,
+      ControlPlane controlPlane,
+      GateTable gateTable,
       EventSource events,
       LookUpExplainer lookUpExplainer,
       Runnable startDrain) {
-    return new OperatorPort(vm, metrics, control, gates, events, lookUpExplainer, startDrain);
+    return new OperatorPort(
+        vm, metrics, controlPlane, gateTable, events, lookUpExplainer, startDrain);
   }
 
   @Override
@@ -125,7 +126,7 @@
   }
 
   private void explain(CallerExchange exchange, String path) {
-    ObjectNode json = lookUpExplainer.explain(path, control.state());
+    ObjectNode json = lookUpExplainer.explain(path, controlPlane.state());
     if (json == null) {
       LocalReplies.send(
           exchange,
@@ -138,22 +139,23 @@
   }
 
   private ObjectNode state() {
-    ClusterState state = control.state();
+    ClusterState state = controlPlane.state();
     ObjectNode json = JSON.createObjectNode();
     json.put("vm", vm);
-    json.put("readiness", control.readiness().name());
+    json.put("readiness", controlPlane.readiness().name());
     ObjectNode revisions = json.putObject("revisions");
     state.contracts().forEach((name, contract) -> revisions.put(name, contract.revision()));
     ObjectNode views = json.putObject("views");
     state.views().values().forEach(view -> describe(view, views.putObject(view.zone())));
     ObjectNode zones = json.putObject("zones");
-    control.zoneReports().forEach(report -> describe(report, zones.putObject(report.zone())));
-    ObjectNode held = json.putObject("gates");
-    gates
+    controlPlane.zoneReports().forEach(report -> describe(report, zones.putObject(report.zone())));
+    ObjectNode gateStates = json.putObject("gates");
+    gateTable
         .byService()
         .forEach(
             (service, gate) ->
-                held.putObject(service)
+                gateStates
+                    .putObject(service)
                     .put("slots", gate.usableSlots())
                     .put("busy", gate.busySlots())
                     .put("queued", gate.queuedCount()));
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineFixture.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineFixture.java
@@ -55,7 +55,7 @@
     final ControlStateMachine machine;
     final List<String> payloads = new ArrayList<>();
     boolean isPaused;
-    boolean isDead;
+    boolean hasFailed;
     boolean isListKnown = true;
     private boolean hasReadContract;
 
@@ -83,16 +83,16 @@
 
     @Override
     public boolean send(String to, InnerMessage message) {
-      FakeNode target = nodes.get(to);
-      if (target == null || target.isDead || isPartitioned(this, target)) {
+      FakeNode recipient = nodes.get(to);
+      if (recipient == null || recipient.hasFailed || isPartitioned(this, recipient)) {
         return false;
       }
-      pendingMessages.add(() -> target.deliver(vm, message));
+      pendingMessages.add(() -> recipient.deliver(vm, message));
       return true;
     }
 
     private void deliver(String from, InnerMessage message) {
-      if (!isDead && !isPaused) {
+      if (!hasFailed && !isPaused) {
         machine.onMessage(from, message);
       }
     }
@@ -106,16 +106,16 @@
     }
 
     @Override
-    public void probeTarget(Holding target, Consumer<Boolean> answer) {
+    public void probeTarget(Holding target, Consumer<Boolean> onAnswer) {
       FakeNode holder = nodes.get(target.target().substring("target-".length()));
       boolean isReachable = holder != null && !zonesWithUnreachableTargets.contains(holder.zone);
       if (isReachable && !isPartitioned(this, holder)) {
-        pendingMessages.add(() -> answer.accept(!busyTargets.contains(target.target())));
+        pendingMessages.add(() -> onAnswer.accept(!busyTargets.contains(target.target())));
       }
     }
 
     @Override
-    public void setRelay(boolean now) {}
+    public void setRelay(boolean isRelay) {}
 
     @Override
     public void revokeLease(long lease) {
@@ -159,7 +159,7 @@
     steps++;
     expireLeases();
     for (FakeNode node : nodes.values()) {
-      if (node.isDead || node.isPaused) {
+      if (node.hasFailed || node.isPaused) {
         continue;
       }
       if (node.isListKnown && steps % 40 == 1) {
@@ -182,14 +182,14 @@
       node.hasReadContract = true;
       node.machine.onInitialStoreRead(Optional.ofNullable(contract));
     }
-    StoredValue now = contract;
-    if (now != null && node.isRelay()) {
-      node.machine.onStoredContract(now);
+    StoredValue current = contract;
+    if (current != null && node.isRelay()) {
+      node.machine.onStoredContract(current);
     }
   }
 
   private void answerElectionCall(FakeNode node, ElectionCall call) {
-    if (node.isDead || node.isPaused || isStoreDown || partitionedZones.contains(node.zone)) {
+    if (node.hasFailed || node.isPaused || isStoreDown || partitionedZones.contains(node.zone)) {
       node.machine.election().onFailure();
       return;
     }
@@ -202,11 +202,11 @@
     } else if (call instanceof ElectionCall.Claim claim) {
       node.machine.election().onClaimed(claim(claim));
     } else if (call instanceof ElectionCall.Renew renew) {
-      boolean held = leaseExpiryNanos.containsKey(renew.lease());
-      if (held) {
+      boolean isHeld = leaseExpiryNanos.containsKey(renew.lease());
+      if (isHeld) {
         leaseExpiryNanos.put(renew.lease(), time.nanos() + Duration.ofSeconds(3).toNanos());
       }
-      node.machine.election().onRenewed(held);
+      node.machine.election().onRenewed(isHeld);
     }
   }
 
@@ -244,17 +244,18 @@
   }
 
   private boolean isPartitioned(FakeNode from, FakeNode to) {
-    boolean cut = partitionedZones.contains(from.zone) || partitionedZones.contains(to.zone);
-    return cut && !from.zone.equals(to.zone);
+    boolean crossesPartition =
+        partitionedZones.contains(from.zone) || partitionedZones.contains(to.zone);
+    return crossesPartition && !from.zone.equals(to.zone);
   }
 
   private List<ListedVm> platformList() {
-    List<ListedVm> lines = new ArrayList<>();
+    List<ListedVm> vms = new ArrayList<>();
     for (FakeNode node : nodes.values()) {
-      lines.add(
+      vms.add(
           new ListedVm(
               VmRole.ENTRY, node.vm, CUSTOMER, "", node.zone, "127.0.0.1", 80, 81, 0, false));
-      lines.add(
+      vms.add(
           new ListedVm(
               VmRole.TARGET,
               "target-" + node.vm,
@@ -267,7 +268,7 @@
               1,
               false));
     }
-    return lines;
+    return vms;
   }
 
   /** A small contract. */
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineTest.java
@@ -42,16 +42,16 @@
   void vmStartedDuringStoreOutageUsesHighestRevisionOfItsPeers() {
     fixture.storeContract(20);
     startTwoZones();
-    FakeNode behind = fixture.nodes.get("vm-1");
-    behind.isPaused = true;
+    FakeNode laggingNode = fixture.nodes.get("vm-1");
+    laggingNode.isPaused = true;
     long newest = fixture.storeContract(21);
     fixture.advance(Duration.ofMillis(100));
     fixture.isStoreDown = true;
-    behind.isPaused = false;
-    FakeNode fresh = fixture.addNode("vm-9", "tartu-1");
+    laggingNode.isPaused = false;
+    FakeNode newNode = fixture.addNode("vm-9", "tartu-1");
     fixture.advance(Duration.ofSeconds(3));
-    assertTrue(fresh.machine.isReady());
-    assertEquals(newest, fresh.revision());
+    assertTrue(newNode.machine.isReady());
+    assertEquals(newest, newNode.revision());
   }
 
   // A VM starts in a zone that is cut off, with neither peers nor store. Serving whatever it thinks
@@ -59,11 +59,11 @@
   @Test
   void vmWithoutStoreAndPeersIsNotReady() {
     fixture.isStoreDown = true;
-    FakeNode alone = fixture.addNode("vm-1", "tartu-1");
+    FakeNode node = fixture.addNode("vm-1", "tartu-1");
     fixture.advance(Duration.ofMinutes(5));
-    assertFalse(alone.machine.isReady());
-    assertFalse(alone.isRelay());
-    assertTrue(alone.machine.readinessExplanation().contains("neither the store nor a ready peer"));
+    assertFalse(node.machine.isReady());
+    assertFalse(node.isRelay());
+    assertTrue(node.machine.readinessExplanation().contains("neither the store nor a ready peer"));
   }
 
   // The whole zone starts during an outage. The VMs can only ask each other, and none knows.
@@ -86,14 +86,14 @@
     fixture.storeContract(20);
     startTwoZones();
     FakeNode relay = relays("tartu-1").get(0);
-    long before = view(relay, "tartu-1").number();
-    relay.isDead = true;
+    long previousViewNumber = view(relay, "tartu-1").number();
+    relay.hasFailed = true;
     long revision = fixture.storeContract(21);
     fixture.advance(Duration.ofSeconds(6));
     for (FakeNode node : fixture.nodes.values()) {
-      if (!node.isDead) {
+      if (!node.hasFailed) {
         assertEquals(revision, node.revision(), node.vm);
-        assertTrue(view(node, "tartu-1").number() > before);
+        assertTrue(view(node, "tartu-1").number() > previousViewNumber);
       }
     }
     assertEquals(1, relays("tartu-1").size());
@@ -107,22 +107,23 @@
     startTwoZones();
     fixture.isStoreDown = true;
     fixture.advance(Duration.ofSeconds(5));
-    FakeNode dead = relays("tartu-1").get(0);
-    dead.isDead = true;
+    FakeNode failedRelay = relays("tartu-1").get(0);
+    failedRelay.hasFailed = true;
     fixture.advance(Duration.ofSeconds(15));
-    List<FakeNode> acting = relays("tartu-1");
-    assertEquals(1, acting.size());
-    assertEquals(RelayElection.State.ACTING, acting.get(0).machine.election().state());
-    for (Holding holding : view(acting.get(0), "tartu-1").holdings()) {
-      assertFalse(holding.holder().equals(dead.vm), "the dead VM holds " + holding.target());
+    List<FakeNode> actingRelays = relays("tartu-1");
+    assertEquals(1, actingRelays.size());
+    assertEquals(RelayElection.State.ACTING, actingRelays.get(0).machine.election().state());
+    for (Holding holding : view(actingRelays.get(0), "tartu-1").holdings()) {
+      assertFalse(holding.holder().equals(failedRelay.vm), "the dead VM holds " + holding.target());
     }
-    long fencing = ZoneViewBuilder.fencingTokenOf(view(acting.get(0), "tartu-1").number());
+    long fencingToken =
+        ZoneViewBuilder.fencingTokenOf(view(actingRelays.get(0), "tartu-1").number());
     fixture.isStoreDown = false;
     fixture.advance(Duration.ofSeconds(10));
     assertEquals(1, relays("tartu-1").size());
-    FakeNode next = relays("tartu-1").get(0);
-    assertEquals(RelayElection.State.HOLDING, next.machine.election().state());
-    assertTrue(ZoneViewBuilder.fencingTokenOf(view(next, "tartu-1").number()) > fencing);
+    FakeNode nextRelay = relays("tartu-1").get(0);
+    assertEquals(RelayElection.State.HOLDING, nextRelay.machine.election().state());
+    assertTrue(ZoneViewBuilder.fencingTokenOf(view(nextRelay, "tartu-1").number()) > fencingToken);
   }
 
   // The store is down for ten minutes. Lapsed leases must not cost any gate its slots.
@@ -148,21 +149,22 @@
   void relayResumedAfterLongPauseNeitherDispatchesNorActsAsRelay() {
     fixture.storeContract(20);
     startTwoZones();
-    FakeNode old = relays("tartu-1").get(0);
+    FakeNode oldRelay = relays("tartu-1").get(0);
     fixture.advance(Duration.ofSeconds(2));
-    old.isPaused = true;
+    oldRelay.isPaused = true;
     fixture.advance(Duration.ofSeconds(10));
-    ZoneView ruling =
+    ZoneView newView =
         view(
-            relays("tartu-1").stream().filter(node -> node != old).findFirst().orElseThrow(),
+            relays("tartu-1").stream().filter(node -> node != oldRelay).findFirst().orElseThrow(),
             "tartu-1");
-    old.isPaused = false;
-    for (Holding holding : view(old, "tartu-1").holdings()) {
-      assertEquals(0, old.machine.guard().usableSlots(holding), "before its control thread ran");
+    oldRelay.isPaused = false;
+    for (Holding holding : view(oldRelay, "tartu-1").holdings()) {
+      assertEquals(
+          0, oldRelay.machine.guard().usableSlots(holding), "before its control thread ran");
     }
     fixture.advance(Duration.ofSeconds(2));
-    assertFalse(old.isRelay());
-    assertTrue(view(old, "tartu-1").number() >= ruling.number());
+    assertFalse(oldRelay.isRelay());
+    assertTrue(view(oldRelay, "tartu-1").number() >= newView.number());
   }
 
   // A zone is cut off from the others and from the store, and healed after a minute.
@@ -173,10 +175,10 @@
     fixture.partitionedZones.add("tartu-2");
     long revision = fixture.storeContract(21);
     fixture.advance(Duration.ofMinutes(1));
-    FakeNode inside = inZone("tartu-2").get(0);
-    assertTrue(inside.revision() < revision);
+    FakeNode partitionedNode = nodesInZone("tartu-2").get(0);
+    assertTrue(partitionedNode.revision() < revision);
     assertEquals(1, relays("tartu-2").size());
-    for (Holding holding : view(inside, "tartu-2").holdings()) {
+    for (Holding holding : view(partitionedNode, "tartu-2").holdings()) {
       assertEquals(3, holding.slots());
     }
     fixture.partitionedZones.clear();
@@ -190,32 +192,64 @@
   void silentZoneIsNotOfferedUntilItReportsAgain() {
     fixture.storeContract(20);
     startTwoZones();
-    FakeNode here = inZone("tartu-1").get(0);
+    FakeNode observer = nodesInZone("tartu-1").get(0);
     assertEquals(
-        3, here.machine.replicatedState().takeSnapshot().views().get("tartu-2").members().size());
-    inZone("tartu-2").forEach(node -> node.isPaused = true);
+        3,
+        observer
+            .machine
+            .replicatedState()
+            .buildClusterState()
+            .views()
+            .get("tartu-2")
+            .members()
+            .size());
+    nodesInZone("tartu-2").forEach(node -> node.isPaused = true);
     fixture.advance(Duration.ofSeconds(7));
     assertEquals(
-        0, here.machine.replicatedState().takeSnapshot().views().get("tartu-2").members().size());
+        0,
+        observer
+            .machine
+            .replicatedState()
+            .buildClusterState()
+            .views()
+            .get("tartu-2")
+            .members()
+            .size());
     assertEquals(
-        3, here.machine.replicatedState().takeSnapshot().views().get("tartu-1").members().size());
-    inZone("tartu-2").forEach(node -> node.isPaused = false);
+        3,
+        observer
+            .machine
+            .replicatedState()
+            .buildClusterState()
+            .views()
+            .get("tartu-1")
+            .members()
+            .size());
+    nodesInZone("tartu-2").forEach(node -> node.isPaused = false);
     fixture.advance(SETTLING_TIME);
     assertEquals(
-        3, here.machine.replicatedState().takeSnapshot().views().get("tartu-2").members().size());
+        3,
+        observer
+            .machine
+            .replicatedState()
+            .buildClusterState()
+            .views()
+            .get("tartu-2")
+            .members()
+            .size());
   }
 
   @Test
   void plannedStopOfRelayHandsOverRelayRoleAndTargets() {
     fixture.storeContract(20);
     startTwoZones();
-    FakeNode leaving = relays("tartu-1").get(0);
-    leaving.machine.beginLeaving();
+    FakeNode leavingRelay = relays("tartu-1").get(0);
+    leavingRelay.machine.beginLeaving();
     fixture.advance(Duration.ofSeconds(5));
     assertEquals(1, relays("tartu-1").size());
-    assertFalse(leaving.isRelay());
-    for (Holding holding : view(leaving, "tartu-1").holdings()) {
-      assertFalse(holding.holder().equals(leaving.vm));
+    assertFalse(leavingRelay.isRelay());
+    for (Holding holding : view(leavingRelay, "tartu-1").holdings()) {
+      assertFalse(holding.holder().equals(leavingRelay.vm));
     }
   }
 
@@ -229,28 +263,29 @@
         .machine
         .broadcast("quarantine", "ab12", new byte[4], Duration.ofMinutes(10));
     fixture.advance(Duration.ofSeconds(2));
-    FakeNode fresh = fixture.addNode("vm-9", "tartu-2");
+    FakeNode newNode = fixture.addNode("vm-9", "tartu-2");
     fixture.advance(SETTLING_TIME);
     for (FakeNode node : fixture.nodes.values()) {
       assertEquals(List.of(":quarantine:4"), node.payloads, node.vm);
     }
-    assertTrue(fresh.machine.isReady());
+    assertTrue(newNode.machine.isReady());
   }
 
   @Test
   void zoneReportNamesLowestRevisionInForceAndLaggingVms() {
     fixture.storeContract(20);
     startTwoZones();
-    FakeNode slow = inZone("tartu-1").stream().filter(n -> !n.isRelay()).findFirst().orElseThrow();
-    long old = slow.revision();
-    slow.isPaused = true;
+    FakeNode laggingNode =
+        nodesInZone("tartu-1").stream().filter(n -> !n.isRelay()).findFirst().orElseThrow();
+    long oldRevision = laggingNode.revision();
+    laggingNode.isPaused = true;
     long revision = fixture.storeContract(21);
     fixture.advance(Duration.ofMillis(2_500));
     ZoneReport report =
         fixture.nodes.get("vm-4").machine.replicatedState().reports().get("tartu-1");
-    assertEquals(old, report.lowestRevision());
-    assertEquals(List.of(slow.vm), report.lagging());
-    slow.isPaused = false;
+    assertEquals(oldRevision, report.lowestRevision());
+    assertEquals(List.of(laggingNode.vm), report.lagging());
+    laggingNode.isPaused = false;
     fixture.advance(SETTLING_TIME);
     report = fixture.nodes.get("vm-4").machine.replicatedState().reports().get("tartu-1");
     assertEquals(revision, report.lowestRevision());
@@ -266,16 +301,16 @@
       fixture.addNode("vm-" + zone + "-b", "zone-" + zone);
     }
     fixture.advance(SETTLING_TIME);
-    inZone("zone-14").forEach(node -> node.isDead = true);
+    nodesInZone("zone-14").forEach(node -> node.hasFailed = true);
     fixture.advance(Duration.ofSeconds(20));
     for (FakeNode node : fixture.nodes.values()) {
-      if (node.isDead) {
+      if (node.hasFailed) {
         continue;
       }
       for (int zone = 10; zone < 26; zone++) {
         String name = "zone-" + zone;
         int members =
-            node.machine.replicatedState().takeSnapshot().views().get(name).members().size();
+            node.machine.replicatedState().buildClusterState().views().get(name).members().size();
         assertEquals(zone == 14 ? 0 : 2, members, name + " at " + node.vm);
       }
     }
@@ -287,12 +322,15 @@
   void pausedSpeakerDoesNotMakeItsZoneSilent() {
     fixture.storeContract(20);
     startTwoZones();
-    FakeNode here = inZone("tartu-2").get(0);
-    RelayedView seen = here.machine.replicatedState().view("tartu-1").orElseThrow();
-    fixture.nodes.get(PeerDirectory.speaker(seen, 1)).isPaused = true;
-    long before = here.machine.replicatedState().reports().get("tartu-1").takenAtMillis();
+    FakeNode observer = nodesInZone("tartu-2").get(0);
+    RelayedView observedView = observer.machine.replicatedState().view("tartu-1").orElseThrow();
+    fixture.nodes.get(PeerDirectory.speaker(observedView, 1)).isPaused = true;
+    long previousReportMillis =
+        observer.machine.replicatedState().reports().get("tartu-1").takenAtMillis();
     fixture.advance(Duration.ofMillis(2_500));
-    assertTrue(here.machine.replicatedState().reports().get("tartu-1").takenAtMillis() > before);
+    assertTrue(
+        observer.machine.replicatedState().reports().get("tartu-1").takenAtMillis()
+            > previousReportMillis);
   }
 
   private void startTwoZones() {
@@ -303,12 +341,12 @@
     fixture.nodes.values().forEach(node -> assertTrue(node.machine.isReady(), node.vm));
   }
 
-  private List<FakeNode> inZone(String zone) {
+  private List<FakeNode> nodesInZone(String zone) {
     return fixture.nodes.values().stream().filter(node -> node.zone.equals(zone)).toList();
   }
 
   private List<FakeNode> relays(String zone) {
-    return inZone(zone).stream().filter(node -> !node.isDead && node.isRelay()).toList();
+    return nodesInZone(zone).stream().filter(node -> !node.hasFailed && node.isRelay()).toList();
   }
 
   private static ZoneView view(FakeNode node, String zone) {
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/FixedControlPlane.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/FixedControlPlane.java
@@ -21,7 +21,7 @@
   public void onChange(Consumer<ClusterState> listener) {}
 
   @Override
-  public void setSummarySource(Supplier<List<ZoneSummary>> own) {}
+  public void setSummarySource(Supplier<List<ZoneSummary>> source) {}
 
   @Override
   public void beginLeaving() {}
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/RateLimitedStoreTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/RateLimitedStoreTest.java
@@ -29,10 +29,10 @@
   // and a call held back must look like an outage, so that the caller backs off.
   @Test
   void callsIncludingWatchesAreRateLimited() {
-    int tries = 0;
-    for (int tenth = 0; tenth < 600; tenth++) {
+    int attempts = 0;
+    for (int step = 0; step < 600; step++) {
       for (int i = 0; i < 5; i++) {
-        tries++;
+        attempts++;
         tryTo(i % 2 == 0 ? this::watch : this::read);
       }
       time.advance(Duration.ofMillis(100));
@@ -40,7 +40,7 @@
     double allowed = MAX_BURST + CALLS_PER_SECOND * 60;
     assertTrue(sentCalls.get() <= allowed + 1, sentCalls + " of " + allowed);
     assertTrue(sentCalls.get() >= allowed - 2, sentCalls + " of " + allowed);
-    assertEquals(tries - sentCalls.get(), store.refusedCallCount());
+    assertEquals(attempts - sentCalls.get(), store.refusedCallCount());
     assertEquals(
         sentCalls.get(), store.callCounts().values().stream().mapToLong(Long::longValue).sum());
     assertTrue(store.callCounts().get("watch") > 0);
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ViewEventRecorderTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ViewEventRecorderTest.java
@@ -13,7 +13,7 @@
 
 class ViewEventRecorderTest {
   private final List<String> recorded = new ArrayList<>();
-  private final ViewEventRecorder events =
+  private final ViewEventRecorder recorder =
       ViewEventRecorder.of(
           "a",
           "z",
@@ -45,13 +45,13 @@
   }
 
   private void applyView(long number, List<String> members, Holding... holdings) {
-    List<Member> seen =
+    List<Member> viewMembers =
         members.stream().map(vm -> new Member(vm, "z", 1, "127.0.0.1", 1, 2, false)).toList();
-    ZoneView view = new ZoneView("z", number, seen, List.of(holdings));
-    events.accept(new ClusterState(Map.of(), Map.of("z", view), List.of()));
+    ZoneView view = new ZoneView("z", number, viewMembers, List.of(holdings));
+    recorder.accept(new ClusterState(Map.of(), Map.of("z", view), List.of()));
   }
 
-  private static Holding holding(String target, String holder, boolean leaving) {
-    return new Holding(target, "c", "s", "127.0.0.1", 1, 1, holder, 3, leaving);
+  private static Holding holding(String target, String holder, boolean isDraining) {
+    return new Holding(target, "c", "s", "127.0.0.1", 1, 1, holder, 3, isDraining);
   }
 }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ZoneTakeOverTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ZoneTakeOverTest.java
@@ -32,7 +32,7 @@
   // callers of the zone are turned away although a third of the customer's capacity is idle.
   @Test
   void neighbourUsesPartOfTheSlotsOfAFailedZonesTargets() {
-    nodesInZone(SILENT_ZONE).forEach(node -> node.isDead = true);
+    nodesInZone(SILENT_ZONE).forEach(node -> node.hasFailed = true);
     advanceAndCheckSlots(Duration.ofSeconds(5));
     assertEquals(0, usableSlots("target-vm-1", NEIGHBOUR_ZONE), "a pause could still end");
     advanceAndCheckSlots(Duration.ofSeconds(8));
@@ -57,7 +57,7 @@
   @Test
   void busyTargetOfASilentZoneIsNotTakenOver() {
     fixture.busyTargets.add("target-vm-1");
-    nodesInZone(SILENT_ZONE).forEach(node -> node.isDead = true);
+    nodesInZone(SILENT_ZONE).forEach(node -> node.hasFailed = true);
     advanceAndCheckSlots(Duration.ofSeconds(15));
     assertEquals(0, usableSlots("target-vm-1", NEIGHBOUR_ZONE));
     assertEquals(1, usableSlots("target-vm-2", NEIGHBOUR_ZONE));
@@ -67,7 +67,7 @@
   // before they know, both zones together would send more than the targets take.
   @Test
   void slotsAreReturnedWithoutOverlapWhenTheZoneRestarts() {
-    nodesInZone(SILENT_ZONE).forEach(node -> node.isDead = true);
+    nodesInZone(SILENT_ZONE).forEach(node -> node.hasFailed = true);
     fixture.advance(Duration.ofSeconds(15));
     for (int i = 1; i <= 3; i++) {
       fixture.addNode("vm-" + i, SILENT_ZONE);
@@ -96,19 +96,19 @@
   // zone's last view and would take them for its own, with all slots.
   @Test
   void nextRelayOfTheNeighbourStillUsesPartOfTheSlots() {
-    nodesInZone(SILENT_ZONE).forEach(node -> node.isDead = true);
+    nodesInZone(SILENT_ZONE).forEach(node -> node.hasFailed = true);
     fixture.advance(Duration.ofSeconds(15));
     FakeNode relay =
         nodesInZone(NEIGHBOUR_ZONE).stream().filter(FakeNode::isRelay).findFirst().orElseThrow();
-    relay.isDead = true;
+    relay.hasFailed = true;
     advanceAndCheckSlots(Duration.ofSeconds(20));
-    int together = 0;
+    int totalSlots = 0;
     for (int i = 1; i <= 3; i++) {
-      int used = usableSlots("target-vm-" + i, NEIGHBOUR_ZONE);
-      assertTrue(used <= 1, "target-vm-" + i + " " + used);
-      together += used;
+      int slots = usableSlots("target-vm-" + i, NEIGHBOUR_ZONE);
+      assertTrue(slots <= 1, "target-vm-" + i + " " + slots);
+      totalSlots += slots;
     }
-    assertTrue(together >= 1, "all were lost with the relay");
+    assertTrue(totalSlots >= 1, "all were lost with the relay");
   }
 
   private void advanceAndCheckSlots(Duration length) {
@@ -130,7 +130,7 @@
   private int usableSlots(String target, String zone) {
     int slots = 0;
     for (FakeNode node : nodesInZone(zone)) {
-      if (node.isDead || node.isPaused) {
+      if (node.hasFailed || node.isPaused) {
         continue;
       }
       RelayedView view = node.machine.replicatedState().view(zone).orElse(null);
--- a/sageladder-entry/src/test/java/org/sageladder/entry/http/HttpListenerTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/http/HttpListenerTest.java
@@ -99,25 +99,25 @@
   // connection on which nothing moves either, gets the answer all the same.
   @Test
   void idleConnectionsAreClosedUnlessARequestAwaitsItsResponse() throws Exception {
-    BlockingQueue<CallerExchange> waiting = new LinkedBlockingQueue<>();
-    try (HttpListener listener = open(10, IDLE_TIMEOUT, waiting::add);
-        Socket scholar = connectWithPendingRequest(listener, waiting)) {
-      CallerExchange export = waiting.take();
-      try (Socket silent = connect(listener)) {
-        assertTrue(silent.getInputStream().read() < 0, "closed by the entry VM");
+    BlockingQueue<CallerExchange> received = new LinkedBlockingQueue<>();
+    try (HttpListener listener = open(10, IDLE_TIMEOUT, received::add);
+        Socket caller = connectWithPendingRequest(listener, received)) {
+      CallerExchange pending = received.take();
+      try (Socket idle = connect(listener)) {
+        assertTrue(idle.getInputStream().read() < 0, "closed by the entry VM");
       }
-      respondNotFound(export);
-      assertEquals("HTTP/1.1 404 Not Found", statusLine(scholar));
+      respondNotFound(pending);
+      assertEquals("HTTP/1.1 404 Not Found", statusLine(caller));
     }
   }
 
   /** On a busy machine the idle time may pass before the request is sent; then it is sent anew. */
   private static Socket connectWithPendingRequest(
-      HttpListener listener, BlockingQueue<CallerExchange> heard) throws IOException {
+      HttpListener listener, BlockingQueue<CallerExchange> received) throws IOException {
     while (true) {
       Socket socket = connect(listener);
       socket.setSoTimeout(10);
-      if (isReceived(socket, heard)) {
+      if (isReceived(socket, received)) {
         socket.setSoTimeout(0);
         return socket;
       }
@@ -125,10 +125,10 @@
     }
   }
 
-  private static boolean isReceived(Socket socket, BlockingQueue<CallerExchange> heard) {
+  private static boolean isReceived(Socket socket, BlockingQueue<CallerExchange> received) {
     try {
       sendRequest(socket);
-      while (heard.isEmpty()) {
+      while (received.isEmpty()) {
         if (isClosed(socket)) {
           return false;
         }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/http/IdleConnectionHandlerTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/http/IdleConnectionHandlerTest.java
@@ -27,22 +27,22 @@
   // that nothing has moved for long and nobody waits, and cuts the scholar off.
   @Test
   void connectionIsNotClosedBeforeItsResponseIsWritten() throws IOException {
-    IOEventHandler idle =
+    IOEventHandler idleHandler =
         IdleConnectionHandler.decorate((session, attachment) -> (IOEventHandler) connection())
             .createHandler(null, null);
     requestCount = 1;
     responseCount = 1;
-    idle.timeout(session(), ZERO_TIMEOUT);
+    idleHandler.timeout(session(), ZERO_TIMEOUT);
     assertEquals(List.of(), closed, "answered since the last look");
     requestCount = 2;
-    idle.timeout(session(), ZERO_TIMEOUT);
+    idleHandler.timeout(session(), ZERO_TIMEOUT);
     assertEquals(List.of(), closed, "waits");
     responseCount = 2;
-    idle.timeout(session(), ZERO_TIMEOUT);
+    idleHandler.timeout(session(), ZERO_TIMEOUT);
     assertEquals(List.of(), closed, "answered since the last look");
-    idle.timeout(session(), LONG_TIMEOUT);
+    idleHandler.timeout(session(), LONG_TIMEOUT);
     assertEquals(List.of(), closed, "not idle for long enough");
-    idle.timeout(session(), ZERO_TIMEOUT);
+    idleHandler.timeout(session(), ZERO_TIMEOUT);
     assertEquals(List.of("GRACEFUL"), closed);
   }
 
--- a/sageladder-entry/src/test/java/org/sageladder/entry/settings/EntrySettingsTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/settings/EntrySettingsTest.java
@@ -143,11 +143,11 @@
   @ParameterizedTest(name = "{0}")
   @MethodSource("mistakes")
   void invalidSettingIsReportedWithFileKeyValueAndAllowedValues(
-      String name, String good, String bad, String message) {
+      String name, String validText, String invalidText, String message) {
     SettingsException error =
         assertThrows(
             SettingsException.class,
-            () -> EntrySettings.parse("entry.yaml", VALID_YAML.replace(good, bad)),
+            () -> EntrySettings.parse("entry.yaml", VALID_YAML.replace(validText, invalidText)),
             name);
 
     assertEquals(message, error.getMessage());
@@ -163,7 +163,8 @@
         "no-such-file.yaml: cannot be read (NoSuchFileException); give a file", error.getMessage());
   }
 
-  private static Arguments invalidSetting(String name, String good, String bad, String message) {
-    return Arguments.of(name, good, bad, message);
+  private static Arguments invalidSetting(
+      String name, String validText, String invalidText, String message) {
+    return Arguments.of(name, validText, invalidText, message);
   }
 }
