--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalLoad.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalLoad.java
@@ -114,7 +114,7 @@
   private void count(String service, Answer answer) {
     String name;
     String detail = "";
-    if (answer instanceof Answer.Whole whole) {
+    if (answer instanceof Answer.Complete whole) {
       name = "whole answer, status " + whole.status();
     } else if (answer instanceof Answer.NotRun notRun) {
       name = "not run, " + notRun.code();
--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/BackgroundMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/BackgroundMain.java
@@ -152,9 +152,9 @@
         client.fetch(
             Request.get(TestBed.CUSTOMER, "archive", number % 1_000, path).deadline(NIGHT), sink);
     pulls.recordValue(millisSince(start));
-    tries.add(answer.tries());
+    tries.add(answer.attemptCount());
     restarts.add(sink.restarts());
-    if (answer instanceof Answer.Whole) {
+    if (answer instanceof Answer.Complete) {
       (sink.isWhole(RECORD_BYTES) ? whole : wrong).increment();
     } else {
       System.out.println("pull " + number + " ended as " + answer);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/recovery/RecoveryBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/recovery/RecoveryBench.java
@@ -211,7 +211,8 @@
     callers.execute(
         () -> {
           Answer answer = client.send(request);
-          outcomes.add(new Outcome(dueMillis, now(), answer instanceof Answer.Whole, name(answer)));
+          outcomes.add(
+              new Outcome(dueMillis, now(), answer instanceof Answer.Complete, name(answer)));
         });
   }
 
@@ -222,7 +223,7 @@
     if (answer instanceof Answer.Unknown unknown) {
       return "unknown " + unknown.code();
     }
-    return answer instanceof Answer.Whole ? "whole" : "other";
+    return answer instanceof Answer.Complete ? "whole" : "other";
   }
 
   private void summary(String what, long from, long to) {
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/Account.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/Account.java
@@ -41,17 +41,17 @@
   }
 
   private static int kind(Answer answer) {
-    if (answer instanceof Answer.Whole) {
+    if (answer instanceof Answer.Complete) {
       return 0;
     }
-    if (answer instanceof Answer.RanUnseen) {
+    if (answer instanceof Answer.RanAnswerUnavailable) {
       return 1;
     }
     return answer instanceof Answer.NotRun ? 2 : 3;
   }
 
   private static boolean ran(Answer answer) {
-    return answer instanceof Answer.Whole || answer instanceof Answer.RanUnseen;
+    return answer instanceof Answer.Complete || answer instanceof Answer.RanAnswerUnavailable;
   }
 
   /** All answers together. */
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/Workload.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/Workload.java
@@ -71,11 +71,11 @@
             .deadline(deadline)
             .id(key);
     Answer answer = client.send(request);
-    boolean own = !(answer instanceof Answer.Whole whole) || isOwn(whole, path, body);
+    boolean own = !(answer instanceof Answer.Complete whole) || isOwn(whole, path, body);
     return new Ended(answer, own);
   }
 
-  private boolean isOwn(Answer.Whole whole, String path, byte[] body) {
+  private boolean isOwn(Answer.Complete whole, String path, byte[] body) {
     long checksum = RequestChecksum.of("POST", path, body);
     AnswerPattern.Checker checker = AnswerPattern.checker(checksum);
     checker.add(ByteBuffer.wrap(whole.body()));
--- a/sageladder-client/src/main/java/org/sageladder/client/Answer.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/Answer.java
@@ -22,7 +22,7 @@
  */
 public sealed interface Answer {
   /** Times the request was sent to an entry VM. */
-  int tries();
+  int attemptCount();
 
   /**
    * The target ran the request and this is its whole answer.
@@ -33,7 +33,8 @@
    * @param target name of the target, empty where the entry VM did not say
    */
   @SuppressWarnings("ArrayRecordComponent")
-  record Whole(int status, Map<String, List<String>> headers, byte[] body, String target, int tries)
+  record Complete(
+      int status, Map<String, List<String>> headers, byte[] body, String target, int attemptCount)
       implements Answer {
     /** The first value of the header {@code name}, in any case. */
     public Optional<String> header(String name) {
@@ -43,14 +44,15 @@
   }
 
   /** The target ran the request, and its answer can no longer be had. */
-  record RanUnseen(ResultCode code, String detail, int tries) implements Answer {}
+  record RanAnswerUnavailable(ResultCode code, String detail, int attemptCount) implements Answer {}
 
   /**
    * No target ran the request and none will.
    *
    * @param retryAfter when a new try is worth making; zero where it would fail the same way
    */
-  record NotRun(ResultCode code, Duration retryAfter, String detail, int tries) implements Answer {}
+  record NotRun(ResultCode code, Duration retryAfter, String detail, int attemptCount)
+      implements Answer {}
 
   /**
    * The request may have run.
@@ -58,5 +60,6 @@
    * @param permit the permit to pass to {@link SageladderClient#resume}, empty where the request
    *     may repeat or was never given one
    */
-  record Unknown(ResultCode code, String permit, String detail, int tries) implements Answer {}
+  record Unknown(ResultCode code, String permit, String detail, int attemptCount)
+      implements Answer {}
 }
--- a/sageladder-client/src/main/java/org/sageladder/client/BodyConsumer.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/BodyConsumer.java
@@ -15,28 +15,28 @@
 import org.jspecify.annotations.Nullable;
 
 /** Reads one answer and completes only where it is provably whole. */
-final class BodyConsumer implements AsyncResponseConsumer<BodyConsumer.Received> {
+final class BodyConsumer implements AsyncResponseConsumer<BodyConsumer.ReceivedResponse> {
   private final @Nullable BodySink sink;
-  private final long mostBytes;
-  private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
+  private final long maxBytes;
+  private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
   private @Nullable HttpResponse head;
-  private @Nullable FutureCallback<Received> callback;
-  private boolean toSink;
-  private boolean abandoned;
+  private @Nullable FutureCallback<ReceivedResponse> callback;
+  private boolean writesToSink;
+  private boolean isAbandoned;
 
-  private BodyConsumer(@Nullable BodySink sink, long mostBytes) {
+  private BodyConsumer(@Nullable BodySink sink, long maxBytes) {
     this.sink = sink;
-    this.mostBytes = mostBytes;
+    this.maxBytes = maxBytes;
   }
 
   /** Keeps the body in memory up to {@code mostBytes}, or hands a target's answer to a sink. */
-  static BodyConsumer create(@Nullable BodySink sink, long mostBytes) {
-    return new BodyConsumer(sink, mostBytes);
+  static BodyConsumer create(@Nullable BodySink sink, long maxBytes) {
+    return new BodyConsumer(sink, maxBytes);
   }
 
   /** A whole answer. */
   @SuppressWarnings("ArrayRecordComponent")
-  record Received(HttpResponse head, byte[] body) {}
+  record ReceivedResponse(HttpResponse head, byte[] body) {}
 
   /**
    * Ends the flow of pieces for good, after the one that is being taken.
@@ -46,11 +46,11 @@
    * another answer.
    */
   synchronized void abandon() {
-    abandoned = true;
+    isAbandoned = true;
   }
 
-  private void refuseAbandoned() throws IOException {
-    if (abandoned) {
+  private void checkNotAbandoned() throws IOException {
+    if (isAbandoned) {
       throw new IOException("the answer was given up");
     }
   }
@@ -60,25 +60,25 @@
       HttpResponse response,
       @Nullable EntityDetails entity,
       HttpContext context,
-      FutureCallback<Received> resultCallback)
+      FutureCallback<ReceivedResponse> resultCallback)
       throws IOException {
-    refuseAbandoned();
+    checkNotAbandoned();
     head = response;
     callback = resultCallback;
     if (entity == null) {
-      resultCallback.completed(new Received(response, new byte[0]));
+      resultCallback.completed(new ReceivedResponse(response, new byte[0]));
       return;
     }
-    refuseEndless(response);
+    requireDelimitedBody(response);
     BodySink to = sink;
-    toSink = to != null && EntryCalls.isTargetsAnswer(response) && wanted(to, response);
-    if (to != null && toSink) {
+    writesToSink = to != null && EntryClient.isTargetAnswer(response) && acceptsBody(to, response);
+    if (to != null && writesToSink) {
       to.begin();
     }
   }
 
-  private static boolean wanted(BodySink to, HttpResponse response) throws IOException {
-    return !(to instanceof PartSink parts) || parts.takes(response);
+  private static boolean acceptsBody(BodySink to, HttpResponse response) throws IOException {
+    return !(to instanceof PartSink parts) || parts.acceptsBody(response);
   }
 
   /**
@@ -86,7 +86,7 @@
    * the HTTP library reports it as chunked. Entry VMs send none; one from anything in between must
    * not pass for a whole answer, so the headers themselves are asked.
    */
-  private static void refuseEndless(HttpResponse response) throws IOException {
+  private static void requireDelimitedBody(HttpResponse response) throws IOException {
     if (!response.containsHeader(HttpHeaders.CONTENT_LENGTH)
         && !response.containsHeader(HttpHeaders.TRANSFER_ENCODING)) {
       throw new IOException("the answer states neither its length nor its end");
@@ -103,32 +103,32 @@
 
   @Override
   public synchronized void consume(ByteBuffer piece) throws IOException {
-    refuseAbandoned();
+    checkNotAbandoned();
     BodySink to = sink;
-    if (to != null && toSink) {
+    if (to != null && writesToSink) {
       to.accept(piece);
       return;
     }
-    if (kept.size() + (long) piece.remaining() > mostBytes) {
-      throw new IOException("the answer is larger than " + mostBytes + " bytes; pass a sink");
+    if (buffer.size() + (long) piece.remaining() > maxBytes) {
+      throw new IOException("the answer is larger than " + maxBytes + " bytes; pass a sink");
     }
     byte[] bytes = new byte[piece.remaining()];
     piece.get(bytes);
-    kept.writeBytes(bytes);
+    buffer.writeBytes(bytes);
   }
 
   @Override
   public void streamEnd(@Nullable List<? extends Header> trailers) {
-    FutureCallback<Received> to = callback;
+    FutureCallback<ReceivedResponse> to = callback;
     HttpResponse response = head;
     if (to != null && response != null) {
-      to.completed(new Received(response, kept.toByteArray()));
+      to.completed(new ReceivedResponse(response, buffer.toByteArray()));
     }
   }
 
   @Override
   public void failed(Exception cause) {
-    FutureCallback<Received> to = callback;
+    FutureCallback<ReceivedResponse> to = callback;
     if (to != null) {
       to.failed(cause);
     }
--- a/sageladder-client/src/main/java/org/sageladder/client/ClientOptions.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/ClientOptions.java
@@ -8,22 +8,22 @@
  *
  * @param seeds addresses of entry VMs to ask first, {@code IP:PORT}, at least one
  * @param connectTimeout longest wait for a connection
- * @param tryShare share of the time left that one try may use before the next entry VM is asked,
- *     above 0 and at most 1
- * @param mostTries most times one request is sent
+ * @param attemptTimeoutFraction share of the time left that one try may use before the next entry
+ *     VM is asked, above 0 and at most 1
+ * @param maxAttempts most times one request is sent
  * @param retryFraction tries beyond the first, over all requests, as a fraction of first tries
- * @param connectionsPerEntry most connections to one entry VM
- * @param mostBodyBytes largest answer kept in memory; larger ones need a sink
+ * @param maxConnectionsPerEntry most connections to one entry VM
+ * @param maxBodyBytes largest answer kept in memory; larger ones need a sink
  */
 public record ClientOptions(
     List<String> seeds,
     Duration connectTimeout,
-    double tryShare,
-    int mostTries,
+    double attemptTimeoutFraction,
+    int maxAttempts,
     double retryFraction,
-    int connectionsPerEntry,
-    long mostBodyBytes) {
-  private static final long USUAL_BODY_BYTES = 64L << 20;
+    int maxConnectionsPerEntry,
+    long maxBodyBytes) {
+  private static final long DEFAULT_MAX_BODY_BYTES = 64L << 20;
 
   /** Copies the list and rejects values out of range. */
   public ClientOptions {
@@ -32,10 +32,11 @@
       throw new IllegalArgumentException("no seeds: expected the IP:PORT of one entry VM or more");
     }
     seeds.forEach(EntryAddress::parse);
-    if (!(tryShare > 0 && tryShare <= 1)) {
-      throw new IllegalArgumentException("tryShare " + tryShare + ": expected above 0, at most 1");
+    if (!(attemptTimeoutFraction > 0 && attemptTimeoutFraction <= 1)) {
+      throw new IllegalArgumentException(
+          "tryShare " + attemptTimeoutFraction + ": expected above 0, at most 1");
     }
-    if (mostTries < 1 || connectionsPerEntry < 1 || !(retryFraction >= 0)) {
+    if (maxAttempts < 1 || maxConnectionsPerEntry < 1 || !(retryFraction >= 0)) {
       throw new IllegalArgumentException(
           "expected at least one try, one connection and no negative retry fraction");
     }
@@ -43,36 +44,67 @@
 
   /** One second to connect, half of the time left per try, four tries, a fifth of retries. */
   public static ClientOptions seeds(List<String> addresses) {
-    return new ClientOptions(addresses, Duration.ofSeconds(1), 0.5, 4, 0.2, 64, USUAL_BODY_BYTES);
+    return new ClientOptions(
+        addresses, Duration.ofSeconds(1), 0.5, 4, 0.2, 64, DEFAULT_MAX_BODY_BYTES);
   }
 
   /** The same options with that share of the time left for one try. */
-  public ClientOptions tryShare(double share) {
+  public ClientOptions attemptTimeoutFraction(double share) {
     return new ClientOptions(
-        seeds, connectTimeout, share, mostTries, retryFraction, connectionsPerEntry, mostBodyBytes);
+        seeds,
+        connectTimeout,
+        share,
+        maxAttempts,
+        retryFraction,
+        maxConnectionsPerEntry,
+        maxBodyBytes);
   }
 
   /** The same options with that many tries at most. */
-  public ClientOptions mostTries(int tries) {
+  public ClientOptions maxAttempts(int tries) {
     return new ClientOptions(
-        seeds, connectTimeout, tryShare, tries, retryFraction, connectionsPerEntry, mostBodyBytes);
+        seeds,
+        connectTimeout,
+        attemptTimeoutFraction,
+        tries,
+        retryFraction,
+        maxConnectionsPerEntry,
+        maxBodyBytes);
   }
 
   /** The same options with that budget of retries. */
   public ClientOptions retryFraction(double fraction) {
     return new ClientOptions(
-        seeds, connectTimeout, tryShare, mostTries, fraction, connectionsPerEntry, mostBodyBytes);
+        seeds,
+        connectTimeout,
+        attemptTimeoutFraction,
+        maxAttempts,
+        fraction,
+        maxConnectionsPerEntry,
+        maxBodyBytes);
   }
 
   /** The same options with that many connections to one entry VM at most. */
-  public ClientOptions connectionsPerEntry(int connections) {
+  public ClientOptions maxConnectionsPerEntry(int connections) {
     return new ClientOptions(
-        seeds, connectTimeout, tryShare, mostTries, retryFraction, connections, mostBodyBytes);
+        seeds,
+        connectTimeout,
+        attemptTimeoutFraction,
+        maxAttempts,
+        retryFraction,
+        connections,
+        maxBodyBytes);
   }
 
   /** The same options with that limit on answers in memory. */
-  public ClientOptions mostBodyBytes(long bytes) {
+  public ClientOptions maxBodyBytes(long bytes) {
     return new ClientOptions(
-        seeds, connectTimeout, tryShare, mostTries, retryFraction, connectionsPerEntry, bytes);
+        seeds,
+        connectTimeout,
+        attemptTimeoutFraction,
+        maxAttempts,
+        retryFraction,
+        maxConnectionsPerEntry,
+        bytes);
   }
 }
--- a/sageladder-client/src/main/java/org/sageladder/client/EntryAddress.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/EntryAddress.java
@@ -10,12 +10,12 @@
         return new EntryAddress(text.substring(0, colon), port);
       }
     } catch (NumberFormatException e) {
-      throw unreadable(text, e);
+      throw malformedAddress(text, e);
     }
-    throw unreadable(text, null);
+    throw malformedAddress(text, null);
   }
 
-  private static IllegalArgumentException unreadable(String text, Throwable cause) {
+  private static IllegalArgumentException malformedAddress(String text, Throwable cause) {
     return new IllegalArgumentException(
         "entry VM address \"" + text + "\": expected IP:PORT, such as 127.0.0.1:8080", cause);
   }
--- a/sageladder-client/src/main/java/org/sageladder/client/EntryCalls.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/EntryClient.java
@@ -30,56 +30,56 @@
 import org.sageladder.http.Connector;
 
 /** Single tries at single entry VMs. */
-final class EntryCalls implements AutoCloseable {
-  private static final String RESULT = "Sageladder-Result";
-  private static final String OUTCOME = "Sageladder-Outcome";
-  private static final String LOOK_UP_AGAIN = "Sageladder-Look-Up-Again";
+final class EntryClient implements AutoCloseable {
+  private static final String RESULT_HEADER = "Sageladder-Result";
+  private static final String OUTCOME_HEADER = "Sageladder-Outcome";
+  private static final String LOOK_UP_AGAIN_HEADER = "Sageladder-Look-Up-Again";
   private static final int IO_THREADS = 2;
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final Connector connector;
   private final ClientOptions options;
-  private final Consumer<EntryAddress> whenLeaving;
+  private final Consumer<EntryAddress> onDrainingEntry;
 
-  private EntryCalls(
-      Connector connector, ClientOptions options, Consumer<EntryAddress> whenLeaving) {
+  private EntryClient(
+      Connector connector, ClientOptions options, Consumer<EntryAddress> onDrainingEntry) {
     this.connector = connector;
     this.options = options;
-    this.whenLeaving = whenLeaving;
+    this.onDrainingEntry = onDrainingEntry;
   }
 
   /** Calls that report to {@code whenLeaving} each entry VM that says it is about to stop. */
-  static EntryCalls start(ClientOptions options, Consumer<EntryAddress> whenLeaving) {
-    Connector connector = Connector.start(IO_THREADS, options.connectionsPerEntry());
-    return new EntryCalls(connector, options, whenLeaving);
+  static EntryClient start(ClientOptions options, Consumer<EntryAddress> onDrainingEntry) {
+    Connector connector = Connector.start(IO_THREADS, options.maxConnectionsPerEntry());
+    return new EntryClient(connector, options, onDrainingEntry);
   }
 
   /** True where the answer is the target's own, which the entry VM only passed on. */
-  static boolean isTargetsAnswer(HttpResponse response) {
-    return resultCode(response).filter(code -> code == ResultCode.OK).isPresent();
+  static boolean isTargetAnswer(HttpResponse response) {
+    return parseResultCode(response).filter(code -> code == ResultCode.OK).isPresent();
   }
 
   /**
    * Sends a request to {@code entry}.
    *
    * @param remaining time until the caller's deadline, all tries together
-   * @param wait how long to wait for this try's whole answer, at most {@code remaining}; the entry
-   *     VM is told, since one that only knows of the whole time gives a request its slot just
-   *     before this library leaves for the next entry VM, and the work is cut in the middle
+   * @param attemptTimeout how long to wait for this try's whole answer, at most {@code remaining};
+   *     the entry VM is told, since one that only knows of the whole time gives a request its slot
+   *     just before this library leaves for the next entry VM, and the work is cut in the middle
    */
-  TryResult send(
+  AttemptResult send(
       EntryAddress entry,
       Request request,
       String permit,
       Duration remaining,
-      Duration wait,
+      Duration attemptTimeout,
       @Nullable BodySink sink) {
     AsyncRequestBuilder builder =
         AsyncRequestBuilder.create(request.method())
-            .setHttpHost(host(entry))
+            .setHttpHost(httpHost(entry))
             .setPath("/v1/request/" + request.contract() + "/" + request.service() + request.path())
-            .setHeader("Sageladder-Deadline-Millis", millis(remaining))
-            .setHeader("Sageladder-Try-Millis", millis(wait))
+            .setHeader("Sageladder-Deadline-Millis", millisValue(remaining))
+            .setHeader("Sageladder-Try-Millis", millisValue(attemptTimeout))
             .setHeader("Sageladder-Request-Id", request.id())
             .setHeader("Sageladder-Block", String.valueOf(request.block()));
     request.headers().forEach(builder::setHeader);
@@ -92,27 +92,27 @@
     if (!request.contentType().isEmpty()) {
       builder.setEntity(request.body(), ContentType.parse(request.contentType()));
     }
-    return exchange(entry, builder.build(), wait, sink);
+    return exchange(entry, builder.build(), attemptTimeout, sink);
   }
 
-  private static String millis(Duration span) {
+  private static String millisValue(Duration span) {
     return String.valueOf(Math.max(1, span.toMillis()));
   }
 
   /** What a look-up gave. */
-  sealed interface Found {
+  sealed interface LookUpResult {
     /** Where to send requests. */
-    record At(Route route) implements Found {}
+    record RouteFound(Route route) implements LookUpResult {}
 
     /** No answer to go by. */
-    record Nothing(TryResult why) implements Found {}
+    record NoRoute(AttemptResult failure) implements LookUpResult {}
   }
 
   /** Asks {@code entry} where to send requests. */
-  Found lookUp(EntryAddress entry, RouteCache.Key key, Duration wait) {
+  LookUpResult lookUp(EntryAddress entry, RouteCache.Key key, Duration timeout) {
     AsyncRequestProducer request =
         AsyncRequestBuilder.get()
-            .setHttpHost(host(entry))
+            .setHttpHost(httpHost(entry))
             .setPath(
                 "/v1/look-up?contract="
                     + encode(key.contract())
@@ -121,19 +121,19 @@
                     + "&block="
                     + key.block())
             .build();
-    TryResult result = exchange(entry, request, wait, null);
-    if (!(result instanceof TryResult.Whole whole)) {
-      return new Found.Nothing(result);
+    AttemptResult result = exchange(entry, request, timeout, null);
+    if (!(result instanceof AttemptResult.Complete whole)) {
+      return new LookUpResult.NoRoute(result);
     }
     try {
-      return new Found.At(route(JSON.readTree(whole.body())));
+      return new LookUpResult.RouteFound(parseRoute(JSON.readTree(whole.body())));
     } catch (IOException | IllegalArgumentException e) {
-      return new Found.Nothing(
-          new TryResult.Lost(entry + ": not an answer to a look-up: " + e.getMessage()));
+      return new LookUpResult.NoRoute(
+          new AttemptResult.Lost(entry + ": not an answer to a look-up: " + e.getMessage()));
     }
   }
 
-  private static Route route(JsonNode json) {
+  private static Route parseRoute(JsonNode json) {
     List<EntryAddress> entries = new ArrayList<>();
     for (JsonNode entry : json.path("entries")) {
       entries.add(EntryAddress.parse(entry.path("address").asText()));
@@ -148,44 +148,45 @@
         json.path("permit").asText(""));
   }
 
-  static String describe(TryResult result) {
-    if (result instanceof TryResult.Said said) {
+  static String describe(AttemptResult result) {
+    if (result instanceof AttemptResult.EntryVmResult said) {
       return said.code() + ": " + said.detail();
     }
-    if (result instanceof TryResult.NotSent notSent) {
+    if (result instanceof AttemptResult.NotSent notSent) {
       return notSent.detail();
     }
-    return result instanceof TryResult.Lost lost ? lost.detail() : "answered";
+    return result instanceof AttemptResult.Lost lost ? lost.detail() : "answered";
   }
 
-  private TryResult exchange(
-      EntryAddress entry, AsyncRequestProducer request, Duration wait, @Nullable BodySink sink) {
-    long deadline = System.nanoTime() + wait.toNanos();
+  private AttemptResult exchange(
+      EntryAddress entry, AsyncRequestProducer request, Duration timeout, @Nullable BodySink sink) {
+    long deadline = System.nanoTime() + timeout.toNanos();
     AsyncClientEndpoint endpoint;
     try {
-      endpoint = connect(entry, wait);
+      endpoint = connect(entry, timeout);
     } catch (IOException e) {
-      return new TryResult.NotSent(entry + ": " + e.getMessage());
+      return new AttemptResult.NotSent(entry + ": " + e.getMessage());
     }
     boolean whole = false;
-    BodyConsumer consumer = BodyConsumer.create(sink, options.mostBodyBytes());
+    BodyConsumer consumer = BodyConsumer.create(sink, options.maxBodyBytes());
     try {
-      Future<BodyConsumer.Received> future =
+      Future<BodyConsumer.ReceivedResponse> future =
           endpoint.execute(request, consumer, HttpCoreContext.create(), null);
-      BodyConsumer.Received received =
+      BodyConsumer.ReceivedResponse received =
           future.get(Math.max(0, deadline - System.nanoTime()), TimeUnit.NANOSECONDS);
       whole = true;
-      if (received.head().containsHeader(LOOK_UP_AGAIN)) {
-        whenLeaving.accept(entry);
+      if (received.head().containsHeader(LOOK_UP_AGAIN_HEADER)) {
+        onDrainingEntry.accept(entry);
       }
-      return result(entry, received);
+      return toAttemptResult(entry, received);
     } catch (TimeoutException e) {
-      return new TryResult.Lost(entry + ": no whole answer within " + wait.toMillis() + " ms");
+      return new AttemptResult.Lost(
+          entry + ": no whole answer within " + timeout.toMillis() + " ms");
     } catch (ExecutionException e) {
-      return new TryResult.Lost(entry + ": " + e.getCause());
+      return new AttemptResult.Lost(entry + ": " + e.getCause());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return new TryResult.Lost(entry + ": interrupted");
+      return new AttemptResult.Lost(entry + ": interrupted");
     } finally {
       consumer.abandon();
       release(endpoint, whole);
@@ -204,43 +205,48 @@
     }
   }
 
-  private AsyncClientEndpoint connect(EntryAddress entry, Duration wait) throws IOException {
-    Duration limit = wait.compareTo(options.connectTimeout()) < 0 ? wait : options.connectTimeout();
-    return connector.lease(host(entry), limit);
+  private AsyncClientEndpoint connect(EntryAddress entry, Duration timeout) throws IOException {
+    Duration limit =
+        timeout.compareTo(options.connectTimeout()) < 0 ? timeout : options.connectTimeout();
+    return connector.lease(httpHost(entry), limit);
   }
 
-  private static TryResult result(EntryAddress entry, BodyConsumer.Received received) {
+  private static AttemptResult toAttemptResult(
+      EntryAddress entry, BodyConsumer.ReceivedResponse received) {
     HttpResponse head = received.head();
-    Optional<ResultCode> code = resultCode(head);
+    Optional<ResultCode> code = parseResultCode(head);
     if (code.isEmpty()) {
-      return new TryResult.Lost(
+      return new AttemptResult.Lost(
           entry + ": status " + head.getCode() + " without a result this library knows");
     }
     if (code.get() == ResultCode.OK) {
-      return new TryResult.Whole(
-          head.getCode(), headers(head), received.body(), value(head, "Sageladder-Target"));
+      return new AttemptResult.Complete(
+          head.getCode(),
+          headersByName(head),
+          received.body(),
+          headerValue(head, "Sageladder-Target"));
     }
-    return new TryResult.Said(
+    return new AttemptResult.EntryVmResult(
         code.get(),
-        Duration.ofMillis(number(value(head, "Sageladder-Retry-After-Millis"))),
-        entry + ": " + detail(received.body()),
-        value(head, "Sageladder-Permit"));
+        Duration.ofMillis(parseNumber(headerValue(head, "Sageladder-Retry-After-Millis"))),
+        entry + ": " + parseDetail(received.body()),
+        headerValue(head, "Sageladder-Permit"));
   }
 
   /** The code, unless this library and the entry VM differ on what it asserts. */
-  private static Optional<ResultCode> resultCode(HttpResponse head) {
-    String text = value(head, RESULT);
+  private static Optional<ResultCode> parseResultCode(HttpResponse head) {
+    String text = headerValue(head, RESULT_HEADER);
     int space = text.indexOf(' ');
-    long number = number(space < 0 ? text : text.substring(0, space));
+    long number = parseNumber(space < 0 ? text : text.substring(0, space));
     if (text.isEmpty()) {
       return Optional.empty();
     }
-    String outcome = value(head, OUTCOME).replace('-', '_').toUpperCase(Locale.ROOT);
+    String outcome = headerValue(head, OUTCOME_HEADER).replace('-', '_').toUpperCase(Locale.ROOT);
     return ResultCode.ofNumber((int) number)
         .filter(code -> outcome.isEmpty() || code.outcome().name().equals(outcome));
   }
 
-  private static String detail(byte[] body) {
+  private static String parseDetail(byte[] body) {
     try {
       return JSON.readTree(body).path("detail").asText("");
     } catch (IOException e) {
@@ -248,7 +254,7 @@
     }
   }
 
-  private static Map<String, List<String>> headers(HttpResponse head) {
+  private static Map<String, List<String>> headersByName(HttpResponse head) {
     Map<String, List<String>> headers = new TreeMap<>();
     for (Header header : head.getHeaders()) {
       headers
@@ -258,12 +264,12 @@
     return headers;
   }
 
-  private static String value(HttpResponse head, String name) {
+  private static String headerValue(HttpResponse head, String name) {
     Header header = head.getFirstHeader(name);
     return header == null ? "" : header.getValue();
   }
 
-  private static long number(String text) {
+  private static long parseNumber(String text) {
     try {
       return Math.max(0, Long.parseLong(text.trim()));
     } catch (NumberFormatException e) {
@@ -271,7 +277,7 @@
     }
   }
 
-  private static HttpHost host(EntryAddress entry) {
+  private static HttpHost httpHost(EntryAddress entry) {
     return new HttpHost("http", entry.host(), entry.port());
   }
 
--- a/sageladder-client/src/main/java/org/sageladder/client/PartSink.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/PartSink.java
@@ -10,5 +10,5 @@
    *
    * @throws IOException where the answer must not be used
    */
-  boolean takes(HttpResponse response) throws IOException;
+  boolean acceptsBody(HttpResponse response) throws IOException;
 }
--- a/sageladder-client/src/main/java/org/sageladder/client/Request.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/Request.java
@@ -39,7 +39,7 @@
     Duration deadline,
     String idempotencyKey,
     String id) {
-  private static final Duration USUAL_DEADLINE = Duration.ofSeconds(10);
+  private static final Duration DEFAULT_DEADLINE = Duration.ofSeconds(10);
 
   /** Rejects what no entry VM would accept. */
   public Request {
@@ -71,7 +71,7 @@
         Map.of(),
         new byte[0],
         "",
-        USUAL_DEADLINE,
+        DEFAULT_DEADLINE,
         "",
         UUID.randomUUID().toString());
   }
@@ -88,7 +88,7 @@
         Map.of(),
         body,
         contentType,
-        USUAL_DEADLINE,
+        DEFAULT_DEADLINE,
         "",
         UUID.randomUUID().toString());
   }
--- a/sageladder-client/src/main/java/org/sageladder/client/RetryBudget.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/RetryBudget.java
@@ -6,14 +6,14 @@
  * <p>Safe for use by several threads.
  */
 final class RetryBudget {
-  private static final double MOST_SAVED = 100;
+  private static final double MAX_TOKENS = 100;
 
-  private final double fraction;
-  private double saved;
+  private final double tokensPerRequest;
+  private double tokens;
 
   private RetryBudget(double fraction, double saved) {
-    this.fraction = fraction;
-    this.saved = saved;
+    this.tokensPerRequest = fraction;
+    this.tokens = saved;
   }
 
   /** A budget that starts with ten retries. */
@@ -21,16 +21,16 @@
     return new RetryBudget(fraction, fraction > 0 ? 10 : 0);
   }
 
-  synchronized void firstTry() {
-    saved = Math.min(MOST_SAVED, saved + fraction);
+  synchronized void recordFirstAttempt() {
+    tokens = Math.min(MAX_TOKENS, tokens + tokensPerRequest);
   }
 
   /** Takes one retry out; false where none is left. */
-  synchronized boolean take() {
-    if (saved < 1) {
+  synchronized boolean tryAcquire() {
+    if (tokens < 1) {
       return false;
     }
-    saved--;
+    tokens--;
     return true;
   }
 }
--- a/sageladder-client/src/main/java/org/sageladder/client/RetryRules.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/RetryPolicy.java
@@ -16,9 +16,9 @@
  *
  * <p>One instance belongs to one request and one thread.
  */
-final class RetryRules {
+final class RetryPolicy {
   /** Not-run results that another entry VM or a later try may change. */
-  private static final Set<ResultCode> PASSING =
+  private static final Set<ResultCode> RETRYABLE =
       EnumSet.of(
           ResultCode.QUEUE_FULL,
           ResultCode.QUEUE_DEADLINE,
@@ -31,32 +31,32 @@
           ResultCode.STOPPING,
           ResultCode.GATE_MOVED);
 
-  private static final Duration RUNNING_PAUSE = Duration.ofMillis(100);
+  private static final Duration RUNNING_POLL_INTERVAL = Duration.ofMillis(100);
 
   private String permit;
   private boolean needsPermit;
   private boolean mayHaveRun;
-  private int tries;
+  private int attemptCount;
 
-  private RetryRules(boolean needsPermit, String permit, boolean mayHaveRun) {
+  private RetryPolicy(boolean needsPermit, String permit, boolean mayHaveRun) {
     this.needsPermit = needsPermit;
     this.permit = permit;
     this.mayHaveRun = mayHaveRun;
   }
 
   /** Rules for a new request; {@code permit} is empty where none has come with the look-up. */
-  static RetryRules begin(boolean needsPermit, String permit) {
-    return new RetryRules(needsPermit, permit, false);
+  static RetryPolicy begin(boolean needsPermit, String permit) {
+    return new RetryPolicy(needsPermit, permit, false);
   }
 
   /** Rules for a request that was sent under {@code permit} before, with unknown outcome. */
-  static RetryRules resume(String permit) {
-    return new RetryRules(true, permit, true);
+  static RetryPolicy resume(String permit) {
+    return new RetryPolicy(true, permit, true);
   }
 
   /** True where a later try, or one elsewhere, may get past that refusal. */
-  static boolean passes(ResultCode refusal) {
-    return PASSING.contains(refusal);
+  static boolean isRetryable(ResultCode refusal) {
+    return RETRYABLE.contains(refusal);
   }
 
   /** What to do next. */
@@ -67,21 +67,21 @@
     /**
      * Send again after {@code pause}, under the same permit if there is one.
      *
-     * @param uncounted true where sending again is no retry of work: the last try reached nobody,
+     * @param isUncounted true where sending again is no retry of work: the last try reached nobody,
      *     or the permit has been used, so that sending it again only asks what became of it
      */
-    record Again(Duration pause, boolean uncounted, Answer ifNoTimeIsLeft) implements Step {
+    record Resend(Duration pause, boolean isUncounted, Answer answerIfExhausted) implements Step {
       /**
        * True where one entry VM had no room, so that another may have. What runs or may have run is
        * known at its permit's home alone; asked elsewhere at once, the same home would answer.
        */
       boolean isRefusal() {
-        return ifNoTimeIsLeft instanceof Answer.NotRun;
+        return answerIfExhausted instanceof Answer.NotRun;
       }
     }
 
     /** Get a new permit, then send; the old one is known not to have run. */
-    record Renew(Duration pause, Answer ifNoTimeIsLeft) implements Step {}
+    record RenewPermit(Duration pause, Answer answerIfExhausted) implements Step {}
   }
 
   /** The permit to send with, or empty. */
@@ -94,110 +94,115 @@
     return needsPermit && permit.isEmpty();
   }
 
-  /** Takes a permit for the next try; only after {@link Step.Renew} or at the start. */
-  void renewed(String fresh) {
+  /** Takes a permit for the next try; only after {@link Step.RenewPermit} or at the start. */
+  void usePermit(String newPermit) {
     if (mayHaveRun) {
       throw new IllegalStateException("a new permit while the old one may have run");
     }
-    permit = fresh;
-    needsPermit = needsPermit || !fresh.isEmpty();
+    permit = newPermit;
+    needsPermit = needsPermit || !newPermit.isEmpty();
   }
 
   /** Decides after a try. */
-  Step after(TryResult result) {
-    tries++;
-    if (result instanceof TryResult.Whole whole) {
+  Step onResult(AttemptResult result) {
+    attemptCount++;
+    if (result instanceof AttemptResult.Complete whole) {
       return new Step.End(
-          new Answer.Whole(whole.status(), whole.headers(), whole.body(), whole.target(), tries));
+          new Answer.Complete(
+              whole.status(), whole.headers(), whole.body(), whole.target(), attemptCount));
     }
-    if (result instanceof TryResult.Said said) {
-      return said(said);
+    if (result instanceof AttemptResult.EntryVmResult said) {
+      return onEntryVmResult(said);
     }
-    if (result instanceof TryResult.NotSent notSent) {
-      return new Step.Again(Duration.ZERO, true, unsent(notSent.detail()));
+    if (result instanceof AttemptResult.NotSent notSent) {
+      return new Step.Resend(Duration.ZERO, true, notSentAnswer(notSent.detail()));
     }
     mayHaveRun = true;
-    return new Step.Again(
+    return new Step.Resend(
         Duration.ZERO,
-        asksOnly(),
-        unknown(ResultCode.OUTCOME_UNKNOWN, ((TryResult.Lost) result).detail()));
+        onlyQueriesPermit(),
+        unknownAnswer(ResultCode.OUTCOME_UNKNOWN, ((AttemptResult.Lost) result).detail()));
   }
 
-  private boolean asksOnly() {
+  private boolean onlyQueriesPermit() {
     return mayHaveRun && needsPermit;
   }
 
-  private Answer unsent(String detail) {
+  private Answer notSentAnswer(String detail) {
     return mayHaveRun
-        ? unknown(ResultCode.OUTCOME_UNKNOWN, detail)
-        : new Answer.NotRun(ResultCode.NO_TARGET, Duration.ofSeconds(1), detail, tries);
+        ? unknownAnswer(ResultCode.OUTCOME_UNKNOWN, detail)
+        : new Answer.NotRun(ResultCode.NO_TARGET, Duration.ofSeconds(1), detail, attemptCount);
   }
 
-  private Step said(TryResult.Said said) {
+  private Step onEntryVmResult(AttemptResult.EntryVmResult said) {
     if (said.code() == ResultCode.PERMIT_REQUIRED) {
-      return permitRequired(said);
+      return onPermitRequired(said);
     }
     if (said.code() == ResultCode.PERMIT_EXPIRED && !mayHaveRun) {
       permit = "";
-      return new Step.Renew(Duration.ZERO, notRun(said));
+      return new Step.RenewPermit(Duration.ZERO, notRunAnswer(said));
     }
     return switch (said.code().outcome()) {
-      case RAN -> new Step.End(new Answer.RanUnseen(said.code(), said.detail(), tries));
-      case NOT_RUN -> refused(said);
-      case UNKNOWN -> unresolved(said);
+      case RAN ->
+          new Step.End(new Answer.RanAnswerUnavailable(said.code(), said.detail(), attemptCount));
+      case NOT_RUN -> onRefusal(said);
+      case UNKNOWN -> onUnknownOutcome(said);
     };
   }
 
   /** To a request that carried a permit this is its home's word that the permit ended unused. */
-  private Step permitRequired(TryResult.Said said) {
+  private Step onPermitRequired(AttemptResult.EntryVmResult said) {
     if (!permit.isEmpty()) {
       mayHaveRun = false;
     }
     if (mayHaveRun) {
-      return new Step.End(unknown(ResultCode.OUTCOME_UNKNOWN, "sent before it needed a permit"));
+      return new Step.End(
+          unknownAnswer(ResultCode.OUTCOME_UNKNOWN, "sent before it needed a permit"));
     }
     needsPermit = true;
-    permit = said.freshPermit();
-    return new Step.Renew(Duration.ZERO, notRun(said));
+    permit = said.newPermit();
+    return new Step.RenewPermit(Duration.ZERO, notRunAnswer(said));
   }
 
-  private Step refused(TryResult.Said said) {
-    if (!PASSING.contains(said.code())) {
-      return new Step.End(mayHaveRun ? unknown(said.code(), said.detail()) : notRun(said));
+  private Step onRefusal(AttemptResult.EntryVmResult said) {
+    if (!RETRYABLE.contains(said.code())) {
+      return new Step.End(
+          mayHaveRun ? unknownAnswer(said.code(), said.detail()) : notRunAnswer(said));
     }
     if (mayHaveRun) {
-      return new Step.Again(said.retryAfter(), asksOnly(), unknown(said.code(), said.detail()));
+      return new Step.Resend(
+          said.retryAfter(), onlyQueriesPermit(), unknownAnswer(said.code(), said.detail()));
     }
     if (!needsPermit) {
-      return new Step.Again(said.retryAfter(), asksOnly(), notRun(said));
+      return new Step.Resend(said.retryAfter(), onlyQueriesPermit(), notRunAnswer(said));
     }
     permit = "";
-    return new Step.Renew(said.retryAfter(), notRun(said));
+    return new Step.RenewPermit(said.retryAfter(), notRunAnswer(said));
   }
 
-  private Step unresolved(TryResult.Said said) {
+  private Step onUnknownOutcome(AttemptResult.EntryVmResult said) {
     mayHaveRun = true;
-    Answer answer = unknown(said.code(), said.detail());
+    Answer answer = unknownAnswer(said.code(), said.detail());
     if (said.code() == ResultCode.PERMIT_EXPIRED) {
       return new Step.End(answer);
     }
     Duration pause =
         said.code() == ResultCode.PERMIT_RUNNING && said.retryAfter().isZero()
-            ? RUNNING_PAUSE
+            ? RUNNING_POLL_INTERVAL
             : said.retryAfter();
     if (needsPermit && said.code() == ResultCode.OUTCOME_UNKNOWN) {
       return new Step.End(answer);
     }
-    return new Step.Again(pause, asksOnly(), answer);
+    return new Step.Resend(pause, onlyQueriesPermit(), answer);
   }
 
-  private Answer notRun(TryResult.Said said) {
-    return new Answer.NotRun(said.code(), said.retryAfter(), said.detail(), tries);
+  private Answer notRunAnswer(AttemptResult.EntryVmResult said) {
+    return new Answer.NotRun(said.code(), said.retryAfter(), said.detail(), attemptCount);
   }
 
-  private Answer unknown(ResultCode code, String detail) {
+  private Answer unknownAnswer(ResultCode code, String detail) {
     ResultCode told = code.outcome() == Outcome.UNKNOWN ? code : ResultCode.OUTCOME_UNKNOWN;
     String why = told == code ? detail : code + ": " + detail;
-    return new Answer.Unknown(told, permit, why, tries);
+    return new Answer.Unknown(told, permit, why, attemptCount);
   }
 }
--- a/sageladder-client/src/main/java/org/sageladder/client/RouteCache.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/RouteCache.java
@@ -12,10 +12,10 @@
  * <p>Safe for use by several threads; one lock guards everything.
  */
 final class RouteCache {
-  private static final int MOST_ROUTES = 10_000;
+  private static final int MAX_ROUTES = 10_000;
 
   private final TimeSource time;
-  private final Map<Key, Kept> routes = new LinkedHashMap<>(16, 0.75f, true);
+  private final Map<Key, CachedRoute> routes = new LinkedHashMap<>(16, 0.75f, true);
 
   private RouteCache(TimeSource time) {
     this.time = time;
@@ -27,26 +27,26 @@
 
   record Key(String contract, String service, int block) {}
 
-  private record Kept(Route route, long endNanos) {}
+  private record CachedRoute(Route route, long expiresAtNanos) {}
 
   synchronized void put(Key key, Route route) {
     long ttlNanos = TimeUnit.MILLISECONDS.toNanos(route.ttlMillis());
-    routes.put(key, new Kept(route, time.nanos() + ttlNanos));
-    if (routes.size() > MOST_ROUTES) {
+    routes.put(key, new CachedRoute(route, time.nanos() + ttlNanos));
+    if (routes.size() > MAX_ROUTES) {
       routes.remove(routes.keySet().iterator().next());
     }
   }
 
   /** The route, where it is still to be used. */
-  synchronized Optional<Route> fresh(Key key) {
-    Kept kept = routes.get(key);
-    boolean usable = kept != null && kept.endNanos() - time.nanos() > 0;
+  synchronized Optional<Route> findUnexpired(Key key) {
+    CachedRoute kept = routes.get(key);
+    boolean usable = kept != null && kept.expiresAtNanos() - time.nanos() > 0;
     return usable ? Optional.of(kept.route()) : Optional.empty();
   }
 
   /** The route even past its time, for when no entry VM answers a look-up. */
-  synchronized Optional<Route> stale(Key key) {
-    return Optional.ofNullable(routes.get(key)).map(Kept::route);
+  synchronized Optional<Route> findIncludingExpired(Key key) {
+    return Optional.ofNullable(routes.get(key)).map(CachedRoute::route);
   }
 
   /**
@@ -55,10 +55,12 @@
    * <p>Without this an entry VM that stops has to wait until all look-ups that name it have expired
    * in all callers.
    */
-  synchronized void expire(EntryAddress leaving) {
+  synchronized void expireRoutesTo(EntryAddress drainingEntry) {
     long now = time.nanos();
     routes.replaceAll(
         (key, kept) ->
-            kept.route().entries().get(0).equals(leaving) ? new Kept(kept.route(), now) : kept);
+            kept.route().entries().get(0).equals(drainingEntry)
+                ? new CachedRoute(kept.route(), now)
+                : kept);
   }
 }
--- a/sageladder-client/src/main/java/org/sageladder/client/SageladderClient.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/SageladderClient.java
@@ -39,21 +39,21 @@
  * client is safe for use by several threads; one per process is enough.
  */
 public final class SageladderClient implements AutoCloseable {
-  private static final Duration LONGEST_PAUSE = Duration.ofSeconds(1);
-  private static final Duration SHORTEST_TRY = Duration.ofMillis(5);
-  private static final int MOST_QUESTIONS = 200;
+  private static final Duration MAX_PAUSE = Duration.ofSeconds(1);
+  private static final Duration MIN_ATTEMPT_TIMEOUT = Duration.ofMillis(5);
+  private static final int MAX_UNCOUNTED_ATTEMPTS = 200;
 
   private final ClientOptions options;
-  private final EntryCalls calls;
-  private final RouteCache routes;
-  private final RetryBudget budget;
+  private final EntryClient entryClient;
+  private final RouteCache routeCache;
+  private final RetryBudget retryBudget;
   private final List<EntryAddress> seeds;
 
   private SageladderClient(ClientOptions options) {
     this.options = options;
-    this.routes = RouteCache.create(TimeSource.system());
-    this.calls = EntryCalls.start(options, routes::expire);
-    this.budget = RetryBudget.create(options.retryFraction());
+    this.routeCache = RouteCache.create(TimeSource.system());
+    this.entryClient = EntryClient.start(options, routeCache::expireRoutesTo);
+    this.retryBudget = RetryBudget.create(options.retryFraction());
     this.seeds = options.seeds().stream().map(EntryAddress::parse).toList();
   }
 
@@ -64,12 +64,12 @@
 
   /** Sends a request and waits; an answer above {@code mostBodyBytes} counts as lost. */
   public Answer send(Request request) {
-    return run(request, null, "");
+    return execute(request, null, "");
   }
 
   /** Sends a request whose answer's body goes to {@code sink} as it comes. */
   public Answer send(Request request, BodySink sink) {
-    return run(request, sink, "");
+    return execute(request, sink, "");
   }
 
   /**
@@ -90,9 +90,11 @@
    * @throws IllegalArgumentException where the method is not {@code GET}
    */
   public Answer fetch(Request request, BodySink sink) {
-    return Download.of(
-            (part, parts, number) -> new Run(part, parts, "", 1, number).go(), request, sink)
-        .run();
+    return ResumableDownload.of(
+            (part, parts, number) -> new RequestExecution(part, parts, "", 1, number).execute(),
+            request,
+            sink)
+        .execute();
   }
 
   /**
@@ -105,97 +107,102 @@
     if (permit.isEmpty()) {
       throw new IllegalArgumentException("no permit: expected that of the unknown answer");
     }
-    return run(request, null, permit);
+    return execute(request, null, permit);
   }
 
   @Override
   public void close() {
-    calls.close();
+    entryClient.close();
   }
 
-  private Answer run(Request request, @Nullable BodySink sink, String resumedPermit) {
-    return new Run(request, sink, resumedPermit, options.mostTries(), 0).go();
+  private Answer execute(Request request, @Nullable BodySink sink, String resumedPermit) {
+    return new RequestExecution(request, sink, resumedPermit, options.maxAttempts(), 0).execute();
   }
 
   /** One request from its look-up to its end. */
-  private final class Run {
+  private final class RequestExecution {
     private final Request request;
     private final @Nullable BodySink sink;
-    private final RouteCache.Key key;
-    private final long deadline;
+    private final RouteCache.Key routeKey;
+    private final long deadlineNanos;
     private final String resumedPermit;
-    private final List<TryResult> lookUpFailures = new ArrayList<>();
-    private final int mostTries;
-    private int next;
-    private int refusals;
+    private final List<AttemptResult> lookUpFailures = new ArrayList<>();
+    private final int maxAttempts;
+    private int nextEntryIndex;
+    private int refusalCount;
 
-    Run(Request request, @Nullable BodySink sink, String resumedPermit, int mostTries, int first) {
-      this.mostTries = mostTries;
-      this.next = first;
+    RequestExecution(
+        Request request,
+        @Nullable BodySink sink,
+        String resumedPermit,
+        int maxAttempts,
+        int firstEntryIndex) {
+      this.maxAttempts = maxAttempts;
+      this.nextEntryIndex = firstEntryIndex;
       this.request = request;
       this.sink = sink;
       this.resumedPermit = resumedPermit;
-      this.key = new RouteCache.Key(request.contract(), request.service(), request.block());
-      this.deadline = System.nanoTime() + request.deadline().toNanos();
+      this.routeKey = new RouteCache.Key(request.contract(), request.service(), request.block());
+      this.deadlineNanos = System.nanoTime() + request.deadline().toNanos();
     }
 
-    Answer go() {
-      Route route = route();
+    Answer execute() {
+      Route route = findRoute();
       if (route == null) {
-        return withoutRoute();
+        return noRouteAnswer();
       }
       boolean resumed = !resumedPermit.isEmpty();
-      RetryRules rules =
+      RetryPolicy rules =
           resumed
-              ? RetryRules.resume(resumedPermit)
-              : RetryRules.begin(route.needsPermit(), route.permit());
-      budget.firstTry();
+              ? RetryPolicy.resume(resumedPermit)
+              : RetryPolicy.begin(route.needsPermit(), route.permit());
+      retryBudget.recordFirstAttempt();
       int retries = 0;
-      for (int questions = 0; questions < MOST_QUESTIONS; ) {
-        EntryAddress entry = route.entries().get(next++ % route.entries().size());
-        boolean last = retries + 1 >= mostTries;
-        RetryRules.Step step = rules.after(attempt(entry, rules.permit(), last));
-        if (step instanceof RetryRules.Step.End end) {
+      for (int questions = 0; questions < MAX_UNCOUNTED_ATTEMPTS; ) {
+        EntryAddress entry = route.entries().get(nextEntryIndex++ % route.entries().size());
+        boolean last = retries + 1 >= maxAttempts;
+        RetryPolicy.Step step = rules.onResult(attempt(entry, rules.permit(), last));
+        if (step instanceof RetryPolicy.Step.End end) {
           return end.answer();
         }
-        if (step instanceof RetryRules.Step.Again again) {
-          boolean allowed = again.uncounted() || mayRetry(++retries);
-          questions += again.uncounted() ? 1 : 0;
-          boolean atOnce = again.isRefusal() && goesOnAtOnce(again.pause(), route);
+        if (step instanceof RetryPolicy.Step.Resend again) {
+          boolean allowed = again.isUncounted() || tryAcquireRetry(++retries);
+          questions += again.isUncounted() ? 1 : 0;
+          boolean atOnce = again.isRefusal() && skipsPauseAfterRefusal(again.pause(), route);
           Duration pause = atOnce ? Duration.ZERO : again.pause();
           if (!allowed || !pause(pause, retries + questions)) {
-            return again.ifNoTimeIsLeft();
+            return again.answerIfExhausted();
           }
-          route = routes.fresh(key).orElse(route);
+          route = routeCache.findUnexpired(routeKey).orElse(route);
           continue;
         }
-        RetryRules.Step.Renew renew = (RetryRules.Step.Renew) step;
+        RetryPolicy.Step.RenewPermit renew = (RetryPolicy.Step.RenewPermit) step;
         if (!rules.lacksPermit()) {
           // The refusal brought the permit it asked for: no work was tried, so nothing is retried,
           // and the entry VM that gave the permit is its home.
           questions++;
-          next--;
+          nextEntryIndex--;
           continue;
         }
-        if (!mayRetry(++retries)) {
-          return renew.ifNoTimeIsLeft();
+        if (!tryAcquireRetry(++retries)) {
+          return renew.answerIfExhausted();
         }
-        if (goesOnAtOnce(renew.pause(), route)) {
+        if (skipsPauseAfterRefusal(renew.pause(), route)) {
           continue;
         }
         if (!pause(renew.pause(), retries)) {
-          return renew.ifNoTimeIsLeft();
+          return renew.answerIfExhausted();
         }
         Route renewed = lookUp();
         if (renewed == null) {
-          return renew.ifNoTimeIsLeft();
+          return renew.answerIfExhausted();
         }
-        rules.renewed(renewed.permit());
-        next = 0;
+        rules.usePermit(renewed.permit());
+        nextEntryIndex = 0;
         route = renewed;
       }
       return new Answer.Unknown(
-          ResultCode.OUTCOME_UNKNOWN, rules.permit(), "asked too often", next);
+          ResultCode.OUTCOME_UNKNOWN, rules.permit(), "asked too often", nextEntryIndex);
     }
 
     /**
@@ -206,28 +213,29 @@
      * the same gate, while a neighbour let others in at once. Only every second refusal is passed
      * over so, or callers of a full region would ask all its gates at once and over again.
      */
-    private boolean goesOnAtOnce(Duration asked, Route route) {
-      return !asked.isZero() && route.entries().size() > 1 && ++refusals % 2 == 1;
+    private boolean skipsPauseAfterRefusal(Duration retryAfter, Route route) {
+      return !retryAfter.isZero() && route.entries().size() > 1 && ++refusalCount % 2 == 1;
     }
 
-    private boolean mayRetry(int retries) {
-      return retries < mostTries && budget.take();
+    private boolean tryAcquireRetry(int retries) {
+      return retries < maxAttempts && retryBudget.tryAcquire();
     }
 
     /** One try; the last one has all the time that is left, since no other could use it. */
-    private TryResult attempt(EntryAddress entry, String permit, boolean last) {
-      Duration left = remaining();
+    private AttemptResult attempt(EntryAddress entry, String permit, boolean isLast) {
+      Duration left = remainingTime();
       if (left.isZero()) {
-        return new TryResult.NotSent("the deadline is over");
+        return new AttemptResult.NotSent("the deadline is over");
       }
-      long share = last ? left.toNanos() : (long) (left.toNanos() * options.tryShare());
-      Duration wait = Duration.ofNanos(Math.max(share, SHORTEST_TRY.toNanos()));
-      return calls.send(entry, request, permit, left, wait, sink);
+      long share =
+          isLast ? left.toNanos() : (long) (left.toNanos() * options.attemptTimeoutFraction());
+      Duration wait = Duration.ofNanos(Math.max(share, MIN_ATTEMPT_TIMEOUT.toNanos()));
+      return entryClient.send(entry, request, permit, left, wait, sink);
     }
 
     /** A route to start with; a request under a permit of its own always needs a new look-up. */
-    private @Nullable Route route() {
-      Optional<Route> kept = routes.fresh(key);
+    private @Nullable Route findRoute() {
+      Optional<Route> kept = routeCache.findUnexpired(routeKey);
       boolean usable = kept.isPresent() && (!kept.get().needsPermit() || !resumedPermit.isEmpty());
       return usable ? kept.get() : lookUp();
     }
@@ -238,21 +246,22 @@
      */
     private @Nullable Route lookUp() {
       Set<EntryAddress> asked = new LinkedHashSet<>();
-      Optional<Route> known = routes.stale(key);
+      Optional<Route> known = routeCache.findIncludingExpired(routeKey);
       known.ifPresent(route -> asked.addAll(route.entries()));
       asked.addAll(shuffledSeeds());
       for (EntryAddress entry : asked) {
-        Duration left = remaining();
+        Duration left = remainingTime();
         if (left.isZero()) {
           return null;
         }
-        long share = (long) (left.toNanos() * options.tryShare());
-        EntryCalls.Found found = calls.lookUp(entry, key, Duration.ofNanos(share));
-        if (found instanceof EntryCalls.Found.At at) {
-          routes.put(key, at.route());
+        long share = (long) (left.toNanos() * options.attemptTimeoutFraction());
+        EntryClient.LookUpResult found =
+            entryClient.lookUp(entry, routeKey, Duration.ofNanos(share));
+        if (found instanceof EntryClient.LookUpResult.RouteFound at) {
+          routeCache.put(routeKey, at.route());
           return at.route();
         }
-        lookUpFailures.add(((EntryCalls.Found.Nothing) found).why());
+        lookUpFailures.add(((EntryClient.LookUpResult.NoRoute) found).failure());
       }
       return known.filter(route -> !route.needsPermit()).orElse(null);
     }
@@ -263,30 +272,30 @@
       return shuffled;
     }
 
-    private Answer withoutRoute() {
-      List<String> details = lookUpFailures.stream().map(EntryCalls::describe).toList();
+    private Answer noRouteAnswer() {
+      List<String> details = lookUpFailures.stream().map(EntryClient::describe).toList();
       String detail = "no entry VM answered the look-up: " + String.join("; ", details);
       if (!resumedPermit.isEmpty()) {
         return new Answer.Unknown(ResultCode.OUTCOME_UNKNOWN, resumedPermit, detail, 0);
       }
-      for (TryResult failure : lookUpFailures) {
-        if (failure instanceof TryResult.Said said) {
+      for (AttemptResult failure : lookUpFailures) {
+        if (failure instanceof AttemptResult.EntryVmResult said) {
           return new Answer.NotRun(said.code(), said.retryAfter(), said.detail(), 0);
         }
       }
-      return new Answer.NotRun(ResultCode.NO_TARGET, LONGEST_PAUSE, detail, 0);
+      return new Answer.NotRun(ResultCode.NO_TARGET, MAX_PAUSE, detail, 0);
     }
 
-    private Duration remaining() {
-      return Duration.ofNanos(Math.max(0, deadline - System.nanoTime()));
+    private Duration remainingTime() {
+      return Duration.ofNanos(Math.max(0, deadlineNanos - System.nanoTime()));
     }
 
     /** Waits for at least {@code asked}, with jitter; false where the deadline would pass. */
-    private boolean pause(Duration asked, int soFar) {
-      long floor = Math.min(asked.toNanos(), LONGEST_PAUSE.toNanos());
-      long spread = Duration.ofMillis(5L << Math.min(soFar, 6)).toNanos();
+    private boolean pause(Duration minPause, int attemptsSoFar) {
+      long floor = Math.min(minPause.toNanos(), MAX_PAUSE.toNanos());
+      long spread = Duration.ofMillis(5L << Math.min(attemptsSoFar, 6)).toNanos();
       long nanos = floor + ThreadLocalRandom.current().nextLong(spread);
-      if (nanos >= remaining().toNanos()) {
+      if (nanos >= remainingTime().toNanos()) {
         return false;
       }
       try {
--- a/sageladder-client/src/test/java/org/sageladder/client/DownloadTest.java
+++ b/sageladder-client/src/test/java/org/sageladder/client/ResumableDownloadTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Fetching in parts, against an entry VM that says and does what each test names. */
-class DownloadTest {
+class ResumableDownloadTest {
   private static final String OK = "Sageladder-Result: 0 OK\r\nSageladder-Outcome: ran\r\n";
   private static final String SONG = "kannel, kannel, laula";
 
@@ -64,10 +64,10 @@
 
   private void serve(Function<String, String> requests) {
     String route = "{\"ttlMillis\":60000,\"entries\":[{\"address\":\"" + entry.address() + "\"}]}";
-    entry.answers(
+    entry.useScript(
         head ->
             head.startsWith("GET /v1/look-up")
-                ? ScriptedEntry.answer(200, OK, route)
+                ? ScriptedEntry.response(200, OK, route)
                 : requests.apply(head));
   }
 
@@ -77,7 +77,7 @@
   }
 
   /** The first {@code sent} bytes of a song that is announced in full. */
-  private static String cut(String song, String tag, int sent) {
+  private static String truncatedResponse(String song, String tag, int sent) {
     return "HTTP/1.1 200 OK\r\n"
         + OK
         + (tag.isEmpty() ? "" : "ETag: " + tag + "\r\n")
@@ -87,24 +87,28 @@
         + song.substring(0, sent);
   }
 
-  private static String part(String song, String tag, int from) {
+  private static String partialResponse(String song, String tag, int from) {
     String range = "bytes " + from + "-" + (song.length() - 1) + "/" + song.length();
-    return ScriptedEntry.answer(
+    return ScriptedEntry.response(
         206, OK + "ETag: " + tag + "\r\nContent-Range: " + range + "\r\n", song.substring(from));
   }
 
-  private static boolean hasRange(String head) {
+  private static boolean hasRangeHeader(String head) {
     return head.contains("\r\nRange: ");
   }
 
   // A night's export of a gigabyte loses its connection now and then. Begun anew each time it may
   // never end by morning; it must go on where it was cut, and be the same bytes.
   @Test
-  void aCutRecordingGoesOnWhereItEnded() {
-    serve(head -> hasRange(head) ? part(SONG, "\"v1\"", 6) : cut(SONG, "\"v1\"", 6));
-    Answer.Whole whole = assertInstanceOf(Answer.Whole.class, fetch(Duration.ofSeconds(20)));
+  void truncatedDownloadResumesWhereItEnded() {
+    serve(
+        head ->
+            hasRangeHeader(head)
+                ? partialResponse(SONG, "\"v1\"", 6)
+                : truncatedResponse(SONG, "\"v1\"", 6));
+    Answer.Complete whole = assertInstanceOf(Answer.Complete.class, fetch(Duration.ofSeconds(20)));
     assertEquals(SONG, sink.text());
-    assertEquals(2, whole.tries());
+    assertEquals(2, whole.attemptCount());
     String second = entry.requests().get(1);
     assertTrue(second.contains("Range: bytes=6-\r\n"), second);
     assertTrue(second.contains("If-Range: \"v1\"\r\n"), second);
@@ -113,58 +117,62 @@
   // An archivist replaces a recording while it is fetched. The beginning of the old one and the end
   // of the new one together have the right length and look whole.
   @Test
-  void partsOfTwoVersionsAreNeverGlued() {
+  void partsOfTwoVersionsAreNeverCombined() {
     String other = SONG.toUpperCase(java.util.Locale.ROOT);
-    serve(head -> hasRange(head) ? part(other, "\"v2\"", 6) : script(other));
+    serve(
+        head ->
+            hasRangeHeader(head)
+                ? partialResponse(other, "\"v2\"", 6)
+                : truncatedThenNewVersion(other));
     fetch(Duration.ofSeconds(20));
     assertEquals(other, sink.text());
   }
 
   /** The old version cut at first, the new one whole afterwards. */
-  private String script(String newer) {
+  private String truncatedThenNewVersion(String newer) {
     return entry.requests().size() == 1
-        ? cut(SONG, "\"v1\"", 6)
-        : ScriptedEntry.answer(200, OK + "ETag: \"v2\"\r\n", newer);
+        ? truncatedResponse(SONG, "\"v1\"", 6)
+        : ScriptedEntry.response(200, OK + "ETag: \"v2\"\r\n", newer);
   }
 
   @Test
-  void withoutAStrongTagTheFetchBeginsAnew() {
+  void downloadWithoutStrongEntityTagRestarts() {
     serve(
         head ->
             entry.requests().size() == 1
-                ? cut(SONG, "W/\"v1\"", 6)
-                : ScriptedEntry.answer(200, OK, SONG));
-    assertInstanceOf(Answer.Whole.class, fetch(Duration.ofSeconds(20)));
+                ? truncatedResponse(SONG, "W/\"v1\"", 6)
+                : ScriptedEntry.response(200, OK, SONG));
+    assertInstanceOf(Answer.Complete.class, fetch(Duration.ofSeconds(20)));
     assertEquals(SONG, sink.text());
-    assertFalse(hasRange(entry.requests().get(1)));
+    assertFalse(hasRangeHeader(entry.requests().get(1)));
   }
 
   @Test
-  void aPartThatBeginsElsewhereIsNotTaken() {
+  void partWithWrongOffsetIsRejected() {
     serve(
         head -> {
-          if (hasRange(head)) {
-            return part(SONG, "\"v1\"", 3);
+          if (hasRangeHeader(head)) {
+            return partialResponse(SONG, "\"v1\"", 3);
           }
           return entry.requests().size() == 1
-              ? cut(SONG, "\"v1\"", 6)
-              : ScriptedEntry.answer(200, OK, SONG);
+              ? truncatedResponse(SONG, "\"v1\"", 6)
+              : ScriptedEntry.response(200, OK, SONG);
         });
-    assertInstanceOf(Answer.Whole.class, fetch(Duration.ofSeconds(20)));
+    assertInstanceOf(Answer.Complete.class, fetch(Duration.ofSeconds(20)));
     assertEquals(SONG, sink.text());
   }
 
   // Every answer is cut until morning. The program must hear that the export is not whole.
   @Test
-  void whatStaysCutIsNoSuccess() {
-    serve(head -> cut(SONG, "", 6));
+  void downloadThatStaysTruncatedEndsUnknown() {
+    serve(head -> truncatedResponse(SONG, "", 6));
     assertInstanceOf(Answer.Unknown.class, fetch(Duration.ofMillis(300)));
   }
 
   @Test
-  void theTargetsOwnRefusalEndsTheFetchAndLeavesTheSinkAlone() {
-    serve(head -> ScriptedEntry.answer(404, OK, "no such song"));
-    Answer.Whole whole = assertInstanceOf(Answer.Whole.class, fetch(Duration.ofSeconds(20)));
+  void targetErrorEndsDownloadWithoutWritingToSink() {
+    serve(head -> ScriptedEntry.response(404, OK, "no such song"));
+    Answer.Complete whole = assertInstanceOf(Answer.Complete.class, fetch(Duration.ofSeconds(20)));
     assertEquals(404, whole.status());
     assertEquals("", sink.text());
   }
@@ -172,13 +180,13 @@
   // A slow part is given up and the rest asked for elsewhere, while the I/O thread still holds a
   // piece of the slow one. Written after the new part has begun, these bytes would stand twice.
   @Test
-  void aPieceOfAnAnswerThatWasGivenUpNeverReachesTheSink() throws Exception {
+  void abandonedResponseDoesNotWriteToSink() throws Exception {
     BodyConsumer consumer = BodyConsumer.create(sink, 100);
     BasicHttpResponse head = new BasicHttpResponse(200);
     head.setHeader("Sageladder-Result", "0 OK");
     head.setHeader("Content-Length", 8);
     consumer.consumeResponse(
-        head, new BasicEntityDetails(8, null), HttpCoreContext.create(), new FutureNotes());
+        head, new BasicEntityDetails(8, null), HttpCoreContext.create(), new IgnoringCallback());
     consumer.consume(ByteBuffer.wrap("kann".getBytes(StandardCharsets.UTF_8)));
     consumer.abandon();
     ByteBuffer late = ByteBuffer.wrap("el, ".getBytes(StandardCharsets.UTF_8));
@@ -186,9 +194,10 @@
     assertEquals("kann", sink.text());
   }
 
-  private static final class FutureNotes implements FutureCallback<BodyConsumer.Received> {
+  private static final class IgnoringCallback
+      implements FutureCallback<BodyConsumer.ReceivedResponse> {
     @Override
-    public void completed(BodyConsumer.Received result) {}
+    public void completed(BodyConsumer.ReceivedResponse result) {}
 
     @Override
     public void failed(Exception cause) {}
@@ -198,7 +207,7 @@
   }
 
   @Test
-  void onlyGetIsFetchedInParts() {
+  void onlyGetCanBeDownloadedInParts() {
     Request bid = Request.post("kalnins-dauge", "bid", 4, "/bids", new byte[1], "text/plain");
     assertThrows(IllegalArgumentException.class, () -> client.fetch(bid, sink));
   }
--- a/sageladder-client/src/test/java/org/sageladder/client/ScriptedEntry.java
+++ b/sageladder-client/src/test/java/org/sageladder/client/ScriptedEntry.java
@@ -37,7 +37,7 @@
   }
 
   /** {@code newScript} gives the raw answer to a head; empty: the connection is just closed. */
-  ScriptedEntry answers(Function<String, String> newScript) {
+  ScriptedEntry useScript(Function<String, String> newScript) {
     script = newScript;
     return this;
   }
@@ -48,14 +48,14 @@
   }
 
   /** Number of look-ups so far. */
-  long lookUps() {
+  long lookUpCount() {
     return List.copyOf(heads).stream().filter(head -> head.contains("/v1/look-up")).count();
   }
 
   private void serve() {
     while (!server.isClosed()) {
       try (Socket socket = server.accept()) {
-        String head = head(new BufferedInputStream(socket.getInputStream()));
+        String head = readHead(new BufferedInputStream(socket.getInputStream()));
         heads.add(head);
         socket.getOutputStream().write(script.apply(head).getBytes(StandardCharsets.UTF_8));
       } catch (IOException ignored) {
@@ -64,7 +64,7 @@
     }
   }
 
-  private static String head(InputStream in) throws IOException {
+  private static String readHead(InputStream in) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     for (int b = in.read(); b >= 0; b = in.read()) {
       bytes.write(b);
@@ -77,7 +77,7 @@
   }
 
   /** A whole answer with the connection's end announced. */
-  static String answer(int status, String resultHeaders, String body) {
+  static String response(int status, String resultHeaders, String body) {
     return "HTTP/1.1 "
         + status
         + " X\r\nConnection: close\r\n"
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlStateMachine.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlStateMachine.java
@@ -199,9 +199,9 @@
     linkLostNanos.remove(from);
     if (message instanceof InnerMessage.Spread spread) {
       onSpreadMessage(from, spread.message());
-    } else if (message instanceof InnerMessage.Beat beat) {
+    } else if (message instanceof InnerMessage.HeartbeatMessage beat) {
       onHeartbeat(from, beat.heartbeat());
-    } else if (message instanceof InnerMessage.BeatAnswer beatAnswer) {
+    } else if (message instanceof InnerMessage.HeartbeatAnswerMessage beatAnswer) {
       onHeartbeatAnswer(from, beatAnswer.answer());
     } else if (message instanceof InnerMessage.Direct direct) {
       effects.deliverPayload(from, direct.payload().topic(), direct.payload().content());
@@ -431,7 +431,7 @@
     }
     view.map(RelayedView::relay)
         .filter(relay -> !relay.equals(identity.vm()))
-        .ifPresent(relay -> effects.send(relay, new InnerMessage.Beat(heartbeat)));
+        .ifPresent(relay -> effects.send(relay, new InnerMessage.HeartbeatMessage(heartbeat)));
   }
 
   private void onHeartbeat(String from, Heartbeat heartbeat) {
@@ -445,7 +445,7 @@
             .onHeartbeat(heartbeat)
             .orElseGet(
                 () -> new HeartbeatAnswer(heartbeat.sentNanos(), viewNumber, false, false, 0));
-    effects.send(from, new InnerMessage.BeatAnswer(answer));
+    effects.send(from, new InnerMessage.HeartbeatAnswerMessage(answer));
   }
 
   private void onHeartbeatAnswer(String from, HeartbeatAnswer answer) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayControlPlane.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayControlPlane.java
@@ -153,7 +153,7 @@
 
   private void startThreads(List<PeerAddress> seeds) {
     isStarted = true;
-    seeds.forEach(seed -> links.introduce(seed.host(), seed.port()));
+    seeds.forEach(seed -> links.connectToUnnamedPeer(seed.host(), seed.port()));
     storeWorker.start(
         new StoreResults(),
         () -> state.contracts().values().stream().mapToLong(Contract::revision).max().orElse(0));
@@ -220,7 +220,7 @@
 
   /** Open connections with peers. */
   public int openLinks() {
-    return links.openLinks();
+    return links.openLinkCount();
   }
 
   /** Store calls made since the start by kind. */
@@ -336,7 +336,7 @@
 
     @Override
     public void addPeerAddress(PeerAddress peer) {
-      links.address(peer);
+      links.updateAddress(peer);
     }
 
     @Override
@@ -373,7 +373,7 @@
 
   private final class LinkReceiver implements InnerLinks.Receiver {
     @Override
-    public void received(String vm, InnerMessage message) {
+    public void onMessage(String vm, InnerMessage message) {
       if (!isStarted) {
         return;
       }
@@ -381,7 +381,7 @@
     }
 
     @Override
-    public void opened(String vm) {
+    public void onLinkOpened(String vm) {
       if (!isStarted) {
         return;
       }
@@ -389,7 +389,7 @@
     }
 
     @Override
-    public void lost(String vm) {
+    public void onLinkLost(String vm) {
       events.record(EventKind.LINK_DROPPED, "", customer, vm, 0, "");
       runOnControlThread(() -> stateMachine.onLinkLost(vm));
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/OperatorPort.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/OperatorPort.java
@@ -167,10 +167,10 @@
     json.put("customer", report.customer());
     json.put("takenAtMillis", report.takenAtMillis());
     json.put("ageMillis", Math.max(0, System.currentTimeMillis() - report.takenAtMillis()));
-    json.put("members", report.members());
+    json.put("members", report.memberCount());
     json.put("lowestRevision", report.lowestRevision());
     var lagging = json.putArray("lagging");
-    report.lagging().forEach(lagging::add);
+    report.laggingVms().forEach(lagging::add);
   }
 
   private static void describe(ZoneView view, ObjectNode json) {
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineTest.java
@@ -284,7 +284,7 @@
     ZoneReport report =
         fixture.nodes.get("vm-4").machine.replicatedState().reports().get("tartu-1");
     assertEquals(oldRevision, report.lowestRevision());
-    assertEquals(List.of(laggingNode.vm), report.lagging());
+    assertEquals(List.of(laggingNode.vm), report.laggingVms());
     laggingNode.isPaused = false;
     fixture.advance(SETTLING_TIME);
     report = fixture.nodes.get("vm-4").machine.replicatedState().reports().get("tartu-1");
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/FrameMac.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/FrameMac.java
@@ -22,15 +22,15 @@
   private static final String ALGORITHM = "HmacSHA256";
 
   private final Mac mac;
-  private long frames;
+  private long frameCount;
 
   private FrameMac(byte[] key) {
-    this.mac = mac(key);
+    this.mac = newMac(key);
   }
 
   /** The key of one connection, made of the shared secret and both sides' first frames. */
-  static byte[] sessionKey(byte[] secret, byte[] hello, byte[] welcome) {
-    Mac derive = mac(secret);
+  static byte[] deriveSessionKey(byte[] secret, byte[] hello, byte[] welcome) {
+    Mac derive = newMac(secret);
     derive.update("sageladder inner session".getBytes(StandardCharsets.UTF_8));
     derive.update(ByteBuffer.allocate(Integer.BYTES).putInt(hello.length).array());
     derive.update(hello);
@@ -39,33 +39,33 @@
 
   /** What shows the connecting side that the other one has the secret. */
   static byte[] welcomeProof(byte[] sessionKey) {
-    Mac proof = mac(sessionKey);
-    return tag(proof.doFinal("welcome".getBytes(StandardCharsets.UTF_8)));
+    Mac proof = newMac(sessionKey);
+    return truncateToTag(proof.doFinal("welcome".getBytes(StandardCharsets.UTF_8)));
   }
 
   /** The MAC of frames from the side that connected, or to it. */
-  static FrameMac of(byte[] sessionKey, boolean fromConnecting) {
-    String direction = fromConnecting ? "from connecting" : "to connecting";
-    return new FrameMac(mac(sessionKey).doFinal(direction.getBytes(StandardCharsets.UTF_8)));
+  static FrameMac of(byte[] sessionKey, boolean isFromConnectingSide) {
+    String direction = isFromConnectingSide ? "from connecting" : "to connecting";
+    return new FrameMac(newMac(sessionKey).doFinal(direction.getBytes(StandardCharsets.UTF_8)));
   }
 
   /** The tag of the next frame. */
-  byte[] next(byte[] body) {
-    mac.update(ByteBuffer.allocate(Long.BYTES).putLong(frames).array());
-    frames++;
-    return tag(mac.doFinal(body));
+  byte[] nextTag(byte[] body) {
+    mac.update(ByteBuffer.allocate(Long.BYTES).putLong(frameCount).array());
+    frameCount++;
+    return truncateToTag(mac.doFinal(body));
   }
 
   /** Whether {@code claimed} is the tag of the next frame; compares in constant time. */
   boolean matchesNext(byte[] body, byte[] claimed) {
-    return MessageDigest.isEqual(next(body), claimed);
+    return MessageDigest.isEqual(nextTag(body), claimed);
   }
 
-  private static byte[] tag(byte[] full) {
+  private static byte[] truncateToTag(byte[] full) {
     return Arrays.copyOf(full, TAG_BYTES);
   }
 
-  private static Mac mac(byte[] key) {
+  private static Mac newMac(byte[] key) {
     try {
       Mac mac = Mac.getInstance(ALGORITHM);
       mac.init(new SecretKeySpec(key, ALGORITHM));
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/Handshake.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/Handshake.java
@@ -21,7 +21,7 @@
   static final int VERSION = 1;
 
   private static final int NONCE_BYTES = 16;
-  private static final int LONGEST_NAME = 128;
+  private static final int MAX_NAME_LENGTH = 128;
   private static final SecureRandom RANDOM = new SecureRandom();
 
   private final LinkIdentity identity;
@@ -33,14 +33,14 @@
   }
 
   /** A connection's keys and the peer they were agreed with. */
-  record Session(String peer, long peerIncarnation, FrameMac reading, FrameMac writing) {}
+  record Session(String peer, long peerIncarnation, FrameMac receiveMac, FrameMac sendMac) {}
 
   /** The answer to a peer's hello and the session it leads to. */
   @SuppressWarnings("ArrayRecordComponent")
   record Accepted(byte[] welcome, Session session) {}
 
   /** The first frame, or empty while this process has no key. */
-  Optional<byte[]> hello(String expectedVm) {
+  Optional<byte[]> createHello(String expectedVm) {
     return keys.get()
         .map(
             ring ->
@@ -51,7 +51,7 @@
                     .setCustomer(identity.customer())
                     .setIncarnation(identity.incarnation())
                     .setKeyId(ring.signingKey().id())
-                    .setNonce(nonce())
+                    .setNonce(newNonce())
                     .setExpectedVm(expectedVm)
                     .build()
                     .toByteArray());
@@ -95,14 +95,14 @@
               + identity.vm()
               + "'");
     }
-    byte[] secret = secret(hello.getKeyId());
+    byte[] secret = findSecret(hello.getKeyId());
     Inner.Welcome.Builder welcome =
         Inner.Welcome.newBuilder()
             .setVersion(VERSION)
             .setVm(identity.vm())
             .setIncarnation(identity.incarnation())
-            .setNonce(nonce());
-    byte[] session = FrameMac.sessionKey(secret, helloBytes, welcome.build().toByteArray());
+            .setNonce(newNonce());
+    byte[] session = FrameMac.deriveSessionKey(secret, helloBytes, welcome.build().toByteArray());
     welcome.setProof(ByteString.copyFrom(FrameMac.welcomeProof(session)));
     return new Accepted(
         welcome.build().toByteArray(),
@@ -127,7 +127,8 @@
           "'" + welcome.getVm() + "' chose version " + welcome.getVersion() + ", not " + VERSION);
     }
     byte[] bare = welcome.toBuilder().clearProof().build().toByteArray();
-    byte[] session = FrameMac.sessionKey(secret(parseHello(hello).getKeyId()), hello, bare);
+    byte[] session =
+        FrameMac.deriveSessionKey(findSecret(parseHello(hello).getKeyId()), hello, bare);
     byte[] proof = welcome.getProof().toByteArray();
     if (!MessageDigest.isEqual(proof, FrameMac.welcomeProof(session))) {
       throw new ProtocolException(
@@ -147,7 +148,7 @@
     } catch (InvalidProtocolBufferException e) {
       throw new ProtocolException(Reason.MALFORMED, "not a hello: " + e.getMessage());
     }
-    boolean named = !hello.getVm().isEmpty() && hello.getVm().length() <= LONGEST_NAME;
+    boolean named = !hello.getVm().isEmpty() && hello.getVm().length() <= MAX_NAME_LENGTH;
     if (!named || hello.getNonce().size() < NONCE_BYTES) {
       throw new ProtocolException(
           Reason.MALFORMED, "a hello without name or with a nonce below " + NONCE_BYTES + " bytes");
@@ -155,7 +156,7 @@
     return hello;
   }
 
-  private byte[] secret(String keyId) throws ProtocolException {
+  private byte[] findSecret(String keyId) throws ProtocolException {
     return keys.get()
         .flatMap(ring -> ring.key(keyId))
         .map(key -> key.secret().bytes())
@@ -163,7 +164,7 @@
             () -> new ProtocolException(Reason.NOT_AUTHENTIC, "key '" + keyId + "' is not known"));
   }
 
-  private static ByteString nonce() {
+  private static ByteString newNonce() {
     byte[] nonce = new byte[NONCE_BYTES];
     RANDOM.nextBytes(nonce);
     return ByteString.copyFrom(nonce);
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/InnerLinks.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/InnerLinks.java
@@ -49,42 +49,42 @@
  * breaks may be lost without notice. All methods may be called from any thread.
  */
 public final class InnerLinks implements AutoCloseable {
-  private static final int CONNECT_MILLIS = 1_000;
-  private static final int IDLE_SECONDS = 30;
-  private static final int MOST_LINKS = 1_024;
-  private static final int MOST_WAITING = 256;
-  private static final int LOW_WATER = 1 << 20;
-  private static final int HIGH_WATER = 4 << 20;
-  private static final long REDIAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+  private static final int IDLE_TIMEOUT_SECONDS = 30;
+  private static final int MAX_CONNECTIONS = 1_024;
+  private static final int MAX_QUEUED_MESSAGES = 256;
+  private static final int LOW_WATER_MARK_BYTES = 1 << 20;
+  private static final int HIGH_WATER_MARK_BYTES = 4 << 20;
+  private static final long RECONNECT_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private final Receiver receiver;
   private final Handshake handshake;
   private final LinkCounters counters = new LinkCounters();
-  private final EventLoopGroup loop;
+  private final EventLoopGroup eventLoop;
   private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private final Map<String, PeerAddress> addresses = new ConcurrentHashMap<>();
   private final Map<String, Channel> links = new ConcurrentHashMap<>();
-  private final Map<String, Long> redialNanos = new ConcurrentHashMap<>();
+  private final Map<String, Long> reconnectAtNanos = new ConcurrentHashMap<>();
   // Only touched on the loop's single thread.
-  private final Map<String, Queue<byte[]>> waiting = new HashMap<>();
-  private @Nullable Channel server;
+  private final Map<String, Queue<byte[]>> queuedMessages = new HashMap<>();
+  private @Nullable Channel serverChannel;
 
   /** What comes in; called on the links' own thread and must not block. */
   public interface Receiver {
     /** A message of an authenticated peer. */
-    void received(String vm, InnerMessage message);
+    void onMessage(String vm, InnerMessage message);
 
     /** A peer can be reached. */
-    void opened(String vm);
+    void onLinkOpened(String vm);
 
     /** The connection with a peer ended, or could not be made; messages may be lost. */
-    void lost(String vm);
+    void onLinkLost(String vm);
   }
 
   private InnerLinks(LinkIdentity identity, Supplier<Optional<KeyRing>> keys, Receiver receiver) {
     this.receiver = receiver;
     this.handshake = new Handshake(identity, keys);
-    this.loop =
+    this.eventLoop =
         new MultiThreadIoEventLoopGroup(
             1, new DefaultThreadFactory("links", true), NioIoHandler.newFactory());
   }
@@ -110,14 +110,14 @@
   private void listen(String host, int port) throws IOException {
     ChannelFuture bound =
         new ServerBootstrap()
-            .group(loop)
+            .group(eventLoop)
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childOption(
                 ChannelOption.WRITE_BUFFER_WATER_MARK,
-                new WriteBufferWaterMark(LOW_WATER, HIGH_WATER))
-            .childHandler(initializer(null))
+                new WriteBufferWaterMark(LOW_WATER_MARK_BYTES, HIGH_WATER_MARK_BYTES))
+            .childHandler(channelInitializer(null))
             .bind(host, port)
             .awaitUninterruptibly();
     if (!bound.isSuccess()) {
@@ -125,26 +125,26 @@
       throw new IOException(
           "inner port " + host + ":" + port + " cannot be opened; is it in use?", bound.cause());
     }
-    server = bound.channel();
+    serverChannel = bound.channel();
   }
 
   /** The port that peers connect to. */
   public int port() {
-    Channel listening = server;
+    Channel listening = serverChannel;
     return listening == null ? 0 : ((InetSocketAddress) listening.localAddress()).getPort();
   }
 
   /** Says where a peer is; a later address replaces an earlier one. */
-  public void address(PeerAddress peer) {
+  public void updateAddress(PeerAddress peer) {
     PeerAddress before = addresses.put(peer.vm(), peer);
     if (before != null && !before.equals(peer)) {
-      redialNanos.remove(peer.vm());
+      reconnectAtNanos.remove(peer.vm());
     }
   }
 
-  /** Connects to a peer whose name is not known yet; {@link Receiver#opened} will name it. */
-  public void introduce(String host, int port) {
-    dial(new PeerAddress("", host, port), "");
+  /** Connects to a peer whose name is not known yet; {@link Receiver#onLinkOpened} will name it. */
+  public void connectToUnnamedPeer(String host, int port) {
+    connect(new PeerAddress("", host, port), "");
   }
 
   /** Whether a connection with the peer is open now. */
@@ -153,7 +153,7 @@
   }
 
   /** Number of open connections. */
-  public int openLinks() {
+  public int openLinkCount() {
     return links.size();
   }
 
@@ -168,19 +168,19 @@
     Channel link = links.get(vm);
     if (link != null) {
       if (!link.isWritable()) {
-        counters.unsent();
+        counters.countUnsent();
         return false;
       }
       var unused = link.writeAndFlush(body, link.voidPromise());
       return true;
     }
     PeerAddress address = addresses.get(vm);
-    Long redial = redialNanos.get(vm);
+    Long redial = reconnectAtNanos.get(vm);
     if (address == null || (redial != null && System.nanoTime() - redial < 0)) {
-      counters.unsent();
+      counters.countUnsent();
       return false;
     }
-    loop.execute(() -> sendLater(address, body));
+    eventLoop.execute(() -> sendOrQueue(address, body));
     return true;
   }
 
@@ -192,82 +192,82 @@
   @Override
   public void close() {
     channels.close().awaitUninterruptibly(1, TimeUnit.SECONDS);
-    Channel listening = server;
+    Channel listening = serverChannel;
     if (listening != null) {
       listening.close().awaitUninterruptibly(1, TimeUnit.SECONDS);
     }
-    var unused = loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    var unused = eventLoop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private void sendLater(PeerAddress address, byte[] body) {
+  private void sendOrQueue(PeerAddress address, byte[] body) {
     Channel link = links.get(address.vm());
     if (link != null) {
       var unused = link.writeAndFlush(body, link.voidPromise());
       return;
     }
-    Queue<byte[]> queue = waiting.get(address.vm());
+    Queue<byte[]> queue = queuedMessages.get(address.vm());
     if (queue == null) {
       queue = new ArrayDeque<>();
-      waiting.put(address.vm(), queue);
-      dial(address, address.vm());
+      queuedMessages.put(address.vm(), queue);
+      connect(address, address.vm());
     }
-    if (queue.size() < MOST_WAITING) {
+    if (queue.size() < MAX_QUEUED_MESSAGES) {
       queue.add(body);
     } else {
-      counters.unsent();
+      counters.countUnsent();
     }
   }
 
-  private void dial(PeerAddress address, String expectedVm) {
+  private void connect(PeerAddress address, String expectedVm) {
     ChannelFuture connecting =
         new Bootstrap()
-            .group(loop)
+            .group(eventLoop)
             .channel(NioSocketChannel.class)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(
                 ChannelOption.WRITE_BUFFER_WATER_MARK,
-                new WriteBufferWaterMark(LOW_WATER, HIGH_WATER))
-            .handler(initializer(expectedVm))
+                new WriteBufferWaterMark(LOW_WATER_MARK_BYTES, HIGH_WATER_MARK_BYTES))
+            .handler(channelInitializer(expectedVm))
             .connect(address.host(), address.port());
     var unused =
         connecting.addListener(
             done -> {
               if (!done.isSuccess()) {
-                dialFailed(expectedVm);
+                onConnectFailed(expectedVm);
               }
             });
   }
 
-  private void dialFailed(String vm) {
+  private void onConnectFailed(String vm) {
     if (vm.isEmpty()) {
       return;
     }
-    long jitter = (long) (REDIAL_NANOS * (0.5 + ThreadLocalRandom.current().nextDouble()));
-    redialNanos.put(vm, System.nanoTime() + jitter);
-    waiting.remove(vm);
-    receiver.lost(vm);
+    long jitter = (long) (RECONNECT_DELAY_NANOS * (0.5 + ThreadLocalRandom.current().nextDouble()));
+    reconnectAtNanos.put(vm, System.nanoTime() + jitter);
+    queuedMessages.remove(vm);
+    receiver.onLinkLost(vm);
   }
 
-  private ChannelInitializer<SocketChannel> initializer(@Nullable String expectedVm) {
+  private ChannelInitializer<SocketChannel> channelInitializer(@Nullable String expectedVm) {
     return new ChannelInitializer<>() {
       @Override
       protected void initChannel(SocketChannel channel) {
-        if (expectedVm == null && channels.size() >= MOST_LINKS) {
+        if (expectedVm == null && channels.size() >= MAX_CONNECTIONS) {
           var unused = channel.close();
           return;
         }
         channels.add(channel);
         ChannelPipeline pipeline = channel.pipeline();
-        pipeline.addLast(new IdleStateHandler(IDLE_SECONDS, 0, 0));
+        pipeline.addLast(new IdleStateHandler(IDLE_TIMEOUT_SECONDS, 0, 0));
         pipeline.addLast(
             LinkHandler.FRAME_DECODER,
             new LengthFieldBasedFrameDecoder(
-                LinkHandler.LARGEST_FIRST_FRAME,
+                LinkHandler.MAX_HANDSHAKE_FRAME_BYTES,
                 0,
-                LinkHandler.LENGTH_BYTES,
+                LinkHandler.LENGTH_FIELD_BYTES,
                 0,
-                LinkHandler.LENGTH_BYTES));
+                LinkHandler.LENGTH_FIELD_BYTES));
         LinkEvents events = new LinkEvents(expectedVm);
         pipeline.addLast(
             expectedVm == null
@@ -278,40 +278,40 @@
   }
 
   private final class LinkEvents implements LinkHandler.Events {
-    private final @Nullable String dialledVm;
+    private final @Nullable String expectedVm;
     private boolean wasOpen;
 
-    private LinkEvents(@Nullable String dialledVm) {
-      this.dialledVm = dialledVm;
+    private LinkEvents(@Nullable String expectedVm) {
+      this.expectedVm = expectedVm;
     }
 
     @Override
-    public void opened(String vm, ChannelHandlerContext context) {
+    public void onOpened(String vm, ChannelHandlerContext context) {
       wasOpen = true;
       links.put(vm, context.channel());
-      redialNanos.remove(vm);
-      Queue<byte[]> queue = waiting.remove(vm);
+      reconnectAtNanos.remove(vm);
+      Queue<byte[]> queue = queuedMessages.remove(vm);
       if (queue != null) {
         for (byte[] body : queue) {
           var unused = context.channel().write(body, context.channel().voidPromise());
         }
         context.channel().flush();
       }
-      receiver.opened(vm);
+      receiver.onLinkOpened(vm);
     }
 
     @Override
-    public void received(String vm, InnerMessage message) {
-      receiver.received(vm, message);
+    public void onMessage(String vm, InnerMessage message) {
+      receiver.onMessage(vm, message);
     }
 
     @Override
-    public void closed(@Nullable String vm, ChannelHandlerContext context) {
-      if (!wasOpen && dialledVm != null) {
-        dialFailed(dialledVm);
+    public void onClosed(@Nullable String vm, ChannelHandlerContext context) {
+      if (!wasOpen && expectedVm != null) {
+        onConnectFailed(expectedVm);
       }
       if (vm != null && links.remove(vm, context.channel())) {
-        receiver.lost(vm);
+        receiver.onLinkLost(vm);
       }
     }
   }
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/InnerMessage.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/InnerMessage.java
@@ -10,10 +10,10 @@
   record Spread(SpreadMessage message) implements InnerMessage {}
 
   /** A member's heartbeat to its relay. */
-  record Beat(Heartbeat heartbeat) implements InnerMessage {}
+  record HeartbeatMessage(Heartbeat heartbeat) implements InnerMessage {}
 
   /** An answer to a heartbeat. */
-  record BeatAnswer(HeartbeatAnswer answer) implements InnerMessage {}
+  record HeartbeatAnswerMessage(HeartbeatAnswer answer) implements InnerMessage {}
 
   /** A payload of another part of sageladder. */
   record Direct(TopicPayload payload) implements InnerMessage {}
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/LinkCounters.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/LinkCounters.java
@@ -11,31 +11,31 @@
   private final LongAdder bytesOut = new LongAdder();
   private final LongAdder framesIn = new LongAdder();
   private final LongAdder framesOut = new LongAdder();
-  private final LongAdder unsent = new LongAdder();
-  private final Map<Reason, LongAdder> dropped = new EnumMap<>(Reason.class);
+  private final LongAdder unsentMessages = new LongAdder();
+  private final Map<Reason, LongAdder> dropsByReason = new EnumMap<>(Reason.class);
 
   LinkCounters() {
     for (Reason reason : Reason.values()) {
-      dropped.put(reason, new LongAdder());
+      dropsByReason.put(reason, new LongAdder());
     }
   }
 
-  void in(int bytes) {
+  void countReceived(int bytes) {
     framesIn.increment();
     bytesIn.add(bytes);
   }
 
-  void out(int bytes) {
+  void countSent(int bytes) {
     framesOut.increment();
     bytesOut.add(bytes);
   }
 
-  void unsent() {
-    unsent.increment();
+  void countUnsent() {
+    unsentMessages.increment();
   }
 
-  void dropped(Reason reason) {
-    LongAdder adder = dropped.get(reason);
+  void countDrop(Reason reason) {
+    LongAdder adder = dropsByReason.get(reason);
     if (adder != null) {
       adder.increment();
     }
@@ -63,12 +63,12 @@
 
   /** Messages given up because the peer took nothing. */
   public long unsentMessages() {
-    return unsent.sum();
+    return unsentMessages.sum();
   }
 
   /** Connections dropped for that reason. */
   public long dropCount(Reason reason) {
-    LongAdder adder = dropped.get(reason);
+    LongAdder adder = dropsByReason.get(reason);
     return adder == null ? 0 : adder.sum();
   }
 }
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/LinkHandler.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/LinkHandler.java
@@ -21,45 +21,45 @@
 /** One connection: handshake, then sealed frames; whatever does not fit ends it. */
 final class LinkHandler extends ChannelDuplexHandler {
   /** Largest frame before the peer has proved that it has the key. */
-  static final int LARGEST_FIRST_FRAME = 1_024;
+  static final int MAX_HANDSHAKE_FRAME_BYTES = 1_024;
 
   /** Largest frame afterwards: the largest item, or a push of many, and its envelope. */
-  static final int LARGEST_FRAME = (1 << 20) + (1 << 18);
+  static final int MAX_FRAME_BYTES = (1 << 20) + (1 << 18);
 
   /** Bytes of a frame's length. */
-  static final int LENGTH_BYTES = 4;
+  static final int LENGTH_FIELD_BYTES = 4;
 
   static final String FRAME_DECODER = "frames";
 
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final long HANDSHAKE_SECONDS = 5;
+  private static final long HANDSHAKE_TIMEOUT_SECONDS = 5;
   private static final byte[] PROOF =
       Inner.Envelope.newBuilder().setProof(Inner.Proof.getDefaultInstance()).build().toByteArray();
 
   private final Handshake handshake;
   private final LinkCounters counters;
   private final Events events;
-  private final @Nullable String dialled;
+  private final @Nullable String expectedVm;
   private byte @Nullable [] hello;
   private @Nullable Session session;
-  private boolean open;
-  private @Nullable Future<?> deadline;
+  private boolean isOpen;
+  private @Nullable Future<?> handshakeTimeout;
 
   /** What the owner of the links is told; called on the connection's thread. */
   interface Events {
-    void opened(String vm, ChannelHandlerContext context);
+    void onOpened(String vm, ChannelHandlerContext context);
 
-    void received(String vm, InnerMessage message);
+    void onMessage(String vm, InnerMessage message);
 
-    void closed(@Nullable String vm, ChannelHandlerContext context);
+    void onClosed(@Nullable String vm, ChannelHandlerContext context);
   }
 
   private LinkHandler(
-      Handshake handshake, LinkCounters counters, Events events, @Nullable String dialled) {
+      Handshake handshake, LinkCounters counters, Events events, @Nullable String expectedVm) {
     this.handshake = handshake;
     this.counters = counters;
     this.events = events;
-    this.dialled = dialled;
+    this.expectedVm = expectedVm;
   }
 
   /** The side that was connected to. */
@@ -75,17 +75,17 @@
 
   @Override
   public void channelActive(ChannelHandlerContext context) {
-    deadline =
+    handshakeTimeout =
         context
             .executor()
             .schedule(
                 () -> drop(context, Reason.SLOW_HANDSHAKE, "no proof of the key in time"),
-                HANDSHAKE_SECONDS,
+                HANDSHAKE_TIMEOUT_SECONDS,
                 TimeUnit.SECONDS);
-    if (dialled == null) {
+    if (expectedVm == null) {
       return;
     }
-    hello = handshake.hello(dialled).orElse(null);
+    hello = handshake.createHello(expectedVm).orElse(null);
     if (hello == null) {
       close(context);
       return;
@@ -99,18 +99,18 @@
     byte[] bytes = new byte[buffer.readableBytes()];
     buffer.readBytes(bytes);
     ReferenceCountUtil.release(frame);
-    counters.in(bytes.length + LENGTH_BYTES);
+    counters.countReceived(bytes.length + LENGTH_FIELD_BYTES);
     try {
-      read(context, bytes);
+      handleFrame(context, bytes);
     } catch (ProtocolException e) {
       drop(context, e.reason(), String.valueOf(e.getMessage()));
     }
   }
 
-  private void read(ChannelHandlerContext context, byte[] bytes) throws ProtocolException {
+  private void handleFrame(ChannelHandlerContext context, byte[] bytes) throws ProtocolException {
     Session now = session;
     byte[] sentHello = hello;
-    if (now == null && dialled == null) {
+    if (now == null && expectedVm == null) {
       Handshake.Accepted accepted = handshake.accept(bytes);
       writeFrame(context, accepted.welcome(), context.newPromise());
       session = accepted.session();
@@ -120,53 +120,54 @@
       Session complete = handshake.complete(sentHello, bytes);
       session = complete;
       writeFrame(context, seal(complete, PROOF), context.newPromise());
-      open(context, complete);
+      completeHandshake(context, complete);
       return;
     }
     if (now == null) {
       return;
     }
     byte[] body = unseal(now, bytes);
-    if (!open) {
-      open(context, now);
+    if (!isOpen) {
+      completeHandshake(context, now);
       return;
     }
-    events.received(now.peer(), MessageCodec.decode(body));
+    events.onMessage(now.peer(), MessageCodec.decode(body));
   }
 
-  private void open(ChannelHandlerContext context, Session with) {
-    open = true;
-    Future<?> waiting = deadline;
+  private void completeHandshake(ChannelHandlerContext context, Session establishedSession) {
+    isOpen = true;
+    Future<?> waiting = handshakeTimeout;
     if (waiting != null) {
       waiting.cancel(false);
     }
     // First, as the new decoder passes on at once what was read behind the handshake: a message
     // that
     // came before its link was known could not be answered.
-    events.opened(with.peer(), context);
+    events.onOpened(establishedSession.peer(), context);
     context
         .pipeline()
         .replace(
             FRAME_DECODER,
             FRAME_DECODER,
-            new LengthFieldBasedFrameDecoder(LARGEST_FRAME, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
+            new LengthFieldBasedFrameDecoder(
+                MAX_FRAME_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES));
   }
 
-  private static byte[] seal(Session with, byte[] body) {
-    byte[] tag = with.writing().next(body);
+  private static byte[] seal(Session session, byte[] body) {
+    byte[] tag = session.sendMac().nextTag(body);
     byte[] sealed = Arrays.copyOf(tag, tag.length + body.length);
     System.arraycopy(body, 0, sealed, tag.length, body.length);
     return sealed;
   }
 
-  private static byte[] unseal(Session with, byte[] sealed) throws ProtocolException {
+  private static byte[] unseal(Session session, byte[] sealed) throws ProtocolException {
     if (sealed.length < FrameMac.TAG_BYTES) {
       throw new ProtocolException(Reason.MALFORMED, "a frame of " + sealed.length + " bytes");
     }
     byte[] body = Arrays.copyOfRange(sealed, FrameMac.TAG_BYTES, sealed.length);
-    if (!with.reading().matchesNext(body, Arrays.copyOf(sealed, FrameMac.TAG_BYTES))) {
+    if (!session.receiveMac().matchesNext(body, Arrays.copyOf(sealed, FrameMac.TAG_BYTES))) {
       throw new ProtocolException(
-          Reason.NOT_AUTHENTIC, "a frame from '" + with.peer() + "' has a wrong MAC");
+          Reason.NOT_AUTHENTIC, "a frame from '" + session.peer() + "' has a wrong MAC");
     }
     return body;
   }
@@ -175,7 +176,7 @@
   @Override
   public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
     Session now = session;
-    if (!open || now == null || !(message instanceof byte[] body)) {
+    if (!isOpen || now == null || !(message instanceof byte[] body)) {
       promise.setFailure(new IllegalStateException("the link is not open"));
       return;
     }
@@ -183,8 +184,8 @@
   }
 
   private void writeFrame(ChannelHandlerContext context, byte[] bytes, ChannelPromise promise) {
-    counters.out(bytes.length + LENGTH_BYTES);
-    ByteBuf head = Unpooled.buffer(LENGTH_BYTES).writeInt(bytes.length);
+    counters.countSent(bytes.length + LENGTH_FIELD_BYTES);
+    ByteBuf head = Unpooled.buffer(LENGTH_FIELD_BYTES).writeInt(bytes.length);
     var unused =
         context.writeAndFlush(Unpooled.wrappedBuffer(head, Unpooled.wrappedBuffer(bytes)), promise);
   }
@@ -209,15 +210,15 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    Future<?> waiting = deadline;
+    Future<?> waiting = handshakeTimeout;
     if (waiting != null) {
       waiting.cancel(false);
     }
-    events.closed(open ? peerName() : null, context);
+    events.onClosed(isOpen ? peerName() : null, context);
   }
 
   private void drop(ChannelHandlerContext context, Reason reason, String detail) {
-    counters.dropped(reason);
+    counters.countDrop(reason);
     logger.atWarning().atMostEvery(1, TimeUnit.SECONDS).log(
         "dropped the inner connection with %s (%s): %s: %s",
         context.channel().remoteAddress(), peerName(), reason, detail);
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/MembershipCodec.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/MembershipCodec.java
@@ -70,9 +70,9 @@
             .setZone(report.zone())
             .setCustomer(report.customer())
             .setTakenAtMillis(report.takenAtMillis())
-            .setMembers(report.members())
+            .setMembers(report.memberCount())
             .setLowestRevision(report.lowestRevision())
-            .addAllLagging(report.lagging());
+            .addAllLagging(report.laggingVms());
     report.summaries().forEach(summary -> builder.addSummaries(encode(summary)));
     return builder.build().toByteArray();
   }
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/MessageCodec.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/MessageCodec.java
@@ -26,33 +26,33 @@
 
   /** The envelope's bytes. */
   public static byte[] encode(InnerMessage message) {
-    return envelope(message).toByteArray();
+    return toEnvelope(message).toByteArray();
   }
 
   /** The message in an envelope. */
   public static InnerMessage decode(byte[] bytes) throws ProtocolException {
     try {
-      return message(Inner.Envelope.parseFrom(bytes));
+      return fromEnvelope(Inner.Envelope.parseFrom(bytes));
     } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
       throw new ProtocolException(Reason.MALFORMED, "not a message: " + e.getMessage());
     }
   }
 
-  private static Inner.Envelope envelope(InnerMessage message) {
+  private static Inner.Envelope toEnvelope(InnerMessage message) {
     Inner.Envelope.Builder envelope = Inner.Envelope.newBuilder();
     if (message instanceof InnerMessage.Spread spread) {
-      fill(envelope, spread.message());
-    } else if (message instanceof InnerMessage.Beat beat) {
+      setBody(envelope, spread.message());
+    } else if (message instanceof InnerMessage.HeartbeatMessage beat) {
       envelope.setHeartbeat(MembershipCodec.encode(beat.heartbeat()));
-    } else if (message instanceof InnerMessage.BeatAnswer answer) {
+    } else if (message instanceof InnerMessage.HeartbeatAnswerMessage answer) {
       envelope.setHeartbeatAnswer(encode(answer.answer()));
     } else if (message instanceof InnerMessage.Direct direct) {
-      envelope.setDirect(Inner.Direct.newBuilder().setPayload(payload(direct.payload())));
+      envelope.setDirect(Inner.Direct.newBuilder().setPayload(toProtobuf(direct.payload())));
     }
     return envelope.build();
   }
 
-  private static InnerMessage message(Inner.Envelope envelope) throws ProtocolException {
+  private static InnerMessage fromEnvelope(Inner.Envelope envelope) throws ProtocolException {
     return switch (envelope.getBodyCase()) {
       case PUSH -> new InnerMessage.Spread(decode(envelope.getPush()));
       case DIGEST_OFFER ->
@@ -63,9 +63,11 @@
           new InnerMessage.Spread(
               new SpreadMessage.SnapshotEnd(envelope.getSnapshotEnd().getReady()));
       case PULL -> new InnerMessage.Spread(decode(envelope.getPull()));
-      case HEARTBEAT -> new InnerMessage.Beat(MembershipCodec.decode(envelope.getHeartbeat()));
-      case HEARTBEAT_ANSWER -> new InnerMessage.BeatAnswer(decode(envelope.getHeartbeatAnswer()));
-      case DIRECT -> new InnerMessage.Direct(topicPayload(envelope.getDirect().getPayload()));
+      case HEARTBEAT ->
+          new InnerMessage.HeartbeatMessage(MembershipCodec.decode(envelope.getHeartbeat()));
+      case HEARTBEAT_ANSWER ->
+          new InnerMessage.HeartbeatAnswerMessage(decode(envelope.getHeartbeatAnswer()));
+      case DIRECT -> new InnerMessage.Direct(fromProtobuf(envelope.getDirect().getPayload()));
       case PROOF, BODY_NOT_SET ->
           throw new ProtocolException(
               Reason.UNKNOWN_KIND, "message kind " + envelope.getBodyCase() + " is not known here");
@@ -74,19 +76,19 @@
 
   /** The bytes of a payload that is carried in a notice. */
   public static byte[] encode(TopicPayload payload) {
-    return payload(payload).toByteArray();
+    return toProtobuf(payload).toByteArray();
   }
 
   /** The payload in a notice. */
   public static TopicPayload decodePayload(byte[] bytes) throws ProtocolException {
     try {
-      return topicPayload(Inner.Payload.parseFrom(bytes));
+      return fromProtobuf(Inner.Payload.parseFrom(bytes));
     } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
       throw new ProtocolException(Reason.MALFORMED, "not a payload: " + e.getMessage());
     }
   }
 
-  private static void fill(Inner.Envelope.Builder envelope, SpreadMessage message) {
+  private static void setBody(Inner.Envelope.Builder envelope, SpreadMessage message) {
     if (message instanceof SpreadMessage.Push push) {
       envelope.setPush(encode(push));
     } else if (message instanceof SpreadMessage.DigestOffer offer) {
@@ -227,7 +229,7 @@
         answer.getKnownIncarnation());
   }
 
-  private static Inner.Payload payload(TopicPayload payload) {
+  private static Inner.Payload toProtobuf(TopicPayload payload) {
     return Inner.Payload.newBuilder()
         .setTopic(
             Inner.Topic.newBuilder()
@@ -236,7 +238,7 @@
         .build();
   }
 
-  private static TopicPayload topicPayload(Inner.Payload payload) throws ProtocolException {
+  private static TopicPayload fromProtobuf(Inner.Payload payload) throws ProtocolException {
     if (payload.getContentCase() != Inner.Payload.ContentCase.TOPIC) {
       throw new ProtocolException(Reason.UNKNOWN_KIND, "a payload without a known content");
     }
--- a/sageladder-protocol/src/test/java/org/sageladder/protocol/HostileLinksProperties.java
+++ b/sageladder-protocol/src/test/java/org/sageladder/protocol/HostilePeersProperties.java
@@ -21,26 +21,26 @@
  * Strangers and broken peers at the inner port. Each bad connection must end, be counted once under
  * its reason, and disturb neither the link of a good peer nor the next connection.
  */
-class HostileLinksProperties {
+class HostilePeersProperties {
   private static final InnerMessage OFFER =
       new InnerMessage.Spread(new SpreadMessage.DigestOffer(42));
-  private static final byte[] BEAT = MessageCodec.encode(OFFER);
+  private static final byte[] ENCODED_OFFER = MessageCodec.encode(OFFER);
 
-  private final Inbox heard = new Inbox();
-  private InnerLinks good;
+  private final Inbox inbox = new Inbox();
+  private InnerLinks authenticPeer;
   private InnerLinks links;
 
   @BeforeProperty
   void open() throws Exception {
-    links = open("vm-2", heard);
-    good = open("vm-1", new Inbox());
-    good.address(new PeerAddress("vm-2", "127.0.0.1", links.port()));
-    assertGoodPeerIsHeard();
+    links = open("vm-2", inbox);
+    authenticPeer = open("vm-1", new Inbox());
+    authenticPeer.updateAddress(new PeerAddress("vm-2", "127.0.0.1", links.port()));
+    assertAuthenticPeerCanSend();
   }
 
   @AfterProperty
   void close() {
-    good.close();
+    authenticPeer.close();
     links.close();
   }
 
@@ -53,27 +53,27 @@
   // A port scanner, or a process that takes the inner port for another one, sends any first frame.
   // The handshake's rules, asked directly, say under which reason it must be dropped.
   @Property(tries = 100, seed = "20261202")
-  void anyFirstFrameIsDroppedUnderItsReason(@ForAll @Size(max = 200) byte[] first)
+  void arbitraryFirstFrameIsDroppedWithExpectedReason(@ForAll @Size(max = 200) byte[] first)
       throws Exception {
-    Reason reason = refusal(() -> RawLink.handshake("vm-2").accept(first)).orElseThrow();
-    assertDropped(reason, link -> link.frame(first));
+    Reason reason = parseFailure(() -> RawLink.handshake("vm-2").accept(first)).orElseThrow();
+    assertDropped(reason, link -> link.writeFrame(first));
   }
 
   // The same with a first frame that was a good one before one of its bytes was damaged. Damage to
   // the name or the nonce alone leaves a hello that is answered; its proof then does not fit.
   @Property(tries = 100, seed = "20261202")
-  void aDamagedFirstFrameIsDroppedUnderItsReason(@ForAll int at, @ForAll byte with)
+  void corruptedFirstFrameIsDroppedWithExpectedReason(@ForAll int at, @ForAll byte with)
       throws Exception {
     byte[] damaged = RawLink.hello("vm-9").toByteArray();
     damaged[Math.floorMod(at, damaged.length)] = with;
-    Optional<Reason> refusal = refusal(() -> RawLink.handshake("vm-2").accept(damaged));
+    Optional<Reason> refusal = parseFailure(() -> RawLink.handshake("vm-2").accept(damaged));
     assertDropped(
         refusal.orElse(Reason.NOT_AUTHENTIC),
         link -> {
-          link.frame(damaged);
+          link.writeFrame(damaged);
           if (refusal.isEmpty()) {
             link.readFrame();
-            link.frame(new byte[FrameMac.TAG_BYTES + 1]);
+            link.writeFrame(new byte[FrameMac.TAG_BYTES + 1]);
           }
         });
   }
@@ -81,83 +81,85 @@
   // A length field decides how much is kept in memory before a frame is whole. Before the proof of
   // the key even a kilobyte more than a hello needs is refused, at once, without waiting for it.
   @Property(tries = 50, seed = "20261202")
-  void anOversizeFirstFrameIsDroppedBeforeItsBody(
-      @ForAll @IntRange(min = LinkHandler.LARGEST_FIRST_FRAME + 1) int length) throws Exception {
-    assertDropped(Reason.TOO_LARGE, link -> link.frame(length, new byte[0]));
+  void oversizeFirstFrameIsDroppedBeforeItsBody(
+      @ForAll @IntRange(min = LinkHandler.MAX_HANDSHAKE_FRAME_BYTES + 1) int length)
+      throws Exception {
+    assertDropped(Reason.TOO_LARGE, link -> link.writeFrame(length, new byte[0]));
   }
 
   // Bytes of some other protocol often set the length's first bit; it is no sign.
   @Property(tries = 50, seed = "20261202")
-  void aFirstFrameThatSeemsToHaveANegativeLengthIsOversize(
+  void firstFrameWithNegativeLengthIsOversize(
       @ForAll @IntRange(min = Integer.MIN_VALUE, max = -1) int length) throws Exception {
-    assertDropped(Reason.TOO_LARGE, link -> link.frame(length, new byte[0]));
+    assertDropped(Reason.TOO_LARGE, link -> link.writeFrame(length, new byte[0]));
   }
 
   @Property(tries = 20, seed = "20261202")
-  void anOversizeFrameOfAPeerThatHasTheKeyIsDroppedBeforeItsBody(
-      @ForAll @IntRange(min = LinkHandler.LARGEST_FRAME + 1) int length) throws Exception {
+  void oversizeFrameFromAuthenticatedPeerIsDroppedBeforeItsBody(
+      @ForAll @IntRange(min = LinkHandler.MAX_FRAME_BYTES + 1) int length) throws Exception {
     assertDropped(
         Reason.TOO_LARGE,
         link -> {
-          link.frame(RawLink.sealed(link.authenticate("vm-9"), RawLink.proof()));
-          awaitLinks(2);
-          link.frame(length, new byte[0]);
+          link.writeFrame(RawLink.seal(link.authenticate("vm-9"), RawLink.proof()));
+          awaitOpenLinks(2);
+          link.writeFrame(length, new byte[0]);
         });
   }
 
   // Bytes change on the way, or somebody writes into the connection of a peer that has the key.
   @Property(tries = 50, seed = "20261202")
-  void anyFrameThatIsNotSealedIsDropped(@ForAll @Size(max = 200) byte[] frame) throws Exception {
+  void frameWithoutValidMacIsDropped(@ForAll @Size(max = 200) byte[] frame) throws Exception {
     Reason reason = frame.length < FrameMac.TAG_BYTES ? Reason.MALFORMED : Reason.NOT_AUTHENTIC;
     assertDropped(
         reason,
         link -> {
           link.authenticate("vm-9");
-          link.frame(frame);
+          link.writeFrame(frame);
         });
   }
 
   // A peer of another version, or a broken one, seals what is no message. What the decoder takes is
   // passed on, what it refuses ends the connection under the decoder's reason.
   @Property(tries = 100, seed = "20261202")
-  void aSealedBodyIsPassedOnOrDroppedAsTheDecoderSays(
+  void authenticatedBodyIsDeliveredOrDroppedWithDecoderReason(
       @ForAll @Size(max = 60) byte[] body, @ForAll int cut, @ForAll boolean random)
       throws Exception {
-    byte[] sent = random ? body : Arrays.copyOf(BEAT, Math.floorMod(cut, BEAT.length));
-    Optional<Reason> refusal = refusal(() -> MessageCodec.decode(sent));
-    Steps steps =
+    byte[] sent =
+        random ? body : Arrays.copyOf(ENCODED_OFFER, Math.floorMod(cut, ENCODED_OFFER.length));
+    Optional<Reason> refusal = parseFailure(() -> MessageCodec.decode(sent));
+    Scenario steps =
         link -> {
           Handshake.Session session = link.authenticate("vm-9");
-          link.frame(RawLink.sealed(session, RawLink.proof()));
-          link.frame(RawLink.sealed(session, sent));
+          link.writeFrame(RawLink.seal(session, RawLink.proof()));
+          link.writeFrame(RawLink.seal(session, sent));
         };
     if (refusal.isPresent()) {
       assertDropped(refusal.get(), steps);
       return;
     }
-    try (RawLink link = RawLink.dial(links.port())) {
-      steps.on(link);
-      assertEquals("vm-9", heard.next());
+    try (RawLink link = RawLink.connect(links.port())) {
+      steps.run(link);
+      assertEquals("vm-9", inbox.nextSender());
     }
-    awaitLinks(1);
+    awaitOpenLinks(1);
   }
 
   // A peer dies in the middle of a frame. That is no offence: nothing is counted, nothing is kept.
   @Property(tries = 50, seed = "20261202")
-  void aCutFrameLeavesNothingBehind(@ForAll @IntRange(min = 1, max = 200) int missing)
+  void truncatedFrameIsNotCountedAsDrop(@ForAll @IntRange(min = 1, max = 200) int missing)
       throws Exception {
-    long before = drops();
-    try (RawLink link = RawLink.dial(links.port())) {
+    long before = totalDropCount();
+    try (RawLink link = RawLink.connect(links.port())) {
       byte[] hello = RawLink.hello("vm-9").toByteArray();
-      link.frame(hello.length + missing, hello);
+      link.writeFrame(hello.length + missing, hello);
     }
-    assertGoodPeerIsHeard();
-    assertEquals(before, drops());
+    assertAuthenticPeerCanSend();
+    assertEquals(before, totalDropCount());
   }
 
   @FunctionalInterface
-  private interface Steps {
-    void on(RawLink link) throws Exception;
+  private interface Scenario {
+    void run(RawLink link) throws Exception;
   }
 
   @FunctionalInterface
@@ -165,7 +167,7 @@
     Object parse() throws ProtocolException;
   }
 
-  private static Optional<Reason> refusal(Parser parser) {
+  private static Optional<Reason> parseFailure(Parser parser) {
     try {
       parser.parse();
       return Optional.empty();
@@ -174,25 +176,25 @@
     }
   }
 
-  private void assertDropped(Reason reason, Steps steps) throws Exception {
+  private void assertDropped(Reason reason, Scenario steps) throws Exception {
     long before = links.counters().dropCount(reason);
-    long all = drops();
-    try (RawLink link = RawLink.dial(links.port())) {
-      steps.on(link);
-      link.awaitEnd();
+    long all = totalDropCount();
+    try (RawLink link = RawLink.connect(links.port())) {
+      steps.run(link);
+      link.awaitClose();
     }
     assertEquals(before + 1, links.counters().dropCount(reason), reason.toString());
-    assertEquals(all + 1, drops(), "counted once only");
-    awaitLinks(1);
-    assertGoodPeerIsHeard();
+    assertEquals(all + 1, totalDropCount(), "counted once only");
+    awaitOpenLinks(1);
+    assertAuthenticPeerCanSend();
   }
 
-  private void assertGoodPeerIsHeard() throws InterruptedException {
-    assertTrue(good.send("vm-2", OFFER));
-    assertEquals("vm-1", heard.next());
+  private void assertAuthenticPeerCanSend() throws InterruptedException {
+    assertTrue(authenticPeer.send("vm-2", OFFER));
+    assertEquals("vm-1", inbox.nextSender());
   }
 
-  private long drops() {
+  private long totalDropCount() {
     long sum = 0;
     for (Reason reason : Reason.values()) {
       sum += links.counters().dropCount(reason);
@@ -200,8 +202,8 @@
     return sum;
   }
 
-  private void awaitLinks(int count) throws InterruptedException {
-    while (links.openLinks() != count) {
+  private void awaitOpenLinks(int count) throws InterruptedException {
+    while (links.openLinkCount() != count) {
       Thread.sleep(1);
     }
   }
--- a/sageladder-protocol/src/test/java/org/sageladder/protocol/Inbox.java
+++ b/sageladder-protocol/src/test/java/org/sageladder/protocol/Inbox.java
@@ -6,28 +6,28 @@
 
 /** Keeps who sent each message that came in over links. */
 final class Inbox implements InnerLinks.Receiver {
-  private static final long HANG_SECONDS = 60;
+  private static final long TIMEOUT_SECONDS = 60;
 
   private final BlockingQueue<String> senders = new LinkedBlockingQueue<>();
 
   @Override
-  public void received(String vm, InnerMessage message) {
+  public void onMessage(String vm, InnerMessage message) {
     senders.add(vm);
   }
 
   @Override
-  public void opened(String vm) {}
+  public void onLinkOpened(String vm) {}
 
   @Override
-  public void lost(String vm) {}
+  public void onLinkLost(String vm) {}
 
   boolean isEmpty() {
     return senders.isEmpty();
   }
 
   /** Sender of the next message; {@code nobody} where none comes. */
-  String next() throws InterruptedException {
-    String sender = senders.poll(HANG_SECONDS, TimeUnit.SECONDS);
+  String nextSender() throws InterruptedException {
+    String sender = senders.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     return sender == null ? "nobody" : sender;
   }
 }
--- a/sageladder-protocol/src/test/java/org/sageladder/protocol/InnerLinksTest.java
+++ b/sageladder-protocol/src/test/java/org/sageladder/protocol/InnerLinksTest.java
@@ -20,33 +20,33 @@
 import org.sageladder.protocol.ProtocolException.Reason;
 
 class InnerLinksTest {
-  private static final Duration HANG = Duration.ofMinutes(1);
+  private static final Duration TIMEOUT = Duration.ofMinutes(1);
   private static final String LOOPBACK = "127.0.0.1";
   private static final InnerMessage OFFER =
       new InnerMessage.Spread(new SpreadMessage.DigestOffer(42));
 
-  private final List<InnerLinks> opened = new ArrayList<>();
+  private final List<InnerLinks> openedLinks = new ArrayList<>();
 
   @AfterEach
   void closeAll() {
-    opened.forEach(InnerLinks::close);
+    openedLinks.forEach(InnerLinks::close);
   }
 
   @Test
-  void messagesTravelBothWaysOverOneConnection() throws Exception {
+  void messagesAreSentBothWaysOverOneConnection() throws Exception {
     Inbox first = new Inbox();
     Inbox second = new Inbox();
     InnerLinks one = open("vm-1", "k", "k1", 1, first);
     InnerLinks two = open("vm-2", "k", "k1", 1, second);
-    one.address(new PeerAddress("vm-2", LOOPBACK, two.port()));
+    one.updateAddress(new PeerAddress("vm-2", LOOPBACK, two.port()));
     assertTrue(one.send("vm-2", OFFER));
-    assertEquals("vm-1", second.next());
+    assertEquals("vm-1", second.nextSender());
     assertTrue(two.send("vm-1", OFFER), "the same connection serves the way back");
-    assertEquals("vm-2", first.next());
+    assertEquals("vm-2", first.nextSender());
   }
 
   @Test
-  void peerWithoutAKnownAddressIsNotSentTo() throws Exception {
+  void sendFailsWithoutPeerAddress() throws Exception {
     InnerLinks one = open("vm-1", "k", "k1", 1, new Inbox());
     assertFalse(one.send("vm-2", OFFER));
   }
@@ -55,61 +55,61 @@
   // passed on before the link was known, so that what its receiver answered went to nobody: the
   // larger frames' decoder was put in first, and at once decoded what had been read already.
   @Test
-  void aLinkIsOpenBeforeItsFirstMessageIsPassedOn() throws Exception {
-    Answering answering = new Answering();
+  void linkIsOpenBeforeFirstMessageIsDelivered() throws Exception {
+    AnsweringReceiver answering = new AnsweringReceiver();
     InnerLinks two = open("vm-2", "k", "k1", 1, answering);
     answering.links.complete(two);
-    try (RawLink link = RawLink.dial(two.port())) {
+    try (RawLink link = RawLink.connect(two.port())) {
       Handshake.Session session = link.authenticate("vm-1");
-      byte[] proof = RawLink.framed(RawLink.sealed(session, RawLink.proof()));
-      byte[] first = RawLink.framed(RawLink.sealed(session, MessageCodec.encode(OFFER)));
-      link.raw(RawLink.joined(proof, first));
+      byte[] proof = RawLink.withLength(RawLink.seal(session, RawLink.proof()));
+      byte[] first = RawLink.withLength(RawLink.seal(session, MessageCodec.encode(OFFER)));
+      link.writeRaw(RawLink.concatenate(proof, first));
       assertEquals(
           List.of("opened", "received, answered"),
-          answering.seen.get(HANG.toSeconds(), TimeUnit.SECONDS));
+          answering.seen.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS));
     }
   }
 
   /** Answers the first message on the links' thread, as the control plane does. */
-  private static final class Answering implements InnerLinks.Receiver {
+  private static final class AnsweringReceiver implements InnerLinks.Receiver {
     final CompletableFuture<InnerLinks> links = new CompletableFuture<>();
     final CompletableFuture<List<String>> seen = new CompletableFuture<>();
     private final List<String> events = new ArrayList<>();
 
     @Override
-    public void opened(String vm) {
+    public void onLinkOpened(String vm) {
       events.add("opened");
     }
 
     @Override
-    public void received(String vm, InnerMessage message) {
+    public void onMessage(String vm, InnerMessage message) {
       events.add("received, " + (links.join().send(vm, OFFER) ? "answered" : "not answered"));
       seen.complete(List.copyOf(events));
     }
 
     @Override
-    public void lost(String vm) {}
+    public void onLinkLost(String vm) {}
   }
 
   // A process of another customer, or anybody on the network, connects and sends contracts. Without
   // the key it must neither be heard nor told anything.
   @Test
-  void peerWithAnotherSecretIsDroppedBeforeItIsHeard() throws Exception {
+  void peerWithAnotherSecretIsDroppedBeforeAnyMessage() throws Exception {
     Inbox second = new Inbox();
     InnerLinks one = open("vm-1", "k", "k1", 1, new Inbox());
     InnerLinks two = open("vm-2", "k", "k1", 2, second);
-    one.address(new PeerAddress("vm-2", LOOPBACK, two.port()));
+    one.updateAddress(new PeerAddress("vm-2", LOOPBACK, two.port()));
     one.send("vm-2", OFFER);
     await(() -> one.counters().dropCount(Reason.NOT_AUTHENTIC) == 1);
     assertTrue(second.isEmpty());
-    assertEquals(0, two.openLinks());
+    assertEquals(0, two.openLinkCount());
   }
 
   @Test
   void peerOfAnotherCustomerIsDropped() throws Exception {
     InnerLinks one = open("vm-1", "other", "k1", 1, new Inbox());
     InnerLinks two = open("vm-2", "k", "k1", 1, new Inbox());
-    one.address(new PeerAddress("vm-2", LOOPBACK, two.port()));
+    one.updateAddress(new PeerAddress("vm-2", LOOPBACK, two.port()));
     one.send("vm-2", OFFER);
     await(() -> two.counters().dropCount(Reason.NOT_AUTHENTIC) == 1);
   }
@@ -117,11 +117,11 @@
   // A VM was replaced and its address given to another. A heartbeat meant for the old one would be
   // answered by the wrong one.
   @Test
-  void connectionToAnAddressThatNowBelongsToAnotherVmIsDropped() throws Exception {
+  void connectionToReassignedAddressIsDropped() throws Exception {
     Inbox second = new Inbox();
     InnerLinks one = open("vm-1", "k", "k1", 1, new Inbox());
     InnerLinks two = open("vm-2", "k", "k1", 1, second);
-    one.address(new PeerAddress("vm-9", LOOPBACK, two.port()));
+    one.updateAddress(new PeerAddress("vm-9", LOOPBACK, two.port()));
     one.send("vm-9", OFFER);
     await(() -> two.counters().dropCount(Reason.NOT_AUTHENTIC) == 1);
     assertTrue(second.isEmpty());
@@ -130,23 +130,23 @@
   // The operators change the key. For a while some VMs sign with the new one and others with the
   // old.
   @Test
-  void peersWhoseKeyRingsOverlapTalkDuringARotation() throws Exception {
+  void peersWithOverlappingKeyRingsConnectDuringRotation() throws Exception {
     Inbox second = new Inbox();
     KeyRing.Key old = RawLink.key("k1", 1);
     KeyRing.Key fresh = RawLink.key("k2", 2);
     InnerLinks one = open("vm-1", "k", KeyRing.of(List.of(old)), new Inbox());
     InnerLinks two = open("vm-2", "k", KeyRing.of(List.of(fresh, old)), second);
-    one.address(new PeerAddress("vm-2", LOOPBACK, two.port()));
+    one.updateAddress(new PeerAddress("vm-2", LOOPBACK, two.port()));
     one.send("vm-2", OFFER);
-    assertEquals("vm-1", second.next());
+    assertEquals("vm-1", second.nextSender());
   }
 
   @Test
   void oversizeFirstFrameIsDroppedAndCounted() throws Exception {
     InnerLinks two = open("vm-2", "k", "k1", 1, new Inbox());
-    try (RawLink link = RawLink.dial(two.port())) {
-      link.frame(LinkHandler.LARGEST_FIRST_FRAME + 1, new byte[0]);
-      link.awaitEnd();
+    try (RawLink link = RawLink.connect(two.port())) {
+      link.writeFrame(LinkHandler.MAX_HANDSHAKE_FRAME_BYTES + 1, new byte[0]);
+      link.awaitClose();
     }
     await(() -> two.counters().dropCount(Reason.TOO_LARGE) == 1);
   }
@@ -154,9 +154,9 @@
   @Test
   void bytesThatAreNoHelloAreDroppedAndCounted() throws Exception {
     InnerLinks two = open("vm-2", "k", "k1", 1, new Inbox());
-    try (RawLink link = RawLink.dial(two.port())) {
-      link.raw("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-      link.awaitEnd();
+    try (RawLink link = RawLink.connect(two.port())) {
+      link.writeRaw("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+      link.awaitClose();
     }
     await(() -> two.counters().dropCount(Reason.TOO_LARGE) == 1);
   }
@@ -164,14 +164,14 @@
   @Test
   void peerOfAnUnknownVersionIsDroppedAndCounted() throws Exception {
     InnerLinks two = open("vm-2", "k", "k1", 1, new Inbox());
-    try (RawLink link = RawLink.dial(two.port())) {
-      link.frame(
+    try (RawLink link = RawLink.connect(two.port())) {
+      link.writeFrame(
           RawLink.hello("vm-1").toBuilder()
               .setLowestVersion(8)
               .setHighestVersion(9)
               .build()
               .toByteArray());
-      link.awaitEnd();
+      link.awaitClose();
     }
     await(() -> two.counters().dropCount(Reason.VERSION) == 1);
   }
@@ -179,22 +179,22 @@
   // Somebody records a whole connection and plays it again later. The recorded frames must not be
   // taken for new ones.
   @Test
-  void framesOfAnEarlierConnectionAreRefusedOnANewOne() throws Exception {
+  void replayedFramesAreRejected() throws Exception {
     Inbox second = new Inbox();
     InnerLinks two = open("vm-2", "k", "k1", 1, second);
     byte[] helloBytes = RawLink.hello("vm-1").toByteArray();
     byte[] recorded;
-    try (RawLink link = RawLink.dial(two.port())) {
-      recorded = RawLink.sealed(link.authenticate("vm-1"), RawLink.proof());
-      link.frame(recorded);
-      await(() -> two.openLinks() == 1);
+    try (RawLink link = RawLink.connect(two.port())) {
+      recorded = RawLink.seal(link.authenticate("vm-1"), RawLink.proof());
+      link.writeFrame(recorded);
+      await(() -> two.openLinkCount() == 1);
     }
-    await(() -> two.openLinks() == 0);
-    try (RawLink link = RawLink.dial(two.port())) {
-      link.frame(helloBytes);
+    await(() -> two.openLinkCount() == 0);
+    try (RawLink link = RawLink.connect(two.port())) {
+      link.writeFrame(helloBytes);
       link.readFrame();
-      link.frame(recorded);
-      link.awaitEnd();
+      link.writeFrame(recorded);
+      link.awaitClose();
     }
     await(() -> two.counters().dropCount(Reason.NOT_AUTHENTIC) == 1);
   }
@@ -203,12 +203,12 @@
   void unknownMessageKindEndsTheConnectionAndIsCounted() throws Exception {
     Inbox second = new Inbox();
     InnerLinks two = open("vm-2", "k", "k1", 1, second);
-    try (RawLink link = RawLink.dial(two.port())) {
+    try (RawLink link = RawLink.connect(two.port())) {
       Handshake.Session session = link.authenticate("vm-1");
-      link.frame(RawLink.sealed(session, new byte[0]));
+      link.writeFrame(RawLink.seal(session, new byte[0]));
       byte[] fieldOfALaterVersion = {(byte) 0xba, 0x1f, 0};
-      link.frame(RawLink.sealed(session, fieldOfALaterVersion));
-      link.awaitEnd();
+      link.writeFrame(RawLink.seal(session, fieldOfALaterVersion));
+      link.awaitClose();
     }
     await(() -> two.counters().dropCount(Reason.UNKNOWN_KIND) == 1);
     assertTrue(second.isEmpty());
@@ -224,14 +224,14 @@
       throws IOException {
     LinkIdentity identity = new LinkIdentity(vm, customer, 1);
     InnerLinks links = InnerLinks.open(LOOPBACK, 0, identity, () -> Optional.of(ring), inbox);
-    opened.add(links);
+    openedLinks.add(links);
     return links;
   }
 
   private static void await(BooleanSupplier condition) throws InterruptedException {
-    long end = System.nanoTime() + HANG.toNanos();
+    long end = System.nanoTime() + TIMEOUT.toNanos();
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, () -> "waited " + HANG + " in vain");
+      assertTrue(System.nanoTime() < end, () -> "waited " + TIMEOUT + " in vain");
       Thread.sleep(5);
     }
   }
--- a/sageladder-protocol/src/test/java/org/sageladder/protocol/MessageCodecProperties.java
+++ b/sageladder-protocol/src/test/java/org/sageladder/protocol/MessageCodecProperties.java
@@ -51,7 +51,7 @@
           MembershipCodec::decodeReport);
   private static final List<byte[]> ENCODED =
       List.of(
-          MessageCodec.encode(new InnerMessage.Beat(heartbeat())),
+          MessageCodec.encode(new InnerMessage.HeartbeatMessage(heartbeat())),
           MessageCodec.encode(new TopicPayload("share-transfer", new byte[] {1, 2, 3})),
           MembershipCodec.encode(VIEW),
           MembershipCodec.encode(REPORT));
@@ -59,25 +59,25 @@
   // A peer of another version, a port scanner or a broken process sends bytes that are no message.
   // An exception of another kind would end the connection's thread, not the connection.
   @Property(tries = 500, seed = "20261202")
-  void anyBytesGiveAMessageOrAProtocolException(@ForAll byte[] bytes) {
+  void arbitraryBytesDecodeOrThrowProtocolException(@ForAll byte[] bytes) {
     for (Decoder decoder : DECODERS) {
-      decodes(decoder, bytes);
+      decodeOrReject(decoder, bytes);
     }
   }
 
   // The same for bytes that were a message once: damage that leaves most of it in shape gets
   // further into a decoder than random bytes do.
   @Property(tries = 500, seed = "20261202")
-  void damagedMessagesGiveAMessageOrAProtocolException(
+  void corruptedMessagesDecodeOrThrowProtocolException(
       @ForAll @IntRange(max = 3) int which, @ForAll int at, @ForAll byte with) {
     byte[] damaged = ENCODED.get(which).clone();
     damaged[Math.floorMod(at, damaged.length)] = with;
     for (Decoder decoder : DECODERS) {
-      decodes(decoder, damaged);
+      decodeOrReject(decoder, damaged);
     }
   }
 
-  private static void decodes(Decoder decoder, byte[] bytes) {
+  private static void decodeOrReject(Decoder decoder, byte[] bytes) {
     try {
       decoder.decode(bytes);
     } catch (ProtocolException expected) {
@@ -91,8 +91,8 @@
   }
 
   @Property(tries = 500, seed = "20261202")
-  void cutMessageGivesAMessageOrAProtocolException(@ForAll int cut) {
-    byte[] whole = MessageCodec.encode(new InnerMessage.Beat(heartbeat()));
+  void truncatedMessageDecodesOrThrowsProtocolException(@ForAll int cut) {
+    byte[] whole = MessageCodec.encode(new InnerMessage.HeartbeatMessage(heartbeat()));
     byte[] part = java.util.Arrays.copyOf(whole, Math.floorMod(cut, whole.length));
     try {
       MessageCodec.decode(part);
@@ -102,14 +102,15 @@
   }
 
   @Example
-  void heartbeatKeepsEverything() throws ProtocolException {
-    InnerMessage.Beat beat = new InnerMessage.Beat(heartbeat());
+  void heartbeatSurvivesRoundTrip() throws ProtocolException {
+    InnerMessage.HeartbeatMessage beat = new InnerMessage.HeartbeatMessage(heartbeat());
     assertEquals(beat, MessageCodec.decode(MessageCodec.encode(beat)));
   }
 
   @Example
-  void answerAndVersionsKeepEverything() throws ProtocolException {
-    InnerMessage answer = new InnerMessage.BeatAnswer(new HeartbeatAnswer(-5, 9, true, true, 77));
+  void heartbeatAnswerAndVersionsSurviveRoundTrip() throws ProtocolException {
+    InnerMessage answer =
+        new InnerMessage.HeartbeatAnswerMessage(new HeartbeatAnswer(-5, 9, true, true, 77));
     assertEquals(answer, MessageCodec.decode(MessageCodec.encode(answer)));
     InnerMessage versions =
         new InnerMessage.Spread(
@@ -121,17 +122,17 @@
   }
 
   @Example
-  void viewKeepsEverything() throws ProtocolException {
+  void viewSurvivesRoundTrip() throws ProtocolException {
     assertEquals(VIEW, MembershipCodec.decodeView(MembershipCodec.encode(VIEW)));
   }
 
   @Example
-  void reportKeepsEverything() throws ProtocolException {
+  void zoneReportSurvivesRoundTrip() throws ProtocolException {
     assertEquals(REPORT, MembershipCodec.decodeReport(MembershipCodec.encode(REPORT)));
   }
 
   @Property(tries = 100, seed = "20261202")
-  void payloadKeepsItsContent(@ForAll byte[] content) throws ProtocolException {
+  void payloadSurvivesRoundTrip(@ForAll byte[] content) throws ProtocolException {
     TopicPayload payload = new TopicPayload("share-transfer", content);
     TopicPayload back = MessageCodec.decodePayload(MessageCodec.encode(payload));
     assertEquals("share-transfer", back.topic());
--- a/sageladder-protocol/src/test/java/org/sageladder/protocol/RawLink.java
+++ b/sageladder-protocol/src/test/java/org/sageladder/protocol/RawLink.java
@@ -21,7 +21,7 @@
     this.socket = socket;
   }
 
-  static RawLink dial(int port) throws IOException {
+  static RawLink connect(int port) throws IOException {
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
     socket.setTcpNoDelay(true);
     return new RawLink(socket);
@@ -54,7 +54,7 @@
   /** Goes through the handshake; what follows can be sealed with the session. */
   Handshake.Session authenticate(String vm) throws IOException, ProtocolException {
     byte[] hello = hello(vm).toByteArray();
-    frame(hello);
+    writeFrame(hello);
     return handshake(vm).complete(hello, readFrame());
   }
 
@@ -65,35 +65,35 @@
         .toByteArray();
   }
 
-  static byte[] sealed(Handshake.Session session, byte[] body) {
-    byte[] tag = session.writing().next(body);
+  static byte[] seal(Handshake.Session session, byte[] body) {
+    byte[] tag = session.sendMac().nextTag(body);
     byte[] sealed = Arrays.copyOf(tag, tag.length + body.length);
     System.arraycopy(body, 0, sealed, tag.length, body.length);
     return sealed;
   }
 
   /** A frame's length and bytes. */
-  static byte[] framed(byte[] bytes) {
+  static byte[] withLength(byte[] bytes) {
     return ByteBuffer.allocate(4 + bytes.length).putInt(bytes.length).put(bytes).array();
   }
 
-  static byte[] joined(byte[] first, byte[] second) {
+  static byte[] concatenate(byte[] first, byte[] second) {
     return ByteBuffer.allocate(first.length + second.length).put(first).put(second).array();
   }
 
-  void frame(byte[] bytes) throws IOException {
-    frame(bytes.length, bytes);
+  void writeFrame(byte[] bytes) throws IOException {
+    writeFrame(bytes.length, bytes);
   }
 
   /** A frame whose stated length need not be true. */
-  void frame(int length, byte[] bytes) throws IOException {
+  void writeFrame(int length, byte[] bytes) throws IOException {
     DataOutputStream out = new DataOutputStream(socket.getOutputStream());
     out.writeInt(length);
     out.write(bytes);
     out.flush();
   }
 
-  void raw(byte[] bytes) throws IOException {
+  void writeRaw(byte[] bytes) throws IOException {
     socket.getOutputStream().write(bytes);
   }
 
@@ -105,7 +105,7 @@
   }
 
   /** Reads until the peer ends the connection. */
-  void awaitEnd() {
+  void awaitClose() {
     try {
       byte[] unused = socket.getInputStream().readAllBytes();
     } catch (IOException expected) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemSender.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemSender.java
@@ -22,7 +22,7 @@
   /** Callers of {@code customer} who know the entry VMs at {@code addresses}. */
   static SystemSender of(String customer, List<String> addresses) {
     ClientOptions options =
-        ClientOptions.seeds(addresses).connectionsPerEntry(CONNECTIONS_PER_ENTRY);
+        ClientOptions.seeds(addresses).maxConnectionsPerEntry(CONNECTIONS_PER_ENTRY);
     return new SystemSender(customer, SageladderClient.start(options));
   }
 
@@ -43,27 +43,28 @@
   }
 
   private static Outcome outcome(Answer answer, TargetRequest request) {
-    if (answer instanceof Answer.Whole whole) {
+    if (answer instanceof Answer.Complete whole) {
       return whole(whole, request);
     }
-    if (answer instanceof Answer.RanUnseen ran) {
-      return new Outcome(What.RAN_UNSEEN, ran.code().name(), "", ran.tries());
+    if (answer instanceof Answer.RanAnswerUnavailable ran) {
+      return new Outcome(What.RAN_UNSEEN, ran.code().name(), "", ran.attemptCount());
     }
     if (answer instanceof Answer.NotRun notRun) {
-      return new Outcome(What.NOT_RUN, notRun.code().name(), "", notRun.tries());
+      return new Outcome(What.NOT_RUN, notRun.code().name(), "", notRun.attemptCount());
     }
     Answer.Unknown unknown = (Answer.Unknown) answer;
-    return new Outcome(What.UNKNOWN, unknown.code().name(), "", unknown.tries());
+    return new Outcome(What.UNKNOWN, unknown.code().name(), "", unknown.attemptCount());
   }
 
   /** A status of the target's own, such as 504 past the deadline, tells that it ran or may have. */
-  private static Outcome whole(Answer.Whole whole, TargetRequest request) {
+  private static Outcome whole(Answer.Complete whole, TargetRequest request) {
     if (whole.status() != 200) {
-      return new Outcome(What.UNKNOWN, "STATUS_" + whole.status(), whole.target(), whole.tries());
+      return new Outcome(
+          What.UNKNOWN, "STATUS_" + whole.status(), whole.target(), whole.attemptCount());
     }
     String checksum = whole.header(TargetRequest.CHECKSUM).orElse("");
     boolean right = request.isAnsweredBy(checksum, whole.body());
-    return new Outcome(right ? What.WHOLE : What.WRONG, "OK", whole.target(), whole.tries());
+    return new Outcome(right ? What.WHOLE : What.WRONG, "OK", whole.target(), whole.attemptCount());
   }
 
   @Override
