--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/LinkHandler.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/LinkHandler.java
@@ -33,7 +33,7 @@
 
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final long HANDSHAKE_TIMEOUT_SECONDS = 5;
-  private static final byte[] PROOF =
+  private static final byte[] ENCODED_PROOF =
       Inner.Envelope.newBuilder().setProof(Inner.Proof.getDefaultInstance()).build().toByteArray();
 
   private final Handshake handshake;
@@ -119,7 +119,7 @@
     if (now == null && sentHello != null) {
       Session complete = handshake.complete(sentHello, bytes);
       session = complete;
-      writeFrame(context, seal(complete, PROOF), context.newPromise());
+      writeFrame(context, seal(complete, ENCODED_PROOF), context.newPromise());
       completeHandshake(context, complete);
       return;
     }
--- a/sageladder-protocol/src/test/java/org/sageladder/protocol/HostilePeersProperties.java
+++ b/sageladder-protocol/src/test/java/org/sageladder/protocol/HostilePeersProperties.java
@@ -31,7 +31,7 @@
   private InnerLinks links;
 
   @BeforeProperty
-  void open() throws Exception {
+  void openLinks() throws Exception {
     links = open("vm-2", inbox);
     authenticPeer = open("vm-1", new Inbox());
     authenticPeer.updateAddress(new PeerAddress("vm-2", "127.0.0.1", links.port()));
@@ -39,7 +39,7 @@
   }
 
   @AfterProperty
-  void close() {
+  void closeLinks() {
     authenticPeer.close();
     links.close();
   }
--- a/sageladder-protocol/src/test/java/org/sageladder/protocol/InnerLinksTest.java
+++ b/sageladder-protocol/src/test/java/org/sageladder/protocol/InnerLinksTest.java
@@ -66,14 +66,14 @@
       link.writeRaw(RawLink.concatenate(proof, first));
       assertEquals(
           List.of("opened", "received, answered"),
-          answering.seen.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS));
+          answering.receivedEvents.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS));
     }
   }
 
   /** Answers the first message on the links' thread, as the control plane does. */
   private static final class AnsweringReceiver implements InnerLinks.Receiver {
     final CompletableFuture<InnerLinks> links = new CompletableFuture<>();
-    final CompletableFuture<List<String>> seen = new CompletableFuture<>();
+    final CompletableFuture<List<String>> receivedEvents = new CompletableFuture<>();
     private final List<String> events = new ArrayList<>();
 
     @Override
@@ -84,7 +84,7 @@
     @Override
     public void onMessage(String vm, InnerMessage message) {
       events.add("received, " + (links.join().send(vm, OFFER) ? "answered" : "not answered"));
-      seen.complete(List.copyOf(events));
+      receivedEvents.complete(List.copyOf(events));
     }
 
     @Override
