--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/HttpListener.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/HttpListener.java
@@ -27,7 +27,7 @@
 import org.sageladder.core.result.ResultCode;
 import org.sageladder.entry.request.Headers;
 import org.sageladder.entry.request.LocalReplies;
-import org.sageladder.platform.http.HangUpSession;
+import org.sageladder.platform.http.DisconnectDetectingSession;
 
 /** One listening HTTP port of an entry VM. */
 public final class HttpListener implements AutoCloseable {
@@ -104,7 +104,7 @@
             .setBacklogSize(1024)
             .setSelectInterval(TimeValue.ofMilliseconds(200))
             .build(),
-        HangUpSession.decorator(),
+        DisconnectDetectingSession.decorator(),
         null,
         connectionLimiter,
         null,
--- a/sageladder-entry/src/main/java/org/sageladder/entry/settings/EntrySettings.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/settings/EntrySettings.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.regex.Pattern;
-import org.sageladder.platform.settings.Names;
+import org.sageladder.platform.settings.SettingPatterns;
 import org.sageladder.platform.settings.SettingsDocument;
 import org.sageladder.platform.settings.SettingsException;
 import org.sageladder.platform.settings.SettingsSection;
@@ -173,10 +173,10 @@
             "callerLimits",
             "eventCapacity");
     return new EntrySettings(
-        root.text("vm", Names.NAME, Names.NAME_ALLOWED),
-        root.text("customer", Names.NAME, Names.NAME_ALLOWED),
-        root.text("zone", Names.NAME, Names.NAME_ALLOWED),
-        root.text("host", Names.IP_NUMBER, Names.IP_NUMBER_ALLOWED),
+        root.text("vm", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED),
+        root.text("customer", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED),
+        root.text("zone", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED),
+        root.text("host", SettingPatterns.IP_ADDRESS, SettingPatterns.IP_ADDRESS_ALLOWED),
         ports(root),
         store(root),
         vmList(root),
@@ -214,7 +214,7 @@
   private static StoreSettings store(SettingsSection root) throws SettingsException {
     SettingsSection section = root.section("store", "uri", "timeout");
     return new StoreSettings(
-        URI.create(section.text("uri", Names.HTTP_URI, Names.HTTP_URI_ALLOWED)),
+        URI.create(section.text("uri", SettingPatterns.HTTP_URI, SettingPatterns.HTTP_URI_ALLOWED)),
         section.duration(
             "timeout", Duration.ofMillis(10), Duration.ofSeconds(30), Duration.ofSeconds(1)));
   }
@@ -222,14 +222,15 @@
   private static VmListSettings vmList(SettingsSection root) throws SettingsException {
     SettingsSection section = root.section("vmList", "uri", "every");
     return new VmListSettings(
-        URI.create(section.text("uri", Names.HTTP_URI, Names.HTTP_URI_ALLOWED)),
+        URI.create(section.text("uri", SettingPatterns.HTTP_URI, SettingPatterns.HTTP_URI_ALLOWED)),
         section.duration(
             "every", Duration.ofMillis(50), Duration.ofMinutes(10), Duration.ofSeconds(1)));
   }
 
   private static List<PeerAddress> seeds(SettingsSection root) throws SettingsException {
     List<PeerAddress> seeds = new ArrayList<>();
-    for (String text : root.texts("seeds", Names.ADDRESS, Names.ADDRESS_ALLOWED)) {
+    for (String text :
+        root.texts("seeds", SettingPatterns.ADDRESS, SettingPatterns.ADDRESS_ALLOWED)) {
       PeerAddress seed = PeerAddress.parse(text);
       if (seed.port() > MAX_PORT) {
         throw root.error("seeds", text, "ports from 1 to " + MAX_PORT);
--- a/sageladder-http/src/main/java/org/sageladder/http/Connector.java
+++ b/sageladder-http/src/main/java/org/sageladder/http/Connector.java
@@ -36,7 +36,7 @@
  * <p>Safe for use by several threads.
  */
 public final class Connector implements AutoCloseable {
-  private static final int LEASE_TRIES = 3;
+  private static final int MAX_LEASE_ATTEMPTS = 3;
 
   /**
    * How long a connection is used.
@@ -45,7 +45,7 @@
    * request is sent on it; nobody knows then whether the request was read, and a bid's outcome is
    * "unknown". Entry VMs close idle connections after a minute at the earliest.
    */
-  private static final Timeout CONNECTION_LIFE = Timeout.ofSeconds(50);
+  private static final Timeout CONNECTION_TTL = Timeout.ofSeconds(50);
 
   private static final Duration SELECT_INTERVAL = Duration.ofMillis(200);
 
@@ -65,12 +65,12 @@
                     .setTcpNoDelay(true)
                     .setSelectInterval(TimeValue.of(SELECT_INTERVAL))
                     .build())
-            .setHttpProcessor(withoutExpect())
-            .setIOSessionListener(new NoSilenceLimit())
+            .setHttpProcessor(httpProcessorWithoutExpect())
+            .setIOSessionListener(new SocketTimeoutDisabler())
             .setPoolConcurrencyPolicy(PoolConcurrencyPolicy.LAX)
             .setDefaultMaxPerRoute(connectionsPerHost)
             .setMaxTotal(Integer.MAX_VALUE)
-            .setTimeToLive(CONNECTION_LIFE)
+            .setTimeToLive(CONNECTION_TTL)
             .create();
     requester.start();
     return new Connector(requester);
@@ -80,7 +80,7 @@
    * The library's usual steps but for {@code Expect: 100-continue}, which costs a round trip for
    * each request with a body; targets and entry VMs answer early by themselves.
    */
-  private static HttpProcessor withoutExpect() {
+  private static HttpProcessor httpProcessorWithoutExpect() {
     return HttpProcessorBuilder.create()
         .addAll(
             RequestTargetHost.INSTANCE,
@@ -97,7 +97,7 @@
    * each later silence, so a target that works for longer than that, or a watch that waits, is cut
    * off as lost. The deadline of the request ends a wait that is too long.
    */
-  private static final class NoSilenceLimit extends SessionObserver {
+  private static final class SocketTimeoutDisabler extends SessionObserver {
     @Override
     public void connected(IOSession session) {
       session.setSocketTimeout(Timeout.DISABLED);
@@ -106,8 +106,8 @@
 
   /** Begins to lease a connection and tells {@code whenDone}; pooled ones may have been closed. */
   public Future<AsyncClientEndpoint> connect(
-      HttpHost host, Duration limit, FutureCallback<AsyncClientEndpoint> whenDone) {
-    return requester.connect(host, Timeout.of(limit), null, whenDone);
+      HttpHost host, Duration timeout, FutureCallback<AsyncClientEndpoint> callback) {
+    return requester.connect(host, Timeout.of(timeout), null, callback);
   }
 
   /**
@@ -118,9 +118,9 @@
    *
    * @throws IOException where there is none; nothing was sent
    */
-  public AsyncClientEndpoint lease(HttpHost host, Duration limit) throws IOException {
-    for (int tried = 0; tried < LEASE_TRIES; tried++) {
-      AsyncClientEndpoint endpoint = leaseOnce(host, limit);
+  public AsyncClientEndpoint lease(HttpHost host, Duration timeout) throws IOException {
+    for (int tried = 0; tried < MAX_LEASE_ATTEMPTS; tried++) {
+      AsyncClientEndpoint endpoint = leaseOnce(host, timeout);
       if (endpoint.isConnected()) {
         return endpoint;
       }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/contract/ApplyResult.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/contract/ApplyResult.java
@@ -21,10 +21,10 @@
    *
    * @param current the contract that stands, null where it was deleted
    * @param differences what this change would have made of the contract that stands
-   * @param conflicting keys that both sides changed, as far as the history reaches back
+   * @param conflictingKeys keys that both sides changed, as far as the history reaches back
    */
   record Conflict(
-      @Nullable StoredContract current, List<Difference> differences, List<String> conflicting)
+      @Nullable StoredContract current, List<Difference> differences, List<String> conflictingKeys)
       implements ApplyResult {}
 
   /** No answer came, nor could it be read back: the change may or may not stand. */
--- a/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractDiff.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractDiff.java
@@ -29,8 +29,8 @@
 
   /** All differences ordered by key; empty where only the revisions differ. */
   public static List<Difference> between(Contract before, Contract after) {
-    Map<String, String> old = flat(before);
-    Map<String, String> changed = flat(after);
+    Map<String, String> old = valuesByKey(before);
+    Map<String, String> changed = valuesByKey(after);
     TreeSet<String> keys = new TreeSet<>(old.keySet());
     keys.addAll(changed.keySet());
     List<Difference> differences = new ArrayList<>();
@@ -44,9 +44,9 @@
     return differences;
   }
 
-  private static Map<String, String> flat(Contract contract) {
+  private static Map<String, String> valuesByKey(Contract contract) {
     Map<String, String> values = new TreeMap<>();
-    flatten("", ContractFormat.tree(contract), values);
+    flatten("", ContractFormat.toTree(contract), values);
     return values;
   }
 
@@ -58,7 +58,7 @@
       }
     } else if (node.isArray() && !node.isEmpty() && node.get(0).isObject()) {
       for (JsonNode entry : node) {
-        flatten(path + "[" + nameOf(entry) + "]", entry, values);
+        flatten(path + "[" + entryId(entry) + "]", entry, values);
       }
     } else {
       values.put(path, node.isArray() ? node.toString() : node.asText());
@@ -66,7 +66,7 @@
   }
 
   /** Entries of lists are told apart by what names them, so that moving one is no difference. */
-  private static String nameOf(JsonNode entry) {
+  private static String entryId(JsonNode entry) {
     if (entry.has("name")) {
       return entry.get("name").asText();
     }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractFormat.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractFormat.java
@@ -24,7 +24,7 @@
 
   private ContractFormat() {}
 
-  static String yaml(ObjectNode tree) {
+  static String toYaml(ObjectNode tree) {
     try {
       return MAPPER.writeValueAsString(tree);
     } catch (JsonProcessingException e) {
@@ -32,7 +32,7 @@
     }
   }
 
-  static ObjectNode tree(Contract contract) {
+  static ObjectNode toTree(Contract contract) {
     ObjectNode tree = NODES.objectNode();
     tree.put("customer", contract.customer());
     ArrayNode regions = tree.putArray("regions");
@@ -43,9 +43,9 @@
     }
     Contract.Delays delays = contract.delays();
     tree.putObject("delays")
-        .put("betweenZones", duration(delays.betweenZonesMillis()))
-        .put("betweenRegions", duration(delays.betweenRegionsMillis()))
-        .put("toClients", duration(delays.toClientsMillis()));
+        .put("betweenZones", formatDuration(delays.betweenZonesMillis()))
+        .put("betweenRegions", formatDuration(delays.betweenRegionsMillis()))
+        .put("toClients", formatDuration(delays.toClientsMillis()));
     ArrayNode blocks = tree.putArray("clientBlocks");
     for (Contract.ClientBlocks range : contract.clientBlocks()) {
       blocks
@@ -72,7 +72,7 @@
         .put("targets", service.targets())
         .put("slotsPerTarget", service.slotsPerTarget())
         .put("connectionsPerTarget", service.connectionsPerTarget())
-        .put("meanService", duration(service.meanServiceMillis()))
+        .put("meanService", formatDuration(service.meanServiceMillis()))
         .put("queuePerTarget", service.queuePerTarget())
         .put("queueWait", DurationText.format(service.queueWait()))
         .put("longestDeadline", DurationText.format(service.longestDeadline()))
@@ -97,7 +97,7 @@
     }
   }
 
-  private static String duration(double millis) {
+  private static String formatDuration(double millis) {
     return DurationText.format(Duration.ofNanos(Math.round(millis * 1e6)));
   }
 }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractWriter.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractWriter.java
@@ -27,7 +27,7 @@
  */
 public final class ContractWriter {
   /** Tries to learn how a write without an answer ended. */
-  private static final int TRIES = 5;
+  private static final int MAX_WRITE_ATTEMPTS = 5;
 
   private final Store store;
   private final TimeSource time;
@@ -71,7 +71,7 @@
       if (current != null && differences.isEmpty()) {
         return new ApplyResult.Unchanged(revision);
       }
-      return write(changed(current, contract, differences), baseRevision, differences);
+      return write(nextVersion(current, contract, differences), baseRevision, differences);
     } catch (StoreException e) {
       return new ApplyResult.Unavailable(e.getMessage());
     }
@@ -80,7 +80,7 @@
   /** The stored contract of that customer, or null where there is none. */
   public @Nullable StoredContract read(String customer) throws StoreException {
     Optional<StoredValue> stored = store.read(StoredContract.keyOf(customer));
-    return stored.isEmpty() ? null : decoded(stored.get());
+    return stored.isEmpty() ? null : decode(stored.get());
   }
 
   /**
@@ -95,14 +95,14 @@
     byte[] value = change.toBytes();
     String reason = "";
     boolean sentBefore = false;
-    for (int i = 0; i < TRIES; i++) {
+    for (int i = 0; i < MAX_WRITE_ATTEMPTS; i++) {
       try {
         WriteResult result = store.compareAndSet(key, baseRevision, value, null);
         if (result instanceof WriteResult.Written written) {
           return new ApplyResult.Accepted(written.revision(), differences);
         }
         StoredValue current = ((WriteResult.Conflict) result).current();
-        return conflictOrOwn(change, current, baseRevision, differences);
+        return resolveConflict(change, current, baseRevision, differences);
       } catch (StoreException.OutcomeUnknown e) {
         sentBefore = true;
         reason = e.getMessage();
@@ -116,7 +116,7 @@
     return new ApplyResult.OutcomeUnknown(change.changeId(), reason);
   }
 
-  private ApplyResult conflictOrOwn(
+  private ApplyResult resolveConflict(
       StoredContract change,
       @Nullable StoredValue current,
       long baseRevision,
@@ -124,7 +124,7 @@
     if (current == null) {
       return new ApplyResult.Conflict(null, List.of(), List.of());
     }
-    StoredContract standing = decoded(current);
+    StoredContract standing = decode(current);
     if (standing.changeId().equals(change.changeId())) {
       return new ApplyResult.Accepted(current.revision(), differences);
     }
@@ -153,14 +153,14 @@
     return new ApplyResult.Conflict(current, differences, conflicting);
   }
 
-  private StoredContract changed(
+  private StoredContract nextVersion(
       @Nullable StoredContract current, Contract contract, List<Difference> differences) {
     String changeId = changeIds.get();
     List<String> fields = differences.stream().map(Difference::key).toList();
     List<Change> history = new ArrayList<>();
     history.add(new Change(0, changeId, author, time.wallMillis(), fields));
     if (current != null) {
-      int kept = Math.min(current.history().size(), StoredContract.LONGEST_HISTORY - 1);
+      int kept = Math.min(current.history().size(), StoredContract.MAX_HISTORY_LENGTH - 1);
       history.addAll(current.history().subList(0, kept));
     }
     return new StoredContract(changeId, author, contract, history);
@@ -170,7 +170,7 @@
     return current == null ? List.of() : ContractDiff.between(current.contract(), wanted);
   }
 
-  private static StoredContract decoded(StoredValue value) {
+  private static StoredContract decode(StoredValue value) {
     try {
       return StoredContract.fromStored(value);
     } catch (SettingsException e) {
--- a/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractYaml.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractYaml.java
@@ -12,7 +12,7 @@
 import org.sageladder.core.contract.Contract.Service;
 import org.sageladder.core.contract.Contract.ShiftCap;
 import org.sageladder.core.contract.RequestClass;
-import org.sageladder.platform.settings.Names;
+import org.sageladder.platform.settings.SettingPatterns;
 import org.sageladder.platform.settings.SettingsDocument;
 import org.sageladder.platform.settings.SettingsException;
 import org.sageladder.platform.settings.SettingsSection;
@@ -29,10 +29,10 @@
  */
 public final class ContractYaml {
   /** Largest block number that a contract may name. */
-  public static final int LAST_BLOCK = 999_999;
+  public static final int MAX_BLOCK = 999_999;
 
-  private static final int MOST_PER_SERVICE = 100_000;
-  private static final double MOST_REQUESTS_PER_SECOND = 100_000_000;
+  private static final int MAX_PER_SERVICE = 100_000;
+  private static final double MAX_REQUESTS_PER_SECOND = 100_000_000;
   private static final Duration MILLISECOND = Duration.ofMillis(1);
   private static final Duration DAY = Duration.ofDays(1);
 
@@ -74,7 +74,7 @@
 
   /** The contract as YAML text that {@link #parse} reads back alike, but for the revision. */
   public static String format(Contract contract) {
-    return ContractFormat.yaml(ContractFormat.tree(contract));
+    return ContractFormat.toYaml(ContractFormat.toTree(contract));
   }
 
   static String[] contractKeys() {
@@ -82,7 +82,7 @@
   }
 
   static Contract read(SettingsSection root) throws SettingsException {
-    String customer = root.text("customer", Names.NAME, Names.NAME_ALLOWED);
+    String customer = root.text("customer", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED);
     return new Contract(
         customer,
         0,
@@ -96,8 +96,10 @@
   private static List<Region> regions(SettingsSection root) throws SettingsException {
     List<Region> regions = new ArrayList<>();
     for (SettingsSection section : root.sections("regions", "name", "zones")) {
-      String name = section.text("name", Names.NAME, Names.NAME_ALLOWED);
-      regions.add(new Region(name, section.texts("zones", Names.NAME, Names.NAME_ALLOWED)));
+      String name = section.text("name", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED);
+      regions.add(
+          new Region(
+              name, section.texts("zones", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED)));
     }
     return regions;
   }
@@ -105,17 +107,17 @@
   private static Delays delays(SettingsSection root) throws SettingsException {
     SettingsSection section = root.section("delays", "betweenZones", "betweenRegions", "toClients");
     return new Delays(
-        millis(section.duration("betweenZones", Duration.ZERO, Duration.ofSeconds(10))),
-        millis(section.duration("betweenRegions", Duration.ZERO, Duration.ofSeconds(10))),
-        millis(section.duration("toClients", Duration.ZERO, Duration.ofSeconds(10))));
+        toMillis(section.duration("betweenZones", Duration.ZERO, Duration.ofSeconds(10))),
+        toMillis(section.duration("betweenRegions", Duration.ZERO, Duration.ofSeconds(10))),
+        toMillis(section.duration("toClients", Duration.ZERO, Duration.ofSeconds(10))));
   }
 
   private static List<ClientBlocks> clientBlocks(SettingsSection root) throws SettingsException {
     List<ClientBlocks> blocks = new ArrayList<>();
     for (SettingsSection section : root.sections("clientBlocks", "first", "last", "region")) {
-      int first = section.wholeNumber("first", 0, LAST_BLOCK);
-      int last = section.wholeNumber("last", first, LAST_BLOCK);
-      String region = section.text("region", Names.NAME, Names.NAME_ALLOWED);
+      int first = section.wholeNumber("first", 0, MAX_BLOCK);
+      int last = section.wholeNumber("last", first, MAX_BLOCK);
+      String region = section.text("region", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED);
       blocks.add(new ClientBlocks(first, last, region));
     }
     return blocks;
@@ -126,9 +128,9 @@
     for (SettingsSection section : root.sections("linkLimits", "from", "to", "requestsPerSecond")) {
       limits.add(
           new LinkLimit(
-              section.text("from", Names.NAME, Names.NAME_ALLOWED),
-              section.text("to", Names.NAME, Names.NAME_ALLOWED),
-              section.decimal("requestsPerSecond", 0, MOST_REQUESTS_PER_SECOND)));
+              section.text("from", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED),
+              section.text("to", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED),
+              section.decimal("requestsPerSecond", 0, MAX_REQUESTS_PER_SECOND)));
     }
     return limits;
   }
@@ -143,14 +145,14 @@
 
   private static Service service(SettingsSection section) throws SettingsException {
     return new Service(
-        section.text("name", Names.NAME, Names.NAME_ALLOWED),
+        section.text("name", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED),
         section.choice("class", RequestClass.class),
         section.flag("repeatable"),
-        section.wholeNumber("targets", 1, MOST_PER_SERVICE),
+        section.wholeNumber("targets", 1, MAX_PER_SERVICE),
         section.wholeNumber("slotsPerTarget", 1, 10_000),
-        section.wholeNumber("connectionsPerTarget", 1, MOST_PER_SERVICE),
-        millis(section.duration("meanService", Duration.ofNanos(1_000), DAY)),
-        section.wholeNumber("queuePerTarget", 0, MOST_PER_SERVICE),
+        section.wholeNumber("connectionsPerTarget", 1, MAX_PER_SERVICE),
+        toMillis(section.duration("meanService", Duration.ofNanos(1_000), DAY)),
+        section.wholeNumber("queuePerTarget", 0, MAX_PER_SERVICE),
         section.duration("queueWait", Duration.ZERO, DAY),
         section.duration("longestDeadline", MILLISECOND, DAY),
         section.duration("drainLimit", MILLISECOND, DAY),
@@ -166,7 +168,7 @@
         cap.duration("window", Duration.ofMillis(100), Duration.ofHours(1)));
   }
 
-  private static double millis(Duration duration) {
+  private static double toMillis(Duration duration) {
     return duration.toNanos() / 1e6;
   }
 }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/contract/StoredContract.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/contract/StoredContract.java
@@ -20,7 +20,7 @@
  *     reading back whether its own write took effect
  * @param author operator who made the change
  * @param history the latest changes, newest first, this one included; at most {@link
- *     #LONGEST_HISTORY}
+ *     #MAX_HISTORY_LENGTH}
  */
 public record StoredContract(
     String changeId, String author, Contract contract, List<Change> history) {
@@ -28,10 +28,10 @@
   public static final String KEY_PREFIX = "contracts/";
 
   /** Most changes that are kept beside the contract. */
-  public static final int LONGEST_HISTORY = 20;
+  public static final int MAX_HISTORY_LENGTH = 20;
 
-  private static final int MOST_FIELDS = 20;
-  private static final Pattern FIELD = Pattern.compile("\\S{1,200}");
+  private static final int MAX_FIELDS = 20;
+  private static final Pattern FIELD_PATTERN = Pattern.compile("\\S{1,200}");
 
   /** Copies the list, so that the stored contract cannot change. */
   public StoredContract {
@@ -54,7 +54,7 @@
       long revision, String changeId, String author, long atMillis, List<String> fields) {
     /** Copies the list and cuts it to the number that is kept. */
     public Change {
-      fields = List.copyOf(fields.subList(0, Math.min(MOST_FIELDS, fields.size())));
+      fields = List.copyOf(fields.subList(0, Math.min(MAX_FIELDS, fields.size())));
     }
 
     Change atRevision(long accepted) {
@@ -68,7 +68,7 @@
   }
 
   /** True where the change with that id is this one or came before it. */
-  public boolean includes(String id) {
+  public boolean includesChange(String id) {
     return changeId.equals(id) || history.stream().anyMatch(change -> change.changeId().equals(id));
   }
 
@@ -76,7 +76,7 @@
   public byte[] toBytes() {
     ObjectNode tree = JsonNodeFactory.instance.objectNode();
     tree.put("changeId", changeId).put("author", author);
-    tree.set("contract", ContractFormat.tree(contract));
+    tree.set("contract", ContractFormat.toTree(contract));
     ArrayNode changes = tree.putArray("history");
     for (Change change : history) {
       ObjectNode node =
@@ -89,7 +89,7 @@
       ArrayNode fields = node.putArray("fields");
       change.fields().forEach(fields::add);
     }
-    return ContractFormat.yaml(tree).getBytes(StandardCharsets.UTF_8);
+    return ContractFormat.toYaml(tree).getBytes(StandardCharsets.UTF_8);
   }
 
   /**
@@ -107,11 +107,11 @@
         root.text("changeId"),
         root.text("author"),
         contract.atRevision(stored.revision()),
-        history(root, stored.revision()));
+        readHistory(root, stored.revision()));
   }
 
   /** The newest change was written before its revision was known, so it takes the value's. */
-  private static List<Change> history(SettingsSection root, long revision)
+  private static List<Change> readHistory(SettingsSection root, long revision)
       throws SettingsException {
     List<Change> history = new ArrayList<>();
     for (SettingsSection section :
@@ -122,7 +122,7 @@
               section.text("changeId"),
               section.text("author"),
               section.longNumber("atMillis", 0, Long.MAX_VALUE),
-              section.texts("fields", FIELD, "a key"));
+              section.texts("fields", FIELD_PATTERN, "a key"));
       history.add(history.isEmpty() ? change.atRevision(revision) : change);
     }
     return history;
--- a/sageladder-platform/src/main/java/org/sageladder/platform/http/HangUpSession.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/http/DisconnectDetectingSession.java
@@ -25,16 +25,16 @@
  * AsyncServerBootstrap.bootstrap().setIOSessionDecorator(HangUpSession.decorator())
  * }</pre>
  */
-public final class HangUpSession implements IOSession {
+public final class DisconnectDetectingSession implements IOSession {
   private final IOSession session;
 
-  private HangUpSession(IOSession session) {
+  private DisconnectDetectingSession(IOSession session) {
     this.session = session;
   }
 
   /** Decorates each session of a server. */
   public static Decorator<IOSession> decorator() {
-    return HangUpSession::new;
+    return DisconnectDetectingSession::new;
   }
 
   @Override
--- a/sageladder-platform/src/main/java/org/sageladder/platform/settings/DurationText.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/settings/DurationText.java
@@ -8,13 +8,14 @@
 
 /** Durations as people write them: {@code 1.5ms}, {@code 6s}, {@code 10m}, {@code 8h}. */
 public final class DurationText {
-  private static final Pattern FORM = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m|h)");
+  private static final Pattern DURATION_PATTERN =
+      Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m|h)");
 
   private DurationText() {}
 
   /** The duration that {@code text} states, or empty where it states none. */
   public static Optional<Duration> parse(String text) {
-    Matcher matcher = FORM.matcher(text.strip());
+    Matcher matcher = DURATION_PATTERN.matcher(text.strip());
     if (!matcher.matches()) {
       return Optional.empty();
     }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/settings/Names.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/settings/SettingPatterns.java
@@ -3,7 +3,7 @@
 import java.util.regex.Pattern;
 
 /** Forms of text that several settings share, each with the words that errors describe it by. */
-public final class Names {
+public final class SettingPatterns {
   /** Name of a customer, region, zone, service or VM. */
   public static final Pattern NAME = Pattern.compile("[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?");
 
@@ -12,12 +12,12 @@
       "a name of 1 to 63 lower case letters a-z, digits and hyphens inside";
 
   /** IPv4 number, or IPv6 number without brackets. */
-  public static final Pattern IP_NUMBER =
+  public static final Pattern IP_ADDRESS =
       Pattern.compile(
           "((25[0-5]|2[0-4]\\d|1?\\d?\\d)(\\.(?!$)|$)){4}|(?=.*:)(?!.*:::)[0-9a-fA-F:]{2,39}");
 
-  /** What {@link #IP_NUMBER} allows. */
-  public static final String IP_NUMBER_ALLOWED = "an IP number such as 10.0.0.7";
+  /** What {@link #IP_ADDRESS} allows. */
+  public static final String IP_ADDRESS_ALLOWED = "an IP number such as 10.0.0.7";
 
   /** IP number and port. */
   public static final Pattern ADDRESS =
@@ -33,5 +33,5 @@
   /** What {@link #HTTP_URI} allows. */
   public static final String HTTP_URI_ALLOWED = "a URI such as http://10.0.0.1:7000";
 
-  private Names() {}
+  private SettingPatterns() {}
 }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/settings/SettingsDocument.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/settings/SettingsDocument.java
@@ -45,7 +45,7 @@
     try {
       node = MAPPER.readTree(yaml);
     } catch (JsonProcessingException e) {
-      throw SettingsException.of(fileName, "", placeOf(e) + e.getOriginalMessage());
+      throw SettingsException.of(fileName, "", describeLocation(e) + e.getOriginalMessage());
     }
     if (!(node instanceof ObjectNode content)) {
       throw SettingsException.of(fileName, "", "the file has no keys; give lines of 'key: value'");
@@ -80,7 +80,7 @@
     return SettingsSection.of(fileName, "", content, keys);
   }
 
-  private static String placeOf(JsonProcessingException e) {
+  private static String describeLocation(JsonProcessingException e) {
     if (e.getLocation() == null) {
       return "";
     }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/settings/SettingsException.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/settings/SettingsException.java
@@ -9,7 +9,7 @@
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  private static final int LONGEST_QUOTE = 60;
+  private static final int MAX_QUOTE_LENGTH = 60;
 
   private SettingsException(String message) {
     super(message);
@@ -18,7 +18,7 @@
   /** A value that is not allowed under {@code key}. */
   static SettingsException badValue(String file, String key, String value, String allowed) {
     return new SettingsException(
-        file + ": " + key + ": " + quoted(value) + " is not allowed; give " + allowed);
+        file + ": " + key + ": " + truncate(value) + " is not allowed; give " + allowed);
   }
 
   /** A required key that the file does not have. */
@@ -29,15 +29,15 @@
   /** A mistake that is neither a wrong value nor a missing key; {@code key} may be empty. */
   static SettingsException of(String file, String key, String problem) {
     String place = key.isEmpty() ? file : file + ": " + key;
-    return new SettingsException(place + ": " + oneLine(problem));
+    return new SettingsException(place + ": " + toSingleLine(problem));
   }
 
-  private static String quoted(String value) {
-    String line = oneLine(value);
-    return line.length() <= LONGEST_QUOTE ? line : line.substring(0, LONGEST_QUOTE) + "...";
+  private static String truncate(String value) {
+    String line = toSingleLine(value);
+    return line.length() <= MAX_QUOTE_LENGTH ? line : line.substring(0, MAX_QUOTE_LENGTH) + "...";
   }
 
-  private static String oneLine(String text) {
+  private static String toSingleLine(String text) {
     return text.replaceAll("\\s+", " ").strip();
   }
 }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/settings/SettingsSection.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/settings/SettingsSection.java
@@ -48,7 +48,7 @@
 
   /** True where the file gives a value for {@code key}. */
   public boolean has(String key) {
-    return content.has(known(key));
+    return content.has(requireKnown(key));
   }
 
   /** A text that is not empty. */
@@ -133,7 +133,7 @@
 
   /** A number from {@code least} to {@code most}, both included. */
   public double decimal(String key, double least, double most) throws SettingsException {
-    String allowed = "a number from " + plain(least) + " to " + plain(most);
+    String allowed = "a number from " + formatNumber(least) + " to " + formatNumber(most);
     JsonNode node = required(key, allowed);
     boolean inRange = node.isNumber() && least <= node.doubleValue() && node.doubleValue() <= most;
     if (!inRange) {
@@ -241,14 +241,14 @@
   }
 
   private JsonNode required(String key, String allowed) throws SettingsException {
-    JsonNode node = content.get(known(key));
+    JsonNode node = content.get(requireKnown(key));
     if (node == null) {
       throw missing(key, allowed);
     }
     return node;
   }
 
-  private String known(String key) {
+  private String requireKnown(String key) {
     if (!knownKeys.contains(key)) {
       throw new IllegalStateException("key " + key + " was not stated for section " + path);
     }
@@ -274,7 +274,7 @@
     return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  private static String plain(double number) {
+  private static String formatNumber(double number) {
     return number == Math.rint(number) ? String.valueOf((long) number) : String.valueOf(number);
   }
 }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/store/HttpStore.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/store/HttpStore.java
@@ -31,9 +31,9 @@
   private static final int NOT_FOUND = 404;
   private static final int OK = 200;
 
-  private final HttpCalls calls;
+  private final JsonHttpClient calls;
 
-  private HttpStore(HttpCalls calls) {
+  private HttpStore(JsonHttpClient calls) {
     this.calls = calls;
   }
 
@@ -44,73 +44,73 @@
    * @param timeout longest wait for an answer; a watch may take its own wait in addition
    */
   public static HttpStore connect(URI base, Duration timeout) {
-    return new HttpStore(HttpCalls.connect(base, timeout));
+    return new HttpStore(JsonHttpClient.connect(base, timeout));
   }
 
   @Override
   public Optional<StoredValue> read(String key) throws StoreException {
-    HttpCalls.Answer answer =
+    JsonHttpClient.Response answer =
         calls.read(StoreMessages.VALUE + "?key=" + encode(key), Duration.ZERO);
     if (answer.status() == NOT_FOUND) {
       return Optional.empty();
     }
-    return Optional.of(accepted(answer).read(StoredValue.class));
+    return Optional.of(requireOk(answer).read(StoredValue.class));
   }
 
   @Override
   public List<StoredValue> list(String prefix) throws StoreException {
-    HttpCalls.Answer answer =
+    JsonHttpClient.Response answer =
         calls.read(StoreMessages.VALUES + "?prefix=" + encode(prefix), Duration.ZERO);
-    return accepted(answer).read(StoreMessages.Values.class).values();
+    return requireOk(answer).read(StoreMessages.Values.class).values();
   }
 
   @Override
   public WriteResult compareAndSet(
       String key, long expectedRevision, byte[] value, @Nullable Long lease) throws StoreException {
-    return conditional(
+    return writeConditionally(
         StoreMessages.COMPARE_AND_SET,
         new StoreMessages.CompareAndSet(key, expectedRevision, value, lease));
   }
 
   @Override
   public WriteResult compareAndDelete(String key, long expectedRevision) throws StoreException {
-    return conditional(
+    return writeConditionally(
         StoreMessages.COMPARE_AND_DELETE,
         new StoreMessages.CompareAndDelete(key, expectedRevision));
   }
 
-  private WriteResult conditional(String path, Object body) throws StoreException {
-    HttpCalls.Answer answer = calls.write(path, body);
+  private WriteResult writeConditionally(String path, Object body) throws StoreException {
+    JsonHttpClient.Response answer = calls.write(path, body);
     if (answer.status() == CONFLICT) {
       return new WriteResult.Conflict(answer.read(StoreMessages.Conflict.class).current());
     }
-    return new WriteResult.Written(accepted(answer).read(StoreMessages.Written.class).revision());
+    return new WriteResult.Written(requireOk(answer).read(StoreMessages.Written.class).revision());
   }
 
   @Override
   public long grantLease(Duration timeToLive) throws StoreException {
-    HttpCalls.Answer answer =
+    JsonHttpClient.Response answer =
         calls.write(StoreMessages.LEASE_GRANT, new StoreMessages.GrantLease(timeToLive.toMillis()));
-    return accepted(answer).read(StoreMessages.Lease.class).lease();
+    return requireOk(answer).read(StoreMessages.Lease.class).lease();
   }
 
   @Override
   public boolean keepAlive(long lease) throws StoreException {
-    HttpCalls.Answer answer =
+    JsonHttpClient.Response answer =
         calls.write(StoreMessages.LEASE_KEEP_ALIVE, new StoreMessages.Lease(lease));
-    return accepted(answer).read(StoreMessages.Alive.class).alive();
+    return requireOk(answer).read(StoreMessages.Alive.class).alive();
   }
 
   @Override
   public void revokeLease(long lease) throws StoreException {
-    accepted(calls.write(StoreMessages.LEASE_REVOKE, new StoreMessages.Lease(lease)));
+    requireOk(calls.write(StoreMessages.LEASE_REVOKE, new StoreMessages.Lease(lease)));
   }
 
   @Override
   public WatchBatch watch(String prefix, long afterRevision, Duration wait) throws StoreException {
     String query =
         "?prefix=" + encode(prefix) + "&after=" + afterRevision + "&waitMillis=" + wait.toMillis();
-    return accepted(calls.read(StoreMessages.WATCH + query, wait)).read(WatchBatch.class);
+    return requireOk(calls.read(StoreMessages.WATCH + query, wait)).read(WatchBatch.class);
   }
 
   @Override
@@ -119,7 +119,7 @@
   }
 
   /** A 4xx other than a conflict says that the call itself is wrong, so a retry cannot help. */
-  private static HttpCalls.Answer accepted(HttpCalls.Answer answer) {
+  private static JsonHttpClient.Response requireOk(JsonHttpClient.Response answer) {
     if (answer.status() == OK) {
       return answer;
     }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/store/HttpVmList.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/store/HttpVmList.java
@@ -9,20 +9,20 @@
 
 /** The platform's list of VMs over HTTP and JSON; every failure is an outage. */
 public final class HttpVmList implements VmList, AutoCloseable {
-  private final HttpCalls calls;
+  private final JsonHttpClient calls;
 
-  private HttpVmList(HttpCalls calls) {
+  private HttpVmList(JsonHttpClient calls) {
     this.calls = calls;
   }
 
   /** A list at {@code base}, such as {@code http://127.0.0.1:4100}; nothing is sent yet. */
   public static HttpVmList connect(URI base, Duration timeout) {
-    return new HttpVmList(HttpCalls.connect(base, timeout));
+    return new HttpVmList(JsonHttpClient.connect(base, timeout));
   }
 
   @Override
   public List<ListedVm> fetch() throws StoreException {
-    HttpCalls.Answer answer = calls.read(StoreMessages.VMS, Duration.ZERO);
+    JsonHttpClient.Response answer = calls.read(StoreMessages.VMS, Duration.ZERO);
     if (answer.status() != 200) {
       throw new StoreException.Unavailable("the list of VMs: status " + answer.status(), null);
     }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/store/HttpCalls.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/store/JsonHttpClient.java
@@ -29,7 +29,7 @@
  * Blocking JSON calls to one address, which tell a call that was never sent from one whose answer
  * was lost.
  */
-final class HttpCalls implements AutoCloseable {
+final class JsonHttpClient implements AutoCloseable {
   private static final int MAX_CONNECTIONS = 32;
   private static final ObjectMapper JSON =
       new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
@@ -38,25 +38,26 @@
   private final HttpHost host;
   private final Duration timeout;
 
-  private HttpCalls(Connector connector, HttpHost host, Duration timeout) {
+  private JsonHttpClient(Connector connector, HttpHost host, Duration timeout) {
     this.connector = connector;
     this.host = host;
     this.timeout = timeout;
   }
 
   /** Calls to {@code base}, such as {@code http://127.0.0.1:4100}; connects at the first call. */
-  static HttpCalls connect(URI base, Duration timeout) {
+  static JsonHttpClient connect(URI base, Duration timeout) {
     if (!"http".equals(base.getScheme()) || base.getHost() == null || base.getPort() < 1) {
       throw new IllegalArgumentException(
           "store address \"" + base + "\": expected http://IP:PORT, such as http://127.0.0.1:4100");
     }
     Connector connector = Connector.start(1, MAX_CONNECTIONS);
-    return new HttpCalls(connector, new HttpHost("http", base.getHost(), base.getPort()), timeout);
+    return new JsonHttpClient(
+        connector, new HttpHost("http", base.getHost(), base.getPort()), timeout);
   }
 
   /** The status and body of an answer. */
   @SuppressWarnings("ArrayRecordComponent")
-  record Answer(int status, byte[] body) {
+  record Response(int status, byte[] body) {
     <T> T read(Class<T> type) throws StoreException {
       try {
         return JSON.readValue(body, type);
@@ -73,7 +74,7 @@
   }
 
   /** Reads; no effect is possible, so every failure is {@link StoreException.Unavailable}. */
-  Answer read(String pathAndQuery, Duration extraWait) throws StoreException {
+  Response read(String pathAndQuery, Duration extraWait) throws StoreException {
     AsyncRequestProducer request = AsyncRequestBuilder.get(uri(pathAndQuery)).build();
     try {
       return call("GET " + pathAndQuery, request, extraWait);
@@ -83,10 +84,10 @@
   }
 
   /** Sends {@code body} as JSON. */
-  Answer write(String path, Object body) throws StoreException {
+  Response write(String path, Object body) throws StoreException {
     AsyncRequestProducer request =
         AsyncRequestBuilder.post(uri(path))
-            .setEntity(json(body), ContentType.APPLICATION_JSON)
+            .setEntity(toJson(body), ContentType.APPLICATION_JSON)
             .build();
     return call("POST " + path, request, Duration.ZERO);
   }
@@ -95,7 +96,7 @@
     return URI.create(host.toURI() + pathAndQuery);
   }
 
-  private static byte[] json(Object body) {
+  private static byte[] toJson(Object body) {
     try {
       return JSON.writeValueAsBytes(body);
     } catch (JsonProcessingException e) {
@@ -103,10 +104,10 @@
     }
   }
 
-  private Answer call(String what, AsyncRequestProducer request, Duration extraWait)
+  private Response call(String what, AsyncRequestProducer request, Duration extraWait)
       throws StoreException {
     long deadline = System.nanoTime() + timeout.plus(extraWait).toNanos();
-    AsyncClientEndpoint endpoint = connected(what);
+    AsyncClientEndpoint endpoint = leaseEndpoint(what);
     Message<HttpResponse, byte[]> answer = exchange(what, endpoint, request, deadline);
     int status = answer.getHead().getCode();
     if (status == 503) {
@@ -116,10 +117,10 @@
       throw new StoreException.OutcomeUnknown(what + " at " + host + ": status " + status, null);
     }
     byte[] body = answer.getBody();
-    return new Answer(status, body == null ? new byte[0] : body);
+    return new Response(status, body == null ? new byte[0] : body);
   }
 
-  private AsyncClientEndpoint connected(String what) throws StoreException {
+  private AsyncClientEndpoint leaseEndpoint(String what) throws StoreException {
     try {
       return connector.lease(host, timeout);
     } catch (IOException e) {
@@ -143,12 +144,12 @@
       reusable = true;
       return answer;
     } catch (TimeoutException e) {
-      throw lost(what, "no answer in time", e);
+      throw outcomeUnknown(what, "no answer in time", e);
     } catch (ExecutionException e) {
-      throw lost(what, "connection lost before the answer", e.getCause());
+      throw outcomeUnknown(what, "connection lost before the answer", e.getCause());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw lost(what, "interrupted before the answer", e);
+      throw outcomeUnknown(what, "interrupted before the answer", e);
     } finally {
       release(endpoint, reusable);
     }
@@ -163,7 +164,7 @@
     }
   }
 
-  private StoreException lost(String what, String why, @Nullable Throwable cause) {
+  private StoreException outcomeUnknown(String what, String why, @Nullable Throwable cause) {
     return new StoreException.OutcomeUnknown(what + " at " + host + ": " + why, cause);
   }
 
--- a/sageladder-platform/src/test/java/org/sageladder/platform/contract/ContractWriterTest.java
+++ b/sageladder-platform/src/test/java/org/sageladder/platform/contract/ContractWriterTest.java
@@ -17,29 +17,30 @@
   private final FakeStore store = new FakeStore();
   private final ContractWriter maie = writer("maie");
   private final ContractWriter juris = writer("juris");
-  private long base;
+  private long baseRevision;
 
   @BeforeEach
   void contractStands() throws Exception {
     ApplyResult first = maie.apply(contract("", ""), 0);
-    base = assertInstanceOf(ApplyResult.Accepted.class, first).revision();
+    baseRevision = assertInstanceOf(ApplyResult.Accepted.class, first).revision();
   }
 
   @Test
   void acceptedChangeNamesWhatItChanged() throws Exception {
-    ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 3s"), base);
+    ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 3s"), baseRevision);
 
     var accepted = assertInstanceOf(ApplyResult.Accepted.class, result);
     assertEquals(
         List.of("services[donation-cataloguing].queueWait: 2s -> 3s"),
         accepted.differences().stream().map(Object::toString).toList());
-    assertEquals(accepted.revision(), standing().history().get(0).revision());
-    assertEquals(base, standing().history().get(1).revision());
+    assertEquals(accepted.revision(), storedContract().history().get(0).revision());
+    assertEquals(baseRevision, storedContract().history().get(1).revision());
   }
 
   @Test
   void sameContractAgainWritesNothing() throws Exception {
-    assertEquals(new ApplyResult.Unchanged(base), maie.apply(contract("", ""), base));
+    assertEquals(
+        new ApplyResult.Unchanged(baseRevision), maie.apply(contract("", ""), baseRevision));
   }
 
   // Story: two operators edit the same contract from one revision. Juris's change of the queue is
@@ -48,50 +49,51 @@
   @Test
   void losingOperatorIsShownTheWinnerAndTheConflictingFields() throws Exception {
     Contract his = contract("queueWait: 2s", "queueWait: 4s");
-    store.beforeNextWrite(() -> juris.apply(his, base));
+    store.beforeNextWrite(() -> juris.apply(his, baseRevision));
 
-    ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 1s"), base);
+    ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 1s"), baseRevision);
 
     var conflict = assertInstanceOf(ApplyResult.Conflict.class, result);
     assertEquals("juris", conflict.current().author());
-    assertEquals(List.of("services[donation-cataloguing].queueWait"), conflict.conflicting());
-    assertEquals(his.atRevision(base + 1), standing().contract());
+    assertEquals(List.of("services[donation-cataloguing].queueWait"), conflict.conflictingKeys());
+    assertEquals(his.atRevision(baseRevision + 1), storedContract().contract());
   }
 
   // Story: the store carries out a write and its answer is lost; the operator would be told of a
   // conflict with her own change, or would apply it twice. Cause: a cut connection after effect.
   @Test
   void lostAnswerAfterEffectIsReportedAsAccepted() throws Exception {
-    store.fail(Fault.LOST_AFTER_EFFECT);
+    store.failNextWrites(Fault.LOST_AFTER_EFFECT);
 
-    ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 3s"), base);
+    ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 3s"), baseRevision);
 
-    assertEquals(base + 1, assertInstanceOf(ApplyResult.Accepted.class, result).revision());
-    assertEquals(2, standing().history().size());
+    assertEquals(baseRevision + 1, assertInstanceOf(ApplyResult.Accepted.class, result).revision());
+    assertEquals(2, storedContract().history().size());
   }
 
   // Story: as above, but before Maie's tool sends again Juris changes the contract on top of hers.
   // Maie would be told that she lost, though her change was in force and is part of what stands.
   @Test
   void lostAnswerIsFoundInTheHistoryAfterAnotherChange() throws Exception {
-    store.fail(Fault.LOST_AFTER_EFFECT);
+    store.failNextWrites(Fault.LOST_AFTER_EFFECT);
     Contract hers = contract("queueWait: 2s", "queueWait: 3s");
     store.beforeNextWrite(
         () ->
             store.beforeNextWrite(
-                () -> juris.apply(contract("drainLimit: 60s", "drainLimit: 90s"), base + 1)));
+                () ->
+                    juris.apply(contract("drainLimit: 60s", "drainLimit: 90s"), baseRevision + 1)));
 
-    ApplyResult result = maie.apply(hers, base);
+    ApplyResult result = maie.apply(hers, baseRevision);
 
-    assertEquals(base + 1, assertInstanceOf(ApplyResult.Accepted.class, result).revision());
-    assertEquals("juris", standing().author());
+    assertEquals(baseRevision + 1, assertInstanceOf(ApplyResult.Accepted.class, result).revision());
+    assertEquals("juris", storedContract().author());
   }
 
   @Test
   void writeThatNeverTakesEffectIsSentAgain() throws Exception {
-    store.fail(Fault.LOST_BEFORE_EFFECT, Fault.LOST_BEFORE_EFFECT);
+    store.failNextWrites(Fault.LOST_BEFORE_EFFECT, Fault.LOST_BEFORE_EFFECT);
 
-    ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 3s"), base);
+    ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 3s"), baseRevision);
 
     assertInstanceOf(ApplyResult.Accepted.class, result);
   }
@@ -100,28 +102,30 @@
   // the first write took effect. Cause: the outage is of the second call, not of the first.
   @Test
   void outageAfterALostAnswerIsNotReportedAsNothingWritten() throws Exception {
-    store.fail(Fault.LOST_AFTER_EFFECT, Fault.REFUSED, Fault.REFUSED, Fault.REFUSED, Fault.REFUSED);
+    store.failNextWrites(
+        Fault.LOST_AFTER_EFFECT, Fault.REFUSED, Fault.REFUSED, Fault.REFUSED, Fault.REFUSED);
 
-    ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 3s"), base);
+    ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 3s"), baseRevision);
 
     assertInstanceOf(ApplyResult.OutcomeUnknown.class, result);
   }
 
   @Test
   void outageBeforeAnythingIsSentIsReportedAsNothingWritten() throws Exception {
-    store.fail(Fault.REFUSED);
+    store.failNextWrites(Fault.REFUSED);
 
-    ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 3s"), base);
+    ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 3s"), baseRevision);
 
     assertInstanceOf(ApplyResult.Unavailable.class, result);
   }
 
   @Test
   void contractWhoseLimitsDoNotFitIsRejected() throws Exception {
-    ApplyResult result = maie.apply(contract("queuePerTarget: 12", "queuePerTarget: 900"), base);
+    ApplyResult result =
+        maie.apply(contract("queuePerTarget: 12", "queuePerTarget: 900"), baseRevision);
 
     assertInstanceOf(ApplyResult.Rejected.class, result);
-    assertEquals(base, standing().contract().revision());
+    assertEquals(baseRevision, storedContract().contract().revision());
   }
 
   private ContractWriter writer(String author) {
@@ -130,7 +134,7 @@
         store, VirtualTime.startingAt(1_000), author, () -> author + "-" + ++count[0]);
   }
 
-  private StoredContract standing() throws Exception {
+  private StoredContract storedContract() throws Exception {
     @Nullable StoredContract standing = maie.read("kannelkoda");
     assertInstanceOf(StoredContract.class, standing);
     return standing;
--- a/sageladder-platform/src/test/java/org/sageladder/platform/contract/FakeStore.java
+++ b/sageladder-platform/src/test/java/org/sageladder/platform/contract/FakeStore.java
@@ -27,17 +27,17 @@
 
   private final Map<String, StoredValue> values = new TreeMap<>();
   private final Deque<Fault> faults = new ArrayDeque<>();
-  private final List<Runnable> beforeWrites = new ArrayList<>();
+  private final List<Runnable> nextWriteActions = new ArrayList<>();
   private long revision = 40;
 
   /** The next writes meet {@code next}, in that order. */
-  void fail(Fault... next) {
+  void failNextWrites(Fault... next) {
     faults.addAll(List.of(next));
   }
 
   /** Runs once, just before the next write takes effect. */
   void beforeNextWrite(Runnable action) {
-    beforeWrites.add(action);
+    nextWriteActions.add(action);
   }
 
   @Override
@@ -53,8 +53,8 @@
   @Override
   public WriteResult compareAndSet(
       String key, long expectedRevision, byte[] value, @Nullable Long lease) throws StoreException {
-    List<Runnable> actions = List.copyOf(beforeWrites);
-    beforeWrites.clear();
+    List<Runnable> actions = List.copyOf(nextWriteActions);
+    nextWriteActions.clear();
     actions.forEach(Runnable::run);
     Fault fault = faults.isEmpty() ? Fault.NONE : faults.removeFirst();
     if (fault == Fault.REFUSED) {
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetEntry.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetEntry.java
@@ -84,7 +84,7 @@
             kill();
           }
         };
-    stopping.stopSoon(end);
+    stopping.beginStop(end);
     parts.after(parts.day().bounds().graceMillis(), end);
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/http/Listeners.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/http/Listeners.java
@@ -12,7 +12,7 @@
 import org.apache.hc.core5.reactor.IOReactorConfig;
 import org.apache.hc.core5.reactor.ListenerEndpoint;
 import org.apache.hc.core5.util.Timeout;
-import org.sageladder.platform.http.HangUpSession;
+import org.sageladder.platform.http.DisconnectDetectingSession;
 
 /** Builds the HTTP servers of the stand-ins and binds them. */
 public final class Listeners {
@@ -32,7 +32,7 @@
                 .setSoReuseAddress(true)
                 .setTcpNoDelay(true)
                 .build())
-        .setIOSessionDecorator(HangUpSession.decorator())
+        .setIOSessionDecorator(DisconnectDetectingSession.decorator())
         .setIOSessionListener(connections)
         .setRequestRouter(router)
         .create();
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/ContractCommands.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/ContractCommands.java
@@ -211,10 +211,10 @@
             + current.contract().revision());
     err.println("your file differs from what stands (there -> yours):");
     for (Difference difference : conflict.differences()) {
-      String mark = conflict.conflicting().contains(difference.key()) ? "! " : "  ";
+      String mark = conflict.conflictingKeys().contains(difference.key()) ? "! " : "  ";
       err.println("  " + mark + difference);
     }
-    if (!conflict.conflicting().isEmpty()) {
+    if (!conflict.conflictingKeys().isEmpty()) {
       err.println("lines with ! were changed by both");
     }
     err.println("to write yours all the same, give --base " + current.contract().revision());
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Invocation.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Invocation.java
@@ -11,7 +11,7 @@
 import org.sageladder.core.store.Store;
 import org.sageladder.platform.settings.DurationText;
 import org.sageladder.platform.settings.ExitCode;
-import org.sageladder.platform.settings.Names;
+import org.sageladder.platform.settings.SettingPatterns;
 import org.sageladder.platform.store.HttpStore;
 
 /** Options and operands of one run of a command, and where its output goes. */
@@ -69,8 +69,8 @@
     if (uri == null) {
       throw usage("no store; give --store URI or set " + STORE_VARIABLE);
     }
-    if (!Names.HTTP_URI.matcher(uri).matches()) {
-      throw usage("--store '" + uri + "' is not allowed; give " + Names.HTTP_URI_ALLOWED);
+    if (!SettingPatterns.HTTP_URI.matcher(uri).matches()) {
+      throw usage("--store '" + uri + "' is not allowed; give " + SettingPatterns.HTTP_URI_ALLOWED);
     }
     return HttpStore.connect(URI.create(uri), timeout());
   }
@@ -83,8 +83,12 @@
       return uris;
     }
     for (String address : addresses.split(",")) {
-      if (!Names.ADDRESS.matcher(address).matches()) {
-        throw usage("--operators '" + address + "' is not allowed; give " + Names.ADDRESS_ALLOWED);
+      if (!SettingPatterns.ADDRESS.matcher(address).matches()) {
+        throw usage(
+            "--operators '"
+                + address
+                + "' is not allowed; give "
+                + SettingPatterns.ADDRESS_ALLOWED);
       }
       uris.add(URI.create("http://" + address));
     }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/ExperimentYaml.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/ExperimentYaml.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.sageladder.core.contract.Contract;
 import org.sageladder.platform.contract.ContractYaml;
-import org.sageladder.platform.settings.Names;
+import org.sageladder.platform.settings.SettingPatterns;
 import org.sageladder.platform.settings.SettingsDocument;
 import org.sageladder.platform.settings.SettingsException;
 import org.sageladder.platform.settings.SettingsSection;
@@ -50,7 +50,7 @@
 
   private Experiment experiment() throws SettingsException {
     return new Experiment(
-        root.text("name", Names.NAME, Names.NAME_ALLOWED),
+        root.text("name", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED),
         contract,
         root.longNumber("seed", 0, Long.MAX_VALUE),
         root.wholeNumber("entriesPerZone", 1, 10, 1),
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/LoadMain.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/LoadMain.java
@@ -18,7 +18,7 @@
 import org.sageladder.core.contract.Contract;
 import org.sageladder.core.contract.Contract.ShiftCap;
 import org.sageladder.platform.settings.ExitCode;
-import org.sageladder.platform.settings.Names;
+import org.sageladder.platform.settings.SettingPatterns;
 import org.sageladder.platform.settings.SettingsException;
 import org.sageladder.tools.timeline.TimeLineMain;
 
@@ -136,9 +136,9 @@
     if (uri == null) {
       return null;
     }
-    if (!Names.HTTP_URI.matcher(uri).matches()) {
+    if (!SettingPatterns.HTTP_URI.matcher(uri).matches()) {
       throw new ParseException(
-          "--store '" + uri + "' is not allowed; give " + Names.HTTP_URI_ALLOWED);
+          "--store '" + uri + "' is not allowed; give " + SettingPatterns.HTTP_URI_ALLOWED);
     }
     return URI.create(uri);
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteSystem.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteSystem.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
-import org.sageladder.platform.settings.Names;
+import org.sageladder.platform.settings.SettingPatterns;
 import org.sageladder.platform.settings.SettingsDocument;
 import org.sageladder.platform.settings.SettingsException;
 import org.sageladder.platform.settings.SettingsSection;
@@ -75,11 +75,12 @@
         root.sections("targets", "id", "service", "zone", "slots", "uri")) {
       RemoteTarget target =
           new RemoteTarget(
-              section.text("id", Names.NAME, Names.NAME_ALLOWED),
-              section.text("service", Names.NAME, Names.NAME_ALLOWED),
-              section.text("zone", Names.NAME, Names.NAME_ALLOWED),
+              section.text("id", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED),
+              section.text("service", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED),
+              section.text("zone", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED),
               section.wholeNumber("slots", 1, 10_000),
-              URI.create(section.text("uri", Names.HTTP_URI, Names.HTTP_URI_ALLOWED)),
+              URI.create(
+                  section.text("uri", SettingPatterns.HTTP_URI, SettingPatterns.HTTP_URI_ALLOWED)),
               caller,
               0);
       targets.add(target.since(target.read().started()));
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineMain.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineMain.java
@@ -19,7 +19,7 @@
 import org.jspecify.annotations.Nullable;
 import org.sageladder.core.event.Event;
 import org.sageladder.platform.settings.ExitCode;
-import org.sageladder.platform.settings.Names;
+import org.sageladder.platform.settings.SettingPatterns;
 import org.sageladder.tools.http.HttpCaller;
 
 /** Entry point of {@code sageladder-timeline}. */
@@ -111,9 +111,12 @@
     }
     List<URI> uris = new ArrayList<>();
     for (String address : text.split(",")) {
-      if (!Names.ADDRESS.matcher(address).matches()) {
+      if (!SettingPatterns.ADDRESS.matcher(address).matches()) {
         throw new ParseException(
-            "--operators '" + address + "' is not allowed; give " + Names.ADDRESS_ALLOWED);
+            "--operators '"
+                + address
+                + "' is not allowed; give "
+                + SettingPatterns.ADDRESS_ALLOWED);
       }
       uris.add(URI.create("http://" + address));
     }
