--- a/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractYaml.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractYaml.java
@@ -31,7 +31,7 @@
   /** Largest block number that a contract may name. */
   public static final int MAX_BLOCK = 999_999;
 
-  private static final int MAX_PER_SERVICE = 100_000;
+  private static final int MAX_COUNT_PER_SERVICE = 100_000;
   private static final double MAX_REQUESTS_PER_SECOND = 100_000_000;
   private static final Duration MILLISECOND = Duration.ofMillis(1);
   private static final Duration DAY = Duration.ofDays(1);
@@ -148,11 +148,11 @@
         section.text("name", SettingPatterns.NAME, SettingPatterns.NAME_ALLOWED),
         section.choice("class", RequestClass.class),
         section.flag("repeatable"),
-        section.wholeNumber("targets", 1, MAX_PER_SERVICE),
+        section.wholeNumber("targets", 1, MAX_COUNT_PER_SERVICE),
         section.wholeNumber("slotsPerTarget", 1, 10_000),
-        section.wholeNumber("connectionsPerTarget", 1, MAX_PER_SERVICE),
+        section.wholeNumber("connectionsPerTarget", 1, MAX_COUNT_PER_SERVICE),
         toMillis(section.duration("meanService", Duration.ofNanos(1_000), DAY)),
-        section.wholeNumber("queuePerTarget", 0, MAX_PER_SERVICE),
+        section.wholeNumber("queuePerTarget", 0, MAX_COUNT_PER_SERVICE),
         section.duration("queueWait", Duration.ZERO, DAY),
         section.duration("longestDeadline", MILLISECOND, DAY),
         section.duration("drainLimit", MILLISECOND, DAY),
--- a/sageladder-platform/src/main/java/org/sageladder/platform/settings/Suggestion.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/settings/Suggestion.java
@@ -13,7 +13,7 @@
     int fewest = Math.max(2, input.length() / 3) + 1;
     String nearest = null;
     for (String word : words) {
-      int edits = edits(input.toLowerCase(Locale.ROOT), word.toLowerCase(Locale.ROOT));
+      int edits = editDistance(input.toLowerCase(Locale.ROOT), word.toLowerCase(Locale.ROOT));
       if (edits < fewest) {
         fewest = edits;
         nearest = word;
@@ -23,7 +23,7 @@
   }
 
   /** Levenshtein distance by one row at a time. */
-  private static int edits(String from, String to) {
+  private static int editDistance(String from, String to) {
     int[] above = new int[to.length() + 1];
     for (int j = 0; j <= to.length(); j++) {
       above[j] = j;
--- a/sageladder-platform/src/main/java/org/sageladder/platform/store/HttpStore.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/store/HttpStore.java
@@ -31,10 +31,10 @@
   private static final int NOT_FOUND = 404;
   private static final int OK = 200;
 
-  private final JsonHttpClient calls;
+  private final JsonHttpClient client;
 
-  private HttpStore(JsonHttpClient calls) {
-    this.calls = calls;
+  private HttpStore(JsonHttpClient client) {
+    this.client = client;
   }
 
   /**
@@ -50,7 +50,7 @@
   @Override
   public Optional<StoredValue> read(String key) throws StoreException {
     JsonHttpClient.Response answer =
-        calls.read(StoreMessages.VALUE + "?key=" + encode(key), Duration.ZERO);
+        client.read(StoreMessages.VALUE + "?key=" + encode(key), Duration.ZERO);
     if (answer.status() == NOT_FOUND) {
       return Optional.empty();
     }
@@ -60,7 +60,7 @@
   @Override
   public List<StoredValue> list(String prefix) throws StoreException {
     JsonHttpClient.Response answer =
-        calls.read(StoreMessages.VALUES + "?prefix=" + encode(prefix), Duration.ZERO);
+        client.read(StoreMessages.VALUES + "?prefix=" + encode(prefix), Duration.ZERO);
     return requireOk(answer).read(StoreMessages.Values.class).values();
   }
 
@@ -80,7 +80,7 @@
   }
 
   private WriteResult writeConditionally(String path, Object body) throws StoreException {
-    JsonHttpClient.Response answer = calls.write(path, body);
+    JsonHttpClient.Response answer = client.write(path, body);
     if (answer.status() == CONFLICT) {
       return new WriteResult.Conflict(answer.read(StoreMessages.Conflict.class).current());
     }
@@ -90,32 +90,33 @@
   @Override
   public long grantLease(Duration timeToLive) throws StoreException {
     JsonHttpClient.Response answer =
-        calls.write(StoreMessages.LEASE_GRANT, new StoreMessages.GrantLease(timeToLive.toMillis()));
+        client.write(
+            StoreMessages.LEASE_GRANT, new StoreMessages.GrantLease(timeToLive.toMillis()));
     return requireOk(answer).read(StoreMessages.Lease.class).lease();
   }
 
   @Override
   public boolean keepAlive(long lease) throws StoreException {
     JsonHttpClient.Response answer =
-        calls.write(StoreMessages.LEASE_KEEP_ALIVE, new StoreMessages.Lease(lease));
+        client.write(StoreMessages.LEASE_KEEP_ALIVE, new StoreMessages.Lease(lease));
     return requireOk(answer).read(StoreMessages.Alive.class).alive();
   }
 
   @Override
   public void revokeLease(long lease) throws StoreException {
-    requireOk(calls.write(StoreMessages.LEASE_REVOKE, new StoreMessages.Lease(lease)));
+    requireOk(client.write(StoreMessages.LEASE_REVOKE, new StoreMessages.Lease(lease)));
   }
 
   @Override
   public WatchBatch watch(String prefix, long afterRevision, Duration wait) throws StoreException {
     String query =
         "?prefix=" + encode(prefix) + "&after=" + afterRevision + "&waitMillis=" + wait.toMillis();
-    return requireOk(calls.read(StoreMessages.WATCH + query, wait)).read(WatchBatch.class);
+    return requireOk(client.read(StoreMessages.WATCH + query, wait)).read(WatchBatch.class);
   }
 
   @Override
   public void close() {
-    calls.close();
+    client.close();
   }
 
   /** A 4xx other than a conflict says that the call itself is wrong, so a retry cannot help. */
--- a/sageladder-platform/src/main/java/org/sageladder/platform/store/HttpVmList.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/store/HttpVmList.java
@@ -9,10 +9,10 @@
 
 /** The platform's list of VMs over HTTP and JSON; every failure is an outage. */
 public final class HttpVmList implements VmList, AutoCloseable {
-  private final JsonHttpClient calls;
+  private final JsonHttpClient client;
 
-  private HttpVmList(JsonHttpClient calls) {
-    this.calls = calls;
+  private HttpVmList(JsonHttpClient client) {
+    this.client = client;
   }
 
   /** A list at {@code base}, such as {@code http://127.0.0.1:4100}; nothing is sent yet. */
@@ -22,7 +22,7 @@
 
   @Override
   public List<ListedVm> fetch() throws StoreException {
-    JsonHttpClient.Response answer = calls.read(StoreMessages.VMS, Duration.ZERO);
+    JsonHttpClient.Response answer = client.read(StoreMessages.VMS, Duration.ZERO);
     if (answer.status() != 200) {
       throw new StoreException.Unavailable("the list of VMs: status " + answer.status(), null);
     }
@@ -31,6 +31,6 @@
 
   @Override
   public void close() {
-    calls.close();
+    client.close();
   }
 }
--- a/sageladder-platform/src/test/java/org/sageladder/platform/contract/ContractCheckTest.java
+++ b/sageladder-platform/src/test/java/org/sageladder/platform/contract/ContractCheckTest.java
@@ -16,7 +16,7 @@
 class ContractCheckTest {
   @ParameterizedTest
   @ValueSource(strings = {"kannelkoda.yaml", "kalnins-dauge.yaml"})
-  void contractsOfBothCustomersHold(String file) throws Exception {
+  void contractsOfBothCustomersAreValid(String file) throws Exception {
     assertEquals(List.of(), ContractCheck.problems(ContractYaml.parse(file, text(file))));
   }
 
@@ -90,7 +90,7 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("problems")
-  void eachProblemIsFoundAndNamed(String name, String good, String bad, String message)
+  void eachProblemIsReported(String name, String good, String bad, String message)
       throws Exception {
     String yaml = text("kannelkoda.yaml");
     int at = yaml.indexOf(good);
--- a/sageladder-platform/src/test/java/org/sageladder/platform/contract/ContractWriterTest.java
+++ b/sageladder-platform/src/test/java/org/sageladder/platform/contract/ContractWriterTest.java
@@ -20,13 +20,13 @@
   private long baseRevision;
 
   @BeforeEach
-  void contractStands() throws Exception {
+  void storeFirstContract() throws Exception {
     ApplyResult first = maie.apply(contract("", ""), 0);
     baseRevision = assertInstanceOf(ApplyResult.Accepted.class, first).revision();
   }
 
   @Test
-  void acceptedChangeNamesWhatItChanged() throws Exception {
+  void acceptedChangeListsTheChangedValues() throws Exception {
     ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 3s"), baseRevision);
 
     var accepted = assertInstanceOf(ApplyResult.Accepted.class, result);
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void sameContractAgainWritesNothing() throws Exception {
+  void equalContractIsNotWritten() throws Exception {
     assertEquals(
         new ApplyResult.Unchanged(baseRevision), maie.apply(contract("", ""), baseRevision));
   }
@@ -47,7 +47,7 @@
   // accepted; Maie's, sent a moment later from the same base, would silently undo it. Cause: both
   // read before either wrote.
   @Test
-  void losingOperatorIsShownTheWinnerAndTheConflictingFields() throws Exception {
+  void conflictNamesTheOtherAuthorAndTheConflictingKeys() throws Exception {
     Contract his = contract("queueWait: 2s", "queueWait: 4s");
     store.beforeNextWrite(() -> juris.apply(his, baseRevision));
 
@@ -62,7 +62,7 @@
   // Story: the store carries out a write and its answer is lost; the operator would be told of a
   // conflict with her own change, or would apply it twice. Cause: a cut connection after effect.
   @Test
-  void lostAnswerAfterEffectIsReportedAsAccepted() throws Exception {
+  void appliedWriteWithLostResponseIsReportedAsAccepted() throws Exception {
     store.failNextWrites(Fault.LOST_AFTER_EFFECT);
 
     ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 3s"), baseRevision);
@@ -74,7 +74,7 @@
   // Story: as above, but before Maie's tool sends again Juris changes the contract on top of hers.
   // Maie would be told that she lost, though her change was in force and is part of what stands.
   @Test
-  void lostAnswerIsFoundInTheHistoryAfterAnotherChange() throws Exception {
+  void appliedWriteIsFoundInTheHistoryAfterAnotherChange() throws Exception {
     store.failNextWrites(Fault.LOST_AFTER_EFFECT);
     Contract hers = contract("queueWait: 2s", "queueWait: 3s");
     store.beforeNextWrite(
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void writeThatNeverTakesEffectIsSentAgain() throws Exception {
+  void writeWithoutEffectIsRetried() throws Exception {
     store.failNextWrites(Fault.LOST_BEFORE_EFFECT, Fault.LOST_BEFORE_EFFECT);
 
     ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 3s"), baseRevision);
@@ -101,7 +101,7 @@
   // Story: an answer is lost and then the store goes down. "Nothing was written" would be a lie if
   // the first write took effect. Cause: the outage is of the second call, not of the first.
   @Test
-  void outageAfterALostAnswerIsNotReportedAsNothingWritten() throws Exception {
+  void outageAfterALostResponseIsReportedAsOutcomeUnknown() throws Exception {
     store.failNextWrites(
         Fault.LOST_AFTER_EFFECT, Fault.REFUSED, Fault.REFUSED, Fault.REFUSED, Fault.REFUSED);
 
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void outageBeforeAnythingIsSentIsReportedAsNothingWritten() throws Exception {
+  void outageBeforeTheFirstWriteIsReportedAsUnavailable() throws Exception {
     store.failNextWrites(Fault.REFUSED);
 
     ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 3s"), baseRevision);
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void contractWhoseLimitsDoNotFitIsRejected() throws Exception {
+  void contractWithInconsistentLimitsIsRejected() throws Exception {
     ApplyResult result =
         maie.apply(contract("queuePerTarget: 12", "queuePerTarget: 900"), baseRevision);
 
--- a/sageladder-platform/src/test/java/org/sageladder/platform/contract/ContractYamlTest.java
+++ b/sageladder-platform/src/test/java/org/sageladder/platform/contract/ContractYamlTest.java
@@ -17,14 +17,14 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"kannelkoda.yaml", "kalnins-dauge.yaml"})
-  void formattedContractReadsBackAlike(String file) throws Exception {
+  void formattedContractIsParsedToAnEqualContract(String file) throws Exception {
     Contract contract = parsed(file);
 
     assertEquals(contract, ContractYaml.parse("formatted", ContractYaml.format(contract)));
   }
 
   @Test
-  void kannelkodaHasTheSizesOfToday() throws Exception {
+  void parsesTheSizesOfKannelkoda() throws Exception {
     Contract contract = parsed("kannelkoda.yaml");
 
     assertEquals(6, contract.zones().size());
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void misspeltKeyOfOneServiceIsNamedWithItsPlace() throws Exception {
+  void errorNamesThePathOfAMisspeltKey() throws Exception {
     String yaml = text("kannelkoda.yaml").replaceFirst("slotsPerTarget", "slotPerTarget");
 
     SettingsException error =
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetEntry.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetEntry.java
@@ -84,7 +84,7 @@
             kill();
           }
         };
-    stopping.beginStop(end);
+    stopping.beginShutdown(end);
     parts.after(parts.day().bounds().graceMillis(), end);
   }
 
