--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperiment.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperiment.java
@@ -95,7 +95,7 @@
 
     @Override
     public Reading read() {
-      return new Reading(server.executions().total(), server.busy(), server.queued());
+      return new Reading(server.executions().total(), server.busySlotCount(), server.queuedCount());
     }
 
     @Override
@@ -132,9 +132,9 @@
       case STOP_ENTRY -> stopEntry(chosen(fault, VmRole.ENTRY));
       case DRAIN_TARGET -> announceEnd(chosen(fault, VmRole.TARGET));
       case CRASH_TARGET -> crash(chosen(fault, VmRole.TARGET));
-      case SLOW_TARGET -> breakTarget(fault, faults -> faults.slow(fault.factor()));
-      case SHED_TARGET -> breakTarget(fault, faults -> faults.shed(true));
-      case MISLEADING_LOAD -> breakTarget(fault, faults -> faults.reportBusy(0));
+      case SLOW_TARGET -> breakTarget(fault, faults -> faults.withSlowFactor(fault.factor()));
+      case SHED_TARGET -> breakTarget(fault, faults -> faults.withShed(true));
+      case MISLEADING_LOAD -> breakTarget(fault, faults -> faults.withReportBusy(0));
       case STORE_DOWN -> storeDown(fault);
       case CHANGE_CONTRACT ->
           ContractChange.longerDrain(store.address(), system.contract().customer());
@@ -201,14 +201,14 @@
   private String breakTarget(Fault fault, UnaryOperator<TargetFaults> change) throws IOException {
     ListedVm vm = chosen(fault, VmRole.TARGET);
     TargetServer server = server(vm);
-    server.faults(change.apply(server.faults()));
-    undoAfter(fault, () -> server.faults(TargetFaults.none()));
+    server.setFaults(change.apply(server.faults()));
+    undoAfter(fault, () -> server.setFaults(TargetFaults.none()));
     return vm.id();
   }
 
   private String storeDown(Fault fault) {
-    store.faults(StoreFaults.none().down(true));
-    undoAfter(fault, () -> store.faults(StoreFaults.none()));
+    store.setFaults(StoreFaults.none().withDown(true));
+    undoAfter(fault, () -> store.setFaults(StoreFaults.none()));
     return "store";
   }
 
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalMain.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalMain.java
@@ -203,7 +203,7 @@
       }
       long start = System.nanoTime();
       system.drainTarget(drained);
-      while (target.busy() > 0) {
+      while (target.busySlotCount() > 0) {
         Thread.sleep(1);
       }
       drainMillis = (System.nanoTime() - start) / 1_000_000;
@@ -215,7 +215,7 @@
         int busy = 0;
         int slots = 0;
         for (TargetServer target : system.targets().values()) {
-          busy += target.busy();
+          busy += target.busySlotCount();
           slots += target.options().slots();
         }
         leastHeadroom = Math.min(leastHeadroom, 1 - busy / (double) slots);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/AtMostOnceMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/AtMostOnceMain.java
@@ -31,7 +31,8 @@
       bed.addTargets("bids", TARGETS, ServiceTime.fixed(4), 3);
       bed.addEntries(ENTRIES);
       for (TargetServer target : bed.targets()) {
-        target.faults(TargetFaults.none().truncate(0.01).late(0.02, 700));
+        target.setFaults(
+            TargetFaults.none().withTruncateProbability(0.01).withLateAnswers(0.02, 700));
       }
       Thread.sleep(1_000);
       Ledger ledger = new Ledger();
--- a/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/Disorder.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/Disorder.java
@@ -35,7 +35,7 @@
         Thread.sleep(150 + random.nextInt(300));
         oneEvent();
       }
-      bed.store().faults(StoreFaults.none());
+      bed.store().setFaults(StoreFaults.none());
     } catch (IOException e) {
       throw new IllegalStateException("the disorder ended early", e);
     } catch (InterruptedException e) {
@@ -71,14 +71,14 @@
       bed.targets().get(random.nextInt(bed.targets().size())).crash();
     } else if (draw < 88) {
       count("store down");
-      bed.store().faults(StoreFaults.none().down(true));
+      bed.store().setFaults(StoreFaults.none().withDown(true));
       Thread.sleep(500 + random.nextInt(1_500));
-      bed.store().faults(StoreFaults.none());
+      bed.store().setFaults(StoreFaults.none());
     } else {
       count("store slow");
-      bed.store().faults(StoreFaults.none().slow(400));
+      bed.store().setFaults(StoreFaults.none().withSlowMillis(400));
       Thread.sleep(500 + random.nextInt(1_000));
-      bed.store().faults(StoreFaults.none());
+      bed.store().setFaults(StoreFaults.none());
     }
   }
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/BackgroundMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/BackgroundMain.java
@@ -58,7 +58,7 @@
       bed.addTargets("listings", 4, ServiceTime.fixed(20), 3);
       bed.addEntries(4);
       for (TargetServer target : bed.targets().subList(0, 4)) {
-        target.faults(TargetFaults.none().truncate(0.2));
+        target.setFaults(TargetFaults.none().withTruncateProbability(0.2));
       }
       Thread.sleep(2_000);
       boolean holds = new BackgroundMain(bed).run(count);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/NightFaults.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/NightFaults.java
@@ -66,9 +66,9 @@
       }
       case 2 -> {
         count("store down");
-        bed.store().faults(StoreFaults.none().down(true));
+        bed.store().setFaults(StoreFaults.none().withDown(true));
         Thread.sleep(DOWN_MILLIS);
-        bed.store().faults(StoreFaults.none());
+        bed.store().setFaults(StoreFaults.none());
       }
       case 3 -> {
         count("entry VM paused");
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/TargetStops.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/TargetStops.java
@@ -40,7 +40,7 @@
         started = target.executions().total();
         lastStart = now;
       }
-      if (target.busy() > 0) {
+      if (target.busySlotCount() > 0) {
         lastBusy = now;
       }
     }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/recovery/RecoveryBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/recovery/RecoveryBench.java
@@ -150,9 +150,9 @@
 
   private long outage(Fleet fleet, long millis) throws InterruptedException {
     long from = now();
-    fleet.store().faults(StoreFaults.none().down(true));
+    fleet.store().setFaults(StoreFaults.none().withDown(true));
     load(millis);
-    fleet.store().faults(StoreFaults.none());
+    fleet.store().setFaults(StoreFaults.none());
     long to = now();
     load(4_000);
     summary("store down " + millis / 1_000 + " s", from, to);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/reverts/RevertsBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/reverts/RevertsBench.java
@@ -115,19 +115,19 @@
         paused.add(vm);
       }
       case 2 -> outage(vm);
-      case 3 -> fleet.store().faults(StoreFaults.none().loseAnswers(1 + random.nextInt(5)));
-      default -> fleet.store().faults(StoreFaults.none().slow(1 + random.nextInt(40)));
+      case 3 -> fleet.store().setFaults(StoreFaults.none().withLoseAnswers(1 + random.nextInt(5)));
+      default -> fleet.store().setFaults(StoreFaults.none().withSlowMillis(1 + random.nextInt(40)));
     }
   }
 
   /** The store is down while a VM is started anew, which then has only its peers to ask. */
   private void outage(FleetVm vm) throws IOException, InterruptedException {
     fleet.collect(each -> true);
-    fleet.store().faults(StoreFaults.none().down(true));
+    fleet.store().setFaults(StoreFaults.none().withDown(true));
     vm.kill();
     vm.restart();
     Thread.sleep(1_500 + random.nextInt(1_500));
-    fleet.store().faults(StoreFaults.none());
+    fleet.store().setFaults(StoreFaults.none());
   }
 
   private void resumeAll() throws IOException, InterruptedException {
@@ -135,7 +135,7 @@
       vm.resume();
     }
     paused.clear();
-    fleet.store().faults(StoreFaults.none());
+    fleet.store().setFaults(StoreFaults.none());
   }
 
   private void settle() throws IOException, InterruptedException, StoreException {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/spread/SpreadBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/spread/SpreadBench.java
@@ -71,11 +71,11 @@
 
   private void slowStore() throws IOException, InterruptedException, StoreException {
     Histogram times = histogram();
-    fleet.store().faults(StoreFaults.none().slow(500));
+    fleet.store().setFaults(StoreFaults.none().withSlowMillis(500));
     for (int i = 0; i < Math.max(3, changes / 5); i++) {
       record(times, change(), PATIENCE);
     }
-    fleet.store().faults(StoreFaults.none());
+    fleet.store().setFaults(StoreFaults.none());
     report("store takes 500 ms a call", times);
   }
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/whole/WholeAnswersMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/whole/WholeAnswersMain.java
@@ -21,7 +21,8 @@
       bed.addTargets("archive", 4, ServiceTime.fixed(1), 8);
       bed.addEntries(2);
       for (TargetServer target : bed.targets().subList(0, 8)) {
-        target.faults(TargetFaults.none().truncate(0.01).late(0.01, 100));
+        target.setFaults(
+            TargetFaults.none().withTruncateProbability(0.01).withLateAnswers(0.01, 100));
       }
       Thread.sleep(1_500);
       Exchanges exchanges = new Exchanges(bed);
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/WholeProcessTest.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/WholeProcessTest.java
@@ -107,7 +107,7 @@
   private Account settled(Future<Map<String, Workload.Ended>> run)
       throws ExecutionException, InterruptedException {
     Map<String, Workload.Ended> ended = run.get();
-    while (cluster.targets().stream().anyMatch(target -> target.busy() > 0)) {
+    while (cluster.targets().stream().anyMatch(target -> target.busySlotCount() > 0)) {
       Thread.sleep(5);
     }
     return Account.of(ended, cluster.executions());
@@ -159,7 +159,7 @@
   // caller may notice.
   @Test
   void noRequestIsRefusedBecauseTheStoreIsDown() throws Exception {
-    cluster.store().faults(StoreFaults.none().down(true));
+    cluster.store().setFaults(StoreFaults.none().withDown(true));
     long callsBefore = calls();
     while (calls() < callsBefore + 4) {
       Thread.sleep(10);
@@ -167,7 +167,7 @@
     Account account = settled(inBackground(listings("outage"), 200));
     assertEquals(200, account.whole(), account::toString);
     assertTrue(account.foreign() == 0, account::toString);
-    cluster.store().faults(StoreFaults.none());
+    cluster.store().setFaults(StoreFaults.none());
   }
 
   private long calls() {
@@ -254,7 +254,8 @@
   @Test
   void aCallerThatGoesAwayFreesItsSlot() throws Exception {
     List<TargetServer> targets = cluster.targetsOf("lot-listing");
-    targets.forEach(target -> target.faults(TargetFaults.none().late(1, DEADLINE.toMillis())));
+    targets.forEach(
+        target -> target.setFaults(TargetFaults.none().withLateAnswers(1, DEADLINE.toMillis())));
     long cancelled = cancellations(targets);
     EntryProcess entry = cluster.running().get(0);
     try {
@@ -273,18 +274,18 @@
           Thread.sleep(5);
         }
       }
-      while (targets.stream().anyMatch(target -> target.busy() > 0)) {
+      while (targets.stream().anyMatch(target -> target.busySlotCount() > 0)) {
         Thread.sleep(5);
       }
       assertEquals(cancelled + 1, cancellations(targets));
       assertEquals(List.of("CALLER_GONE"), whyCancelled(entry, "gone"));
     } finally {
-      targets.forEach(target -> target.faults(TargetFaults.none()));
+      targets.forEach(target -> target.setFaults(TargetFaults.none()));
     }
   }
 
   private static long cancellations(List<TargetServer> targets) {
-    return targets.stream().mapToLong(TargetServer::cancellations).sum();
+    return targets.stream().mapToLong(TargetServer::cancellationCount).sum();
   }
 
   private static List<String> whyCancelled(EntryProcess entry, String id) throws Exception {
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Customers.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Customers.java
@@ -76,12 +76,12 @@
   }
 
   /** The key of a request, drawn by the workspaces' parts; null where there are no workspaces. */
-  Ledger.@Nullable Bearer draw(Random random) {
+  Ledger.@Nullable Credential draw(Random random) {
     if (customers.isEmpty()) {
       return null;
     }
     if (random.nextInt(FORGED_EACH) == 0) {
-      return new Ledger.Bearer("", FORGED, false);
+      return new Ledger.Credential("", FORGED, false);
     }
     double sum = customers.values().stream().mapToDouble(Customer::weight).sum();
     double at = random.nextDouble() * sum;
@@ -94,9 +94,9 @@
     return bearer(customers.values().iterator().next(), random);
   }
 
-  private Ledger.Bearer bearer(Customer of, Random random) {
+  private Ledger.Credential bearer(Customer of, Random random) {
     List<String> keys = List.copyOf(everHeld.getOrDefault(of.workspace().name(), Set.of()));
     String key = keys.get(random.nextInt(keys.size()));
-    return new Ledger.Bearer(of.workspace().name(), key, true);
+    return new Ledger.Credential(of.workspace().name(), key, true);
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Day.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Day.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.sageladder.core.routing.RouteRule;
 import org.sageladder.core.routing.Workspace;
-import org.sageladder.standin.platform.CallersStandIn.Ended;
+import org.sageladder.standin.platform.CallersStandIn.CompletedRequest;
 import org.sageladder.standin.platform.Ledger;
 import org.sageladder.standin.platform.PlatformBounds;
 import org.sageladder.standin.platform.TargetTraits;
@@ -33,7 +33,7 @@
   private final Ledger ledger = new Ledger();
   private final PlatformBounds bounds = PlatformBounds.standard();
   private final List<Span> spans = new ArrayList<>();
-  private final List<Ended> requests = new ArrayList<>();
+  private final List<CompletedRequest> requests = new ArrayList<>();
   private final Map<String, Set<String>> servicesOfRoute = new HashMap<>();
   private final Map<String, Workspace> workspaces = new HashMap<>();
   private long endsAt;
@@ -49,7 +49,7 @@
   }
 
   /** Requests of callers with what became of them, in the order of their ends. */
-  public List<Ended> requests() {
+  public List<CompletedRequest> requests() {
     return requests;
   }
 
@@ -95,7 +95,7 @@
   public boolean inTouch(String vm, long from, long to) {
     return spans.stream()
         .filter(span -> span.scope().equals(vm) || span.scope().equals(EVERYWHERE))
-        .noneMatch(span -> overlaps(span, from - bounds.contactMillis(), to));
+        .noneMatch(span -> overlaps(span, from - bounds.discoveryMillis(), to));
   }
 
   /**
@@ -105,14 +105,14 @@
   public boolean linksSound(String zone, long at) {
     return spans.stream()
         .filter(span -> span.scope().equals(zone))
-        .noneMatch(span -> overlaps(span, at - bounds.contactMillis(), at));
+        .noneMatch(span -> overlaps(span, at - bounds.discoveryMillis(), at));
   }
 
   /** True where nothing unplanned touched anything from {@code from} to {@code to}. */
   public boolean calm(long from, long to) {
     return spans.stream()
         .filter(span -> !span.planned())
-        .noneMatch(span -> overlaps(span, from - bounds.contactMillis(), to));
+        .noneMatch(span -> overlaps(span, from - bounds.discoveryMillis(), to));
   }
 
   private static boolean overlaps(Span span, long from, long to) {
@@ -131,18 +131,18 @@
 
   /** Requests a second that a cold target of the deployment bears. */
   public double coldPerSecond() {
-    return TargetTraits.standard().coldPerSecond();
+    return TargetTraits.standard().coldRequestsPerSecond();
   }
 
   /** Credit earned of the credit owed, by goal and lateness, 0 to 1. */
   public double worth() {
     double owed = 0;
     double earned = 0;
-    for (Ended request : requests) {
-      owed += request.kind().worth();
+    for (CompletedRequest request : requests) {
+      owed += request.profile().answerValue();
       if (request.status() >= 200 && request.status() < 300) {
-        boolean inTime = request.millis() <= request.kind().goalMillis();
-        earned += request.kind().worth() * (inTime ? 1 : LATE_PART);
+        boolean inTime = request.durationMillis() <= request.profile().latencyGoalMillis();
+        earned += request.profile().answerValue() * (inTime ? 1 : LATE_PART);
       }
     }
     return owed == 0 ? 0 : earned / owed;
@@ -153,7 +153,8 @@
 
   /** Part of the requests sent from {@code from} on that got a success. */
   public double served(long from) {
-    List<Ended> after = requests.stream().filter(r -> r.askedAt() >= from).toList();
+    List<CompletedRequest> after =
+        requests.stream().filter(r -> r.startedAtMillis() >= from).toList();
     long served = after.stream().filter(r -> r.status() >= 200 && r.status() < 300).count();
     return after.isEmpty() ? 1 : (double) served / after.size();
   }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Deployment.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Deployment.java
@@ -13,9 +13,9 @@
 import org.sageladder.core.routing.ServiceShare;
 import org.sageladder.core.routing.Workspace;
 import org.sageladder.scenario.Customers.Customer;
-import org.sageladder.standin.network.SimulatedNetwork.Ways;
-import org.sageladder.standin.platform.CallerKind;
-import org.sageladder.standin.platform.CallerKind.Habit;
+import org.sageladder.standin.network.SimulatedNetwork.OneWayDelays;
+import org.sageladder.standin.platform.RequestProfile;
+import org.sageladder.standin.platform.RequestProfile.ConnectionUse;
 import org.sageladder.standin.platform.TargetTraits;
 
 /**
@@ -34,8 +34,8 @@
     Map<String, Integer> entries,
     List<Service> services,
     List<RouteRule> routes,
-    List<CallerKind> kinds,
-    Ways ways,
+    List<RequestProfile> kinds,
+    OneWayDelays ways,
     List<Customer> customers) {
   /** A deployment without workspaces. */
   public Deployment(
@@ -43,8 +43,8 @@
       Map<String, Integer> entries,
       List<Service> services,
       List<RouteRule> routes,
-      List<CallerKind> kinds,
-      Ways ways) {
+      List<RequestProfile> kinds,
+      OneWayDelays ways) {
     this(regionOfZone, entries, services, routes, kinds, ways, List.of());
   }
 
@@ -93,10 +93,14 @@
                 safe("pull", new Work("archive", 3, 3_000, 1_500, 7_000)),
                 Set.of("north", "south"))),
         List.of(
-            kind("browse", true, new Work("search", 30, 640, 400, 3_000), Habit.KEPT),
-            kind("bid", false, new Work("ledger", 12, 840, 600, 4_000), Habit.FRESH),
-            kind("pull", true, new Work("archive", 3, 3_000, 1_500, 8_000), Habit.PIPELINED)),
-        Ways.standard());
+            kind("browse", true, new Work("search", 30, 640, 400, 3_000), ConnectionUse.KEPT),
+            kind("bid", false, new Work("ledger", 12, 840, 600, 4_000), ConnectionUse.FRESH),
+            kind(
+                "pull",
+                true,
+                new Work("archive", 3, 3_000, 1_500, 8_000),
+                ConnectionUse.PIPELINED)),
+        OneWayDelays.standard());
   }
 
   /**
@@ -110,8 +114,8 @@
         inEach(zones, 1),
         List.of(new Service("search", inEach(zones, 1), TargetTraits.standard())),
         List.of(safe("browse", new Work("search", 90, 120, 400, 2_000))),
-        List.of(kind("browse", true, new Work("search", 90, 120, 400, 3_000), Habit.KEPT)),
-        Ways.standard());
+        List.of(kind("browse", true, new Work("search", 90, 120, 400, 3_000), ConnectionUse.KEPT)),
+        OneWayDelays.standard());
   }
 
   /**
@@ -136,11 +140,19 @@
             safe("catalogue", new Work("archive", 38, 1_600, 1_000, 4_000)),
             safe("provenance", new Work("archive", 24, 2_560, 1_500, 6_000))),
         List.of(
-            kind("browse", true, new Work("listing", 82.2, 640, 400, 3_000), Habit.KEPT),
-            kind("bid", false, new Work("ledger", 32.1, 840, 600, 4_000), Habit.FRESH),
-            kind("catalogue", true, new Work("archive", 19, 1_600, 1_000, 8_000), Habit.PIPELINED),
-            kind("provenance", true, new Work("archive", 24, 2_560, 1_500, 12_000), Habit.FRESH)),
-        Ways.standard());
+            kind("browse", true, new Work("listing", 82.2, 640, 400, 3_000), ConnectionUse.KEPT),
+            kind("bid", false, new Work("ledger", 32.1, 840, 600, 4_000), ConnectionUse.FRESH),
+            kind(
+                "catalogue",
+                true,
+                new Work("archive", 19, 1_600, 1_000, 8_000),
+                ConnectionUse.PIPELINED),
+            kind(
+                "provenance",
+                true,
+                new Work("archive", 24, 2_560, 1_500, 12_000),
+                ConnectionUse.FRESH)),
+        OneWayDelays.standard());
   }
 
   /** The archive of Kannelkoda as its sheet has it: eight entry VMs, 38 targets, far regions. */
@@ -160,11 +172,20 @@
             safe("transcript", new Work("exports", 22.4, 1_200, 800, 3_000)),
             safe("audio", new Work("exports", 13, 1_920, 1_200, 5_000))),
         List.of(
-            kind("lyric", true, new Work("lyrics", 53.1, 480, 400, 2_500), Habit.KEPT),
-            kind("donation", false, new Work("donations", 20.1, 640, 500, 3_000), Habit.FRESH),
-            kind("transcript", true, new Work("exports", 11.2, 1_200, 800, 6_000), Habit.PIPELINED),
-            kind("audio", true, new Work("exports", 13, 1_920, 1_200, 10_000), Habit.FRESH)),
-        new Ways(100, 900, 55_000, 8_000));
+            kind("lyric", true, new Work("lyrics", 53.1, 480, 400, 2_500), ConnectionUse.KEPT),
+            kind(
+                "donation",
+                false,
+                new Work("donations", 20.1, 640, 500, 3_000),
+                ConnectionUse.FRESH),
+            kind(
+                "transcript",
+                true,
+                new Work("exports", 11.2, 1_200, 800, 6_000),
+                ConnectionUse.PIPELINED),
+            kind(
+                "audio", true, new Work("exports", 13, 1_920, 1_200, 10_000), ConnectionUse.FRESH)),
+        new OneWayDelays(100, 900, 55_000, 8_000));
   }
 
   /** The Guild's bookings as its sheet has them: twelve entry VMs, 44 targets, few near Cairo. */
@@ -187,11 +208,23 @@
             safe("calendar", new Work("desk", 21.1, 1_600, 1_200, 2_000)),
             safe("reviews", new Work("desk", 15.9, 2_560, 1_500, 3_000))),
         List.of(
-            kind("search", true, new Work("listings", 66.1, 640, 500, 3_000), Habit.PIPELINED),
-            kind("deposit", false, new Work("deposits", 21.1, 840, 600, 4_000), Habit.KEPT),
-            kind("calendar", true, new Work("desk", 21.1, 1_600, 1_200, 8_000), Habit.PIPELINED),
-            kind("reviews", true, new Work("desk", 15.9, 2_560, 1_500, 12_000), Habit.PIPELINED)),
-        new Ways(100, 1_400, 55_000, 3_000));
+            kind(
+                "search",
+                true,
+                new Work("listings", 66.1, 640, 500, 3_000),
+                ConnectionUse.PIPELINED),
+            kind("deposit", false, new Work("deposits", 21.1, 840, 600, 4_000), ConnectionUse.KEPT),
+            kind(
+                "calendar",
+                true,
+                new Work("desk", 21.1, 1_600, 1_200, 8_000),
+                ConnectionUse.PIPELINED),
+            kind(
+                "reviews",
+                true,
+                new Work("desk", 15.9, 2_560, 1_500, 12_000),
+                ConnectionUse.PIPELINED)),
+        new OneWayDelays(100, 1_400, 55_000, 3_000));
   }
 
   /**
@@ -221,21 +254,22 @@
             safe("catalogue", new Work("archive", 260, 1_916, 1_000, 4_000)),
             safe("provenance", new Work("archive", 164, 3_066, 1_500, 6_000))),
         List.of(
-            kind("browse", true, new Work("listing", 561, 767, 400, 3_000), Habit.KEPT, 185),
-            kind("bid", false, new Work("ledger", 219, 1_008, 600, 4_000), Habit.FRESH, 72),
+            kind(
+                "browse", true, new Work("listing", 561, 767, 400, 3_000), ConnectionUse.KEPT, 185),
+            kind("bid", false, new Work("ledger", 219, 1_008, 600, 4_000), ConnectionUse.FRESH, 72),
             kind(
                 "catalogue",
                 true,
                 new Work("archive", 130, 1_916, 1_000, 8_000),
-                Habit.PIPELINED,
+                ConnectionUse.PIPELINED,
                 130),
             kind(
                 "provenance",
                 true,
                 new Work("archive", 164, 3_066, 1_500, 12_000),
-                Habit.FRESH,
+                ConnectionUse.FRESH,
                 130)),
-        Ways.standard());
+        OneWayDelays.standard());
   }
 
   /** The small auction house with four entry VMs in each zone, of which one reads the store. */
@@ -256,7 +290,8 @@
    */
   public static Deployment workspaces() {
     Deployment auction = auction();
-    double perSecond = auction.kinds().stream().mapToDouble(CallerKind::perSecond).sum();
+    double perSecond =
+        auction.kinds().stream().mapToDouble(RequestProfile::requestsPerSecond).sum();
     List<Customer> customers = new ArrayList<>();
     for (int i = 0; i < WORKSPACES; i++) {
       double weight = i == 0 ? WORKSPACES : 1;
@@ -301,7 +336,7 @@
 
   /** The same with {@code factor} times as many requests. */
   Deployment atPace(double factor) {
-    List<CallerKind> paced = kinds.stream().map(kind -> kind.atPace(factor)).toList();
+    List<RequestProfile> paced = kinds.stream().map(kind -> kind.withRateFactor(factor)).toList();
     return new Deployment(regionOfZone, entries, services, routes, paced, ways, customers);
   }
 
@@ -314,7 +349,7 @@
                     service.name(),
                     390,
                     service.traits().coldMillis(),
-                    service.traits().coldPerSecond()))
+                    service.traits().coldRequestsPerSecond()))
         .toList();
   }
 
@@ -383,14 +418,15 @@
         route.anonymous());
   }
 
-  private static CallerKind kind(String route, boolean idempotent, Work work, Habit habit) {
+  private static RequestProfile kind(
+      String route, boolean idempotent, Work work, ConnectionUse habit) {
     return kind(route, idempotent, work, habit, FEW_OBJECTS);
   }
 
-  private static CallerKind kind(
-      String route, boolean idempotent, Work work, Habit habit, int objects) {
+  private static RequestProfile kind(
+      String route, boolean idempotent, Work work, ConnectionUse habit, int objects) {
     double worth = idempotent ? 1 : 2;
-    return new CallerKind(
+    return new RequestProfile(
         route,
         HOST,
         '/' + route + '/',
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
@@ -10,10 +10,10 @@
 import org.sageladder.scenario.Deployment.Service;
 import org.sageladder.standin.network.SimulatedHost;
 import org.sageladder.standin.network.SimulatedNetwork;
-import org.sageladder.standin.platform.CallerKind;
 import org.sageladder.standin.platform.CallersStandIn;
-import org.sageladder.standin.platform.Ledger.Moment;
+import org.sageladder.standin.platform.Ledger.PlatformEvent;
 import org.sageladder.standin.platform.PlatformTexts;
+import org.sageladder.standin.platform.RequestProfile;
 import org.sageladder.standin.platform.StoreModel;
 import org.sageladder.standin.platform.StorePort;
 
@@ -95,7 +95,7 @@
             new FleetEntry(
                 parts,
                 "entry-" + zone + "-" + (i + 1),
-                parts.network().host("10.1.0." + number, zone, region));
+                parts.network().addHost("10.1.0." + number, zone, region));
         entries.add(entry);
         entry.start();
       }
@@ -108,11 +108,11 @@
     for (Map.Entry<String, String> zone : parts.deployment().regionOfZone().entrySet()) {
       number++;
       SimulatedHost host =
-          parts.network().callersHost("10.9.0." + number, zone.getKey(), zone.getValue());
+          parts.network().addCallerHost("10.9.0." + number, zone.getKey(), zone.getValue());
       callers.add(
           CallersStandIn.start(
-              parts.network().loopOf(host),
-              new CallersStandIn.Place(zone.getKey(), zone.getValue(), lookUps(zone.getKey())),
+              parts.network().processLoop(host),
+              new CallersStandIn.Location(zone.getKey(), zone.getValue(), lookUps(zone.getKey())),
               parts.deployment().kinds(),
               share,
               parts.day().ledger(),
@@ -120,7 +120,7 @@
               parts.seed(),
               ended -> parts.day().requests().add(ended)));
     }
-    callers.forEach(each -> each.bear(customers::draw));
+    callers.forEach(each -> each.setApiKeys(customers::draw));
     customers.all().forEach(each -> parts.day().hold(each.workspace()));
   }
 
@@ -147,7 +147,7 @@
 
   /** Milliseconds since the start of the machines. */
   public long now() {
-    return parts.loop().now();
+    return parts.loop().nowMillis();
   }
 
   /** Calls {@code task} after {@code millis}. */
@@ -235,32 +235,32 @@
         route -> {
           routes.put(route.name(), route);
           parts.day().allow(route);
-          parts.day().ledger().moment(Moment.Kind.CONFIGURATION, route.name(), now());
+          parts.day().ledger().recordEvent(PlatformEvent.Kind.CONFIGURATION, route.name(), now());
         });
   }
 
   /** Adds a route to those in force, once by its name, and callers who send {@code kind} on it. */
-  public void addRoute(RouteRule added, CallerKind kind) {
+  public void addRoute(RouteRule added, RequestProfile kind) {
     List<RouteRule> all = new ArrayList<>(routes());
     all.removeIf(route -> route.name().equals(added.name()));
     all.add(added);
     configure(all);
-    callers.forEach(each -> each.alsoSend(kind, 1.0 / callers.size()));
+    callers.forEach(each -> each.addProfile(kind, 1.0 / callers.size()));
   }
 
   /** Empties a zone. */
   public void empty(String zone) {
     var unused = parts.store().put("op/evacuate/" + zone, PlatformTexts.base64("{}"), 0);
-    parts.day().ledger().moment(Moment.Kind.ZONE_EMPTIED, zone, now());
+    parts.day().ledger().recordEvent(PlatformEvent.Kind.ZONE_EMPTIED, zone, now());
   }
 
   /** Takes an emptied zone back; its targets are cold. */
   public void takeBack(String zone) {
     targets().stream()
         .filter(target -> target.host().zone().equals(zone))
-        .forEach(target -> target.process().turnCold());
+        .forEach(target -> target.process().becomeCold());
     parts.store().remove("op/evacuate/" + zone);
-    parts.day().ledger().moment(Moment.Kind.ZONE_TAKEN_BACK, zone, now());
+    parts.day().ledger().recordEvent(PlatformEvent.Kind.ZONE_TAKEN_BACK, zone, now());
   }
 
   /** Adds a target on a host of its own, cold as after any start during traffic. */
@@ -272,7 +272,7 @@
     targetHosts++;
     String ip = "10.5." + targetHosts / 200 + '.' + (1 + targetHosts % 200);
     String region = parts.deployment().regionOfZone().getOrDefault(zone, "");
-    FleetTarget target = new FleetTarget(parts, service, parts.network().host(ip, zone, region));
+    FleetTarget target = new FleetTarget(parts, service, parts.network().addHost(ip, zone, region));
     parts.targets().put(ip, target);
     target.start(coldMillis);
   }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetEntry.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetEntry.java
@@ -49,8 +49,8 @@
     process =
         PlatformEntry.start(
             PlatformSettings.parse(settings),
-            parts.network().loopOf(host),
-            parts.logs().of(name, parts.loop()::now),
+            parts.network().processLoop(host),
+            parts.logs().of(name, parts.loop()::nowMillis),
             () -> 0);
   }
 
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetParts.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetParts.java
@@ -34,11 +34,13 @@
     this.network = SimulatedNetwork.on(loop, deployment.ways(), seed);
     String firstZone = deployment.regionOfZone().keySet().iterator().next();
     this.storeHost =
-        network.host("10.200.1.7", "store", deployment.regionOfZone().getOrDefault(firstZone, ""));
-    Loop storeLoop = network.loopOf(storeHost);
-    this.store = new StoreModel(storeLoop::nowMillis, StoreModel.PAGE);
+        network.addHost(
+            "10.200.1.7", "store", deployment.regionOfZone().getOrDefault(firstZone, ""));
+    Loop storeLoop = network.processLoop(storeHost);
+    this.store = new StoreModel(storeLoop::nowMillis, StoreModel.MAX_PAGE_ITEMS);
     this.storePort =
-        StorePort.open(storeLoop, storeHost.ip(), STORE_PORT, store, ServerPort.Opened.ignored());
+        StorePort.open(
+            storeLoop, storeHost.ip(), STORE_PORT, store, ServerPort.OpenListener.ignored());
   }
 
   Deployment deployment() {
@@ -89,7 +91,7 @@
   }
 
   long now() {
-    return loop.now();
+    return loop.nowMillis();
   }
 
   void after(long millis, Runnable task) {
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetTarget.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetTarget.java
@@ -5,7 +5,7 @@
 import org.sageladder.forward.Loop;
 import org.sageladder.scenario.Deployment.Service;
 import org.sageladder.standin.network.SimulatedHost;
-import org.sageladder.standin.platform.Ledger.Moment;
+import org.sageladder.standin.platform.Ledger.PlatformEvent;
 import org.sageladder.standin.platform.PlatformTexts;
 import org.sageladder.standin.platform.ServerPort;
 import org.sageladder.standin.platform.TargetStandIn;
@@ -66,7 +66,7 @@
 
   private void start(String underId, long coldMillis) {
     id = underId;
-    Loop own = parts.network().loopOf(host);
+    Loop own = parts.network().processLoop(host);
     TargetFacts facts =
         new TargetFacts(
             new TargetIncarnation(id, parts.now()),
@@ -87,7 +87,7 @@
             parts.day().ledger(),
             parts.seed(),
             () -> crash(RESTART_MILLIS + service.traits().coldMillis()),
-            ServerPort.Opened.ignored());
+            ServerPort.OpenListener.ignored());
     running = true;
     registered = true;
     written = "";
@@ -100,20 +100,20 @@
   /** A heartbeat, where it reaches the parts.store(). */
   private void report() {
     boolean reaches =
-        parts.storePort().takesReports(host.ip())
-            && parts.network().passesBothWays(host, parts.storeHost());
+        parts.storePort().acceptsReports(host.ip())
+            && parts.network().isReachableBothWays(host, parts.storeHost());
     if (!reaches || !registered) {
       return;
     }
     heardAt = parts.now();
-    process.told();
-    String entry = PlatformTexts.target(process.facts(), 0);
+    process.onFactsStored();
+    String entry = PlatformTexts.targetEntry(process.facts(), 0);
     String key = "servers/" + id;
     if (entry.equals(written) && parts.store().find(key) != null) {
       return;
     }
     if (!written.isEmpty() && parts.store().find(key) == null) {
-      parts.day().ledger().moment(Moment.Kind.TARGET_BACK, ledgerName(), parts.now());
+      parts.day().ledger().recordEvent(PlatformEvent.Kind.TARGET_BACK, ledgerName(), parts.now());
     }
     written = entry;
     var unused = parts.store().put(key, PlatformTexts.base64(entry), 0);
@@ -141,7 +141,7 @@
     String key = "servers/" + id;
     if (parts.store().find(key) != null) {
       parts.store().remove(key);
-      parts.day().ledger().moment(Moment.Kind.TARGET_LEAVES, ledgerName(), parts.now());
+      parts.day().ledger().recordEvent(PlatformEvent.Kind.TARGET_LEAVES, ledgerName(), parts.now());
     }
   }
 
@@ -175,9 +175,9 @@
    */
   public void leave(boolean told) {
     if (told) {
-      process.leave();
+      process.startDraining();
       report();
-      parts.day().ledger().moment(Moment.Kind.TARGET_LEAVES, ledgerName(), parts.now());
+      parts.day().ledger().recordEvent(PlatformEvent.Kind.TARGET_LEAVES, ledgerName(), parts.now());
     } else {
       registered = false;
       forget();
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Windows.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Windows.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import org.sageladder.standin.platform.CallerKind;
-import org.sageladder.standin.platform.CallersStandIn.Ended;
+import org.sageladder.standin.platform.CallersStandIn.CompletedRequest;
 import org.sageladder.standin.platform.Ledger;
+import org.sageladder.standin.platform.RequestProfile;
 
 /** What callers got in each two seconds of a day, and of each kind of request. */
 final class Windows {
@@ -23,11 +23,11 @@
     int inTime;
     int served;
 
-    void add(Ended request) {
+    void add(CompletedRequest request) {
       boolean good = request.status() >= 200 && request.status() < 300;
       asked++;
       served += good ? 1 : 0;
-      inTime += good && request.millis() <= request.kind().goalMillis() ? 1 : 0;
+      inTime += good && request.durationMillis() <= request.profile().latencyGoalMillis() ? 1 : 0;
     }
 
     @Override
@@ -57,21 +57,21 @@
     private int lateWaited;
 
     /** Notes the request's last run, where its answer took {@code millis}. */
-    void answered(Ledger.Asked asked, Ledger.Run run, long arrivedAt, long millis) {
+    void answered(Ledger.Attempt asked, Ledger.Run run, long arrivedAt, long millis) {
       if (millis <= asked.route().latencyGoalMillis()) {
         return;
       }
       late++;
-      if (!run.known()) {
+      if (!run.hadCached()) {
         lateUnknown++;
-      } else if (run.beganAt() - arrivedAt > LONG_WAIT_MILLIS) {
+      } else if (run.startedAtMillis() - arrivedAt > LONG_WAIT_MILLIS) {
         lateWaited++;
       }
     }
 
-    void add(Ledger.Asked asked, Ledger.Run run) {
+    void add(Ledger.Attempt asked, Ledger.Run run) {
       all++;
-      unknown += run.known() ? 0 : 1;
+      unknown += run.hadCached() ? 0 : 1;
       objects.add(asked.path());
       places.add(asked.path() + ' ' + run.target());
     }
@@ -94,18 +94,18 @@
 
   static Windows of(Day day, Deployment deployment) {
     Windows windows = new Windows();
-    List<String> kinds = deployment.kinds().stream().map(CallerKind::route).toList();
-    for (Ended request : day.requests()) {
-      if (kinds.contains(request.kind().route())) {
-        long from = request.askedAt() / WINDOW_MILLIS * WINDOW_MILLIS;
+    List<String> kinds = deployment.kinds().stream().map(RequestProfile::route).toList();
+    for (CompletedRequest request : day.requests()) {
+      if (kinds.contains(request.profile().route())) {
+        long from = request.startedAtMillis() / WINDOW_MILLIS * WINDOW_MILLIS;
         windows.byTime.computeIfAbsent(from, at -> new Counts()).add(request);
-        windows.byKind.computeIfAbsent(request.kind().route(), key -> new Counts()).add(request);
+        windows.byKind.computeIfAbsent(request.profile().route(), key -> new Counts()).add(request);
         windows.byZone.computeIfAbsent(request.zone(), key -> new Counts()).add(request);
       }
     }
     Map<String, Long> arrivals = new HashMap<>();
     day.ledger().arrivals().forEach(arrival -> arrivals.put(arrival.id(), arrival.at()));
-    for (Ledger.Asked asked : day.ledger().asked().values()) {
+    for (Ledger.Attempt asked : day.ledger().attempts().values()) {
       Runs ofRoute = windows.runs.computeIfAbsent(asked.route().name(), key -> new Runs());
       List<Ledger.Run> ofRequest = day.ledger().runs(asked.id());
       ofRequest.forEach(run -> ofRoute.add(asked, run));
@@ -113,7 +113,7 @@
       Optional<Ledger.Answered> answer = day.ledger().answer(asked.id());
       if (!ofRequest.isEmpty() && arrivedAt != null && answer.isPresent()) {
         Ledger.Run last = ofRequest.get(ofRequest.size() - 1);
-        ofRoute.answered(asked, last, arrivedAt, answer.get().at() - asked.at());
+        ofRoute.answered(asked, last, arrivedAt, answer.get().at() - asked.sentAtMillis());
       }
     }
     return windows;
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/AddedRoutes.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/AddedRoutes.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import org.sageladder.scenario.Day;
-import org.sageladder.standin.platform.CallersStandIn.Ended;
-import org.sageladder.standin.platform.Ledger.Moment;
+import org.sageladder.standin.platform.CallersStandIn.CompletedRequest;
+import org.sageladder.standin.platform.Ledger.PlatformEvent;
 
 /** Routes that operators add are served as the first ones are, in calm times. */
 final class AddedRoutes {
@@ -20,7 +20,7 @@
     int requests;
     int served;
 
-    void count(Ended request) {
+    void count(CompletedRequest request) {
       requests++;
       served += request.status() >= 200 && request.status() < 300 ? 1 : 0;
     }
@@ -42,14 +42,16 @@
     long first = since.values().stream().mapToLong(Long::longValue).min().orElse(0);
     Share added = new Share();
     Share others = new Share();
-    for (Ended request : day.requests()) {
-      Long addedAt = since.get(request.kind().route());
-      if (addedAt == null || !day.calm(request.askedAt(), request.askedAt() + request.millis())) {
+    for (CompletedRequest request : day.requests()) {
+      Long addedAt = since.get(request.profile().route());
+      if (addedAt == null
+          || !day.calm(
+              request.startedAtMillis(), request.startedAtMillis() + request.durationMillis())) {
         continue;
       }
       if (addedAt == first) {
         others.count(request);
-      } else if (request.askedAt() > addedAt + day.bounds().applyMillis()) {
+      } else if (request.startedAtMillis() > addedAt + day.bounds().configurationApplyMillis()) {
         added.count(request);
       }
     }
@@ -63,8 +65,8 @@
   private static Map<String, Long> inForceSince(Day day) {
     Map<String, Long> since = new HashMap<>();
     day.ledger()
-        .moments(Moment.Kind.CONFIGURATION)
-        .forEach(moment -> since.merge(moment.what(), moment.at(), Math::min));
+        .events(PlatformEvent.Kind.CONFIGURATION)
+        .forEach(moment -> since.merge(moment.subject(), moment.atMillis(), Math::min));
     return since;
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/AnswerRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/AnswerRules.java
@@ -32,7 +32,8 @@
         .runs()
         .forEach(
             (id, runs) -> {
-              boolean once = day.ledger().asked(id).map(a -> !a.route().idempotent()).orElse(false);
+              boolean once =
+                  day.ledger().attempt(id).map(a -> !a.route().idempotent()).orElse(false);
               if (once && runs.size() > 1) {
                 broken.add(id + " ran " + runs.size() + " times");
               }
@@ -42,7 +43,7 @@
 
   static List<String> refusedThoughRun(Day day) {
     List<String> broken = new ArrayList<>();
-    for (Ledger.Asked asked : day.ledger().asked().values()) {
+    for (Ledger.Attempt asked : day.ledger().attempts().values()) {
       int status = day.ledger().answer(asked.id()).map(Ledger.Answered::status).orElse(0);
       if (!asked.route().idempotent()
           && NOT_RUN.contains(status)
@@ -55,7 +56,7 @@
 
   static List<String> wrongAnswers(Day day) {
     List<String> broken = new ArrayList<>();
-    for (Ledger.Asked asked : day.ledger().asked().values()) {
+    for (Ledger.Attempt asked : day.ledger().attempts().values()) {
       day.ledger()
           .answer(asked.id())
           .filter(answer -> answer.status() != 0 && !isRight(day, answer))
@@ -77,13 +78,13 @@
             .anyMatch(
                 run ->
                     run.status() == answer.status()
-                        && (!success || answer.body().equals(run.answer())));
+                        && (!success || answer.body().equals(run.responseBody())));
   }
 
   /** Proper requests that every configuration allows, ended by an answer of the system's own. */
   static List<String> denied(Day day) {
     List<String> broken = new ArrayList<>();
-    for (Ledger.Asked asked : day.ledger().asked().values()) {
+    for (Ledger.Attempt asked : day.ledger().attempts().values()) {
       int status = day.ledger().answer(asked.id()).map(Ledger.Answered::status).orElse(0);
       boolean denied = status >= 300 && status < 500 && !NOT_RUN.contains(status);
       if (denied && !(status == UNAUTHORIZED && !KeyRules.isHeld(day, asked.id()))) {
@@ -96,15 +97,16 @@
   /** A planned stop, and nothing else, is going on: whoever was read gets an answer. */
   static List<String> cutByPlannedWork(Day day) {
     List<String> broken = new ArrayList<>();
-    for (Ledger.Asked asked : day.ledger().asked().values()) {
+    for (Ledger.Attempt asked : day.ledger().attempts().values()) {
       day.ledger()
           .answer(asked.id())
           .filter(answer -> answer.status() == 0)
           .filter(answer -> reachedTarget(day, asked.id()))
-          .filter(answer -> day.calm(asked.at(), answer.at()))
-          .filter(answer -> answer.at() - asked.at() < asked.route().timeoutMillis())
+          .filter(answer -> day.calm(asked.sentAtMillis(), answer.at()))
+          .filter(answer -> answer.at() - asked.sentAtMillis() < asked.route().timeoutMillis())
           .filter(answer -> !outlastedTheStop(day, asked))
-          .ifPresent(answer -> broken.add(asked.id() + " at " + asked.vm() + " was cut off"));
+          .ifPresent(
+              answer -> broken.add(asked.id() + " at " + asked.entryVmIp() + " was cut off"));
     }
     return broken;
   }
@@ -113,15 +115,17 @@
    * True where the VM was being stopped, the request came no later than some seconds after that
    * began, and its target was still at work in the last sixth of the grace time.
    */
-  private static boolean outlastedTheStop(Day day, Ledger.Asked asked) {
+  private static boolean outlastedTheStop(Day day, Ledger.Attempt asked) {
     long lastSixth = day.bounds().graceMillis() * 5 / 6;
-    return day.plannedWork(asked.vm()).stream()
-        .filter(stop -> asked.at() <= stop.from() + STOP_TAKES_MILLIS)
+    return day.plannedWork(asked.entryVmIp()).stream()
+        .filter(stop -> asked.sentAtMillis() <= stop.from() + STOP_TAKES_MILLIS)
         .anyMatch(
             stop ->
                 day.ledger().runs(asked.id()).stream()
                     .anyMatch(
-                        run -> run.endedAt() < 0 || run.endedAt() >= stop.from() + lastSixth));
+                        run ->
+                            run.endedAtMillis() < 0
+                                || run.endedAtMillis() >= stop.from() + lastSixth));
   }
 
   private static boolean reachedTarget(Day day, String id) {
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/ArrivalRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/ArrivalRules.java
@@ -12,8 +12,8 @@
 import org.sageladder.scenario.Day;
 import org.sageladder.standin.platform.Ledger;
 import org.sageladder.standin.platform.Ledger.Arrival;
-import org.sageladder.standin.platform.Ledger.Asked;
-import org.sageladder.standin.platform.Ledger.Moment;
+import org.sageladder.standin.platform.Ledger.Attempt;
+import org.sageladder.standin.platform.Ledger.PlatformEvent;
 
 /** Rules on what reaches targets. */
 final class ArrivalRules {
@@ -44,7 +44,7 @@
         arrival ->
             isTaken(arrival)
                 && day.ledger()
-                    .asked(arrival.id())
+                    .attempt(arrival.id())
                     .map(asked -> day.services(asked.route().name()))
                     .filter(services -> !services.contains(arrival.service()))
                     .isPresent());
@@ -56,7 +56,7 @@
         arrival ->
             isTaken(arrival)
                 && day.ledger()
-                    .asked(arrival.id())
+                    .attempt(arrival.id())
                     .filter(asked -> !asked.route().allows(arrival.region()))
                     .isPresent());
   }
@@ -64,10 +64,12 @@
   static List<String> afterLeaving(Day day) {
     Map<String, Long> left = new HashMap<>();
     day.ledger()
-        .moments(Moment.Kind.TARGET_LEAVES)
-        .forEach(moment -> left.putIfAbsent(moment.what(), moment.at()));
+        .events(PlatformEvent.Kind.TARGET_LEAVES)
+        .forEach(moment -> left.putIfAbsent(moment.subject(), moment.atMillis()));
     // A target that lives and whose entry had lapsed has not left.
-    day.ledger().moments(Moment.Kind.TARGET_BACK).forEach(moment -> left.remove(moment.what()));
+    day.ledger()
+        .events(PlatformEvent.Kind.TARGET_BACK)
+        .forEach(moment -> left.remove(moment.subject()));
     return lines(
         day,
         arrival -> {
@@ -81,28 +83,32 @@
   }
 
   static List<String> afterEmptying(Day day) {
-    List<Moment> emptied = day.ledger().moments(Moment.Kind.ZONE_EMPTIED);
-    List<Moment> back = day.ledger().moments(Moment.Kind.ZONE_TAKEN_BACK);
+    List<PlatformEvent> emptied = day.ledger().events(PlatformEvent.Kind.ZONE_EMPTIED);
+    List<PlatformEvent> back = day.ledger().events(PlatformEvent.Kind.ZONE_TAKEN_BACK);
     return lines(
         day,
         arrival ->
             arrival.fate() != Ledger.Fate.OTHER_TARGET
                 && emptied.stream()
-                    .filter(moment -> moment.what().equals(arrival.zone()))
+                    .filter(moment -> moment.subject().equals(arrival.zone()))
                     .anyMatch(moment -> isWithin(day, moment, back, arrival)));
   }
 
-  private static boolean isWithin(Day day, Moment emptied, List<Moment> back, Arrival arrival) {
+  private static boolean isWithin(
+      Day day, PlatformEvent emptied, List<PlatformEvent> back, Arrival arrival) {
     long until =
         back.stream()
-            .filter(moment -> moment.what().equals(emptied.what()) && moment.at() > emptied.at())
-            .mapToLong(Moment::at)
+            .filter(
+                moment ->
+                    moment.subject().equals(emptied.subject())
+                        && moment.atMillis() > emptied.atMillis())
+            .mapToLong(PlatformEvent::atMillis)
             .min()
             .orElse(Long.MAX_VALUE);
-    return arrival.at() > emptied.at() + day.bounds().evacuateMillis()
+    return arrival.at() > emptied.atMillis() + day.bounds().evacuateMillis()
         && arrival.at() < until
         && day.linksSound(arrival.zone(), arrival.at())
-        && day.inTouch(arrival.from(), emptied.at(), arrival.at());
+        && day.inTouch(arrival.from(), emptied.atMillis(), arrival.at());
   }
 
   /** A service that only an older configuration allows, after the newer one is in force. */
@@ -110,7 +116,7 @@
     return lines(
         day,
         arrival -> {
-          Optional<Asked> asked = day.ledger().asked(arrival.id());
+          Optional<Attempt> asked = day.ledger().attempt(arrival.id());
           if (asked.isEmpty() || !isTaken(arrival)) {
             return false;
           }
@@ -120,15 +126,18 @@
                   .collect(Collectors.toSet());
           long since = lastChange(day, asked.get());
           return !now.contains(arrival.service())
-              && asked.get().at() > since + day.bounds().applyMillis()
+              && asked.get().sentAtMillis() > since + day.bounds().configurationApplyMillis()
               && day.inTouch(arrival.from(), since, arrival.at());
         });
   }
 
-  private static long lastChange(Day day, Asked asked) {
-    return day.ledger().moments(Moment.Kind.CONFIGURATION).stream()
-        .filter(moment -> moment.what().equals(asked.route().name()) && moment.at() <= asked.at())
-        .map(Moment::at)
+  private static long lastChange(Day day, Attempt asked) {
+    return day.ledger().events(PlatformEvent.Kind.CONFIGURATION).stream()
+        .filter(
+            moment ->
+                moment.subject().equals(asked.route().name())
+                    && moment.atMillis() <= asked.sentAtMillis())
+        .map(PlatformEvent::atMillis)
         .max(Comparator.naturalOrder())
         .orElse(0L);
   }
@@ -140,7 +149,7 @@
             day,
             arrival ->
                 day.ledger()
-                    .leftAt(arrival.id())
+                    .callerLeftAtMillis(arrival.id())
                     .filter(at -> arrival.at() > at + GONE_MILLIS)
                     .filter(at -> day.inTouch(arrival.from(), at, arrival.at()))
                     .isPresent());
@@ -157,15 +166,15 @@
   }
 
   private static void countRunOn(Day day, Ledger.Run run, int[] left, List<String> runOn) {
-    Optional<Long> at = day.ledger().leftAt(run.id());
-    Optional<Asked> asked = day.ledger().asked(run.id());
+    Optional<Long> at = day.ledger().callerLeftAtMillis(run.id());
+    Optional<Attempt> asked = day.ledger().attempt(run.id());
     if (at.isEmpty() || asked.isEmpty() || !asked.get().route().idempotent()) {
       return;
     }
-    if (!day.inTouch(asked.get().vm(), at.get(), at.get() + GONE_MILLIS)) {
+    if (!day.inTouch(asked.get().entryVmIp(), at.get(), at.get() + GONE_MILLIS)) {
       return;
     }
-    boolean ranOn = run.endedAt() < 0 || run.endedAt() > at.get() + GONE_MILLIS;
+    boolean ranOn = run.endedAtMillis() < 0 || run.endedAtMillis() > at.get() + GONE_MILLIS;
     boolean dropped = run.status() == 0 && !ranOn;
     left[0] += ranOn || dropped ? 1 : 0;
     if (ranOn) {
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/BudgetRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/BudgetRules.java
@@ -13,7 +13,7 @@
 import org.sageladder.scenario.Day;
 import org.sageladder.standin.platform.Ledger;
 import org.sageladder.standin.platform.Ledger.Arrival;
-import org.sageladder.standin.platform.Ledger.Asked;
+import org.sageladder.standin.platform.Ledger.Attempt;
 
 /** Rules on how much reaches targets. */
 final class BudgetRules {
@@ -40,7 +40,8 @@
       while (times.peekFirst() <= arrival.at() - SECOND_MILLIS) {
         times.removeFirst();
       }
-      double most = day.coldPerSecond() * day.bounds().coldOver() + day.bounds().coldSlack();
+      double most =
+          day.coldPerSecond() * day.bounds().coldRateFactor() + day.bounds().coldExtraRequests();
       if (times.size() > most) {
         broken.add(arrival.target() + " got " + times.size() + " in a second at " + arrival.at());
       }
@@ -68,7 +69,7 @@
             int most = count(requests, end - window, end);
             most = Math.max(most, count(requests, end - 2 * window, end - window));
             most = Math.max(most, count(requests, end - window * 3 / 2, end - window / 2));
-            double bound = day.bounds().retryRatio() * most + day.bounds().retryExtra();
+            double bound = day.bounds().retryRatio() * most + day.bounds().extraRetries();
             if (repeats > bound) {
               broken.add(service + " got " + repeats + " second sends in the window to " + end);
             }
@@ -80,8 +81,11 @@
   /** Requests on routes to each service, by when they were sent, whether they arrived or not. */
   private static Map<String, NavigableMap<Long, Integer>> requests(Day day) {
     Map<String, NavigableMap<Long, Integer>> requests = new HashMap<>();
-    for (Asked asked : day.ledger().asked().values()) {
-      asked.route().services().forEach(share -> add(requests, share.service(), asked.at()));
+    for (Attempt asked : day.ledger().attempts().values()) {
+      asked
+          .route()
+          .services()
+          .forEach(share -> add(requests, share.service(), asked.sentAtMillis()));
     }
     return requests;
   }
@@ -101,7 +105,8 @@
         .runs()
         .forEach(
             (id, runs) -> {
-              int most = day.ledger().asked(id).map(asked -> asked.route().maxTargets()).orElse(1);
+              int most =
+                  day.ledger().attempt(id).map(asked -> asked.route().maxTargets()).orElse(1);
               long targets = runs.stream().map(Ledger.Run::target).distinct().count();
               if (targets > most) {
                 broken.add(id + " ran at " + targets + " targets");
@@ -115,17 +120,18 @@
     List<String> broken = new ArrayList<>();
     for (Arrival arrival : day.ledger().arrivals()) {
       day.ledger()
-          .asked(arrival.id())
+          .attempt(arrival.id())
           .filter(asked -> isLonger(arrival, asked))
-          .filter(asked -> day.inTouch(arrival.from(), asked.at(), arrival.at()))
+          .filter(asked -> day.inTouch(arrival.from(), asked.sentAtMillis(), arrival.at()))
           .ifPresent(asked -> broken.add(arrival.toString()));
     }
     return broken.size() > FEW_OVER_TIME ? broken : List.of();
   }
 
-  private static boolean isLonger(Arrival arrival, Asked asked) {
+  private static boolean isLonger(Arrival arrival, Attempt asked) {
     long ends = arrival.at() + arrival.deadlineMillis();
-    return arrival.deadlineMillis() < 0 || ends > asked.at() + asked.deadlineMillis() + LATE_MILLIS;
+    return arrival.deadlineMillis() < 0
+        || ends > asked.sentAtMillis() + asked.deadlineMillis() + LATE_MILLIS;
   }
 
   /** A request that crashes its targets goes on reaching others. */
@@ -133,7 +139,7 @@
     Map<String, List<Arrival>> byPath = new HashMap<>();
     for (Arrival arrival : day.ledger().arrivals()) {
       day.ledger()
-          .asked(arrival.id())
+          .attempt(arrival.id())
           .filter(asked -> asked.path().contains("poison"))
           .ifPresent(
               asked ->
@@ -145,7 +151,7 @@
           if (arrivals.size() <= MOST_CRASHED) {
             return;
           }
-          long third = arrivals.get(MOST_CRASHED - 1).at() + day.bounds().contactMillis();
+          long third = arrivals.get(MOST_CRASHED - 1).at() + day.bounds().discoveryMillis();
           long after =
               arrivals.stream()
                   .filter(arrival -> arrival.at() > third)
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/KeyRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/KeyRules.java
@@ -10,7 +10,7 @@
 import org.sageladder.scenario.Day;
 import org.sageladder.standin.platform.Ledger;
 import org.sageladder.standin.platform.Ledger.Delivery;
-import org.sageladder.standin.platform.Ledger.Moment;
+import org.sageladder.standin.platform.Ledger.PlatformEvent;
 
 /** Rules on API keys and quotas of workspaces. */
 final class KeyRules {
@@ -29,7 +29,7 @@
     List<String> broken = new ArrayList<>();
     for (Delivery delivery : day.ledger().deliveries()) {
       day.ledger()
-          .bearer(delivery.id())
+          .credential(delivery.id())
           .filter(bearer -> delivery.keyShown() || !delivery.workspace().equals(bearer.workspace()))
           .ifPresent(bearer -> broken.add(delivery + " bore a key of " + bearer.workspace()));
     }
@@ -41,7 +41,10 @@
     List<String> broken = new ArrayList<>();
     for (Delivery delivery : day.ledger().deliveries()) {
       boolean forged =
-          day.ledger().bearer(delivery.id()).filter(bearer -> !bearer.everHeld()).isPresent();
+          day.ledger()
+              .credential(delivery.id())
+              .filter(bearer -> !bearer.wasEverConfigured())
+              .isPresent();
       if (forged && delivery.fate() == Ledger.Fate.TAKEN) {
         broken.add(delivery.id() + " ran with a key that nobody ever held");
       }
@@ -52,18 +55,18 @@
   /** Requests sent by machines in touch after their key's end was in force that reach a target. */
   static List<String> keysTakenAway(Day day) {
     List<String> broken = new ArrayList<>();
-    for (Moment moment : day.ledger().moments(Moment.Kind.KEY_TAKEN_AWAY)) {
-      long inForce = moment.at() + day.bounds().applyMillis();
+    for (PlatformEvent moment : day.ledger().events(PlatformEvent.Kind.KEY_TAKEN_AWAY)) {
+      long inForce = moment.atMillis() + day.bounds().configurationApplyMillis();
       for (Delivery delivery : day.ledger().deliveries()) {
         boolean bears =
             day.ledger()
-                .bearer(delivery.id())
-                .filter(b -> b.key().equals(moment.what()))
+                .credential(delivery.id())
+                .filter(b -> b.key().equals(moment.subject()))
                 .isPresent();
         if (bears
             && delivery.fate() == Ledger.Fate.TAKEN
             && isSentInTouch(day, delivery.id(), inForce)) {
-          broken.add(delivery.id() + " ran after its key was taken away at " + moment.at());
+          broken.add(delivery.id() + " ran after its key was taken away at " + moment.atMillis());
         }
       }
     }
@@ -72,21 +75,21 @@
 
   /** True where the request bears no key, or one that all configurations so far have held. */
   static boolean isHeld(Day day, String id) {
-    Ledger.Bearer bearer = day.ledger().bearer(id).orElse(null);
+    Ledger.Credential bearer = day.ledger().credential(id).orElse(null);
     if (bearer == null) {
       return true;
     }
     boolean taken =
-        day.ledger().moments(Moment.Kind.KEY_TAKEN_AWAY).stream()
-            .anyMatch(moment -> moment.what().equals(bearer.key()));
-    return bearer.everHeld() && !taken;
+        day.ledger().events(PlatformEvent.Kind.KEY_TAKEN_AWAY).stream()
+            .anyMatch(moment -> moment.subject().equals(bearer.key()));
+    return bearer.wasEverConfigured() && !taken;
   }
 
   private static boolean isSentInTouch(Day day, String id, long after) {
     return day.ledger()
-        .asked(id)
-        .filter(asked -> asked.at() > after)
-        .filter(asked -> day.inTouch(asked.vm(), asked.at(), asked.at()))
+        .attempt(id)
+        .filter(asked -> asked.sentAtMillis() > after)
+        .filter(asked -> day.inTouch(asked.entryVmIp(), asked.sentAtMillis(), asked.sentAtMillis()))
         .isPresent();
   }
 
@@ -122,8 +125,12 @@
 
   /** A lower quota binds one window after it is in force. */
   private static long settledAt(Day day) {
-    return day.ledger().moments(Moment.Kind.QUOTA_LOWERED).stream()
-        .mapToLong(m -> m.at() + day.bounds().applyMillis() + day.bounds().quotaWindowMillis())
+    return day.ledger().events(PlatformEvent.Kind.QUOTA_LOWERED).stream()
+        .mapToLong(
+            m ->
+                m.atMillis()
+                    + day.bounds().configurationApplyMillis()
+                    + day.bounds().quotaWindowMillis())
         .max()
         .orElse(0);
   }
@@ -131,16 +138,16 @@
   private static double most(Day day, Quota quota) {
     double seconds = day.bounds().quotaWindowMillis() / MILLIS_PER_SECOND;
     double allowed = quota.ratePerSecond() * seconds + quota.burst();
-    return allowed * (1 + day.bounds().quotaOver()) + day.bounds().quotaSlack();
+    return allowed * (1 + day.bounds().quotaExcessFraction()) + day.bounds().quotaExcessRequests();
   }
 
   /** Workspaces within their quotas whose requests are served far less often than all. */
   static List<String> starved(Day day) {
     Map<String, int[]> counts = new HashMap<>();
     int[] all = new int[2];
-    for (String id : day.ledger().asked().keySet()) {
+    for (String id : day.ledger().attempts().keySet()) {
       day.ledger()
-          .bearer(id)
+          .credential(id)
           .filter(bearer -> !bearer.workspace().isEmpty())
           .ifPresent(
               bearer -> {
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/Shifts.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/Shifts.java
@@ -63,13 +63,16 @@
   /** The worst shift of each region that is too fast, between any two spans in a row. */
   static List<String> tooFast(Day day) {
     long begins =
-        day.ledger().asked().values().stream().mapToLong(Ledger.Asked::at).min().orElse(0);
+        day.ledger().attempts().values().stream()
+            .mapToLong(Ledger.Attempt::sentAtMillis)
+            .min()
+            .orElse(0);
     List<String> broken = new ArrayList<>();
     steps(day, begins)
         .forEach(
             (region, steps) -> {
               Change worst = worst(day, begins, steps);
-              if (worst.part() > day.bounds().mostShift()) {
+              if (worst.part() > day.bounds().maxShiftFraction()) {
                 broken.add(line(region, worst));
               }
             });
@@ -115,12 +118,12 @@
       }
     }
     Map<String, NavigableMap<Long, Span>> byRegion = new TreeMap<>();
-    for (Ledger.Asked asked : day.ledger().asked().values()) {
+    for (Ledger.Attempt asked : day.ledger().attempts().values()) {
       String region = ranIn.get(asked.id());
       if (region != null) {
         byRegion
             .computeIfAbsent(asked.region(), name -> new TreeMap<>())
-            .computeIfAbsent((asked.at() - begins) / STEP_MILLIS, number -> new Span())
+            .computeIfAbsent((asked.sentAtMillis() - begins) / STEP_MILLIS, number -> new Span())
             .count(region);
       }
     }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/CallerTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/CallerTroubles.java
@@ -20,13 +20,14 @@
   }
 
   private static void burst(Fleet fleet, Random random) {
-    fleet.callers().forEach(callers -> callers.pace(BURST));
-    fleet.after(BURST_MILLIS, () -> fleet.callers().forEach(callers -> callers.pace(1)));
+    fleet.callers().forEach(callers -> callers.setRateFactor(BURST));
+    fleet.after(BURST_MILLIS, () -> fleet.callers().forEach(callers -> callers.setRateFactor(1)));
   }
 
   /** Callers leave before they have an answer. */
   private static void leave(Fleet fleet, Random random) {
-    fleet.callers().forEach(callers -> callers.leave(LEAVING_SHARE, LEAVE_AFTER_MILLIS));
-    fleet.after(LEAVING_MILLIS, () -> fleet.callers().forEach(callers -> callers.leave(0, 0)));
+    fleet.callers().forEach(callers -> callers.setAbandonment(LEAVING_SHARE, LEAVE_AFTER_MILLIS));
+    fleet.after(
+        LEAVING_MILLIS, () -> fleet.callers().forEach(callers -> callers.setAbandonment(0, 0)));
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/NetworkTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/NetworkTroubles.java
@@ -6,7 +6,7 @@
 import org.sageladder.scenario.Fleet;
 import org.sageladder.scenario.FleetEntry;
 import org.sageladder.standin.network.SimulatedHost;
-import org.sageladder.standin.network.SimulatedNetwork.Cut;
+import org.sageladder.standin.network.SimulatedNetwork.Partition;
 
 /** What happens to the network. */
 final class NetworkTroubles {
@@ -58,20 +58,20 @@
 
   private static void cut(
       Fleet fleet, long millis, BiPredicate<SimulatedHost, SimulatedHost> blocks) {
-    Cut cut = fleet.network().cut(blocks);
+    Partition cut = fleet.network().partition(blocks);
     fleet.after(millis, cut::close);
   }
 
   private static void lossy(Fleet fleet, Random random) {
     Troubles.noteEverywhere(fleet, LOSSY_MILLIS);
-    fleet.network().lose(LOST);
-    fleet.after(LOSSY_MILLIS, () -> fleet.network().lose(0));
+    fleet.network().setLossFraction(LOST);
+    fleet.after(LOSSY_MILLIS, () -> fleet.network().setLossFraction(0));
   }
 
   private static void spoil(Fleet fleet, Random random, boolean silent) {
     Troubles.noteEverywhere(fleet, 0);
     for (FleetEntry entry : Troubles.pick(fleet, random, SPOILT_ENTRIES)) {
-      fleet.network().spoilConnections(entry.host(), SPOILT, silent);
+      fleet.network().disruptConnections(entry.host(), SPOILT, silent);
     }
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/OperatorTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/OperatorTroubles.java
@@ -8,8 +8,8 @@
 import org.sageladder.core.routing.RouteRule;
 import org.sageladder.core.routing.ServiceShare;
 import org.sageladder.scenario.Fleet;
-import org.sageladder.standin.network.SimulatedNetwork.Cut;
-import org.sageladder.standin.platform.CallerKind;
+import org.sageladder.standin.network.SimulatedNetwork.Partition;
+import org.sageladder.standin.platform.RequestProfile;
 
 /** What operators do in a day. */
 final class OperatorTroubles {
@@ -57,8 +57,10 @@
         .filter(entry -> entry.host().zone().equals(zone))
         .forEach(entry -> Troubles.noteAt(fleet, entry, CUT_MILLIS));
     Troubles.noteLinksTo(fleet, zone, CUT_MILLIS);
-    Cut cut =
-        fleet.network().cut((from, to) -> to.zone().equals(zone) && !from.zone().equals(zone));
+    Partition cut =
+        fleet
+            .network()
+            .partition((from, to) -> to.zone().equals(zone) && !from.zone().equals(zone));
     fleet.after(EMPTIED_AFTER_MILLIS, () -> fleet.empty(zone));
     fleet.after(CUT_MILLIS, cut::close);
     fleet.after(EMPTIED_AFTER_MILLIS + 2 * EMPTIED_MILLIS, () -> fleet.takeBack(zone));
@@ -90,9 +92,11 @@
    * run takes.
    */
   private static void addRoute(Fleet fleet, Random random) {
-    CallerKind busiest =
+    RequestProfile busiest =
         fleet.deployment().kinds().stream()
-            .max(Comparator.comparingDouble(kind -> kind.perSecond() * kind.workMillis()))
+            .max(
+                Comparator.comparingDouble(
+                    kind -> kind.requestsPerSecond() * kind.meanServiceMillis()))
             .orElseThrow();
     RouteRule like =
         fleet.routes().stream()
@@ -114,11 +118,11 @@
             like.regions(),
             like.anonymous());
     fleet.addRoute(added, shortRequests(added));
-    fleet.callers().forEach(callers -> callers.pace(RUSH));
+    fleet.callers().forEach(callers -> callers.setRateFactor(RUSH));
   }
 
-  private static CallerKind shortRequests(RouteRule route) {
-    return new CallerKind(
+  private static RequestProfile shortRequests(RouteRule route) {
+    return new RequestProfile(
         route.name(),
         route.host(),
         route.prefix(),
@@ -129,7 +133,7 @@
         ADDED_DEADLINE_MILLIS,
         0,
         ADDED_OBJECTS,
-        CallerKind.Habit.FRESH);
+        RequestProfile.ConnectionUse.FRESH);
   }
 
   private static RouteRule moved(RouteRule route) {
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/StoreTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/StoreTroubles.java
@@ -6,8 +6,8 @@
 import java.util.function.Predicate;
 import org.sageladder.scenario.Fleet;
 import org.sageladder.standin.platform.PlatformTexts;
+import org.sageladder.standin.platform.StoreFaultMode;
 import org.sageladder.standin.platform.StoreModel;
-import org.sageladder.standin.platform.StoreTrouble;
 
 /** What happens to the platform's store. */
 final class StoreTroubles {
@@ -34,49 +34,53 @@
               + "\"config_version\":\"v1\",\"slots\":3,\"state\":\"ready\","
               + "\"cold_left\":\"0ms\",\"sequence\":1}");
 
-  private static final List<StoreTrouble> WAYS_TO_TURN_AWAY =
-      List.of(StoreTrouble.BUSY, StoreTrouble.TOO_MANY, StoreTrouble.RESETS, StoreTrouble.SILENT);
+  private static final List<StoreFaultMode> WAYS_TO_TURN_AWAY =
+      List.of(
+          StoreFaultMode.BUSY,
+          StoreFaultMode.TOO_MANY,
+          StoreFaultMode.RESETS,
+          StoreFaultMode.SILENT);
 
   private StoreTroubles() {}
 
   static void addTo(Map<String, Trouble> all) {
-    put(all, "store-busy", StoreTrouble.BUSY);
-    put(all, "store-too-many", StoreTrouble.TOO_MANY);
-    put(all, "store-resets", StoreTrouble.RESETS);
-    put(all, "store-silent", StoreTrouble.SILENT);
-    put(all, "store-loses-answers", StoreTrouble.LOSES_ANSWERS);
-    put(all, "store-writes-late", StoreTrouble.LATE_WRITES);
-    put(all, "store-slow", StoreTrouble.SLOW);
+    put(all, "store-busy", StoreFaultMode.BUSY);
+    put(all, "store-too-many", StoreFaultMode.TOO_MANY);
+    put(all, "store-resets", StoreFaultMode.RESETS);
+    put(all, "store-silent", StoreFaultMode.SILENT);
+    put(all, "store-loses-answers", StoreFaultMode.LOSES_ANSWERS);
+    put(all, "store-writes-late", StoreFaultMode.LATE_WRITES);
+    put(all, "store-slow", StoreFaultMode.SLOW);
     all.put("store-silent-leases-end", StoreTroubles::silentAndLeasesEnd);
     all.put("store-turns-some-away", StoreTroubles::turnSomeAway);
     all.put("store-forgets", StoreTroubles::forget);
     all.put("entries-of-others", StoreTroubles::entriesOfOthers);
   }
 
-  private static void put(Map<String, Trouble> all, String name, StoreTrouble kind) {
+  private static void put(Map<String, Trouble> all, String name, StoreFaultMode kind) {
     all.put(name, (fleet, random) -> trouble(fleet, random, kind, caller -> true));
   }
 
   private static void trouble(
-      Fleet fleet, Random random, StoreTrouble kind, Predicate<String> hits) {
+      Fleet fleet, Random random, StoreFaultMode kind, Predicate<String> hits) {
     long millis = Troubles.between(random, SHORTEST, LONGEST);
     Troubles.noteEverywhere(fleet, millis);
-    fleet.storePort().trouble(kind, hits);
+    fleet.storePort().setFault(kind, hits);
     fleet.after(
         millis,
         () -> {
-          fleet.store().pauseLeases();
-          fleet.storePort().well();
+          fleet.store().renewAllLeases();
+          fleet.storePort().clearFault();
         });
   }
 
   private static void silentAndLeasesEnd(Fleet fleet, Random random) {
-    trouble(fleet, random, StoreTrouble.SILENT, caller -> true);
-    fleet.after(LEASES_END_AFTER_MILLIS, () -> fleet.store().endAllLeases());
+    trouble(fleet, random, StoreFaultMode.SILENT, caller -> true);
+    fleet.after(LEASES_END_AFTER_MILLIS, () -> fleet.store().revokeAllLeases());
   }
 
   private static void turnSomeAway(Fleet fleet, Random random) {
-    StoreTrouble kind = WAYS_TO_TURN_AWAY.get(random.nextInt(WAYS_TO_TURN_AWAY.size()));
+    StoreFaultMode kind = WAYS_TO_TURN_AWAY.get(random.nextInt(WAYS_TO_TURN_AWAY.size()));
     List<String> hit =
         Troubles.pick(fleet, random, TURNED_AWAY).stream().map(entry -> entry.host().ip()).toList();
     trouble(fleet, random, kind, hit::contains);
@@ -104,13 +108,13 @@
   /** Watches hear nothing while a target leaves; then the history is gone and they are cut. */
   private static void forget(Fleet fleet, Random random) {
     Troubles.noteEverywhere(fleet, DEAF_MILLIS);
-    fleet.store().deafenWatches();
+    fleet.store().stallWatches();
     TargetTroubles.leave(fleet, random, 1, true);
     fleet.after(
         DEAF_MILLIS,
         () -> {
-          fleet.store().forgetHistory();
-          fleet.store().cutWatches();
+          fleet.store().compactHistory();
+          fleet.store().abortWatches();
         });
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/TargetTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/TargetTroubles.java
@@ -10,7 +10,7 @@
 import org.sageladder.scenario.Fleet;
 import org.sageladder.scenario.FleetTarget;
 import org.sageladder.standin.network.SimulatedHost;
-import org.sageladder.standin.network.SimulatedNetwork.Cut;
+import org.sageladder.standin.network.SimulatedNetwork.Partition;
 import org.sageladder.standin.platform.TargetStandIn.Fault;
 
 /** What happens to targets. */
@@ -62,19 +62,21 @@
     List<FleetTarget> hit = pick(fleet, random, CRASH_SHARE);
     Set<SimulatedHost> hosts = hit.stream().map(FleetTarget::host).collect(Collectors.toSet());
     long millis = Troubles.between(random, 1_500, 6_000);
-    Cut cut = fleet.network().cut((from, to) -> hosts.contains(from) || hosts.contains(to));
+    Partition cut =
+        fleet.network().partition((from, to) -> hosts.contains(from) || hosts.contains(to));
     fleet.after(millis / 2, () -> hit.forEach(target -> target.crashAndStartAgain(millis / 4)));
     fleet.after(millis, cut::close);
   }
 
   private static void slow(Fleet fleet, Random random) {
     List<FleetTarget> slow = pick(fleet, random, SLOW_SHARE);
-    slow.forEach(target -> target.process().slow(SLOWER));
-    fleet.after(SPAN_MILLIS, () -> slow.forEach(target -> target.process().slow(1)));
+    slow.forEach(target -> target.process().setServiceTimeFactor(SLOWER));
+    fleet.after(
+        SPAN_MILLIS, () -> slow.forEach(target -> target.process().setServiceTimeFactor(1)));
   }
 
   private static void turnCold(Fleet fleet, Random random) {
-    pick(fleet, random, COLD_SHARE).forEach(target -> target.process().turnCold());
+    pick(fleet, random, COLD_SHARE).forEach(target -> target.process().becomeCold());
   }
 
   /** Targets leave one after the other, each with a successor before. */
@@ -106,7 +108,7 @@
   private static void faulty(Fleet fleet, Random random, Fault kind) {
     List<FleetTarget> hit = pick(fleet, random, FAULTY_SHARE);
     Troubles.noteEverywhere(fleet, SPAN_MILLIS);
-    hit.forEach(target -> target.process().faulty(kind, FAULTY_ANSWERS));
-    fleet.after(SPAN_MILLIS, () -> hit.forEach(target -> target.process().faulty(Fault.NONE, 0)));
+    hit.forEach(target -> target.process().setFault(kind, FAULTY_ANSWERS));
+    fleet.after(SPAN_MILLIS, () -> hit.forEach(target -> target.process().setFault(Fault.NONE, 0)));
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/WorkspaceTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/WorkspaceTroubles.java
@@ -7,7 +7,7 @@
 import org.sageladder.core.routing.Workspace;
 import org.sageladder.scenario.Customers.Customer;
 import org.sageladder.scenario.Fleet;
-import org.sageladder.standin.platform.Ledger.Moment;
+import org.sageladder.standin.platform.Ledger.PlatformEvent;
 
 /** What becomes of workspaces in a day; nothing where a deployment has none. */
 final class WorkspaceTroubles {
@@ -37,12 +37,12 @@
     double sum = fleet.customers().all().stream().mapToDouble(Customer::weight).sum();
     double pace = 1 + (HOT - 1) * of.weight() / sum;
     fleet.customers().weigh(of.workspace().name(), HOT);
-    fleet.callers().forEach(callers -> callers.pace(pace));
+    fleet.callers().forEach(callers -> callers.setRateFactor(pace));
     fleet.after(
         HOT_MILLIS,
         () -> {
           fleet.customers().weigh(of.workspace().name(), 1 / HOT);
-          fleet.callers().forEach(callers -> callers.pace(1));
+          fleet.callers().forEach(callers -> callers.setRateFactor(1));
         });
   }
 
@@ -53,7 +53,7 @@
     }
     String taken = fleet.customers().takeKey(pick(fleet, random).workspace().name());
     fleet.configure(fleet.routes());
-    fleet.day().ledger().moment(Moment.Kind.KEY_TAKEN_AWAY, taken, fleet.now());
+    fleet.day().ledger().recordEvent(PlatformEvent.Kind.KEY_TAKEN_AWAY, taken, fleet.now());
   }
 
   /** A workspace's quota is halved. */
@@ -66,6 +66,6 @@
     fleet.customers().quota(of.name(), lower);
     fleet.configure(fleet.routes());
     fleet.customers().all().forEach(each -> fleet.day().hold(each.workspace()));
-    fleet.day().ledger().moment(Moment.Kind.QUOTA_LOWERED, of.name(), fleet.now());
+    fleet.day().ledger().recordEvent(PlatformEvent.Kind.QUOTA_LOWERED, of.name(), fleet.now());
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/HostileFramingProperties.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/HostileFramingProperties.java
@@ -36,8 +36,8 @@
   private static final String SMUGGLED = "hidden";
 
   private final Fleet fleet = Fleet.start(Deployment.listing(), 1, LogSource.none());
-  private final SimulatedHost host = fleet.network().callersHost("10.8.0.1", "north-a", "north");
-  private final Loop loop = fleet.network().loopOf(host);
+  private final SimulatedHost host = fleet.network().addCallerHost("10.8.0.1", "north-a", "north");
+  private final Loop loop = fleet.network().processLoop(host);
   private int last;
 
   HostileFramingProperties() {
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/StoreReaderDayTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/StoreReaderDayTest.java
@@ -48,12 +48,12 @@
             };
     Fleet fleet = Fleet.start(Deployment.relayed(), 1, logs);
     fleet.runFor(2_000);
-    fleet.store().deafenWatches();
+    fleet.store().stallWatches();
     fleet.configure(fleet.routes());
     fleet.runFor(300);
-    fleet.store().forgetHistory();
-    fleet.store().cutWatches();
-    fleet.runFor(fleet.day().bounds().applyMillis());
+    fleet.store().compactHistory();
+    fleet.store().abortWatches();
+    fleet.runFor(fleet.day().bounds().configurationApplyMillis());
     assertEquals(VMS, inForce.size());
     assertEquals(1, Set.copyOf(inForce.values()).size(), inForce.toString());
   }
@@ -67,12 +67,12 @@
   @Test
   void watchesAreThoseOfTheReaders() {
     Fleet fleet = Fleet.start(Deployment.relayed(), 1, LogSource.none());
-    int before = fleet.storePort().calls("/kv-watch");
+    int before = fleet.storePort().callCount("/kv-watch");
     for (int i = 0; i < 10; i++) {
       fleet.configure(fleet.routes());
       fleet.runFor(3_000);
     }
-    int watches = fleet.storePort().calls("/kv-watch") - before;
+    int watches = fleet.storePort().callCount("/kv-watch") - before;
     assertTrue(watches <= 30 * ZONES, watches + " watches, " + VMS + " VMs");
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/KeyRulesTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/KeyRulesTest.java
@@ -35,12 +35,12 @@
   private final Ledger ledger = day.ledger();
 
   private void sent(String id, String workspace, boolean everHeld, long at) {
-    ledger.asked(new Ledger.Asked(id, ROUTE, "/r/1", "", "north", "10.1.0.1", at, 2_000));
-    ledger.bears(id, new Ledger.Bearer(workspace, "k-" + workspace, everHeld));
+    ledger.attempt(new Ledger.Attempt(id, ROUTE, "/r/1", "", "north", "10.1.0.1", at, 2_000));
+    ledger.recordCredential(id, new Ledger.Credential(workspace, "k-" + workspace, everHeld));
   }
 
   private void ran(String id, String workspace, boolean keyShown, long at) {
-    ledger.delivered(new Ledger.Delivery(id, workspace, keyShown, Ledger.Fate.TAKEN, at));
+    ledger.recordDelivery(new Ledger.Delivery(id, workspace, keyShown, Ledger.Fate.TAKEN, at));
   }
 
   private static void assertBroken(List<String> broken) {
@@ -69,7 +69,7 @@
 
   @Test
   void keyTakenAwayThatStillOpens() {
-    ledger.moment(Ledger.Moment.Kind.KEY_TAKEN_AWAY, "k-choir", 10_000);
+    ledger.recordEvent(Ledger.PlatformEvent.Kind.KEY_TAKEN_AWAY, "k-choir", 10_000);
     sent("a", "choir", true, 12_000);
     ran("a", "choir", false, 12_001);
     assertEquals(List.of(), KeyRules.keysTakenAway(day));
@@ -95,7 +95,7 @@
       String id = "q" + i;
       sent(id, i < 30 ? "choir" : "museum", true, i);
       int status = i < 30 ? 503 : 200;
-      ledger.answered(new Ledger.Answered(id, status, "", true, id, i + 5L));
+      ledger.recordAnswer(new Ledger.Answered(id, status, "", true, id, i + 5L));
     }
     assertBroken(KeyRules.starved(day));
   }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/RulesTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/RulesTest.java
@@ -10,14 +10,14 @@
 import org.sageladder.core.routing.RouteRule;
 import org.sageladder.core.routing.ServiceShare;
 import org.sageladder.scenario.Day;
-import org.sageladder.standin.platform.CallerKind;
-import org.sageladder.standin.platform.CallersStandIn.Ended;
+import org.sageladder.standin.platform.CallersStandIn.CompletedRequest;
 import org.sageladder.standin.platform.Ledger;
 import org.sageladder.standin.platform.Ledger.Answered;
 import org.sageladder.standin.platform.Ledger.Arrival;
-import org.sageladder.standin.platform.Ledger.Asked;
+import org.sageladder.standin.platform.Ledger.Attempt;
 import org.sageladder.standin.platform.Ledger.Fate;
-import org.sageladder.standin.platform.Ledger.Moment;
+import org.sageladder.standin.platform.Ledger.PlatformEvent;
+import org.sageladder.standin.platform.RequestProfile;
 
 /** Each rule finds a day that breaks it: a check that cannot fail would prove nothing. */
 class RulesTest {
@@ -45,7 +45,7 @@
 
   private void asked(String id, boolean idempotent, long at) {
     RouteRule route = route(idempotent);
-    ledger.asked(new Asked(id, route, "/a/" + id, "", "north", VM, at, 3_000));
+    ledger.attempt(new Attempt(id, route, "/a/" + id, "", "north", VM, at, 3_000));
   }
 
   private static Arrival arrival(String id, long at) {
@@ -68,7 +68,7 @@
   }
 
   private void ran(String id, int status, String body) {
-    ledger.began(id, "t-1", true, 10).ended(20, status, body);
+    ledger.recordRunStart(id, "t-1", true, 10).recordEnd(20, status, body);
   }
 
   private List<String> broken(String name) {
@@ -97,7 +97,7 @@
   @Test
   void refused() {
     asked("q", false, 0);
-    ledger.answered(new Answered("q", 503, "", false, "q", 5));
+    ledger.recordAnswer(new Answered("q", 503, "", false, "q", 5));
     assertKept("REFUSED");
     ran("q", 200, "x");
     assertBroken("REFUSED");
@@ -107,7 +107,7 @@
   void mixed() {
     asked("q", true, 0);
     ran("q", 200, "mine");
-    ledger.answered(new Answered("q", 200, "other", true, "q", 5));
+    ledger.recordAnswer(new Answered("q", 200, "other", true, "q", 5));
     assertBroken("MIXED");
   }
 
@@ -115,7 +115,7 @@
   void mixedWithoutTheSeal() {
     asked("q", true, 0);
     ran("q", 200, "mine");
-    ledger.answered(new Answered("q", 200, "mine", false, "q", 5));
+    ledger.recordAnswer(new Answered("q", 200, "mine", false, "q", 5));
     assertBroken("MIXED");
   }
 
@@ -123,7 +123,7 @@
   void denied() {
     for (int i = 0; i < 6; i++) {
       asked("q" + i, true, 0);
-      ledger.answered(new Answered("q" + i, 404, "", false, null, 5));
+      ledger.recordAnswer(new Answered("q" + i, 404, "", false, null, 5));
     }
     assertBroken("DENIED");
   }
@@ -132,7 +132,7 @@
   void lostInCalm() {
     asked("q", true, 0);
     ran("q", 200, "x");
-    ledger.answered(new Answered("q", 0, "", false, null, 500));
+    ledger.recordAnswer(new Answered("q", 0, "", false, null, 500));
     assertBroken("LOST");
   }
 
@@ -140,7 +140,7 @@
   void lostWhileAMachineIsInTroubleDoesNotCount() {
     asked("q", true, 0);
     ran("q", 200, "x");
-    ledger.answered(new Answered("q", 0, "", false, null, 500));
+    ledger.recordAnswer(new Answered("q", 0, "", false, null, 500));
     day.trouble(new Day.Span(VM, false, 400, 450));
     assertKept("LOST");
   }
@@ -149,13 +149,13 @@
   @Test
   void lostInAPlannedStopThatTheRunOutlasts() {
     asked("q", true, 1_000);
-    ledger.began("q", "t-1", true, 1_100).ended(6_000, 200, "x");
-    ledger.answered(new Answered("q", 0, "", false, null, 2_900));
+    ledger.recordRunStart("q", "t-1", true, 1_100).recordEnd(6_000, 200, "x");
+    ledger.recordAnswer(new Answered("q", 0, "", false, null, 2_900));
     day.trouble(new Day.Span(VM, true, 1_000, 8_000));
     assertKept("LOST");
     asked("r", true, 1_000);
-    ledger.began("r", "t-1", true, 1_100).ended(5_900, 200, "x");
-    ledger.answered(new Answered("r", 0, "", false, null, 2_900));
+    ledger.recordRunStart("r", "t-1", true, 1_100).recordEnd(5_900, 200, "x");
+    ledger.recordAnswer(new Answered("r", 0, "", false, null, 2_900));
     assertBroken("LOST");
   }
 
@@ -163,7 +163,7 @@
   void unasked() {
     Arrival changed =
         new Arrival("q", "t-1", "s", "north-a", "north", VM, 5, Fate.TAKEN, false, 900, false);
-    ledger.arrived(changed);
+    ledger.recordArrival(changed);
     assertBroken("UNASKED");
   }
 
@@ -171,14 +171,14 @@
   void wrongService() {
     day.allow(route(true));
     asked("q", true, 0);
-    ledger.arrived(in(arrival("q", 5), "other", "north"));
+    ledger.recordArrival(in(arrival("q", 5), "other", "north"));
     assertBroken("ROUTE");
   }
 
   @Test
   void wrongRegion() {
     asked("q", true, 0);
-    ledger.arrived(in(arrival("q", 5), "s", "south"));
+    ledger.recordArrival(in(arrival("q", 5), "s", "south"));
     assertBroken("HOME");
   }
 
@@ -186,10 +186,10 @@
   void leaving() {
     long bound = day.bounds().drainMillis();
     asked("q", true, LATE);
-    ledger.moment(Moment.Kind.TARGET_LEAVES, "t-1", LATE);
-    ledger.arrived(arrival("q", LATE + bound));
+    ledger.recordEvent(PlatformEvent.Kind.TARGET_LEAVES, "t-1", LATE);
+    ledger.recordArrival(arrival("q", LATE + bound));
     assertKept("DRAIN");
-    ledger.arrived(arrival("q", LATE + bound + 1));
+    ledger.recordArrival(arrival("q", LATE + bound + 1));
     assertBroken("DRAIN");
     day.trouble(new Day.Span(VM, false, LATE, LATE));
     assertKept("DRAIN");
@@ -199,18 +199,18 @@
   void emptied() {
     long bound = day.bounds().evacuateMillis();
     asked("q", true, LATE);
-    ledger.moment(Moment.Kind.ZONE_EMPTIED, "north-a", LATE);
-    ledger.arrived(arrival("q", LATE + bound + 1));
+    ledger.recordEvent(PlatformEvent.Kind.ZONE_EMPTIED, "north-a", LATE);
+    ledger.recordArrival(arrival("q", LATE + bound + 1));
     assertBroken("EVAC");
-    ledger.moment(Moment.Kind.ZONE_TAKEN_BACK, "north-a", LATE + bound);
+    ledger.recordEvent(PlatformEvent.Kind.ZONE_TAKEN_BACK, "north-a", LATE + bound);
     assertKept("EVAC");
   }
 
   @Test
   void olderConfiguration() {
-    ledger.moment(Moment.Kind.CONFIGURATION, "safe", LATE);
-    asked("q", true, LATE + day.bounds().applyMillis() + 1);
-    ledger.arrived(in(arrival("q", LATE + 4_000), "before", "north"));
+    ledger.recordEvent(PlatformEvent.Kind.CONFIGURATION, "safe", LATE);
+    asked("q", true, LATE + day.bounds().configurationApplyMillis() + 1);
+    ledger.recordArrival(in(arrival("q", LATE + 4_000), "before", "north"));
     assertBroken("CONFIG");
   }
 
@@ -218,8 +218,8 @@
   void gone() {
     for (int i = 0; i < 5; i++) {
       asked("q" + i, true, LATE);
-      ledger.callerLeft("q" + i, LATE + 100);
-      ledger.arrived(arrival("q" + i, LATE + 700));
+      ledger.recordCallerLeft("q" + i, LATE + 100);
+      ledger.recordArrival(arrival("q" + i, LATE + 700));
     }
     assertBroken("GONE");
   }
@@ -228,8 +228,8 @@
   void goneThoughItsRunGoesOn() {
     for (int i = 0; i < 5; i++) {
       asked("q" + i, true, LATE);
-      ledger.callerLeft("q" + i, LATE + 100);
-      ledger.began("q" + i, "t-1", true, LATE + 50).ended(LATE + 700, 200, "x");
+      ledger.recordCallerLeft("q" + i, LATE + 100);
+      ledger.recordRunStart("q" + i, "t-1", true, LATE + 50).recordEnd(LATE + 700, 200, "x");
     }
     assertBroken("GONE");
   }
@@ -263,18 +263,21 @@
       asked(id, true, from + i);
       Arrival arrival = arrival(id, from + i);
       boolean isSouth = (i + 1) * south / count > i * south / count;
-      ledger.arrived(in(arrival, "s", isSouth ? "south" : "north"));
+      ledger.recordArrival(in(arrival, "s", isSouth ? "south" : "north"));
     }
   }
 
   @Test
   void coldRate() {
-    int most = (int) (day.coldPerSecond() * day.bounds().coldOver() + day.bounds().coldSlack());
+    int most =
+        (int)
+            (day.coldPerSecond() * day.bounds().coldRateFactor()
+                + day.bounds().coldExtraRequests());
     for (int i = 0; i < most; i++) {
-      ledger.arrived(cold("q" + i, LATE));
+      ledger.recordArrival(cold("q" + i, LATE));
     }
     assertKept("FAILBACK");
-    ledger.arrived(cold("q", LATE + 900));
+    ledger.recordArrival(cold("q", LATE + 900));
     assertBroken("FAILBACK");
   }
 
@@ -284,12 +287,12 @@
 
   @Test
   void secondSends() {
-    for (int i = 0; i < day.bounds().retryExtra(); i++) {
-      ledger.arrived(arrival("q", LATE + i));
+    for (int i = 0; i < day.bounds().extraRetries(); i++) {
+      ledger.recordArrival(arrival("q", LATE + i));
     }
     assertKept("BUDGET retries");
-    ledger.arrived(arrival("q", LATE + 900));
-    ledger.arrived(arrival("q", LATE + 901));
+    ledger.recordArrival(arrival("q", LATE + 900));
+    ledger.recordArrival(arrival("q", LATE + 901));
     assertBroken("BUDGET retries");
   }
 
@@ -298,12 +301,12 @@
     for (int i = 0; i < 100; i++) {
       asked("refused" + i, true, LATE);
     }
-    for (int i = 0; i < day.bounds().retryExtra() + 20; i++) {
-      ledger.arrived(arrival("q", LATE + i));
+    for (int i = 0; i < day.bounds().extraRetries() + 20; i++) {
+      ledger.recordArrival(arrival("q", LATE + i));
     }
     assertKept("BUDGET retries");
-    ledger.arrived(arrival("q", LATE + 900));
-    ledger.arrived(arrival("q", LATE + 901));
+    ledger.recordArrival(arrival("q", LATE + 900));
+    ledger.recordArrival(arrival("q", LATE + 901));
     assertBroken("BUDGET retries");
   }
 
@@ -312,7 +315,7 @@
     for (int i = 0; i < 4; i++) {
       asked("q" + i, true, LATE);
       for (String target : List.of("t-1", "t-2", "t-3")) {
-        ledger.began("q" + i, target, true, LATE).ended(LATE + 1, 500, "x");
+        ledger.recordRunStart("q" + i, target, true, LATE).recordEnd(LATE + 1, 500, "x");
       }
     }
     assertBroken("BUDGET targets");
@@ -322,7 +325,7 @@
   void deadlines() {
     for (int i = 0; i < 21; i++) {
       asked("q" + i, true, LATE);
-      ledger.arrived(arrival("q" + i, LATE + 3_000));
+      ledger.recordArrival(arrival("q" + i, LATE + 3_000));
     }
     assertBroken("BUDGET time");
   }
@@ -333,25 +336,26 @@
       String id = "q" + i;
       RouteRule route = route(true);
       long at = LATE + i * 4_000L;
-      ledger.asked(new Asked(id, route, "/a/poison", "", "north", VM, at, 3_000));
-      ledger.arrived(arrival(id, at));
+      ledger.attempt(new Attempt(id, route, "/a/poison", "", "north", VM, at, 3_000));
+      ledger.recordArrival(arrival(id, at));
     }
     assertBroken("BUDGET crashes");
   }
 
   private void ended(String route, int status, int times) {
-    CallerKind kind =
-        new CallerKind(route, "h", "/a/", true, 1, 5, 400, 1_000, 1, 1, CallerKind.Habit.FRESH);
+    RequestProfile kind =
+        new RequestProfile(
+            route, "h", "/a/", true, 1, 5, 400, 1_000, 1, 1, RequestProfile.ConnectionUse.FRESH);
     for (int i = 0; i < times; i++) {
-      day.requests().add(new Ended(kind, LATE, status, 10, "north-a"));
+      day.requests().add(new CompletedRequest(kind, LATE, status, 10, "north-a"));
     }
   }
 
   @Test
   void addedRoutesNotServed() {
-    ledger.moment(Moment.Kind.CONFIGURATION, "first", 0);
-    ledger.moment(Moment.Kind.CONFIGURATION, "first", LATE / 2);
-    ledger.moment(Moment.Kind.CONFIGURATION, "added", LATE / 2);
+    ledger.recordEvent(PlatformEvent.Kind.CONFIGURATION, "first", 0);
+    ledger.recordEvent(PlatformEvent.Kind.CONFIGURATION, "first", LATE / 2);
+    ledger.recordEvent(PlatformEvent.Kind.CONFIGURATION, "added", LATE / 2);
     ended("first", 200, 80);
     ended("first", 503, 20);
     ended("added", 200, 4);
--- a/sageladder-standin/src/main/java/org/sageladder/standin/fault/FaultScript.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/fault/FaultScript.java
@@ -70,7 +70,7 @@
   }
 
   /** Applies each step at its time from now on, until closed. */
-  public Playing play(Consumer<T> apply) {
+  public Playback play(Consumer<T> apply) {
     ScheduledExecutorService timer =
         Executors.newSingleThreadScheduledExecutor(
             task -> {
@@ -87,7 +87,7 @@
 
   /** A script under way. */
   @FunctionalInterface
-  public interface Playing extends AutoCloseable {
+  public interface Playback extends AutoCloseable {
     /** Applies no further step. */
     @Override
     void close();
--- a/sageladder-standin/src/main/java/org/sageladder/standin/http/JsonExchange.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/http/JsonExchange.java
@@ -52,8 +52,8 @@
   @SuppressWarnings("ArrayRecordComponent")
   public record Call(String method, String path, Map<String, String> query, byte[] body) {
     /** The query parameter {@code name}, or {@code absent} where the request has none. */
-    public String query(String name, String absent) {
-      return query.getOrDefault(name, absent);
+    public String query(String name, String defaultValue) {
+      return query.getOrDefault(name, defaultValue);
     }
 
     /** The body read as JSON. */
@@ -97,13 +97,13 @@
       try {
         reply = handler.handle(call(message));
       } catch (IOException | RuntimeException e) {
-        reply = CompletableFuture.completedFuture(badCall(e));
+        reply = CompletableFuture.completedFuture(badRequest(e));
       }
       CompletableFuture<Reply> unused =
           reply.whenComplete((done, failure) -> answer(done, failure, peer, trigger, context));
     }
 
-    private static Reply badCall(Exception e) {
+    private static Reply badRequest(Exception e) {
       return Reply.json(400, Map.of("error", String.valueOf(e.getMessage())));
     }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/Pipe.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/Pipe.java
@@ -13,32 +13,32 @@
  */
 final class Pipe {
   /** What travels: bytes, the connection's orderly end, or its reset. */
-  sealed interface Parcel {
+  sealed interface Segment {
     /** Bytes; the receiver releases them. */
-    record Bytes(ByteBuf bytes) implements Parcel {}
+    record Bytes(ByteBuf bytes) implements Segment {}
 
     /** Nothing more comes. */
-    record End() implements Parcel {}
+    record End() implements Segment {}
 
     /** The connection is gone. */
-    record Reset() implements Parcel {}
+    record Reset() implements Segment {}
   }
 
   /** Pause of a kernel before it sends a lost packet again the first time. */
-  private static final long FIRST_PAUSE_NANOS = 200_000_000;
+  private static final long INITIAL_RETRANSMIT_NANOS = 200_000_000;
 
-  private record Travelling(long atNanos, Parcel parcel) {}
+  private record InFlightSegment(long arrivalNanos, Segment segment) {}
 
   private final SimulatedNetwork network;
   private final SimulatedHost from;
   private final SimulatedHost to;
-  private final Deque<Travelling> travelling = new ArrayDeque<>();
+  private final Deque<InFlightSegment> inFlight = new ArrayDeque<>();
   private @Nullable SimulatedChannel receiver;
-  private long lastAtNanos;
-  private boolean silent;
-  private boolean reset;
-  private long pauseNanos = FIRST_PAUSE_NANOS;
-  private long sentAgainAtNanos;
+  private long lastArrivalNanos;
+  private boolean isBlackholed;
+  private boolean isReset;
+  private long retransmitNanos = INITIAL_RETRANSMIT_NANOS;
+  private long retransmitAtNanos;
 
   Pipe(SimulatedNetwork network, SimulatedHost from, SimulatedHost to) {
     this.network = network;
@@ -54,72 +54,72 @@
     return to;
   }
 
-  void receiver(SimulatedChannel channel) {
+  void setReceiver(SimulatedChannel channel) {
     receiver = channel;
   }
 
   /** Loses whatever is sent from now on, and tells nobody. */
-  void silence() {
-    silent = true;
+  void blackhole() {
+    isBlackholed = true;
   }
 
   boolean isBlocked() {
-    return silent || !to.isPowered() || !network.passes(from, to);
+    return isBlackholed || !to.isPowered() || !network.isReachable(from, to);
   }
 
-  void send(Parcel parcel) {
-    lastAtNanos = Math.max(lastAtNanos, network.arrivalNanos(from, to));
-    travelling.addLast(new Travelling(lastAtNanos, parcel));
-    network.at(lastAtNanos, this::arrive);
+  void send(Segment parcel) {
+    lastArrivalNanos = Math.max(lastArrivalNanos, network.arrivalNanos(from, to));
+    inFlight.addLast(new InFlightSegment(lastArrivalNanos, parcel));
+    network.scheduleAt(lastArrivalNanos, this::deliverDue);
   }
 
   /** Ends the connection: what is on its way arrives, what was lost is not sent again. */
   void reset() {
-    reset = true;
-    send(new Parcel.Reset());
-    if (network.nanos() < sentAgainAtNanos) {
-      loseAll();
+    isReset = true;
+    send(new Segment.Reset());
+    if (network.nowNanos() < retransmitAtNanos) {
+      dropInFlight();
     }
   }
 
-  private void loseAll() {
-    travelling.forEach(lost -> drop(lost.parcel()));
-    travelling.clear();
+  private void dropInFlight() {
+    inFlight.forEach(lost -> release(lost.segment()));
+    inFlight.clear();
   }
 
   /** Hands over what is due. */
-  private void arrive() {
-    if (network.nanos() < sentAgainAtNanos) {
+  private void deliverDue() {
+    if (network.nowNanos() < retransmitAtNanos) {
       return;
     }
-    while (!travelling.isEmpty() && travelling.peekFirst().atNanos() <= network.nanos()) {
-      if (!silent && to.isPowered() && !network.passes(from, to)) {
-        lost();
+    while (!inFlight.isEmpty() && inFlight.peekFirst().arrivalNanos() <= network.nowNanos()) {
+      if (!isBlackholed && to.isPowered() && !network.isReachable(from, to)) {
+        onLoss();
         return;
       }
-      pauseNanos = FIRST_PAUSE_NANOS;
-      Parcel parcel = travelling.removeFirst().parcel();
+      retransmitNanos = INITIAL_RETRANSMIT_NANOS;
+      Segment parcel = inFlight.removeFirst().segment();
       SimulatedChannel known = receiver;
-      if (silent || known == null || !to.isPowered()) {
-        drop(parcel);
+      if (isBlackholed || known == null || !to.isPowered()) {
+        release(parcel);
       } else {
         known.host().execute(() -> known.receive(parcel));
       }
     }
   }
 
-  private void lost() {
-    if (reset) {
-      loseAll();
+  private void onLoss() {
+    if (isReset) {
+      dropInFlight();
       return;
     }
-    sentAgainAtNanos = network.nanos() + pauseNanos;
-    pauseNanos *= 2;
-    network.at(sentAgainAtNanos, this::arrive);
+    retransmitAtNanos = network.nowNanos() + retransmitNanos;
+    retransmitNanos *= 2;
+    network.scheduleAt(retransmitAtNanos, this::deliverDue);
   }
 
-  static void drop(Parcel parcel) {
-    if (parcel instanceof Parcel.Bytes bytes) {
+  static void release(Segment parcel) {
+    if (parcel instanceof Segment.Bytes bytes) {
       bytes.bytes().release();
     }
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedChannel.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedChannel.java
@@ -33,11 +33,11 @@
   private @Nullable Pipe out;
   private @Nullable SimulatedChannel peer;
   private int unreadBytes;
-  private boolean open = true;
-  private boolean connected;
-  private boolean readWanted;
-  private boolean delivering;
-  private boolean ended;
+  private boolean isOpen = true;
+  private boolean isConnected;
+  private boolean readRequested;
+  private boolean isDelivering;
+  private boolean peerClosed;
 
   SimulatedChannel(@Nullable Channel parent, SimulatedNetwork network, SimulatedHost host) {
     super(parent);
@@ -58,8 +58,8 @@
     return config.keepAlive;
   }
 
-  /** Joins two ends; each is told by {@link #established} once its kernel knows. */
-  static void join(
+  /** Joins two ends; each is told by {@link #onEstablished} once its kernel knows. */
+  static void connectPair(
       SimulatedChannel client, SimulatedChannel server, SimulatedAddress to, int clientPort) {
     SimulatedAddress from = new SimulatedAddress(client.host.ip(), clientPort);
     client.attach(server, from, to);
@@ -71,40 +71,40 @@
     remote = others;
     peer = other;
     Pipe pipe = new Pipe(network, host, other.host);
-    pipe.receiver(other);
+    pipe.setReceiver(other);
     out = pipe;
-    host.opened(this);
+    host.addChannel(this);
   }
 
   /** The connection can be used at this end. */
-  void established() {
-    connected = true;
+  void onEstablished() {
+    isConnected = true;
   }
 
   /** Something has come from the other end. */
-  void receive(Pipe.Parcel parcel) {
-    if (!open) {
-      Pipe.drop(parcel);
-      if (parcel instanceof Pipe.Parcel.Bytes) {
+  void receive(Pipe.Segment parcel) {
+    if (!isOpen) {
+      Pipe.release(parcel);
+      if (parcel instanceof Pipe.Segment.Bytes) {
         sendReset();
       }
       return;
     }
-    if (parcel instanceof Pipe.Parcel.Bytes bytes) {
+    if (parcel instanceof Pipe.Segment.Bytes bytes) {
       unread.addLast(bytes.bytes());
       unreadBytes += bytes.bytes().readableBytes();
-    } else if (parcel instanceof Pipe.Parcel.End) {
-      ended = true;
+    } else if (parcel instanceof Pipe.Segment.End) {
+      peerClosed = true;
     } else {
-      fail("Connection reset by peer");
+      abort("Connection reset by peer");
       return;
     }
     deliver();
   }
 
   /** The kernel gives the connection up. */
-  void fail(String cause) {
-    if (!open) {
+  void abort(String cause) {
+    if (!isOpen) {
       return;
     }
     releaseUnread();
@@ -113,33 +113,33 @@
   }
 
   private void deliver() {
-    if (delivering || !isRegistered()) {
+    if (isDelivering || !isRegistered()) {
       return;
     }
-    delivering = true;
-    while (readWanted && !unread.isEmpty() && open) {
-      readWanted = false;
+    isDelivering = true;
+    while (readRequested && !unread.isEmpty() && isOpen) {
+      readRequested = false;
       ByteBuf bytes = unread.removeFirst();
       unreadBytes -= bytes.readableBytes();
       pipeline().fireChannelRead(bytes);
       pipeline().fireChannelReadComplete();
     }
-    delivering = false;
+    isDelivering = false;
     SimulatedChannel sender = peer;
-    if (sender != null && unreadBytes < WINDOW_BYTES && sender.open) {
-      network.soon(() -> sender.host.execute(() -> sender.unsafe().flush()));
+    if (sender != null && unreadBytes < WINDOW_BYTES && sender.isOpen) {
+      network.execute(() -> sender.host.execute(() -> sender.unsafe().flush()));
     }
-    if (ended && unread.isEmpty() && open) {
+    if (peerClosed && unread.isEmpty() && isOpen) {
       unsafe().close(voidPromise());
     }
   }
 
   /** Ends with its process, which is told nothing any more. */
-  void die(boolean tellPeer) {
-    open = false;
-    connected = false;
+  void closeWithProcess(boolean resetsPeer) {
+    isOpen = false;
+    isConnected = false;
     releaseUnread();
-    if (tellPeer) {
+    if (resetsPeer) {
       sendReset();
     }
   }
@@ -147,7 +147,7 @@
   private void sendReset() {
     Pipe pipe = out;
     if (pipe != null) {
-      pipe.send(new Pipe.Parcel.Reset());
+      pipe.send(new Pipe.Segment.Reset());
     }
   }
 
@@ -167,7 +167,7 @@
         return;
       }
       if (bytes.isReadable()) {
-        pipe.send(new Pipe.Parcel.Bytes(Unpooled.copiedBuffer(bytes)));
+        pipe.send(new Pipe.Segment.Bytes(Unpooled.copiedBuffer(bytes)));
       }
       in.remove();
       message = in.current();
@@ -176,32 +176,32 @@
 
   @Override
   protected void doBeginRead() {
-    readWanted = true;
-    if (!delivering && (!unread.isEmpty() || ended)) {
-      network.soon(() -> host.execute(this::deliver));
+    readRequested = true;
+    if (!isDelivering && (!unread.isEmpty() || peerClosed)) {
+      network.execute(() -> host.execute(this::deliver));
     }
   }
 
   @Override
   protected void doClose() {
-    if (!open) {
+    if (!isOpen) {
       return;
     }
-    open = false;
-    connected = false;
-    host.closed(this);
+    isOpen = false;
+    isConnected = false;
+    host.removeChannel(this);
     Pipe pipe = out;
     if (pipe != null && config.lingerSeconds == 0) {
       pipe.reset();
     } else if (pipe != null) {
-      pipe.send(unread.isEmpty() ? new Pipe.Parcel.End() : new Pipe.Parcel.Reset());
+      pipe.send(unread.isEmpty() ? new Pipe.Segment.End() : new Pipe.Segment.Reset());
     }
     releaseUnread();
   }
 
   @Override
   protected AbstractUnsafe newUnsafe() {
-    return new Opening();
+    return new SimulatedUnsafe();
   }
 
   @Override
@@ -236,12 +236,12 @@
 
   @Override
   public boolean isOpen() {
-    return open;
+    return isOpen;
   }
 
   @Override
   public boolean isActive() {
-    return open && connected;
+    return isOpen && isConnected;
   }
 
   @Override
@@ -268,7 +268,7 @@
         keepAlive = (Boolean) value;
         Pipe pipe = out;
         if (keepAlive && pipe != null && pipe.isBlocked()) {
-          network.watch();
+          network.scheduleKeepAliveCheck();
         }
         return true;
       }
@@ -276,34 +276,34 @@
     }
   }
 
-  private final class Opening extends AbstractUnsafe {
+  private final class SimulatedUnsafe extends AbstractUnsafe {
     @Override
     public void connect(SocketAddress to, @Nullable SocketAddress from, ChannelPromise promise) {
       if (!promise.setUncancellable() || !ensureOpen(promise)) {
         return;
       }
-      network.connect(SimulatedChannel.this, (SimulatedAddress) to, new Answer(promise));
+      network.connect(SimulatedChannel.this, (SimulatedAddress) to, new PromiseListener(promise));
     }
 
-    private final class Answer implements SimulatedNetwork.ConnectAnswer {
+    private final class PromiseListener implements SimulatedNetwork.ConnectListener {
       private final ChannelPromise promise;
 
-      Answer(ChannelPromise promise) {
+      PromiseListener(ChannelPromise promise) {
         this.promise = promise;
       }
 
       @Override
-      public void established() {
-        if (promise.isDone() || !open) {
+      public void onEstablished() {
+        if (promise.isDone() || !isOpen) {
           return;
         }
-        SimulatedChannel.this.established();
+        SimulatedChannel.this.onEstablished();
         safeSetSuccess(promise);
         pipeline().fireChannelActive();
       }
 
       @Override
-      public void failed(IOException cause) {
+      public void onFailed(IOException cause) {
         if (!promise.isDone()) {
           safeSetFailure(promise, cause);
           closeIfClosed();
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedHost.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedHost.java
@@ -18,15 +18,16 @@
   private final String ip;
   private final String zone;
   private final String region;
-  private final boolean callers;
-  private final Queue<Runnable> kept = new ArrayDeque<>();
+  private final boolean isCallerHost;
+  private final Queue<Runnable> deferredTasks = new ArrayDeque<>();
   private final Set<SimulatedChannel> channels = new LinkedHashSet<>();
-  private boolean powered = true;
-  private boolean suspended;
-  private int life;
+  private boolean isPowered = true;
+  private boolean isSuspended;
+  private int processEpoch;
 
-  SimulatedHost(SimulatedNetwork network, String ip, String zone, String region, boolean callers) {
-    this.callers = callers;
+  SimulatedHost(
+      SimulatedNetwork network, String ip, String zone, String region, boolean isCallerHost) {
+    this.isCallerHost = isCallerHost;
     this.network = network;
     this.ip = ip;
     this.zone = zone;
@@ -48,23 +49,23 @@
     return region;
   }
 
-  boolean isCallers() {
-    return callers;
+  boolean isCallerHost() {
+    return isCallerHost;
   }
 
   /** False where it has no power: it answers nothing, not even with a reset. */
   public boolean isPowered() {
-    return powered;
+    return isPowered;
   }
 
   /**
    * What runs the tasks of the process that runs there now; once that process has ended they are
    * dropped, also where another one runs by then.
    */
-  public Executor process() {
-    int mine = life;
+  public Executor processExecutor() {
+    int mine = processEpoch;
     return task -> {
-      if (life == mine) {
+      if (processEpoch == mine) {
         execute(task);
       }
     };
@@ -72,11 +73,11 @@
 
   @Override
   public void execute(Runnable task) {
-    if (suspended) {
-      kept.add(task);
+    if (isSuspended) {
+      deferredTasks.add(task);
       return;
     }
-    if (powered) {
+    if (isPowered) {
       task.run();
     }
   }
@@ -88,44 +89,44 @@
 
   /** Takes its power away; nobody is told. */
   public void powerOff() {
-    powered = false;
+    isPowered = false;
     endProcess(false);
   }
 
   /** Gives it power again; its process has to be started anew. */
   public void powerOn() {
-    powered = true;
+    isPowered = true;
   }
 
   /** Lets everything on it stand still. */
   public void suspend() {
-    suspended = true;
+    isSuspended = true;
   }
 
   /** Goes on where it stood still. */
   public void resume() {
-    suspended = false;
-    while (!suspended && !kept.isEmpty()) {
-      kept.remove().run();
+    isSuspended = false;
+    while (!isSuspended && !deferredTasks.isEmpty()) {
+      deferredTasks.remove().run();
     }
   }
 
-  private void endProcess(boolean tellPeers) {
-    life++;
-    suspended = false;
-    kept.clear();
+  private void endProcess(boolean resetsPeers) {
+    processEpoch++;
+    isSuspended = false;
+    deferredTasks.clear();
     network.closePorts(this);
     // In the order of their opening: an unordered copy would differ from one JVM to the next.
     List<SimulatedChannel> open = List.copyOf(channels);
     channels.clear();
-    open.forEach(channel -> channel.die(tellPeers));
+    open.forEach(channel -> channel.closeWithProcess(resetsPeers));
   }
 
-  void opened(SimulatedChannel channel) {
+  void addChannel(SimulatedChannel channel) {
     channels.add(channel);
   }
 
-  void closed(SimulatedChannel channel) {
+  void removeChannel(SimulatedChannel channel) {
     channels.remove(channel);
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedNetwork.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedNetwork.java
@@ -34,169 +34,171 @@
  */
 public final class SimulatedNetwork {
   /** Idle time and probes after which a kernel gives a dead connection up, as daemons set them. */
-  private static final long KEEP_ALIVE_MILLIS = 3_000;
+  private static final long KEEP_ALIVE_TIMEOUT_MILLIS = 3_000;
 
   /** How long a kernel waits before it sends a lost packet again. */
-  private static final long SENT_AGAIN_MILLIS = 200;
+  private static final long RETRANSMIT_DELAY_MILLIS = 200;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final long NANOS_PER_MICRO = 1_000;
-  private static final int FIRST_CLIENT_PORT = 32_768;
+  private static final int EPHEMERAL_PORT_BASE = 32_768;
 
   /**
    * One-way delays, in microseconds.
    *
-   * @param inZone inside a zone
-   * @param betweenZones between zones of a region
-   * @param betweenRegions between regions
-   * @param toCallers between a zone and its callers, on top of the others
+   * @param sameZoneMicros inside a zone
+   * @param crossZoneMicros between zones of a region
+   * @param crossRegionMicros between regions
+   * @param callerMicros between a zone and its callers, on top of the others
    */
-  public record Ways(long inZone, long betweenZones, long betweenRegions, long toCallers) {
+  public record OneWayDelays(
+      long sameZoneMicros, long crossZoneMicros, long crossRegionMicros, long callerMicros) {
     /** About what the users' regions have. */
-    public static Ways standard() {
-      return new Ways(100, 1_400, 20_000, 1_000);
+    public static OneWayDelays standard() {
+      return new OneWayDelays(100, 1_400, 20_000, 1_000);
     }
   }
 
   /** A cut between hosts, until it is closed. */
-  public interface Cut extends AutoCloseable {
+  public interface Partition extends AutoCloseable {
     @Override
     void close();
   }
 
   /** How an attempt to connect ends. */
-  interface ConnectAnswer {
-    void established();
+  interface ConnectListener {
+    void onEstablished();
 
-    void failed(IOException cause);
+    void onFailed(IOException cause);
   }
 
   private final VirtualLoop loop;
-  private final Ways ways;
+  private final OneWayDelays delays;
   private final Random random;
   private final Map<String, SimulatedHost> hosts = new LinkedHashMap<>();
   private final Map<SimulatedAddress, SimulatedPort> ports = new LinkedHashMap<>();
-  private final List<BiPredicate<SimulatedHost, SimulatedHost>> cuts = new ArrayList<>();
-  private final Map<SimulatedAddress, DatagramPort.Receiver> receivers = new HashMap<>();
-  private double lossShare;
-  private int nextClientPort = FIRST_CLIENT_PORT;
+  private final List<BiPredicate<SimulatedHost, SimulatedHost>> partitions = new ArrayList<>();
+  private final Map<SimulatedAddress, DatagramPort.Receiver> datagramReceivers = new HashMap<>();
+  private double lossFraction;
+  private int lastEphemeralPort = EPHEMERAL_PORT_BASE;
 
-  private SimulatedNetwork(VirtualLoop loop, Ways ways, long seed) {
+  private SimulatedNetwork(VirtualLoop loop, OneWayDelays delays, long seed) {
     this.loop = loop;
-    this.ways = ways;
+    this.delays = delays;
     this.random = new Random(seed);
   }
 
   /** A network without hosts. */
-  public static SimulatedNetwork on(VirtualLoop loop, Ways ways, long seed) {
-    return new SimulatedNetwork(loop, ways, seed);
+  public static SimulatedNetwork on(VirtualLoop loop, OneWayDelays delays, long seed) {
+    return new SimulatedNetwork(loop, delays, seed);
   }
 
   /** Adds a host with power and nothing running on it. */
-  public SimulatedHost host(String ip, String zone, String region) {
-    return add(new SimulatedHost(this, ip, zone, region, false));
+  public SimulatedHost addHost(String ip, String zone, String region) {
+    return register(new SimulatedHost(this, ip, zone, region, false));
   }
 
   /** Adds a host of callers, which are farther from everything than the zone's own hosts. */
-  public SimulatedHost callersHost(String ip, String zone, String region) {
-    return add(new SimulatedHost(this, ip, zone, region, true));
+  public SimulatedHost addCallerHost(String ip, String zone, String region) {
+    return register(new SimulatedHost(this, ip, zone, region, true));
   }
 
-  private SimulatedHost add(SimulatedHost host) {
+  private SimulatedHost register(SimulatedHost host) {
     hosts.put(host.ip(), host);
     return host;
   }
 
   /** The loop of the process that runs on {@code host} from now on, until it ends. */
-  public Loop loopOf(SimulatedHost host) {
-    return Loop.on(loop, loop.clocks(0), new HostTransport(host), host.process());
+  public Loop processLoop(SimulatedHost host) {
+    return Loop.on(loop, loop.timeSource(0), new HostTransport(host), host.processExecutor());
   }
 
   /** Lets nothing pass from one host to another where {@code blocks} says so. */
-  public Cut cut(BiPredicate<SimulatedHost, SimulatedHost> blocks) {
-    cuts.add(blocks);
-    watch();
-    return () -> cuts.remove(blocks);
+  public Partition partition(BiPredicate<SimulatedHost, SimulatedHost> blocks) {
+    partitions.add(blocks);
+    scheduleKeepAliveCheck();
+    return () -> partitions.remove(blocks);
   }
 
   /** Kernels notice that a host has lost its power by their keep-alive probes. */
   public void powerOff(SimulatedHost host) {
     host.powerOff();
-    watch();
+    scheduleKeepAliveCheck();
   }
 
   /** Loses that share of what is sent between zones; kernels send it again later. */
-  public void lose(double share) {
-    lossShare = share;
+  public void setLossFraction(double fraction) {
+    lossFraction = fraction;
   }
 
   /** Resets {@code share} of the host's connections, or makes them silent for good. */
-  public void spoilConnections(SimulatedHost host, double share, boolean silent) {
+  public void disruptConnections(SimulatedHost host, double fraction, boolean blackholes) {
     for (SimulatedChannel channel : host.channels()) {
-      if (random.nextDouble() >= share) {
+      if (random.nextDouble() >= fraction) {
         continue;
       }
-      if (!silent) {
-        host.execute(() -> channel.fail("Connection reset by peer"));
+      if (!blackholes) {
+        host.execute(() -> channel.abort("Connection reset by peer"));
         continue;
       }
       Pipe out = channel.out();
       if (out != null) {
-        out.silence();
+        out.blackhole();
       }
     }
-    watch();
+    scheduleKeepAliveCheck();
   }
 
   /** Kernels look at their connections once probes have had no answer for long enough. */
-  void watch() {
-    var unused = loop.schedule(this::giveUpDead, KEEP_ALIVE_MILLIS, TimeUnit.MILLISECONDS);
+  void scheduleKeepAliveCheck() {
+    var unused =
+        loop.schedule(this::abortDeadConnections, KEEP_ALIVE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void giveUpDead() {
+  private void abortDeadConnections() {
     for (SimulatedHost host : hosts.values()) {
       for (SimulatedChannel channel : host.channels()) {
         Pipe out = channel.out();
         if (out != null && out.isBlocked() && channel.isKeptAlive()) {
-          host.execute(() -> channel.fail("Connection timed out"));
+          host.execute(() -> channel.abort("Connection timed out"));
         }
       }
     }
   }
 
   /** True where packets pass between the hosts in both directions. */
-  public boolean passesBothWays(SimulatedHost one, SimulatedHost other) {
-    return passes(one, other) && passes(other, one);
+  public boolean isReachableBothWays(SimulatedHost one, SimulatedHost other) {
+    return isReachable(one, other) && isReachable(other, one);
   }
 
-  boolean passes(SimulatedHost from, SimulatedHost to) {
-    return cuts.stream().noneMatch(blocks -> blocks.test(from, to));
+  boolean isReachable(SimulatedHost from, SimulatedHost to) {
+    return partitions.stream().noneMatch(blocks -> blocks.test(from, to));
   }
 
-  long nanos() {
-    return loop.clocks(0).nanos();
+  long nowNanos() {
+    return loop.timeSource(0).nanos();
   }
 
   long arrivalNanos(SimulatedHost from, SimulatedHost to) {
-    long micros = ways.betweenRegions();
+    long micros = delays.crossRegionMicros();
     if (from.zone().equals(to.zone())) {
-      micros = ways.inZone();
+      micros = delays.sameZoneMicros();
     } else if (from.region().equals(to.region())) {
-      micros = ways.betweenZones();
+      micros = delays.crossZoneMicros();
     }
-    if (from.isCallers() || to.isCallers()) {
-      micros += ways.toCallers();
+    if (from.isCallerHost() || to.isCallerHost()) {
+      micros += delays.callerMicros();
     }
-    long at = nanos() + micros * NANOS_PER_MICRO;
-    boolean lost = !from.zone().equals(to.zone()) && random.nextDouble() < lossShare;
-    return lost ? at + SENT_AGAIN_MILLIS * NANOS_PER_MILLI : at;
+    long at = nowNanos() + micros * NANOS_PER_MICRO;
+    boolean lost = !from.zone().equals(to.zone()) && random.nextDouble() < lossFraction;
+    return lost ? at + RETRANSMIT_DELAY_MILLIS * NANOS_PER_MILLI : at;
   }
 
-  void at(long atNanos, Runnable task) {
-    var unused = loop.schedule(task, Math.max(0, atNanos - nanos()), TimeUnit.NANOSECONDS);
+  void scheduleAt(long atNanos, Runnable task) {
+    var unused = loop.schedule(task, Math.max(0, atNanos - nowNanos()), TimeUnit.NANOSECONDS);
   }
 
-  void soon(Runnable task) {
+  void execute(Runnable task) {
     loop.execute(task);
   }
 
@@ -212,42 +214,46 @@
 
   void closePorts(SimulatedHost host) {
     ports.values().removeIf(port -> port.host() == host);
-    receivers.keySet().removeIf(address -> address.ip().equals(host.ip()));
+    datagramReceivers.keySet().removeIf(address -> address.ip().equals(host.ip()));
   }
 
   /** Opens a connection from {@code client}, as its handshake goes over the network. */
-  void connect(SimulatedChannel client, SimulatedAddress to, ConnectAnswer answer) {
+  void connect(SimulatedChannel client, SimulatedAddress to, ConnectListener listener) {
     SimulatedHost from = client.host();
     SimulatedHost target = hosts.get(to.ip());
     long timeout = client.config().getConnectTimeoutMillis() * NANOS_PER_MILLI;
-    at(
-        nanos() + timeout,
+    scheduleAt(
+        nowNanos() + timeout,
         () ->
-            from.execute(() -> answer.failed(new ConnectException("connection timed out: " + to))));
+            from.execute(
+                () -> listener.onFailed(new ConnectException("connection timed out: " + to))));
     if (target == null) {
       return;
     }
-    at(arrivalNanos(from, target), () -> target.execute(() -> knock(client, target, to, answer)));
+    scheduleAt(
+        arrivalNanos(from, target),
+        () -> target.execute(() -> handleConnect(client, target, to, listener)));
   }
 
-  private void knock(
-      SimulatedChannel client, SimulatedHost target, SimulatedAddress to, ConnectAnswer answer) {
+  private void handleConnect(
+      SimulatedChannel client, SimulatedHost target, SimulatedAddress to, ConnectListener answer) {
     SimulatedHost from = client.host();
-    if (!passes(from, target) || !passes(target, from) || !client.isOpen()) {
+    if (!isReachable(from, target) || !isReachable(target, from) || !client.isOpen()) {
       return;
     }
     SimulatedPort port = ports.get(to);
     if (port == null) {
-      at(
+      scheduleAt(
           arrivalNanos(target, from),
           () ->
-              from.execute(() -> answer.failed(new ConnectException("Connection refused: " + to))));
+              from.execute(
+                  () -> answer.onFailed(new ConnectException("Connection refused: " + to))));
       return;
     }
     SimulatedChannel server = new SimulatedChannel(port, this, target);
-    SimulatedChannel.join(client, server, to, clientPort());
+    SimulatedChannel.connectPair(client, server, to, allocateEphemeralPort());
     port.accept(server);
-    at(arrivalNanos(target, from), () -> from.execute(answer::established));
+    scheduleAt(arrivalNanos(target, from), () -> from.execute(answer::onEstablished));
   }
 
   /** Datagrams are lost at a cut, at a host without power, and by the share that links lose. */
@@ -255,23 +261,24 @@
       SimulatedHost from, SimulatedAddress own, SimulatedAddress to, byte[] bytes) {
     SimulatedHost target = hosts.get(to.ip());
     boolean lost =
-        target == null || (!from.zone().equals(target.zone()) && random.nextDouble() < lossShare);
+        target == null
+            || (!from.zone().equals(target.zone()) && random.nextDouble() < lossFraction);
     if (lost) {
       return;
     }
-    at(
+    scheduleAt(
         arrivalNanos(from, target),
         () -> {
-          DatagramPort.Receiver receiver = receivers.get(to);
-          if (receiver != null && target.isPowered() && passes(from, target)) {
+          DatagramPort.Receiver receiver = datagramReceivers.get(to);
+          if (receiver != null && target.isPowered() && isReachable(from, target)) {
             receiver.onDatagram(own.ip(), own.port(), bytes);
           }
         });
   }
 
-  private int clientPort() {
-    nextClientPort++;
-    return nextClientPort;
+  private int allocateEphemeralPort() {
+    lastEphemeralPort++;
+    return lastEphemeralPort;
   }
 
   private final class HostTransport implements Transport {
@@ -309,8 +316,8 @@
     public DatagramPort openDatagrams(
         Loop on, String ip, int port, DatagramPort.Receiver receiver, Consumer<Throwable> failed) {
       SimulatedAddress own = new SimulatedAddress(ip, port);
-      Executor process = host.process();
-      receivers.put(
+      Executor process = host.processExecutor();
+      datagramReceivers.put(
           own,
           (fromIp, fromPort, bytes) ->
               process.execute(() -> receiver.onDatagram(fromIp, fromPort, bytes)));
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedPort.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedPort.java
@@ -14,7 +14,7 @@
   private final SimulatedHost host;
   private final ChannelConfig config = new DefaultChannelConfig(this);
   private @Nullable SimulatedAddress address;
-  private boolean open = true;
+  private boolean isOpen = true;
 
   SimulatedPort(SimulatedNetwork network, SimulatedHost host) {
     this.network = network;
@@ -27,7 +27,7 @@
 
   /** Takes a connection in; it can be used at this end at once. */
   void accept(SimulatedChannel channel) {
-    channel.established();
+    channel.onEstablished();
     pipeline().fireChannelRead(channel);
     pipeline().fireChannelReadComplete();
   }
@@ -41,7 +41,7 @@
 
   @Override
   protected void doClose() {
-    open = false;
+    isOpen = false;
     SimulatedAddress known = address;
     if (known != null) {
       network.unbind(known, this);
@@ -68,11 +68,11 @@
 
   @Override
   public boolean isOpen() {
-    return open;
+    return isOpen;
   }
 
   @Override
   public boolean isActive() {
-    return open && address != null;
+    return isOpen && address != null;
   }
 }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/VirtualLoop.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/VirtualLoop.java
@@ -37,12 +37,12 @@
   }
 
   /** Milliseconds since the loop was made. */
-  public long now() {
+  public long nowMillis() {
     return clock.nanoTime() / NANOS_PER_MILLI;
   }
 
   /** The loop's time as clocks of a machine whose time of day is {@code aheadMillis} ahead. */
-  public TimeSource clocks(long aheadMillis) {
+  public TimeSource timeSource(long wallOffsetMillis) {
     return new TimeSource() {
       @Override
       public long nanos() {
@@ -51,7 +51,7 @@
 
       @Override
       public long wallMillis() {
-        return START_WALL_MILLIS + now() + aheadMillis;
+        return START_WALL_MILLIS + nowMillis() + wallOffsetMillis;
       }
     };
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallerConnection.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallerConnection.java
@@ -25,18 +25,18 @@
 
 /** A caller's connection; several requests may be sent before the first answer. */
 final class CallerConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
-  private static final int MOST_BODY_BYTES = 4 << 20;
+  private static final int MAX_RESPONSE_BODY_BYTES = 4 << 20;
 
   /** How a request ended on the connection. */
   sealed interface Reply {
     /** A whole answer. */
-    record Whole(int status, HttpHeaders headers, String body) implements Reply {}
+    record Complete(int status, HttpHeaders headers, String body) implements Reply {}
 
     /** The connection ended, or what came is no answer. */
-    record Broken(String cause) implements Reply {}
+    record Failed(String cause) implements Reply {}
   }
 
-  private final Deque<Consumer<Reply>> waiting = new ArrayDeque<>();
+  private final Deque<Consumer<Reply>> pendingReplies = new ArrayDeque<>();
   private @Nullable ChannelHandlerContext context;
   private boolean closing;
 
@@ -44,9 +44,9 @@
       Loop loop,
       String host,
       int port,
-      int connectMillis,
-      Consumer<CallerConnection> ready,
-      Consumer<String> failed) {
+      int connectTimeoutMillis,
+      Consumer<CallerConnection> onOpen,
+      Consumer<String> onFailure) {
     CallerConnection connection = new CallerConnection();
     ChannelInitializer<Channel> initializer =
         new ChannelInitializer<>() {
@@ -55,16 +55,18 @@
             channel
                 .pipeline()
                 .addLast(
-                    new HttpClientCodec(), new HttpObjectAggregator(MOST_BODY_BYTES), connection);
+                    new HttpClientCodec(),
+                    new HttpObjectAggregator(MAX_RESPONSE_BODY_BYTES),
+                    connection);
           }
         };
-    loop.connect(host, port, connectMillis, initializer)
+    loop.connect(host, port, connectTimeoutMillis, initializer)
         .addListener(
             (ChannelFuture done) -> {
               if (done.isSuccess()) {
-                ready.accept(connection);
+                onOpen.accept(connection);
               } else {
-                failed.accept(String.valueOf(done.cause().getMessage()));
+                onFailure.accept(String.valueOf(done.cause().getMessage()));
               }
             });
   }
@@ -74,7 +76,7 @@
     context = added;
   }
 
-  private ChannelHandlerContext context() {
+  private ChannelHandlerContext requireContext() {
     ChannelHandlerContext known = context;
     if (known == null) {
       throw new IllegalStateException("the connection is in no channel yet");
@@ -83,11 +85,15 @@
   }
 
   boolean isUsable() {
-    return !closing && waiting.isEmpty() && context().channel().isActive();
+    return !closing && pendingReplies.isEmpty() && requireContext().channel().isActive();
   }
 
   void send(
-      String method, String path, Map<String, String> headers, String body, Consumer<Reply> to) {
+      String method,
+      String path,
+      Map<String, String> headers,
+      String body,
+      Consumer<Reply> onReply) {
     FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
@@ -98,20 +104,20 @@
     if (!body.isEmpty()) {
       HttpUtil.setContentLength(request, request.content().readableBytes());
     }
-    waiting.addLast(to);
-    var unused = context().writeAndFlush(request);
+    pendingReplies.addLast(onReply);
+    var unused = requireContext().writeAndFlush(request);
   }
 
   /** Ends the connection; nobody is told any more. */
-  void leave() {
+  void abandon() {
     closing = true;
-    waiting.clear();
-    var unused = context().close();
+    pendingReplies.clear();
+    var unused = requireContext().close();
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-    Consumer<Reply> first = waiting.pollFirst();
+    Consumer<Reply> first = pendingReplies.pollFirst();
     if (!HttpUtil.isKeepAlive(response)) {
       closing = true;
     }
@@ -123,11 +129,11 @@
       return;
     }
     if (response.decoderResult().isFailure()) {
-      first.accept(new Reply.Broken("no answer: " + response.decoderResult().cause()));
+      first.accept(new Reply.Failed("no answer: " + response.decoderResult().cause()));
       return;
     }
     first.accept(
-        new Reply.Whole(
+        new Reply.Complete(
             response.status().code(),
             response.headers().copy(),
             response.content().toString(StandardCharsets.UTF_8)));
@@ -136,8 +142,8 @@
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
     closing = true;
-    while (!waiting.isEmpty()) {
-      waiting.removeFirst().accept(new Reply.Broken("the connection ended"));
+    while (!pendingReplies.isEmpty()) {
+      pendingReplies.removeFirst().accept(new Reply.Failed("the connection ended"));
     }
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallersStandIn.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallersStandIn.java
@@ -29,216 +29,218 @@
  */
 public final class CallersStandIn {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int CONNECT_MILLIS = 1_000;
-  private static final long LOOK_UP_MILLIS = 1_000;
-  private static final int LOOK_UP_TRIES = 3;
-  private static final double LONGEST_WAIT_PART = 1.0 / 3;
-  private static final long LEAST_WAIT_MILLIS = 50;
-  private static final Set<Integer> FINAL = Set.of(400, 401, 404, 413, 431);
-  private static final Set<Integer> NOT_RUN = Set.of(408, 421, 429, 503);
+  private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+  private static final long LOOK_UP_TIMEOUT_MILLIS = 1_000;
+  private static final int MAX_LOOK_UP_ATTEMPTS = 3;
+  private static final double MAX_BACKOFF_FRACTION = 1.0 / 3;
+  private static final long MIN_BACKOFF_MILLIS = 50;
+  private static final Set<Integer> FINAL_STATUSES = Set.of(400, 401, 404, 413, 431);
+  private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
 
   /**
    * Where callers are and whom they ask.
    *
-   * @param lookUps addresses of entry VMs' look-up ports, nearest first
+   * @param lookUpAddresses addresses of entry VMs' look-up ports, nearest first
    */
-  public record Place(String zone, String region, List<String> lookUps) {}
+  public record Location(String zone, String region, List<String> lookUpAddresses) {}
 
   /** What became of one request of a caller, after all its attempts. */
-  public record Ended(CallerKind kind, long askedAt, int status, long millis, String zone) {}
+  public record CompletedRequest(
+      RequestProfile profile, long startedAtMillis, int status, long durationMillis, String zone) {}
 
   /** Draws the key that a request bears; null where requests bear none. */
   @FunctionalInterface
-  public interface Keys {
+  public interface CredentialSource {
     /** The next request's key and who holds it. */
-    Ledger.@Nullable Bearer draw(Random random);
+    Ledger.@Nullable Credential drawCredential(Random random);
   }
 
   private final class Request {
-    final CallerKind kind;
-    final Ledger.@Nullable Bearer bearer = keys.draw(keyRandom);
-    final long askedAt;
+    final RequestProfile profile;
+    final Ledger.@Nullable Credential credential = apiKeys.drawCredential(keyRandom);
+    final long startedAtMillis;
     final String object;
     final String body;
-    final Set<String> failedAt = new HashSet<>();
-    int retries;
+    final Set<String> failedAddresses = new HashSet<>();
+    int remainingRetries;
     @Nullable CallerConnection connection;
     @Nullable String id;
-    Loop.@Nullable Timer end;
-    boolean over;
+    Loop.@Nullable Timer deadlineTimer;
+    boolean isFinished;
 
-    Request(CallerKind kind, String object, String body, int retries) {
-      this.kind = kind;
-      this.askedAt = loop.nowMillis();
+    Request(RequestProfile profile, String object, String body, int remainingRetries) {
+      this.profile = profile;
+      this.startedAtMillis = loop.nowMillis();
       this.object = object;
       this.body = body;
-      this.retries = retries;
+      this.remainingRetries = remainingRetries;
     }
 
-    long left() {
-      return askedAt + kind.deadlineMillis() - loop.nowMillis();
+    long remainingMillis() {
+      return startedAtMillis + profile.deadlineMillis() - loop.nowMillis();
     }
   }
 
   private final Loop loop;
-  private final Place place;
+  private final Location location;
   private final Ledger ledger;
-  private final Function<String, Optional<RouteRule>> routes;
-  private final Consumer<Ended> ended;
+  private final Function<String, Optional<RouteRule>> currentRoutes;
+  private final Consumer<CompletedRequest> onCompletion;
   private final Random random;
-  private final Map<String, Deque<CallerConnection>> kept = new HashMap<>();
+  private final Map<String, Deque<CallerConnection>> idleConnections = new HashMap<>();
   private List<String> addresses = new ArrayList<>();
-  private long addressesUntil = Long.MIN_VALUE;
-  private double pace = 1;
-  private Keys keys = random -> null;
+  private long addressesExpireAtMillis = Long.MIN_VALUE;
+  private double rateFactor = 1;
+  private CredentialSource apiKeys = random -> null;
   private final Random keyRandom;
-  private double leaveShare;
-  private long leaveAfterMillis;
-  private boolean open = true;
-  private long lastId;
+  private double abandonFraction;
+  private long abandonAfterMillis;
+  private boolean isSending = true;
+  private long lastRequestNumber;
 
   private CallersStandIn(
       Loop loop,
-      Place place,
+      Location location,
       Ledger ledger,
-      Function<String, Optional<RouteRule>> routes,
+      Function<String, Optional<RouteRule>> currentRoutes,
       long seed,
-      Consumer<Ended> ended) {
+      Consumer<CompletedRequest> onCompletion) {
     this.loop = loop;
-    this.place = place;
+    this.location = location;
     this.ledger = ledger;
-    this.routes = routes;
-    this.random = new Random(seed ^ place.zone().hashCode());
-    this.ended = ended;
-    this.keyRandom = new Random(seed + place.zone().hashCode());
+    this.currentRoutes = currentRoutes;
+    this.random = new Random(seed ^ location.zone().hashCode());
+    this.onCompletion = onCompletion;
+    this.keyRandom = new Random(seed + location.zone().hashCode());
   }
 
   /**
    * Starts callers.
    *
-   * @param share part of each kind's requests that these callers send
-   * @param routes routes by name, as the newest configuration has them
-   * @param ended told of each request's end
+   * @param fraction part of each kind's requests that these callers send
+   * @param currentRoutes routes by name, as the newest configuration has them
+   * @param onCompletion told of each request's end
    */
   public static CallersStandIn start(
       Loop loop,
-      Place place,
-      List<CallerKind> kinds,
-      double share,
+      Location location,
+      List<RequestProfile> profiles,
+      double fraction,
       Ledger ledger,
-      Function<String, Optional<RouteRule>> routes,
+      Function<String, Optional<RouteRule>> currentRoutes,
       long seed,
-      Consumer<Ended> ended) {
-    CallersStandIn callers = new CallersStandIn(loop, place, ledger, routes, seed, ended);
-    kinds.forEach(kind -> callers.later(kind, share));
+      Consumer<CompletedRequest> onCompletion) {
+    CallersStandIn callers =
+        new CallersStandIn(loop, location, ledger, currentRoutes, seed, onCompletion);
+    profiles.forEach(kind -> callers.scheduleNext(kind, fraction));
     return callers;
   }
 
   /** Sends a further kind of request from now on; {@code share} is these callers' part of it. */
-  public void alsoSend(CallerKind kind, double share) {
-    later(kind, share);
+  public void addProfile(RequestProfile profile, double fraction) {
+    scheduleNext(profile, fraction);
   }
 
   /** Sends requests with keys from now on. */
-  public void bear(Keys drawn) {
-    keys = drawn;
+  public void setApiKeys(CredentialSource source) {
+    apiKeys = source;
   }
 
   /** Sends no further requests. */
   public void stop() {
-    open = false;
+    isSending = false;
   }
 
   /** Sends that many times as many requests from now on. */
-  public void pace(double factor) {
-    pace = factor;
+  public void setRateFactor(double factor) {
+    rateFactor = factor;
   }
 
   /** That share of the callers leaves after {@code millis} without an answer. */
-  public void leave(double share, long millis) {
-    leaveShare = share;
-    leaveAfterMillis = millis;
+  public void setAbandonment(double fraction, long afterMillis) {
+    abandonFraction = fraction;
+    abandonAfterMillis = afterMillis;
   }
 
-  private void later(CallerKind kind, double share) {
-    double mean = 1_000 / (kind.perSecond() * share * pace);
+  private void scheduleNext(RequestProfile profile, double fraction) {
+    double mean = 1_000 / (profile.requestsPerSecond() * fraction * rateFactor);
     long wait = Math.round(-Math.log(1 - random.nextDouble()) * mean);
     var unused =
         loop.schedule(
             wait,
             () -> {
-              if (open) {
-                ask(kind);
-                later(kind, share);
+              if (isSending) {
+                sendNext(profile);
+                scheduleNext(profile, fraction);
               }
             });
   }
 
-  private void ask(CallerKind kind) {
-    begin(request(kind));
-    if (kind.habit() == CallerKind.Habit.PIPELINED) {
-      begin(request(kind));
+  private void sendNext(RequestProfile profile) {
+    startRequest(newRequest(profile));
+    if (profile.connectionUse() == RequestProfile.ConnectionUse.PIPELINED) {
+      startRequest(newRequest(profile));
     }
   }
 
-  private Request request(CallerKind kind) {
-    String object = "o" + random.nextInt(kind.objects());
-    String body = kind.idempotent() ? "" : "body of " + object + ' ' + "x".repeat(200);
-    Request request = new Request(kind, object, body, 1);
-    if (random.nextDouble() < leaveShare) {
-      var unused = loop.schedule(leaveAfterMillis, () -> end(request, 0));
+  private Request newRequest(RequestProfile profile) {
+    String object = "o" + random.nextInt(profile.objectCount());
+    String body = profile.idempotent() ? "" : "body of " + object + ' ' + "x".repeat(200);
+    Request request = new Request(profile, object, body, 1);
+    if (random.nextDouble() < abandonFraction) {
+      var unused = loop.schedule(abandonAfterMillis, () -> finish(request, 0));
     }
     return request;
   }
 
-  private void begin(Request request) {
-    request.end = loop.schedule(request.left(), () -> end(request, 0));
-    attempt(request);
+  private void startRequest(Request request) {
+    request.deadlineTimer = loop.schedule(request.remainingMillis(), () -> finish(request, 0));
+    startAttempt(request);
   }
 
-  private void attempt(Request request) {
-    if (request.over) {
+  private void startAttempt(Request request) {
+    if (request.isFinished) {
       return;
     }
-    if (loop.nowMillis() < addressesUntil && !addresses.isEmpty()) {
+    if (loop.nowMillis() < addressesExpireAtMillis && !addresses.isEmpty()) {
       connect(request);
       return;
     }
     lookUp(request, 0);
   }
 
-  private void lookUp(Request request, int tries) {
-    if (tries >= Math.min(LOOK_UP_TRIES, place.lookUps().size())) {
+  private void lookUp(Request request, int attempts) {
+    if (attempts >= Math.min(MAX_LOOK_UP_ATTEMPTS, location.lookUpAddresses().size())) {
       if (addresses.isEmpty()) {
-        end(request, 0);
+        finish(request, 0);
       } else {
         connect(request);
       }
       return;
     }
-    String at = place.lookUps().get(tries);
+    String at = location.lookUpAddresses().get(attempts);
     boolean[] done = {false};
     Runnable next =
         () -> {
           if (!done[0]) {
             done[0] = true;
-            lookUp(request, tries + 1);
+            lookUp(request, attempts + 1);
           }
         };
-    var unused = loop.schedule(LOOK_UP_MILLIS, next);
+    var unused = loop.schedule(LOOK_UP_TIMEOUT_MILLIS, next);
     CallerConnection.open(
         loop,
         host(at),
         port(at),
-        CONNECT_MILLIS,
+        CONNECT_TIMEOUT_MILLIS,
         connection ->
             connection.send(
                 "GET",
-                "/resolve?name=any&region=" + place.region() + "&zone=" + place.zone(),
+                "/resolve?name=any&region=" + location.region() + "&zone=" + location.zone(),
                 Map.of("Host", at, "Connection", "close"),
                 "",
                 reply -> {
-                  if (!done[0] && take(reply)) {
+                  if (!done[0] && acceptAddresses(reply)) {
                     done[0] = true;
                     connect(request);
                   } else {
@@ -248,8 +250,8 @@
         cause -> next.run());
   }
 
-  private boolean take(CallerConnection.Reply reply) {
-    if (!(reply instanceof CallerConnection.Reply.Whole whole) || whole.status() != 200) {
+  private boolean acceptAddresses(CallerConnection.Reply reply) {
+    if (!(reply instanceof CallerConnection.Reply.Complete whole) || whole.status() != 200) {
       return false;
     }
     try {
@@ -257,8 +259,9 @@
       List<String> named = new ArrayList<>();
       body.path("addresses").forEach(address -> named.add(address.asText()));
       addresses = named;
-      addressesUntil = loop.nowMillis() + PlatformTexts.millis(body.path("ttl").asText("1s"));
-      kept.keySet().retainAll(named);
+      addressesExpireAtMillis =
+          loop.nowMillis() + PlatformTexts.parseMillis(body.path("ttl").asText("1s"));
+      idleConnections.keySet().retainAll(named);
       return !named.isEmpty();
     } catch (JsonProcessingException e) {
       return false;
@@ -266,35 +269,35 @@
   }
 
   private void connect(Request request) {
-    if (request.over) {
+    if (request.isFinished) {
       return;
     }
     List<String> choice =
-        addresses.stream().filter(address -> !request.failedAt.contains(address)).toList();
+        addresses.stream().filter(address -> !request.failedAddresses.contains(address)).toList();
     if (choice.isEmpty()) {
       choice = addresses;
     }
     String address = choice.get(random.nextInt(choice.size()));
-    CallerConnection known = keptFor(request.kind, address);
+    CallerConnection known = findIdleConnection(request.profile, address);
     if (known != null) {
-      send(request, address, known);
+      sendRequest(request, address, known);
       return;
     }
     CallerConnection.open(
         loop,
         host(address),
         port(address),
-        CONNECT_MILLIS,
-        connection -> send(request, address, connection),
+        CONNECT_TIMEOUT_MILLIS,
+        connection -> sendRequest(request, address, connection),
         cause -> {
-          request.failedAt.add(address);
-          again(request, LEAST_WAIT_MILLIS, 0);
+          request.failedAddresses.add(address);
+          retry(request, MIN_BACKOFF_MILLIS, 0);
         });
   }
 
-  private @Nullable CallerConnection keptFor(CallerKind kind, String address) {
-    Deque<CallerConnection> known = kept.getOrDefault(address, new ArrayDeque<>());
-    while (kind.habit() != CallerKind.Habit.FRESH && !known.isEmpty()) {
+  private @Nullable CallerConnection findIdleConnection(RequestProfile profile, String address) {
+    Deque<CallerConnection> known = idleConnections.getOrDefault(address, new ArrayDeque<>());
+    while (profile.connectionUse() != RequestProfile.ConnectionUse.FRESH && !known.isEmpty()) {
       CallerConnection last = known.removeLast();
       if (last.isUsable()) {
         return last;
@@ -303,60 +306,61 @@
     return null;
   }
 
-  private void send(Request request, String address, CallerConnection connection) {
-    Optional<RouteRule> route = routes.apply(request.kind.route());
-    if (request.over || route.isEmpty()) {
-      connection.leave();
+  private void sendRequest(Request request, String address, CallerConnection connection) {
+    Optional<RouteRule> route = currentRoutes.apply(request.profile.route());
+    if (request.isFinished || route.isEmpty()) {
+      connection.abandon();
       return;
     }
-    lastId++;
-    String id = place.zone() + "-" + lastId;
-    String path = request.kind.prefix() + request.object + '/' + request.kind.workMillis();
+    lastRequestNumber++;
+    String id = location.zone() + "-" + lastRequestNumber;
+    String path =
+        request.profile.prefix() + request.object + '/' + request.profile.meanServiceMillis();
     request.connection = connection;
     request.id = id;
     Map<String, String> headers = new LinkedHashMap<>();
-    headers.put("Host", request.kind.host());
+    headers.put("Host", request.profile.host());
     headers.put("Request-Id", id);
     headers.put("Cookie", "Affinity-Key=" + request.object);
-    headers.put("Request-Deadline", Long.toString(request.left()));
-    Ledger.Bearer bearer = request.bearer;
+    headers.put("Request-Deadline", Long.toString(request.remainingMillis()));
+    Ledger.Credential bearer = request.credential;
     if (bearer != null) {
       headers.put("Authorization", "Token " + bearer.key());
-      ledger.bears(id, bearer);
+      ledger.recordCredential(id, bearer);
     }
-    ledger.asked(
-        new Ledger.Asked(
+    ledger.attempt(
+        new Ledger.Attempt(
             id,
             route.get(),
             path,
             request.body,
-            place.region(),
+            location.region(),
             host(address),
             loop.nowMillis(),
-            request.left()));
+            request.remainingMillis()));
     connection.send(
-        request.kind.idempotent() ? "GET" : "POST",
+        request.profile.idempotent() ? "GET" : "POST",
         path,
         headers,
         request.body,
-        reply -> replied(request, address, connection, id, reply));
+        reply -> onReply(request, address, connection, id, reply));
   }
 
-  private void replied(
+  private void onReply(
       Request request,
       String address,
       CallerConnection connection,
       String id,
       CallerConnection.Reply reply) {
-    if (reply instanceof CallerConnection.Reply.Broken) {
-      ledger.answered(new Ledger.Answered(id, 0, "", false, null, loop.nowMillis()));
-      request.failedAt.add(address);
-      again(request, LEAST_WAIT_MILLIS, 0);
+    if (reply instanceof CallerConnection.Reply.Failed) {
+      ledger.recordAnswer(new Ledger.Answered(id, 0, "", false, null, loop.nowMillis()));
+      request.failedAddresses.add(address);
+      retry(request, MIN_BACKOFF_MILLIS, 0);
       return;
     }
-    CallerConnection.Reply.Whole whole = (CallerConnection.Reply.Whole) reply;
+    CallerConnection.Reply.Complete whole = (CallerConnection.Reply.Complete) reply;
     HttpHeaders headers = whole.headers();
-    ledger.answered(
+    ledger.recordAnswer(
         new Ledger.Answered(
             id,
             whole.status(),
@@ -364,53 +368,54 @@
             headers.contains("Server-Seal"),
             headers.get("Request-Id"),
             loop.nowMillis()));
-    if (request.kind.habit() != CallerKind.Habit.FRESH && connection.isUsable()) {
-      kept.computeIfAbsent(address, key -> new ArrayDeque<>()).addLast(connection);
-    } else if (request.kind.habit() == CallerKind.Habit.FRESH) {
-      connection.leave();
+    if (request.profile.connectionUse() != RequestProfile.ConnectionUse.FRESH
+        && connection.isUsable()) {
+      idleConnections.computeIfAbsent(address, key -> new ArrayDeque<>()).addLast(connection);
+    } else if (request.profile.connectionUse() == RequestProfile.ConnectionUse.FRESH) {
+      connection.abandon();
     }
-    if (whole.status() < 400 || FINAL.contains(whole.status())) {
-      end(request, whole.status());
+    if (whole.status() < 400 || FINAL_STATUSES.contains(whole.status())) {
+      finish(request, whole.status());
       return;
     }
     long told = Math.round(1_000 * Double.parseDouble(headers.get("Retry-After", "0")));
-    again(request, Math.max(LEAST_WAIT_MILLIS, told), whole.status());
+    retry(request, Math.max(MIN_BACKOFF_MILLIS, told), whole.status());
   }
 
   /** Comes back after a wait, if the kind of request and its time allow it. */
-  private void again(Request request, long waitMillis, int status) {
-    boolean may = request.kind.idempotent() || NOT_RUN.contains(status);
-    if (request.over || !may || request.retries == 0) {
-      end(request, status);
+  private void retry(Request request, long waitMillis, int status) {
+    boolean may = request.profile.idempotent() || NOT_EXECUTED_STATUSES.contains(status);
+    if (request.isFinished || !may || request.remainingRetries == 0) {
+      finish(request, status);
       return;
     }
-    request.retries--;
-    long wait = Math.min(waitMillis, Math.round(request.left() * LONGEST_WAIT_PART));
-    var unused = loop.schedule(wait, () -> attempt(request));
+    request.remainingRetries--;
+    long wait = Math.min(waitMillis, Math.round(request.remainingMillis() * MAX_BACKOFF_FRACTION));
+    var unused = loop.schedule(wait, () -> startAttempt(request));
   }
 
-  private void end(Request request, int status) {
-    if (request.over) {
+  private void finish(Request request, int status) {
+    if (request.isFinished) {
       return;
     }
-    request.over = true;
-    Loop.Timer timer = request.end;
+    request.isFinished = true;
+    Loop.Timer timer = request.deadlineTimer;
     if (timer != null) {
       timer.cancel();
     }
     CallerConnection connection = request.connection;
     String id = request.id;
     if (connection != null && id != null && ledger.answer(id).isEmpty()) {
-      ledger.callerLeft(id, loop.nowMillis());
-      connection.leave();
+      ledger.recordCallerLeft(id, loop.nowMillis());
+      connection.abandon();
     }
-    ended.accept(
-        new Ended(
-            request.kind,
-            request.askedAt,
+    onCompletion.accept(
+        new CompletedRequest(
+            request.profile,
+            request.startedAtMillis,
             status,
-            loop.nowMillis() - request.askedAt,
-            place.zone()));
+            loop.nowMillis() - request.startedAtMillis,
+            location.zone()));
   }
 
   private static String host(String address) {
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/Ledger.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/Ledger.java
@@ -23,18 +23,18 @@
    * @param path its path
    * @param body its body, maybe empty
    * @param region region of the caller
-   * @param vm IP number of the entry VM that it was sent to
-   * @param at when its last byte was sent
+   * @param entryVmIp IP number of the entry VM that it was sent to
+   * @param sentAtMillis when its last byte was sent
    * @param deadlineMillis how long the caller waits
    */
-  public record Asked(
+  public record Attempt(
       String id,
       RouteRule route,
       String path,
       String body,
       String region,
-      String vm,
-      long at,
+      String entryVmIp,
+      long sentAtMillis,
       long deadlineMillis) {}
 
   /** What became of a request at a target when it arrived. */
@@ -72,24 +72,24 @@
   public static final class Run {
     private final String id;
     private final String target;
-    private final boolean known;
-    private final long beganAt;
-    private long endedAt = -1;
-    private @Nullable String answer;
+    private final boolean hadCached;
+    private final long startedAtMillis;
+    private long endedAtMillis = -1;
+    private @Nullable String responseBody;
     private int status;
 
-    Run(String id, String target, boolean known, long beganAt) {
+    Run(String id, String target, boolean hadCached, long startedAtMillis) {
       this.id = id;
       this.target = target;
-      this.known = known;
-      this.beganAt = beganAt;
+      this.hadCached = hadCached;
+      this.startedAtMillis = startedAtMillis;
     }
 
     /** It ended with that status and body; 0 and null where there was no answer. */
-    public void ended(long at, int givenStatus, @Nullable String body) {
-      endedAt = at;
-      status = givenStatus;
-      answer = body;
+    public void recordEnd(long atMillis, int responseStatus, @Nullable String body) {
+      endedAtMillis = atMillis;
+      status = responseStatus;
+      responseBody = body;
     }
 
     /** Id of the request. */
@@ -103,23 +103,23 @@
     }
 
     /** True where the target remembered its object. */
-    public boolean known() {
-      return known;
+    public boolean hadCached() {
+      return hadCached;
     }
 
     /** When it began. */
-    public long beganAt() {
-      return beganAt;
+    public long startedAtMillis() {
+      return startedAtMillis;
     }
 
     /** When it ended, or -1 while it runs. */
-    public long endedAt() {
-      return endedAt;
+    public long endedAtMillis() {
+      return endedAtMillis;
     }
 
     /** Body that the target answered, or null where there was none. */
-    public @Nullable String answer() {
-      return answer;
+    public @Nullable String responseBody() {
+      return responseBody;
     }
 
     /** Status that the target answered, or 0. */
@@ -142,9 +142,9 @@
   /**
    * A moment at which something was acknowledged or became so.
    *
-   * @param what what it is about, such as a target's id or a zone
+   * @param subject what it is about, such as a target's id or a zone
    */
-  public record Moment(Kind kind, String what, long at) {
+  public record PlatformEvent(Kind kind, String subject, long atMillis) {
     /** Kinds of moments. */
     public enum Kind {
       /** The store has a target's leaving. */
@@ -172,9 +172,9 @@
    * Whose key an attempt of a caller bore.
    *
    * @param workspace the workspace that held the key when it was sent, or empty where none did
-   * @param everHeld true where some configuration of the day had the key
+   * @param wasEverConfigured true where some configuration of the day had the key
    */
-  public record Bearer(String workspace, String key, boolean everHeld) {}
+  public record Credential(String workspace, String key, boolean wasEverConfigured) {}
 
   /**
    * What a target was shown of a request's caller.
@@ -184,28 +184,28 @@
    */
   public record Delivery(String id, String workspace, boolean keyShown, Fate fate, long at) {}
 
-  private final Map<String, Bearer> bearers = new HashMap<>();
+  private final Map<String, Credential> credentials = new HashMap<>();
   private final List<Delivery> deliveries = new ArrayList<>();
-  private final Map<String, Asked> asked = new LinkedHashMap<>();
+  private final Map<String, Attempt> attempts = new LinkedHashMap<>();
   private final List<Arrival> arrivals = new ArrayList<>();
   private final Map<String, List<Run>> runs = new HashMap<>();
   private final Map<String, Answered> answers = new HashMap<>();
-  private final Map<String, Long> left = new HashMap<>();
-  private final List<Moment> moments = new ArrayList<>();
+  private final Map<String, Long> callerLeftAtMillis = new HashMap<>();
+  private final List<PlatformEvent> events = new ArrayList<>();
 
   /** The attempt of that id bears a key. */
-  public void bears(String id, Bearer bearer) {
-    bearers.put(id, bearer);
+  public void recordCredential(String id, Credential credential) {
+    credentials.put(id, credential);
   }
 
   /** Whose key the attempt of that id bore; empty where it bore none. */
-  public Optional<Bearer> bearer(String id) {
-    return Optional.ofNullable(bearers.get(id));
+  public Optional<Credential> credential(String id) {
+    return Optional.ofNullable(credentials.get(id));
   }
 
   /** A request reached a target. */
-  public void delivered(Delivery of) {
-    deliveries.add(of);
+  public void recordDelivery(Delivery delivery) {
+    deliveries.add(delivery);
   }
 
   /** What targets were shown of callers, in order. */
@@ -214,45 +214,45 @@
   }
 
   /** An attempt was sent. */
-  public void asked(Asked attempt) {
-    asked.put(attempt.id(), attempt);
+  public void attempt(Attempt attempt) {
+    attempts.put(attempt.id(), attempt);
   }
 
   /** A request reached a target. */
-  public void arrived(Arrival arrival) {
+  public void recordArrival(Arrival arrival) {
     arrivals.add(arrival);
   }
 
   /** A target begins to run a request; {@code known} where it remembers the object. */
-  public Run began(String id, String target, boolean known, long at) {
-    Run run = new Run(id, target, known, at);
+  public Run recordRunStart(String id, String target, boolean hadCached, long atMillis) {
+    Run run = new Run(id, target, hadCached, atMillis);
     runs.computeIfAbsent(id, key -> new ArrayList<>()).add(run);
     return run;
   }
 
   /** A caller got an answer, or the end of its connection. */
-  public void answered(Answered answer) {
+  public void recordAnswer(Answered answer) {
     answers.putIfAbsent(answer.id(), answer);
   }
 
   /** A caller closed its connection though it has no answer yet. */
-  public void callerLeft(String id, long at) {
-    left.putIfAbsent(id, at);
+  public void recordCallerLeft(String id, long atMillis) {
+    callerLeftAtMillis.putIfAbsent(id, atMillis);
   }
 
   /** Something was acknowledged. */
-  public void moment(Moment.Kind kind, String what, long at) {
-    moments.add(new Moment(kind, what, at));
+  public void recordEvent(PlatformEvent.Kind kind, String subject, long atMillis) {
+    events.add(new PlatformEvent(kind, subject, atMillis));
   }
 
   /** All attempts by id, in the order in which they were sent. */
-  public Map<String, Asked> asked() {
-    return asked;
+  public Map<String, Attempt> attempts() {
+    return attempts;
   }
 
   /** The attempt of that id. */
-  public Optional<Asked> asked(String id) {
-    return Optional.ofNullable(asked.get(id));
+  public Optional<Attempt> attempt(String id) {
+    return Optional.ofNullable(attempts.get(id));
   }
 
   /** All arrivals at targets, in their order. */
@@ -276,12 +276,12 @@
   }
 
   /** When the caller of that id left without an answer. */
-  public Optional<Long> leftAt(String id) {
-    return Optional.ofNullable(left.get(id));
+  public Optional<Long> callerLeftAtMillis(String id) {
+    return Optional.ofNullable(callerLeftAtMillis.get(id));
   }
 
   /** Moments of that kind, in their order. */
-  public List<Moment> moments(Moment.Kind kind) {
-    return moments.stream().filter(moment -> moment.kind() == kind).toList();
+  public List<PlatformEvent> events(PlatformEvent.Kind kind) {
+    return events.stream().filter(moment -> moment.kind() == kind).toList();
   }
 }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/PlatformBounds.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/PlatformBounds.java
@@ -3,36 +3,37 @@
 /**
  * Bounds of the platform's rules, as the users' deployments have them.
  *
- * @param contactMillis calm time after which a machine counts as in touch
+ * @param discoveryMillis calm time after which a machine counts as in touch
  * @param drainMillis time after which nothing new may reach a leaving target
  * @param graceMillis time from SIGTERM to SIGKILL
- * @param applyMillis time after which a configuration is in force everywhere
+ * @param configurationApplyMillis time after which a configuration is in force everywhere
  * @param evacuateMillis time after which an emptied zone gets nothing more
- * @param coldOver factor on a cold target's rate
- * @param coldSlack requests beyond that in a second
+ * @param coldRateFactor factor on a cold target's rate
+ * @param coldExtraRequests requests beyond that in a second
  * @param retryRatio second sends for each request of a window
- * @param retryExtra second sends besides
+ * @param extraRetries second sends besides
  * @param retryWindowMillis length of the window
- * @param mostShift part of a region's requests that may change region from one span to the next
+ * @param maxShiftFraction part of a region's requests that may change region from one span to the
+ *     next
  * @param quotaWindowMillis window in which a workspace's requests are counted
- * @param quotaOver share by which a window may lie over a quota
- * @param quotaSlack requests by which it may lie over it besides
+ * @param quotaExcessFraction share by which a window may lie over a quota
+ * @param quotaExcessRequests requests by which it may lie over it besides
  */
 public record PlatformBounds(
-    long contactMillis,
+    long discoveryMillis,
     long drainMillis,
     long graceMillis,
-    long applyMillis,
+    long configurationApplyMillis,
     long evacuateMillis,
-    double coldOver,
-    int coldSlack,
+    double coldRateFactor,
+    int coldExtraRequests,
     double retryRatio,
-    int retryExtra,
+    int extraRetries,
     long retryWindowMillis,
-    double mostShift,
+    double maxShiftFraction,
     long quotaWindowMillis,
-    double quotaOver,
-    int quotaSlack) {
+    double quotaExcessFraction,
+    int quotaExcessRequests) {
   /** The bounds of the smaller of the users' sites. */
   public static PlatformBounds standard() {
     return new PlatformBounds(
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/PlatformTexts.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/PlatformTexts.java
@@ -26,7 +26,7 @@
   }
 
   /** Milliseconds of a time such as {@code 1500ms} or {@code 2.5s}. */
-  static long millis(String text) {
+  static long parseMillis(String text) {
     if (text.endsWith("ms")) {
       return Math.round(Double.parseDouble(text.substring(0, text.length() - 2)));
     }
@@ -53,10 +53,10 @@
     root.put("config_version", String.format(Locale.ROOT, "%08x", version));
     ArrayNode resources = root.putArray("resources");
     for (RouteRule route : routes) {
-      route(resource(resources, "routes", route.name()), route);
+      writeRoute(addResource(resources, "routes", route.name()), route);
     }
     for (ServiceRule service : services) {
-      ObjectNode spec = resource(resources, "services", service.name());
+      ObjectNode spec = addResource(resources, "services", service.name());
       spec.put("health_path", "/health");
       spec.put("max_connections", service.maxConnections());
       spec.put("cold_start", service.coldMillis() + "ms");
@@ -64,21 +64,21 @@
     }
     workspaces.forEach(
         (workspace, keys) ->
-            workspace(resource(resources, "tenants", workspace.name()), workspace, keys));
-    ObjectNode limits = resource(resources, "limits", "limits");
+            writeWorkspace(addResource(resources, "tenants", workspace.name()), workspace, keys));
+    ObjectNode limits = addResource(resources, "limits", "limits");
     limits.put("max_header_bytes", 16_384).put("max_body_bytes", 1 << 20);
     limits.put("header_timeout", "3s").put("idle_timeout", "15s");
     return root.toString();
   }
 
-  private static ObjectNode resource(ArrayNode resources, String kind, String name) {
+  private static ObjectNode addResource(ArrayNode resources, String kind, String name) {
     ObjectNode resource = resources.addObject();
     resource.put("resource_kind", kind);
     resource.putObject("metadata").put("name", name);
     return resource.putObject("spec");
   }
 
-  private static void workspace(ObjectNode spec, Workspace workspace, List<String> keys) {
+  private static void writeWorkspace(ObjectNode spec, Workspace workspace, List<String> keys) {
     ArrayNode held = spec.putArray("api_keys");
     keys.forEach(held::add);
     workspace.priority().ifPresent(priority -> spec.put("priority", priority));
@@ -88,7 +88,7 @@
     workspace.regions().stream().sorted().forEach(regions::add);
   }
 
-  private static void route(ObjectNode spec, RouteRule route) {
+  private static void writeRoute(ObjectNode spec, RouteRule route) {
     spec.put("host", route.host()).put("prefix", route.prefix());
     spec.put("kind", route.idempotent() ? "safe" : "unsafe");
     spec.put("timeout", route.timeoutMillis() + "ms");
@@ -110,7 +110,7 @@
   }
 
   /** A target's entry in the store. */
-  public static String target(TargetFacts facts, long sequence) {
+  public static String targetEntry(TargetFacts facts, long sequence) {
     ObjectNode entry = JSON.createObjectNode();
     entry.put("service", facts.service());
     entry.put("address", facts.host() + ':' + facts.port());
@@ -138,44 +138,44 @@
       List<Integer> ports,
       String store) {
     StringBuilder text = new StringBuilder();
-    line(text, "node_name", quoted(name));
-    line(text, "role", quoted("entry"));
-    line(text, "serves", "[\"front\",\"directory\"]");
-    line(text, "zone", quoted(zone));
-    line(text, "region", quoted(regionOfZone.getOrDefault(zone, "")));
-    line(text, "internal_ports", "[" + ports.get(3) + "," + (ports.get(3) + 15) + "]");
-    line(text, "heartbeat", quoted("1500ms"));
+    appendLine(text, "node_name", quoted(name));
+    appendLine(text, "role", quoted("entry"));
+    appendLine(text, "serves", "[\"front\",\"directory\"]");
+    appendLine(text, "zone", quoted(zone));
+    appendLine(text, "region", quoted(regionOfZone.getOrDefault(zone, "")));
+    appendLine(text, "internal_ports", "[" + ports.get(3) + "," + (ports.get(3) + 15) + "]");
+    appendLine(text, "heartbeat", quoted("1500ms"));
     text.append("[zones]\n");
     for (String known : Set.copyOf(regionOfZone.keySet()).stream().sorted().toList()) {
-      line(text, known, quoted(regionOfZone.getOrDefault(known, "")));
+      appendLine(text, known, quoted(regionOfZone.getOrDefault(known, "")));
     }
     text.append("[listen]\n");
-    line(text, "front", quoted(ip + ':' + ports.get(0)));
-    line(text, "ready", quoted(ip + ':' + ports.get(1)));
-    line(text, "directory", quoted(ip + ':' + ports.get(2)));
+    appendLine(text, "front", quoted(ip + ':' + ports.get(0)));
+    appendLine(text, "ready", quoted(ip + ':' + ports.get(1)));
+    appendLine(text, "directory", quoted(ip + ':' + ports.get(2)));
     text.append("[bounds]\n");
     PlatformBounds bounds = PlatformBounds.standard();
-    line(text, "contact", quoted(bounds.contactMillis() + "ms"));
-    line(text, "drain", quoted(bounds.drainMillis() + "ms"));
-    line(text, "grace", quoted(bounds.graceMillis() + "ms"));
-    line(text, "config_apply", quoted(bounds.applyMillis() + "ms"));
-    line(text, "ttl_max", quoted("5s"));
-    line(text, "cold_over", Double.toString(bounds.coldOver()));
-    line(text, "cold_slack", Integer.toString(bounds.coldSlack()));
-    line(text, "budget_ratio", Double.toString(bounds.retryRatio()));
-    line(text, "budget_extra", Integer.toString(bounds.retryExtra()));
-    line(text, "budget_window", quoted(bounds.retryWindowMillis() + "ms"));
-    line(text, "shift_most", Double.toString(bounds.mostShift()));
-    line(text, "quota_window", quoted(bounds.quotaWindowMillis() + "ms"));
-    line(text, "quota_over", Double.toString(bounds.quotaOver()));
-    line(text, "quota_slack", Integer.toString(bounds.quotaSlack()));
+    appendLine(text, "contact", quoted(bounds.discoveryMillis() + "ms"));
+    appendLine(text, "drain", quoted(bounds.drainMillis() + "ms"));
+    appendLine(text, "grace", quoted(bounds.graceMillis() + "ms"));
+    appendLine(text, "config_apply", quoted(bounds.configurationApplyMillis() + "ms"));
+    appendLine(text, "ttl_max", quoted("5s"));
+    appendLine(text, "cold_over", Double.toString(bounds.coldRateFactor()));
+    appendLine(text, "cold_slack", Integer.toString(bounds.coldExtraRequests()));
+    appendLine(text, "budget_ratio", Double.toString(bounds.retryRatio()));
+    appendLine(text, "budget_extra", Integer.toString(bounds.extraRetries()));
+    appendLine(text, "budget_window", quoted(bounds.retryWindowMillis() + "ms"));
+    appendLine(text, "shift_most", Double.toString(bounds.maxShiftFraction()));
+    appendLine(text, "quota_window", quoted(bounds.quotaWindowMillis() + "ms"));
+    appendLine(text, "quota_over", Double.toString(bounds.quotaExcessFraction()));
+    appendLine(text, "quota_slack", Integer.toString(bounds.quotaExcessRequests()));
     text.append("[provider]\n");
-    line(text, "address", quoted(store));
-    line(text, "ttl_min", quoted("1000ms"));
+    appendLine(text, "address", quoted(store));
+    appendLine(text, "ttl_min", quoted("1000ms"));
     return text.toString();
   }
 
-  private static void line(StringBuilder text, String key, String value) {
+  private static void appendLine(StringBuilder text, String key, String value) {
     text.append(key).append(" = ").append(value).append('\n');
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/ServerPort.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/ServerPort.java
@@ -24,15 +24,15 @@
 
 /** An HTTP port of a stand-in; requests come whole, answers are given when the stand-in likes. */
 public final class ServerPort {
-  private static final int MOST_BODY_BYTES = 8 << 20;
+  private static final int MAX_REQUEST_BODY_BYTES = 8 << 20;
 
   /** Told how the opening of a port ended. */
-  public interface Opened {
+  public interface OpenListener {
     /** It is open, at that port. */
-    void at(int port);
+    void onOpen(int port);
 
     /** Nothing is to be told. */
-    static Opened ignored() {
+    static OpenListener ignored() {
       return port -> {};
     }
   }
@@ -46,7 +46,7 @@
 
   private ServerPort() {}
 
-  static void open(Loop loop, String host, int port, Handler handler, Opened opened) {
+  static void open(Loop loop, String host, int port, Handler handler, OpenListener onOpen) {
     ChannelInitializer<Channel> initializer =
         new ChannelInitializer<>() {
           @Override
@@ -55,8 +55,8 @@
                 .pipeline()
                 .addLast(
                     new HttpServerCodec(),
-                    new HttpObjectAggregator(MOST_BODY_BYTES),
-                    new Requests(handler));
+                    new HttpObjectAggregator(MAX_REQUEST_BODY_BYTES),
+                    new RequestHandler(handler));
           }
         };
     loop.listen(host, port, initializer)
@@ -66,7 +66,7 @@
                 throw new IllegalStateException("cannot open " + host + ':' + port, done.cause());
               }
               boolean real = done.channel().localAddress() instanceof InetSocketAddress;
-              opened.at(
+              onOpen.onOpen(
                   real ? ((InetSocketAddress) done.channel().localAddress()).getPort() : port);
             });
   }
@@ -74,7 +74,7 @@
   /** One request and the connection that it came on. */
   static final class Exchange {
     private final ChannelHandlerContext context;
-    private @Nullable Runnable whenGone;
+    private @Nullable Runnable onDisconnect;
 
     Exchange(ChannelHandlerContext context) {
       this.context = context;
@@ -93,13 +93,13 @@
     }
 
     /** Told once if the connection ends before the answer. */
-    void whenGone(Runnable told) {
-      whenGone = told;
+    void setOnDisconnect(Runnable callback) {
+      onDisconnect = callback;
     }
 
-    void gone() {
-      Runnable told = whenGone;
-      whenGone = null;
+    void notifyDisconnected() {
+      Runnable told = onDisconnect;
+      onDisconnect = null;
       if (told != null) {
         told.run();
       }
@@ -107,7 +107,7 @@
 
     /** Answers with a length, and keeps the connection unless the headers say otherwise. */
     void answer(int status, Map<String, String> headers, byte[] body) {
-      whenGone = null;
+      onDisconnect = null;
       DefaultFullHttpResponse answer =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
@@ -122,23 +122,23 @@
     }
 
     /** Writes bytes as they are, past the codec, as a faulty server does. */
-    void raw(byte[] bytes, boolean thenClose) {
-      whenGone = null;
+    void writeRaw(byte[] bytes, boolean closesAfterwards) {
+      onDisconnect = null;
       ByteBuf buffer = Unpooled.wrappedBuffer(bytes);
       var written = context.channel().pipeline().firstContext().writeAndFlush(buffer);
-      if (thenClose) {
+      if (closesAfterwards) {
         var unused = written.addListener(done -> Sockets.close(context));
       }
     }
 
     /** Reads and answers nothing on this connection any more. */
-    void keepSilent() {
+    void stopReading() {
       context.channel().config().setAutoRead(false);
     }
 
     /** Resets the connection. */
     void reset() {
-      whenGone = null;
+      onDisconnect = null;
       if (context.channel().localAddress() instanceof InetSocketAddress) {
         context.channel().config().setOption(ChannelOption.SO_LINGER, 0);
       }
@@ -146,26 +146,26 @@
     }
   }
 
-  private static final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private static final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final Handler handler;
-    private @Nullable Exchange last;
+    private @Nullable Exchange lastExchange;
 
-    Requests(Handler handler) {
+    RequestHandler(Handler handler) {
       this.handler = handler;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
       Exchange exchange = new Exchange(ctx);
-      last = exchange;
+      lastExchange = exchange;
       handler.handle(request, exchange);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      Exchange known = last;
+      Exchange known = lastExchange;
       if (known != null) {
-        known.gone();
+        known.notifyDisconnected();
       }
     }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreTrouble.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreFaultMode.java
@@ -1,7 +1,7 @@
 package org.sageladder.standin.platform;
 
 /** What the platform's store does with the calls that it gets. */
-public enum StoreTrouble {
+public enum StoreFaultMode {
   /** All is well. */
   NONE,
   /** Answers 503 and does nothing. */
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreModel.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreModel.java
@@ -13,61 +13,63 @@
 /**
  * What the platform's store keeps: items with revisions, its history, leases, waiting watches.
  *
- * <p>No network and no timers: {@link StorePort} carries calls to it, and calls {@link #tick} now
- * and then. Values are the base64 texts of the wire.
+ * <p>No network and no timers: {@link StorePort} carries calls to it, and calls {@link #expireDue}
+ * now and then. Values are the base64 texts of the wire.
  */
 public final class StoreModel {
   /** Most items of a page, as the platform's store has it. */
-  public static final int PAGE = 500;
+  public static final int MAX_PAGE_ITEMS = 500;
 
   /**
    * One item.
    *
    * @param value base64 text, or null for a key that was removed
-   * @param created revision of its creation
-   * @param lease lease that it hangs on, 0 for none
+   * @param createdRevision revision of its creation
+   * @param leaseId lease that it hangs on, 0 for none
    */
-  public record Item(String key, @Nullable String value, long revision, long created, long lease) {}
+  public record Item(
+      String key, @Nullable String value, long revision, long createdRevision, long leaseId) {}
 
   /** A page of items, or the changes that a watch brings. */
-  public record Page(List<Item> items, boolean more, long asOf) {}
+  public record Page(List<Item> items, boolean hasMore, long asOfRevision) {}
 
   /** How a watch ends. */
-  public sealed interface Watched {
+  public sealed interface WatchResult {
     /** Changes, or none where the wait is over. */
-    record Changes(Page page) implements Watched {}
+    record Changes(Page page) implements WatchResult {}
 
     /** The history that was asked for is forgotten. */
-    record Forgotten() implements Watched {}
+    record Compacted() implements WatchResult {}
 
     /** The store ends the wait without an answer. */
-    record Cut() implements Watched {}
+    record Aborted() implements WatchResult {}
   }
 
-  private record Watch(String prefix, long after, long until, Consumer<Watched> answer) {}
+  private record Watch(
+      String prefix, long afterRevision, long deadlineMillis, Consumer<WatchResult> onResult) {}
 
-  private record Lease(long millis, long until) {}
+  private record Lease(long ttlMillis, long expiresAtMillis) {}
 
   private final LongSupplier clock;
-  private final int pageItems;
+  private final int maxPageItems;
   private final NavigableMap<String, Item> items = new TreeMap<>();
   private final List<Item> history = new ArrayList<>();
   private final Map<Long, Lease> leases = new LinkedHashMap<>();
   private final List<Watch> watches = new ArrayList<>();
   private long revision = 100;
-  private long forgottenUntil;
-  private long lastLease = 7_000;
-  private boolean deaf;
+  private long compactedRevision;
+  private long lastLeaseId = 7_000;
+  private boolean areWatchesStalled;
 
   /**
    * A store without items.
    *
    * @param clock its time, in milliseconds
-   * @param pageItems most items of a page
+   * @param maxPageItems most items of a page
    */
-  public StoreModel(LongSupplier clock, int pageItems) {
+  public StoreModel(LongSupplier clock, int maxPageItems) {
     this.clock = clock;
-    this.pageItems = pageItems;
+    this.maxPageItems = maxPageItems;
   }
 
   /** Its revision. */
@@ -95,7 +97,7 @@
       if (!item.key().startsWith(prefix)) {
         break;
       }
-      if (page.size() == pageItems) {
+      if (page.size() == maxPageItems) {
         return new Page(page, true, revision);
       }
       page.add(item);
@@ -104,37 +106,40 @@
   }
 
   /** Answers as soon as there is a change after revision {@code after}, or the wait is over. */
-  public void watch(String prefix, long after, long waitMillis, Consumer<Watched> answer) {
-    Watch watch = new Watch(prefix, after, clock.getAsLong() + waitMillis, answer);
-    if (!settle(watch)) {
+  public void watch(
+      String prefix, long afterRevision, long waitMillis, Consumer<WatchResult> onResult) {
+    Watch watch = new Watch(prefix, afterRevision, clock.getAsLong() + waitMillis, onResult);
+    if (!tryComplete(watch)) {
       watches.add(watch);
     }
   }
 
-  private boolean settle(Watch watch) {
-    if (watch.after() < forgottenUntil) {
-      watch.answer().accept(new Watched.Forgotten());
+  private boolean tryComplete(Watch watch) {
+    if (watch.afterRevision() < compactedRevision) {
+      watch.onResult().accept(new WatchResult.Compacted());
       return true;
     }
     List<Item> changes =
         history.stream()
-            .filter(item -> item.revision() > watch.after())
+            .filter(item -> item.revision() > watch.afterRevision())
             .filter(item -> item.key().startsWith(watch.prefix()))
             .toList();
-    if (changes.isEmpty() && clock.getAsLong() < watch.until()) {
+    if (changes.isEmpty() && clock.getAsLong() < watch.deadlineMillis()) {
       return false;
     }
-    watch.answer().accept(new Watched.Changes(new Page(changes, false, revision)));
+    watch.onResult().accept(new WatchResult.Changes(new Page(changes, false, revision)));
     return true;
   }
 
   /** Writes an item and returns the new revision. */
-  public long put(String key, String value, long lease) {
+  public long put(String key, String value, long leaseId) {
     revision++;
     Item before = items.get(key);
-    Item item = new Item(key, value, revision, before == null ? revision : before.created(), lease);
+    Item item =
+        new Item(
+            key, value, revision, before == null ? revision : before.createdRevision(), leaseId);
     items.put(key, item);
-    changed(item);
+    recordChange(item);
     return revision;
   }
 
@@ -144,84 +149,85 @@
       return;
     }
     revision++;
-    changed(new Item(key, null, revision, 0, 0));
+    recordChange(new Item(key, null, revision, 0, 0));
   }
 
-  private void changed(Item item) {
+  private void recordChange(Item item) {
     history.add(item);
-    if (deaf) {
+    if (areWatchesStalled) {
       return;
     }
     List<Watch> waiting = List.copyOf(watches);
     watches.clear();
     for (Watch watch : waiting) {
-      if (!settle(watch)) {
+      if (!tryComplete(watch)) {
         watches.add(watch);
       }
     }
   }
 
   /** Begins a lease and returns its number. */
-  public long lease(long millis) {
-    lastLease++;
-    leases.put(lastLease, new Lease(millis, clock.getAsLong() + millis));
-    return lastLease;
+  public long grantLease(long ttlMillis) {
+    lastLeaseId++;
+    leases.put(lastLeaseId, new Lease(ttlMillis, clock.getAsLong() + ttlMillis));
+    return lastLeaseId;
   }
 
   /** True where the lease lives. */
-  public boolean isLeased(long lease) {
-    return leases.containsKey(lease);
+  public boolean isLeaseAlive(long leaseId) {
+    return leases.containsKey(leaseId);
   }
 
   /** Renews a lease; false where it has ended. */
-  public boolean renew(long lease) {
-    Lease known = leases.get(lease);
+  public boolean renewLease(long leaseId) {
+    Lease known = leases.get(leaseId);
     if (known == null) {
       return false;
     }
-    leases.put(lease, new Lease(known.millis(), clock.getAsLong() + known.millis()));
+    leases.put(leaseId, new Lease(known.ttlMillis(), clock.getAsLong() + known.ttlMillis()));
     return true;
   }
 
   /** Ends a lease and removes what hangs on it. */
-  public void endLease(long lease) {
-    if (leases.remove(lease) == null) {
+  public void revokeLease(long leaseId) {
+    if (leases.remove(leaseId) == null) {
       return;
     }
     items.values().stream()
-        .filter(item -> item.lease() == lease)
+        .filter(item -> item.leaseId() == leaseId)
         .map(Item::key)
         .toList()
         .forEach(this::remove);
   }
 
   /** Ends all leases, as some stores do while they are down. */
-  public void endAllLeases() {
-    List.copyOf(leases.keySet()).forEach(this::endLease);
+  public void revokeAllLeases() {
+    List.copyOf(leases.keySet()).forEach(this::revokeLease);
   }
 
   /** Lets all leases run from now, as the others do. */
-  public void pauseLeases() {
-    leases.replaceAll((id, lease) -> new Lease(lease.millis(), clock.getAsLong() + lease.millis()));
+  public void renewAllLeases() {
+    leases.replaceAll(
+        (id, lease) -> new Lease(lease.ttlMillis(), clock.getAsLong() + lease.ttlMillis()));
   }
 
   /** Forgets the history; watches from before now are told so. */
-  public void forgetHistory() {
+  public void compactHistory() {
     history.clear();
-    forgottenUntil = revision;
+    compactedRevision = revision;
   }
 
   /** Lets waiting watches hear nothing of what changes, until they are cut. */
-  public void deafenWatches() {
-    deaf = true;
+  public void stallWatches() {
+    areWatchesStalled = true;
   }
 
   /** Ends all waiting watches; those that come later hear everything. */
-  public void cutWatches() {
-    deaf = false;
+  public void abortWatches() {
+    areWatchesStalled = false;
     List<Watch> waiting = List.copyOf(watches);
     watches.clear();
-    waiting.forEach(watch -> watch.answer().accept(new Watched.Cut()));
+    waiting.forEach(watch -> watch.onResult().accept(new WatchResult.Aborted()));
   }
 
   /** Drops all waiting watches without an answer. */
@@ -230,15 +236,15 @@
   }
 
   /** Ends leases and waits whose time is over. */
-  public void tick() {
+  public void expireDue() {
     long now = clock.getAsLong();
     leases.entrySet().stream()
-        .filter(entry -> entry.getValue().until() <= now)
+        .filter(entry -> entry.getValue().expiresAtMillis() <= now)
         .map(Map.Entry::getKey)
         .toList()
-        .forEach(this::endLease);
-    if (!deaf) {
-      watches.removeIf(watch -> watch.until() <= now && settle(watch));
+        .forEach(this::revokeLease);
+    if (!areWatchesStalled) {
+      watches.removeIf(watch -> watch.deadlineMillis() <= now && tryComplete(watch));
     }
   }
 }
