--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/StorePort.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/StorePort.java
@@ -18,15 +18,15 @@
 /** The platform's store on a port: carries calls to a {@link StoreModel}, and goes wrong. */
 public final class StorePort {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final long ANSWER_MILLIS = 4;
-  private static final long SLOW_MILLIS = 200;
+  private static final long ANSWER_DELAY_MILLIS = 4;
+  private static final long SLOW_ANSWER_DELAY_MILLIS = 200;
   private static final long TICK_MILLIS = 50;
 
   /** A write whose answer was lost is done that much later. */
-  private static final long LATE_MILLIS = 3_000;
+  private static final long LATE_WRITE_DELAY_MILLIS = 3_000;
 
-  private static final String KEEP = "/kv-keep/";
-  private static final String END = "/kv-lease-end/";
+  private static final String KEEP_ALIVE_PATH = "/kv-keep/";
+  private static final String LEASE_END_PATH = "/kv-lease-end/";
 
   private record Reply(int status, ObjectNode body) {
     static Reply empty(int status) {
@@ -36,9 +36,9 @@
 
   private final Loop loop;
   private final StoreModel model;
-  private final Map<String, Integer> calls = new HashMap<>();
-  private StoreTrouble trouble = StoreTrouble.NONE;
-  private Predicate<String> troubled = caller -> true;
+  private final Map<String, Integer> callCounts = new HashMap<>();
+  private StoreFaultMode faultMode = StoreFaultMode.NONE;
+  private Predicate<String> isAffected = caller -> true;
 
   private StorePort(Loop loop, StoreModel model) {
     this.loop = loop;
@@ -47,73 +47,75 @@
 
   /** Opens the port; {@code model} is called on the loop's thread only. */
   public static StorePort open(
-      Loop loop, String host, int port, StoreModel model, ServerPort.Opened opened) {
+      Loop loop, String host, int port, StoreModel model, ServerPort.OpenListener onOpen) {
     StorePort store = new StorePort(loop, model);
-    ServerPort.open(loop, host, port, (request, answer) -> store.handle(request, answer), opened);
+    ServerPort.open(loop, host, port, (request, answer) -> store.handle(request, answer), onOpen);
     loop.scheduleAtFixedRate(TICK_MILLIS, store::tick);
     return store;
   }
 
   /** From now on calls of callers whose IP number {@code hits} go wrong in that way. */
-  public void trouble(StoreTrouble kind, Predicate<String> hits) {
-    if (kind == StoreTrouble.SILENT) {
+  public void setFault(StoreFaultMode mode, Predicate<String> affects) {
+    if (mode == StoreFaultMode.SILENT) {
       model.dropWatches();
     }
-    trouble = kind;
-    troubled = hits;
+    faultMode = mode;
+    isAffected = affects;
   }
 
   /** All is well again. */
-  public void well() {
-    trouble = StoreTrouble.NONE;
+  public void clearFault() {
+    faultMode = StoreFaultMode.NONE;
   }
 
   /** True where a report of the target with that IP number would be accepted now. */
-  public boolean takesReports(String ip) {
-    return trouble == StoreTrouble.NONE || trouble == StoreTrouble.SLOW || !troubled.test(ip);
+  public boolean acceptsReports(String ip) {
+    return faultMode == StoreFaultMode.NONE
+        || faultMode == StoreFaultMode.SLOW
+        || !isAffected.test(ip);
   }
 
   /** Calls so far whose path begins so, refused ones among them. */
-  public int calls(String path) {
-    return calls.entrySet().stream()
-        .filter(entry -> entry.getKey().startsWith(path))
+  public int callCount(String pathPrefix) {
+    return callCounts.entrySet().stream()
+        .filter(entry -> entry.getKey().startsWith(pathPrefix))
         .mapToInt(Map.Entry::getValue)
         .sum();
   }
 
   private void tick() {
-    if (trouble != StoreTrouble.SILENT) {
-      model.tick();
+    if (faultMode != StoreFaultMode.SILENT) {
+      model.expireDue();
     }
   }
 
   private void handle(FullHttpRequest request, ServerPort.Exchange exchange) {
     QueryStringDecoder query = new QueryStringDecoder(request.uri());
     byte[] body = ByteBufUtil.getBytes(request.content());
-    calls.merge(query.path(), 1, Integer::sum);
-    StoreTrouble kind = troubled.test(exchange.callerIp()) ? trouble : StoreTrouble.NONE;
+    callCounts.merge(query.path(), 1, Integer::sum);
+    StoreFaultMode kind = isAffected.test(exchange.callerIp()) ? faultMode : StoreFaultMode.NONE;
     boolean write = query.path().equals("/kv-txn") || query.path().equals("/kv-lease");
     switch (kind) {
-      case BUSY -> answer(exchange, Reply.empty(503), ANSWER_MILLIS);
-      case TOO_MANY -> answer(exchange, Reply.empty(429), ANSWER_MILLIS);
+      case BUSY -> answer(exchange, Reply.empty(503), ANSWER_DELAY_MILLIS);
+      case TOO_MANY -> answer(exchange, Reply.empty(429), ANSWER_DELAY_MILLIS);
       case RESETS -> exchange.reset();
-      case SILENT -> exchange.keepSilent();
+      case SILENT -> exchange.stopReading();
       case LOSES_ANSWERS -> {
         if (!query.path().equals("/kv-watch")) {
-          var unused = done(query, body);
+          var unused = execute(query, body);
         }
         exchange.reset();
       }
       case LATE_WRITES -> {
         if (write) {
-          var unused = loop.schedule(LATE_MILLIS, () -> done(query, body));
-          exchange.keepSilent();
+          var unused = loop.schedule(LATE_WRITE_DELAY_MILLIS, () -> execute(query, body));
+          exchange.stopReading();
         } else {
-          serve(exchange, query, body, ANSWER_MILLIS);
+          serve(exchange, query, body, ANSWER_DELAY_MILLIS);
         }
       }
-      case SLOW -> serve(exchange, query, body, SLOW_MILLIS);
-      default -> serve(exchange, query, body, ANSWER_MILLIS);
+      case SLOW -> serve(exchange, query, body, SLOW_ANSWER_DELAY_MILLIS);
+      default -> serve(exchange, query, body, ANSWER_DELAY_MILLIS);
     }
   }
 
@@ -125,15 +127,15 @@
           Long.parseLong(parameter(query, "after", "0")),
           Long.parseLong(parameter(query, "wait_ms", "0")),
           watched -> {
-            if (watched instanceof StoreModel.Watched.Cut) {
+            if (watched instanceof StoreModel.WatchResult.Aborted) {
               exchange.reset();
             } else {
-              answer(exchange, watched(watched), millis);
+              answer(exchange, watchReply(watched), millis);
             }
           });
       return;
     }
-    answer(exchange, done(query, body), millis);
+    answer(exchange, execute(query, body), millis);
   }
 
   private void answer(ServerPort.Exchange exchange, Reply reply, long millis) {
@@ -145,23 +147,23 @@
                 exchange.answer(reply.status(), Map.of("Content-Type", "application/json"), text));
   }
 
-  private Reply done(QueryStringDecoder query, byte[] body) {
+  private Reply execute(QueryStringDecoder query, byte[] body) {
     String path = query.path();
     try {
       if (path.equals("/kv-range")) {
         String after = parameter(query, "after", "");
-        return page(
+        return pageReply(
             "items", model.range(parameter(query, "prefix", ""), after.isEmpty() ? null : after));
       }
       if (path.equals("/kv-lease")) {
-        return leased(JSON.readTree(body));
+        return grantLease(JSON.readTree(body));
       }
-      if (path.startsWith(KEEP)) {
-        boolean lives = model.renew(Long.parseLong(path.substring(KEEP.length())));
+      if (path.startsWith(KEEP_ALIVE_PATH)) {
+        boolean lives = model.renewLease(Long.parseLong(path.substring(KEEP_ALIVE_PATH.length())));
         return Reply.empty(lives ? 200 : 404);
       }
-      if (path.startsWith(END)) {
-        model.endLease(Long.parseLong(path.substring(END.length())));
+      if (path.startsWith(LEASE_END_PATH)) {
+        model.revokeLease(Long.parseLong(path.substring(LEASE_END_PATH.length())));
         return Reply.empty(200);
       }
       return path.equals("/kv-txn") ? transaction(JSON.readTree(body)) : Reply.empty(404);
@@ -172,11 +174,11 @@
     }
   }
 
-  private Reply leased(JsonNode body) {
+  private Reply grantLease(JsonNode body) {
     String wanted = body.path("ttl_time").asText();
-    long millis = PlatformTexts.millis(wanted);
+    long millis = PlatformTexts.parseMillis(wanted);
     Reply reply = Reply.empty(200);
-    reply.body().put("lease", model.lease(millis)).put("ttl_time", millis + "ms");
+    reply.body().put("lease", model.grantLease(millis)).put("ttl_time", millis + "ms");
     return reply;
   }
 
@@ -194,7 +196,7 @@
         return Reply.empty(403);
       }
       long lease = put.path("lease").asLong();
-      if (lease != 0 && !model.isLeased(lease)) {
+      if (lease != 0 && !model.isLeaseAlive(lease)) {
         return Reply.empty(404);
       }
     }
@@ -209,28 +211,30 @@
     return reply;
   }
 
-  private static Reply watched(StoreModel.Watched watched) {
-    if (watched instanceof StoreModel.Watched.Changes changes) {
-      return page("events", changes.page());
+  private static Reply watchReply(StoreModel.WatchResult watched) {
+    if (watched instanceof StoreModel.WatchResult.Changes changes) {
+      return pageReply("events", changes.page());
     }
     return Reply.empty(410);
   }
 
-  private static Reply page(String name, StoreModel.Page page) {
+  private static Reply pageReply(String name, StoreModel.Page page) {
     Reply reply = Reply.empty(200);
     ArrayNode rows = reply.body().putArray(name);
-    page.items().forEach(item -> write(rows.addObject(), item));
-    reply.body().put("more_pages", page.more()).put("as_of", page.asOf());
+    page.items().forEach(item -> writeItem(rows.addObject(), item));
+    reply.body().put("more_pages", page.hasMore()).put("as_of", page.asOfRevision());
     return reply;
   }
 
-  private static void write(ObjectNode row, StoreModel.Item item) {
+  private static void writeItem(ObjectNode row, StoreModel.Item item) {
     row.put("key", item.key()).put("revision", item.revision());
     if (item.value() == null) {
       row.put("tombstone", true);
       return;
     }
-    row.put("value", item.value()).put("create_rev", item.created()).put("lease", item.lease());
+    row.put("value", item.value())
+        .put("create_rev", item.createdRevision())
+        .put("lease", item.leaseId());
   }
 
   private static String parameter(QueryStringDecoder query, String name, String otherwise) {
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreStandIn.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreStandIn.java
@@ -18,10 +18,10 @@
   private static final String HOST = "127.0.0.1";
 
   /** Few items a page, so that readers have to ask for further ones. */
-  private static final int PAGE = 3;
+  private static final int MAX_PAGE_ITEMS = 3;
 
   private final Loop loop = Loop.start();
-  private final StoreModel model = new StoreModel(loop::nowMillis, PAGE);
+  private final StoreModel model = new StoreModel(loop::nowMillis, MAX_PAGE_ITEMS);
   private final StorePort port;
   private final CompletableFuture<Integer> opened = new CompletableFuture<>();
 
@@ -40,52 +40,52 @@
   }
 
   /** From now on all calls go wrong in that way, or well again. */
-  public void trouble(StoreTrouble kind) {
-    run(() -> port.trouble(kind, caller -> true));
+  public void setFault(StoreFaultMode mode) {
+    runOnLoop(() -> port.setFault(mode, caller -> true));
   }
 
   /** Calls so far whose path begins so. */
-  public int calls(String path) {
-    return ask(() -> port.calls(path));
+  public int callCount(String pathPrefix) {
+    return callOnLoop(() -> port.callCount(pathPrefix));
   }
 
   /** True where there is an item of that key. */
-  public boolean has(String key) {
-    return ask(() -> model.find(key) != null);
+  public boolean containsKey(String key) {
+    return callOnLoop(() -> model.find(key) != null);
   }
 
   /** Writes an item. */
   public void put(String key, String value) {
-    run(() -> model.put(key, PlatformTexts.base64(value), 0));
+    runOnLoop(() -> model.put(key, PlatformTexts.base64(value), 0));
   }
 
   /** Removes an item. */
   public void remove(String key) {
-    run(() -> model.remove(key));
+    runOnLoop(() -> model.remove(key));
   }
 
   /** Forgets its history, so that watches from before now are told so. */
-  public void compact() {
-    run(model::forgetHistory);
+  public void compactHistory() {
+    runOnLoop(model::compactHistory);
   }
 
   /** Ends all leases and removes what depends on them. */
-  public void endLeases() {
-    run(model::endAllLeases);
+  public void revokeLeases() {
+    runOnLoop(model::revokeAllLeases);
   }
 
-  private void run(Runnable task) {
+  private void runOnLoop(Runnable task) {
     var unused =
-        ask(
+        callOnLoop(
             () -> {
               task.run();
               return true;
             });
   }
 
-  private <T> T ask(Supplier<T> question) {
+  private <T> T callOnLoop(Supplier<T> call) {
     CompletableFuture<T> answer = new CompletableFuture<>();
-    loop.execute(() -> answer.complete(question.get()));
+    loop.execute(() -> answer.complete(call.get()));
     return answer.join();
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/TargetStandIn.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/TargetStandIn.java
@@ -39,35 +39,35 @@
     FAILS
   }
 
-  private static final double COLD_FACTOR = 2;
-  private static final double SPREAD = 0.15;
+  private static final double COLD_SERVICE_TIME_FACTOR = 2;
+  private static final double SERVICE_TIME_JITTER_FRACTION = 0.15;
 
   /** A cold target crashes where it gets that many times what it bears. */
-  private static final double CRASHES_AT = 4;
+  private static final double CRASH_RATE_FACTOR = 4;
 
   private static final long SECOND_MILLIS = 1_000;
 
   /** Time in which news of the store reaches the entry VMs that are in touch with it. */
-  private static final long NEWS_MILLIS = 1_000;
+  private static final long PROPAGATION_MILLIS = 1_000;
 
-  private static final int FILLER = 400;
+  private static final int PADDING_LENGTH = 400;
 
   private static final class Job {
     final String id;
     final String object;
     final String path;
-    final long workMillis;
-    final long endsAt;
+    final long meanServiceMillis;
+    final long deadlineMillis;
     final ServerPort.Exchange exchange;
     Ledger.@Nullable Run run;
-    boolean gone;
+    boolean isCallerGone;
 
-    Job(String id, String object, String path, long endsAt, ServerPort.Exchange exchange) {
+    Job(String id, String object, String path, long deadlineMillis, ServerPort.Exchange exchange) {
       this.id = id;
       this.object = object;
       this.path = path;
-      this.workMillis = work(path);
-      this.endsAt = endsAt;
+      this.meanServiceMillis = parseServiceMillis(path);
+      this.deadlineMillis = deadlineMillis;
       this.exchange = exchange;
     }
   }
@@ -77,35 +77,40 @@
   private final TargetTraits traits;
   private final Ledger ledger;
   private final Random random;
-  private final Runnable crash;
-  private final Deque<Job> waiting = new ArrayDeque<>();
+  private final Runnable crashProcess;
+  private final Deque<Job> queue = new ArrayDeque<>();
   private final Set<Job> running = new LinkedHashSet<>();
-  private final Map<String, Boolean> memory = new LinkedHashMap<>(32, 0.75f, true);
+  private final Map<String, Boolean> cachedObjects = new LinkedHashMap<>(32, 0.75f, true);
   private final Deque<Long> coldArrivals = new ArrayDeque<>();
-  private long coldUntil;
-  private long coldKnownAt = -1;
-  private double slowness = 1;
+  private long coldUntilMillis;
+  private long coldKnownAtMillis = -1;
+  private double serviceTimeFactor = 1;
   private Fault fault = Fault.NONE;
-  private double faultShare;
-  private boolean leaving;
+  private double faultFraction;
+  private boolean isDraining;
 
   private TargetStandIn(
-      Loop loop, TargetFacts facts, TargetTraits traits, Ledger ledger, long seed, Runnable crash) {
+      Loop loop,
+      TargetFacts facts,
+      TargetTraits traits,
+      Ledger ledger,
+      long seed,
+      Runnable crashProcess) {
     this.loop = loop;
     this.facts = facts;
     this.traits = traits;
     this.ledger = ledger;
     this.random = new Random(seed ^ facts.id().hashCode());
-    this.crash = crash;
-    this.coldUntil = loop.nowMillis() + facts.remainingColdMillis();
-    this.coldKnownAt = loop.nowMillis();
+    this.crashProcess = crashProcess;
+    this.coldUntilMillis = loop.nowMillis() + facts.remainingColdMillis();
+    this.coldKnownAtMillis = loop.nowMillis();
   }
 
   /**
    * Starts a target on its port.
    *
    * @param facts what it says of itself; cold for as long as they say, and known to be so
-   * @param crash ends its process
+   * @param crashProcess ends its process
    */
   public static TargetStandIn start(
       Loop loop,
@@ -113,64 +118,64 @@
       TargetTraits traits,
       Ledger ledger,
       long seed,
-      Runnable crash,
-      ServerPort.Opened opened) {
-    TargetStandIn target = new TargetStandIn(loop, facts, traits, ledger, seed, crash);
+      Runnable crashProcess,
+      ServerPort.OpenListener onOpen) {
+    TargetStandIn target = new TargetStandIn(loop, facts, traits, ledger, seed, crashProcess);
     ServerPort.open(
         loop,
         facts.host(),
         facts.port(),
         (request, exchange) -> target.handle(request, exchange),
-        opened);
+        onOpen);
     return target;
   }
 
   /** What it says of itself now. */
   public TargetFacts facts() {
-    TargetFacts now = leaving ? facts.asDraining() : facts;
-    return now.coldFor(Math.max(0, coldUntil - loop.nowMillis()));
+    TargetFacts now = isDraining ? facts.asDraining() : facts;
+    return now.coldFor(Math.max(0, coldUntilMillis - loop.nowMillis()));
   }
 
   /** Runs take that many times as long from now on. */
-  public void slow(double factor) {
-    slowness = factor;
+  public void setServiceTimeFactor(double factor) {
+    serviceTimeFactor = factor;
   }
 
   /** That share of the answers goes wrong from now on. */
-  public void faulty(Fault kind, double share) {
-    fault = kind;
-    faultShare = share;
+  public void setFault(Fault newFault, double fraction) {
+    fault = newFault;
+    faultFraction = fraction;
   }
 
   /** Forgets all objects and is slow for a while, as after a start. */
-  public void turnCold() {
-    memory.clear();
-    coldUntil = loop.nowMillis() + traits.coldMillis();
-    coldKnownAt = -1;
+  public void becomeCold() {
+    cachedObjects.clear();
+    coldUntilMillis = loop.nowMillis() + traits.coldMillis();
+    coldKnownAtMillis = -1;
   }
 
   /** The store has what {@link #facts} says; entry VMs hear of it a while later. */
-  public void told() {
-    if (isCold() && coldKnownAt < 0) {
-      coldKnownAt = loop.nowMillis() + NEWS_MILLIS;
+  public void onFactsStored() {
+    if (isCold() && coldKnownAtMillis < 0) {
+      coldKnownAtMillis = loop.nowMillis() + PROPAGATION_MILLIS;
     }
   }
 
   /** True where it is cold and entry VMs in touch can know it. */
   private boolean isKnownCold() {
-    return isCold() && coldKnownAt >= 0 && loop.nowMillis() >= coldKnownAt;
+    return isCold() && coldKnownAtMillis >= 0 && loop.nowMillis() >= coldKnownAtMillis;
   }
 
   /** Says that it leaves; it goes on serving. */
-  public void leave() {
-    leaving = true;
+  public void startDraining() {
+    isDraining = true;
   }
 
   private boolean isCold() {
-    return loop.nowMillis() < coldUntil;
+    return loop.nowMillis() < coldUntilMillis;
   }
 
-  private static long work(String path) {
+  private static long parseServiceMillis(String path) {
     String plain = path.contains("?") ? path.substring(0, path.indexOf('?')) : path;
     String last = plain.substring(plain.lastIndexOf('/') + 1);
     return last.chars().allMatch(Character::isDigit) && !last.isEmpty() ? Long.parseLong(last) : 10;
@@ -179,18 +184,18 @@
   private void handle(FullHttpRequest request, ServerPort.Exchange exchange) {
     HttpHeaders headers = request.headers();
     if (request.uri().equals("/health")) {
-      answer(exchange, leaving ? 503 : 200, Map.of("Instance-Id", facts.id()), "");
+      answer(exchange, isDraining ? 503 : 200, Map.of("Instance-Id", facts.id()), "");
       return;
     }
     String id = headers.get("Request-Id", "");
     long deadline = Long.parseLong(headers.get("Request-Deadline", "-1"));
     boolean other = !headers.get("Expected-Instance", facts.id()).equals(facts.id());
-    boolean full = running.size() >= traits.slots() && waiting.size() >= traits.queue();
+    boolean full = running.size() >= traits.slots() && queue.size() >= traits.maxQueueLength();
     Ledger.Fate fate = full ? Ledger.Fate.REFUSED : Ledger.Fate.TAKEN;
     Ledger.Fate seen = other ? Ledger.Fate.OTHER_TARGET : fate;
-    note(request, id, deadline, exchange, seen);
+    recordArrival(request, id, deadline, exchange, seen);
     boolean keyShown = headers.contains("Authorization");
-    ledger.delivered(
+    ledger.recordDelivery(
         new Ledger.Delivery(id, headers.get("Tenant", ""), keyShown, seen, loop.nowMillis()));
     if (other) {
       answer(exchange, 421, Map.of("Instance-Id", facts.id()), "");
@@ -200,18 +205,18 @@
       refuse(exchange, id.isEmpty() ? 400 : 503, id);
       return;
     }
-    if (isCold() && tooManyWhileCold()) {
-      crash.run();
+    if (isCold() && exceedsColdRate()) {
+      crashProcess.run();
       return;
     }
     long endsAt = deadline < 0 ? Long.MAX_VALUE : loop.nowMillis() + deadline;
-    Job job = new Job(id, object(headers, id), request.uri(), endsAt, exchange);
-    exchange.whenGone(() -> gone(job));
-    waiting.addLast(job);
-    next();
+    Job job = new Job(id, affinityKey(headers, id), request.uri(), endsAt, exchange);
+    exchange.setOnDisconnect(() -> onCallerGone(job));
+    queue.addLast(job);
+    startQueued();
   }
 
-  private void note(
+  private void recordArrival(
       FullHttpRequest request,
       String id,
       long deadline,
@@ -220,10 +225,10 @@
     String body = request.content().toString(StandardCharsets.UTF_8);
     boolean wellFormed =
         ledger
-            .asked(id)
+            .attempt(id)
             .filter(asked -> asked.path().equals(request.uri()) && asked.body().equals(body))
             .isPresent();
-    ledger.arrived(
+    ledger.recordArrival(
         new Ledger.Arrival(
             id,
             facts.incarnation().toString(),
@@ -238,129 +243,134 @@
             isKnownCold()));
   }
 
-  private static String object(HttpHeaders headers, String otherwise) {
+  private static String affinityKey(HttpHeaders headers, String defaultKey) {
     String cookie = headers.get("Cookie", "");
-    return cookie.startsWith("Affinity-Key=") ? cookie : otherwise;
+    return cookie.startsWith("Affinity-Key=") ? cookie : defaultKey;
   }
 
-  private boolean tooManyWhileCold() {
+  private boolean exceedsColdRate() {
     long now = loop.nowMillis();
     coldArrivals.addLast(now);
     while (coldArrivals.getFirst() <= now - SECOND_MILLIS) {
       coldArrivals.removeFirst();
     }
-    return coldArrivals.size() > CRASHES_AT * traits.coldPerSecond();
+    return coldArrivals.size() > CRASH_RATE_FACTOR * traits.coldRequestsPerSecond();
   }
 
-  private void next() {
-    while (running.size() < traits.slots() && !waiting.isEmpty()) {
-      Job job = waiting.removeFirst();
-      if (job.gone) {
+  private void startQueued() {
+    while (running.size() < traits.slots() && !queue.isEmpty()) {
+      Job job = queue.removeFirst();
+      if (job.isCallerGone) {
         continue;
       }
-      if (loop.nowMillis() >= job.endsAt) {
+      if (loop.nowMillis() >= job.deadlineMillis) {
         refuse(job.exchange, 503, job.id);
         continue;
       }
-      begin(job);
+      startRun(job);
     }
   }
 
-  private void begin(Job job) {
-    boolean known = traits.remembers() > 0 && memory.containsKey(job.object);
-    job.run = ledger.began(job.id, facts.incarnation().toString(), known, loop.nowMillis());
+  private void startRun(Job job) {
+    boolean known = traits.cacheCapacity() > 0 && cachedObjects.containsKey(job.object);
+    job.run =
+        ledger.recordRunStart(job.id, facts.incarnation().toString(), known, loop.nowMillis());
     if (job.path.contains("poison")) {
-      crash.run();
+      crashProcess.run();
       return;
     }
     running.add(job);
-    double millis = (double) job.workMillis * (known ? traits.knownPart() : 1);
-    millis *= 1 - SPREAD + 2 * SPREAD * random.nextDouble();
-    millis *= isCold() ? COLD_FACTOR * slowness : slowness;
-    long most = Math.max(0, job.endsAt - loop.nowMillis());
+    double millis = (double) job.meanServiceMillis * (known ? traits.cachedTimeFraction() : 1);
+    millis *=
+        1 - SERVICE_TIME_JITTER_FRACTION + 2 * SERVICE_TIME_JITTER_FRACTION * random.nextDouble();
+    millis *= isCold() ? COLD_SERVICE_TIME_FACTOR * serviceTimeFactor : serviceTimeFactor;
+    long most = Math.max(0, job.deadlineMillis - loop.nowMillis());
     boolean inTime = millis <= most;
     var unused =
-        loop.schedule(Math.round(Math.min(millis, (double) most)), () -> finish(job, inTime));
+        loop.schedule(Math.round(Math.min(millis, (double) most)), () -> finishRun(job, inTime));
   }
 
-  private void finish(Job job, boolean inTime) {
+  private void finishRun(Job job, boolean inTime) {
     if (!running.remove(job)) {
       return;
     }
     if (inTime) {
-      memory.put(job.object, true);
-      if (memory.size() > traits.remembers()) {
-        memory.remove(memory.keySet().iterator().next());
+      cachedObjects.put(job.object, true);
+      if (cachedObjects.size() > traits.cacheCapacity()) {
+        cachedObjects.remove(cachedObjects.keySet().iterator().next());
       }
     }
-    deliver(job, inTime ? 200 : 504);
-    next();
+    sendAnswer(job, inTime ? 200 : 504);
+    startQueued();
   }
 
-  private void gone(Job job) {
-    job.gone = true;
+  private void onCallerGone(Job job) {
+    job.isCallerGone = true;
     Ledger.Run run = job.run;
     if (running.remove(job) && run != null) {
-      run.ended(loop.nowMillis(), 0, null);
+      run.recordEnd(loop.nowMillis(), 0, null);
     }
-    next();
+    startQueued();
   }
 
-  private void deliver(Job job, int status) {
-    Fault now = random.nextDouble() < faultShare ? fault : Fault.NONE;
+  private void sendAnswer(Job job, int status) {
+    Fault now = random.nextDouble() < faultFraction ? fault : Fault.NONE;
     int given = now == Fault.FAILS ? 500 : status;
-    String body = "work " + job.id + " of " + facts.id() + ' ' + ".".repeat(FILLER);
+    String body = "work " + job.id + " of " + facts.id() + ' ' + ".".repeat(PADDING_LENGTH);
     Ledger.Run run = job.run;
     if (run != null) {
-      run.ended(loop.nowMillis(), given, body);
+      run.recordEnd(loop.nowMillis(), given, body);
     }
-    byte[] whole = text(given, job.id, body).getBytes(StandardCharsets.ISO_8859_1);
+    byte[] whole = answerText(given, job.id, body).getBytes(StandardCharsets.ISO_8859_1);
     switch (now) {
       case LOSES_ANSWER -> job.exchange.reset();
-      case CUTS_ANSWER -> job.exchange.raw(java.util.Arrays.copyOf(whole, whole.length / 2), true);
+      case CUTS_ANSWER ->
+          job.exchange.writeRaw(java.util.Arrays.copyOf(whole, whole.length / 2), true);
       case SPOILS_ANSWER ->
-          job.exchange.raw("\u0001\u0002 no answer\r\n\r\n".getBytes(StandardCharsets.UTF_8), true);
+          job.exchange.writeRaw(
+              "\u0001\u0002 no answer\r\n\r\n".getBytes(StandardCharsets.UTF_8), true);
       case ANSWERS_TWICE -> {
-        job.exchange.raw(whole, false);
-        job.exchange.raw(whole.clone(), false);
+        job.exchange.writeRaw(whole, false);
+        job.exchange.writeRaw(whole.clone(), false);
       }
       case UNFRAMED ->
-          job.exchange.raw(unframed(given, job.id, body).getBytes(StandardCharsets.UTF_8), true);
-      default -> job.exchange.raw(whole, false);
+          job.exchange.writeRaw(
+              unframedAnswerText(given, job.id, body).getBytes(StandardCharsets.UTF_8), true);
+      default -> job.exchange.writeRaw(whole, false);
     }
   }
 
-  private String text(int status, String id, String body) {
+  private String answerText(int status, String id, String body) {
     return "HTTP/1.1 "
         + status
         + " Done\r\n"
-        + headers(id)
+        + answerHeaders(id)
         + "Keep-Alive: timeout="
-        + traits.idleMillis() / SECOND_MILLIS
+        + traits.idleTimeoutMillis() / SECOND_MILLIS
         + "\r\nContent-Length: "
         + body.length()
         + "\r\n"
-        + (leaving ? "Connection: close\r\n" : "")
+        + (isDraining ? "Connection: close\r\n" : "")
         + "\r\n"
         + body;
   }
 
-  private String unframed(int status, String id, String body) {
-    return "HTTP/1.1 " + status + " Done\r\n" + headers(id) + "\r\n" + body;
+  private String unframedAnswerText(int status, String id, String body) {
+    return "HTTP/1.1 " + status + " Done\r\n" + answerHeaders(id) + "\r\n" + body;
   }
 
-  private String headers(String id) {
-    return "Request-Id: " + id + "\r\nServer-Seal: seal\r\nServer-Load: " + loadText() + "\r\n";
+  private String answerHeaders(String id) {
+    return "Request-Id: " + id + "\r\nServer-Seal: seal\r\nServer-Load: " + loadHeader() + "\r\n";
   }
 
-  private String loadText() {
-    return running.size() + "," + waiting.size() + "," + traits.slots();
+  private String loadHeader() {
+    return running.size() + "," + queue.size() + "," + traits.slots();
   }
 
   private void refuse(ServerPort.Exchange exchange, int status, String id) {
     Map<String, String> headers = new LinkedHashMap<>();
     headers.put("Not-Executed", "1");
-    headers.put("Server-Load", loadText());
+    headers.put("Server-Load", loadHeader());
     if (!id.isEmpty()) {
       headers.put("Request-Id", id);
     }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreFaults.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreFaults.java
@@ -39,13 +39,13 @@
   }
 
   /** The same faults with every call delayed. */
-  public StoreFaults slow(long millis) {
+  public StoreFaults withSlowMillis(long millis) {
     return new StoreFaults(
         millis, down, hang, loseAnswers, loseRequests, loseProbability, seed, vmListLagMillis);
   }
 
   /** The same faults with every call refused, or not. */
-  public StoreFaults down(boolean isDown) {
+  public StoreFaults withDown(boolean isDown) {
     return new StoreFaults(
         slowMillis,
         isDown,
@@ -58,7 +58,7 @@
   }
 
   /** The same faults with every call left unanswered, or not. */
-  public StoreFaults hang(boolean isHanging) {
+  public StoreFaults withHang(boolean isHanging) {
     return new StoreFaults(
         slowMillis,
         down,
@@ -71,25 +71,25 @@
   }
 
   /** The same faults with the answers of the next {@code writes} writes lost. */
-  public StoreFaults loseAnswers(int writes) {
+  public StoreFaults withLoseAnswers(int writes) {
     return new StoreFaults(
         slowMillis, down, hang, writes, loseRequests, loseProbability, seed, vmListLagMillis);
   }
 
   /** The same faults with the next {@code writes} writes lost before they take effect. */
-  public StoreFaults loseRequests(int writes) {
+  public StoreFaults withLoseRequests(int writes) {
     return new StoreFaults(
         slowMillis, down, hang, loseAnswers, writes, loseProbability, seed, vmListLagMillis);
   }
 
   /** The same faults with each write's answer lost with {@code probability}. */
-  public StoreFaults loseWithProbability(double probability, long drawSeed) {
+  public StoreFaults withLoseProbability(double probability, long drawSeed) {
     return new StoreFaults(
         slowMillis, down, hang, loseAnswers, loseRequests, probability, drawSeed, vmListLagMillis);
   }
 
   /** The same faults with a list of VMs that lags. */
-  public StoreFaults vmListLag(long millis) {
+  public StoreFaults withVmListLagMillis(long millis) {
     return new StoreFaults(
         slowMillis, down, hang, loseAnswers, loseRequests, loseProbability, seed, millis);
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreMain.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreMain.java
@@ -42,7 +42,7 @@
       return;
     }
     try (StoreServer server = StoreServer.start(line.getOptionValue("host", "127.0.0.1"), port)) {
-      script.play(server::faults);
+      script.play(server::setFaults);
       System.out.println(server.address());
       new CountDownLatch(1).await();
     }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreServer.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreServer.java
@@ -97,12 +97,12 @@
   }
 
   /** Replaces all faults; calls under way keep the old ones. */
-  public void faults(StoreFaults next) {
+  public void setFaults(StoreFaults next) {
     synchronized (faultLock) {
       faults = next;
       random = new SplittableRandom(next.seed());
     }
-    vms.lag(Duration.ofMillis(next.vmListLagMillis()));
+    vms.setLag(Duration.ofMillis(next.vmListLagMillis()));
   }
 
   /** The faults in force, with what is left of the counted ones. */
@@ -146,20 +146,22 @@
     }
     StoreCall kind = StoreCall.ofPath(call.path());
     if (kind == null) {
-      return now(Reply.json(404, Map.of("error", "no such path: " + call.path())));
+      return completed(Reply.json(404, Map.of("error", "no such path: " + call.path())));
     }
     counts.computeIfAbsent(kind.label(), ignored -> new LongAdder()).increment();
-    Fate fate = fate(kind);
-    if (fate.hang) {
+    CallFaults fate = drawFaults(kind);
+    if (fate.hangs) {
       return new CompletableFuture<>();
     }
     if (fate.slowMillis == 0) {
-      return run(kind, call, fate);
+      return execute(kind, call, fate);
     }
     CompletableFuture<Reply> later = new CompletableFuture<>();
     ScheduledFuture<?> unused =
         timer.schedule(
-            () -> complete(later, run(kind, call, fate)), fate.slowMillis, TimeUnit.MILLISECONDS);
+            () -> complete(later, execute(kind, call, fate)),
+            fate.slowMillis,
+            TimeUnit.MILLISECONDS);
     return later;
   }
 
@@ -167,59 +169,60 @@
     CompletableFuture<Void> unused = source.thenAccept(later::complete);
   }
 
-  private record Fate(
-      long slowMillis, boolean down, boolean hang, boolean loseRequest, boolean loseAnswer) {}
+  private record CallFaults(
+      long slowMillis, boolean isDown, boolean hangs, boolean losesRequest, boolean losesAnswer) {}
 
-  private Fate fate(StoreCall kind) {
+  private CallFaults drawFaults(StoreCall kind) {
     synchronized (faultLock) {
       boolean open = kind.isWrite() && !faults.down() && !faults.hang();
       boolean loseRequest = open && faults.loseRequests() > 0;
       boolean loseAnswer = open && !loseRequest && faults.loseAnswers() > 0;
       if (loseRequest) {
-        faults = faults.loseRequests(faults.loseRequests() - 1);
+        faults = faults.withLoseRequests(faults.loseRequests() - 1);
       }
       if (loseAnswer) {
-        faults = faults.loseAnswers(faults.loseAnswers() - 1);
+        faults = faults.withLoseAnswers(faults.loseAnswers() - 1);
       }
       boolean drawn = open && random.nextDouble() < faults.loseProbability();
-      return new Fate(
+      return new CallFaults(
           faults.slowMillis(), faults.down(), faults.hang(), loseRequest, loseAnswer || drawn);
     }
   }
 
-  private CompletableFuture<Reply> run(StoreCall kind, Call call, Fate fate) {
-    if (fate.down) {
-      return now(Reply.json(503, Map.of("error", "the store is down")));
+  private CompletableFuture<Reply> execute(StoreCall kind, Call call, CallFaults fate) {
+    if (fate.isDown) {
+      return completed(Reply.json(503, Map.of("error", "the store is down")));
     }
-    if (fate.loseRequest) {
-      return now(Reply.none());
+    if (fate.losesRequest) {
+      return completed(Reply.none());
     }
     CompletableFuture<Reply> reply;
     try {
-      reply = effect(kind, call);
+      reply = apply(kind, call);
     } catch (IOException | RuntimeException e) {
-      reply = now(Reply.json(400, Map.of("error", String.valueOf(e.getMessage()))));
+      reply = completed(Reply.json(400, Map.of("error", String.valueOf(e.getMessage()))));
     }
     if (kind.isWrite()) {
       watches.deliver();
     }
-    return fate.loseAnswer ? now(Reply.none()) : reply;
+    return fate.losesAnswer ? completed(Reply.none()) : reply;
   }
 
-  private CompletableFuture<Reply> effect(StoreCall kind, Call call) throws IOException {
+  private CompletableFuture<Reply> apply(StoreCall kind, Call call) throws IOException {
     return switch (kind) {
-      case READ -> now(read(call));
-      case LIST -> now(Reply.json(200, new StoreMessages.Values(state.list(prefix(call)))));
+      case READ -> completed(read(call));
+      case LIST -> completed(Reply.json(200, new StoreMessages.Values(state.list(prefix(call)))));
       case WATCH -> watch(call);
-      case VMS -> now(Reply.json(200, new StoreMessages.Vms(vms.shown())));
-      case COMPARE_AND_SET -> now(compareAndSet(call.body(StoreMessages.CompareAndSet.class)));
+      case VMS -> completed(Reply.json(200, new StoreMessages.Vms(vms.visibleVms())));
+      case COMPARE_AND_SET ->
+          completed(compareAndSet(call.body(StoreMessages.CompareAndSet.class)));
       case COMPARE_AND_DELETE ->
-          now(compareAndDelete(call.body(StoreMessages.CompareAndDelete.class)));
-      case LEASE_GRANT -> now(grant(call.body(StoreMessages.GrantLease.class)));
+          completed(compareAndDelete(call.body(StoreMessages.CompareAndDelete.class)));
+      case LEASE_GRANT -> completed(grant(call.body(StoreMessages.GrantLease.class)));
       case LEASE_KEEP_ALIVE ->
-          now(alive(state.keepAlive(call.body(StoreMessages.Lease.class).lease())));
+          completed(aliveReply(state.keepAlive(call.body(StoreMessages.Lease.class).lease())));
       case LEASE_REVOKE ->
-          now(alive(state.revokeLease(call.body(StoreMessages.Lease.class).lease())));
+          completed(aliveReply(state.revokeLease(call.body(StoreMessages.Lease.class).lease())));
     };
   }
 
@@ -238,12 +241,12 @@
   }
 
   private Reply compareAndSet(StoreMessages.CompareAndSet body) {
-    return written(
+    return writeReply(
         state.compareAndSet(body.key(), body.expectedRevision(), body.value(), body.lease()));
   }
 
   private Reply compareAndDelete(StoreMessages.CompareAndDelete body) {
-    return written(state.compareAndDelete(body.key(), body.expectedRevision()));
+    return writeReply(state.compareAndDelete(body.key(), body.expectedRevision()));
   }
 
   private Reply grant(StoreMessages.GrantLease body) {
@@ -251,11 +254,11 @@
     return Reply.json(200, new StoreMessages.Lease(lease));
   }
 
-  private static Reply alive(boolean alive) {
+  private static Reply aliveReply(boolean alive) {
     return Reply.json(200, new StoreMessages.Alive(alive));
   }
 
-  private static Reply written(WriteResult result) {
+  private static Reply writeReply(WriteResult result) {
     if (result instanceof WriteResult.Written done) {
       return Reply.json(200, new StoreMessages.Written(done.revision()));
     }
@@ -265,9 +268,9 @@
 
   private CompletableFuture<Reply> admin(Call call) {
     try {
-      return now(adminReply(call));
+      return completed(adminReply(call));
     } catch (IOException | RuntimeException e) {
-      return now(Reply.json(400, Map.of("error", String.valueOf(e.getMessage()))));
+      return completed(Reply.json(400, Map.of("error", String.valueOf(e.getMessage()))));
     }
   }
 
@@ -277,7 +280,7 @@
     }
     if (call.path().equals("/admin/faults")) {
       if (call.method().equals("PUT")) {
-        faults(FaultJson.read(call.body(), StoreFaults.none(), StoreFaults.class));
+        setFaults(FaultJson.read(call.body(), StoreFaults.none(), StoreFaults.class));
       }
       return Reply.json(200, faults());
     }
@@ -301,7 +304,7 @@
     return call.query("prefix", "");
   }
 
-  private static CompletableFuture<Reply> now(Reply reply) {
+  private static CompletableFuture<Reply> completed(Reply reply) {
     return CompletableFuture.completedFuture(reply);
   }
 }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreState.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreState.java
@@ -52,11 +52,11 @@
   private static final class Lease {
     final long timeToLiveNanos;
     final Set<String> keys = new HashSet<>();
-    long endNanos;
+    long expiresAtNanos;
 
-    Lease(long timeToLiveNanos, long endNanos) {
+    Lease(long timeToLiveNanos, long expiresAtNanos) {
       this.timeToLiveNanos = timeToLiveNanos;
-      this.endNanos = endNanos;
+      this.expiresAtNanos = expiresAtNanos;
     }
   }
 
@@ -85,18 +85,18 @@
    * @throws IllegalArgumentException for a key or value out of range and for an ended lease
    */
   public synchronized WriteResult compareAndSet(
-      String key, long expected, byte[] value, @Nullable Long lease) {
+      String key, long expectedRevision, byte[] value, @Nullable Long lease) {
     expireLeases();
     checkSizes(key, value);
     if (lease != null && !leases.containsKey(lease)) {
       throw new IllegalArgumentException("lease " + lease + " has ended; grant a new one");
     }
     Entry old = entries.get(key);
-    if (standing(old) != expected) {
+    if (revisionOf(old) != expectedRevision) {
       return new WriteResult.Conflict(old == null ? null : old.value());
     }
-    unbind(key, old);
-    StoredValue written = new StoredValue(key, record(key), value.clone());
+    detachFromLease(key, old);
+    StoredValue written = new StoredValue(key, assignRevision(key), value.clone());
     entries.put(key, new Entry(written, lease));
     if (lease != null) {
       leases.get(lease).keys.add(key);
@@ -105,13 +105,13 @@
   }
 
   /** Deletes if the key still has {@code expected}. */
-  public synchronized WriteResult compareAndDelete(String key, long expected) {
+  public synchronized WriteResult compareAndDelete(String key, long expectedRevision) {
     expireLeases();
     Entry old = entries.get(key);
-    if (old == null || standing(old) != expected) {
+    if (old == null || revisionOf(old) != expectedRevision) {
       return new WriteResult.Conflict(old == null ? null : old.value());
     }
-    unbind(key, old);
+    detachFromLease(key, old);
     return new WriteResult.Written(delete(key));
   }
 
@@ -134,7 +134,7 @@
     if (lease == null) {
       return false;
     }
-    lease.endNanos = time.nanos() + lease.timeToLiveNanos;
+    lease.expiresAtNanos = time.nanos() + lease.timeToLiveNanos;
     return true;
   }
 
@@ -155,7 +155,7 @@
     Iterator<Lease> all = leases.values().iterator();
     while (all.hasNext()) {
       Lease lease = all.next();
-      if (lease.endNanos - now <= 0) {
+      if (lease.expiresAtNanos - now <= 0) {
         all.remove();
         deleteKeys(lease);
       }
@@ -197,11 +197,11 @@
     }
   }
 
-  private static long standing(@Nullable Entry entry) {
+  private static long revisionOf(@Nullable Entry entry) {
     return entry == null ? 0 : entry.value().revision();
   }
 
-  private void unbind(String key, @Nullable Entry old) {
+  private void detachFromLease(String key, @Nullable Entry old) {
     if (old != null && old.lease() != null) {
       Lease lease = leases.get(old.lease());
       if (lease != null) {
@@ -216,10 +216,10 @@
 
   private long delete(String key) {
     entries.remove(key);
-    return record(key);
+    return assignRevision(key);
   }
 
-  private long record(String key) {
+  private long assignRevision(String key) {
     Long before = revisionByKey.put(key, ++revision);
     if (before != null) {
       keyByRevision.remove(before);
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/VmTable.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/VmTable.java
@@ -13,7 +13,7 @@
 /** The platform's list of VMs, which shows each change only after a lag. */
 final class VmTable {
   private final TimeSource time;
-  private final Map<String, ListedVm> shown = new TreeMap<>();
+  private final Map<String, ListedVm> visibleVms = new TreeMap<>();
   private final Deque<Change> pending = new ArrayDeque<>();
   private long lagNanos;
 
@@ -25,10 +25,10 @@
     return new VmTable(time);
   }
 
-  private record Change(long atNanos, String id, @Nullable ListedVm vm) {}
+  private record Change(long changedAtNanos, String id, @Nullable ListedVm vm) {}
 
   /** From now on a change shows {@code lag} after it was made. */
-  synchronized void lag(Duration lag) {
+  synchronized void setLag(Duration lag) {
     lagNanos = lag.toNanos();
   }
 
@@ -41,19 +41,19 @@
   }
 
   /** The list as callers see it now, ordered by id. */
-  synchronized List<ListedVm> shown() {
+  synchronized List<ListedVm> visibleVms() {
     long now = time.nanos();
-    while (!pending.isEmpty() && pending.peek().atNanos() + lagNanos - now <= 0) {
+    while (!pending.isEmpty() && pending.peek().changedAtNanos() + lagNanos - now <= 0) {
       apply(pending.remove());
     }
-    return List.copyOf(shown.values());
+    return List.copyOf(visibleVms.values());
   }
 
   private void apply(Change change) {
     if (change.vm() == null) {
-      shown.remove(change.id());
+      visibleVms.remove(change.id());
     } else {
-      shown.put(change.id(), change.vm());
+      visibleVms.put(change.id(), change.vm());
     }
   }
 }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/WatchTable.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/WatchTable.java
@@ -26,14 +26,17 @@
   }
 
   private record Watch(
-      String prefix, long after, long endNanos, CompletableFuture<WatchBatch> answer) {}
+      String prefix,
+      long afterRevision,
+      long deadlineNanos,
+      CompletableFuture<WatchBatch> answer) {}
 
-  private record Due(Watch watch, WatchBatch batch) {}
+  private record CompletedWatch(Watch watch, WatchBatch batch) {}
 
   /** Completes with the first changes, or with an empty batch once {@code wait} is over. */
-  CompletableFuture<WatchBatch> await(String prefix, long after, Duration wait) {
+  CompletableFuture<WatchBatch> await(String prefix, long afterRevision, Duration wait) {
     Watch watch =
-        new Watch(prefix, after, time.nanos() + wait.toNanos(), new CompletableFuture<>());
+        new Watch(prefix, afterRevision, time.nanos() + wait.toNanos(), new CompletableFuture<>());
     synchronized (this) {
       waiting.add(watch);
     }
@@ -43,16 +46,16 @@
 
   /** Answers the watches that have something to tell or have waited long enough. */
   void deliver() {
-    List<Due> due = new ArrayList<>();
+    List<CompletedWatch> due = new ArrayList<>();
     synchronized (this) {
       Iterator<Watch> all = waiting.iterator();
       while (all.hasNext()) {
         Watch watch = all.next();
-        WatchBatch batch = state.changes(watch.prefix(), watch.after());
+        WatchBatch batch = state.changes(watch.prefix(), watch.afterRevision());
         boolean empty = batch.changed().isEmpty() && batch.deleted().isEmpty();
-        if (!empty || watch.endNanos() - time.nanos() <= 0) {
+        if (!empty || watch.deadlineNanos() - time.nanos() <= 0) {
           all.remove();
-          due.add(new Due(watch, batch));
+          due.add(new CompletedWatch(watch, batch));
         }
       }
     }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/AnswerPattern.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/AnswerPattern.java
@@ -13,20 +13,20 @@
  * }</pre>
  */
 public final class AnswerPattern {
-  private static final long STEP = 0x9e3779b97f4a7c15L;
+  private static final long GOLDEN_GAMMA = 0x9e3779b97f4a7c15L;
 
   private AnswerPattern() {}
 
   /** The byte at {@code position}, counted from 0, of the body with {@code seed}. */
   public static byte byteAt(long seed, long position) {
-    return (byte) (word(seed, position >>> 3) >>> (8 * (position & 7)));
+    return (byte) (splitMix64(seed, position >>> 3) >>> (8 * (position & 7)));
   }
 
   /** Fills the space left in {@code target} with the bytes from {@code position} on. */
-  public static void fill(long seed, long position, ByteBuffer target) {
+  public static void fill(long seed, long position, ByteBuffer buffer) {
     long at = position;
-    while (target.hasRemaining()) {
-      target.put(byteAt(seed, at++));
+    while (buffer.hasRemaining()) {
+      buffer.put(byteAt(seed, at++));
     }
   }
 
@@ -35,8 +35,8 @@
     return new Checker(seed);
   }
 
-  private static long word(long seed, long index) {
-    long z = seed + (index + 1) * STEP;
+  private static long splitMix64(long seed, long index) {
+    long z = seed + (index + 1) * GOLDEN_GAMMA;
     z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
     z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
     return z ^ (z >>> 31);
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/Executions.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/Executions.java
@@ -11,7 +11,7 @@
  * <p>Outlives a crash of the target: a repeat after a restart counts as the second run.
  */
 public final class Executions {
-  private final Map<String, Integer> byKey = new ConcurrentHashMap<>();
+  private final Map<String, Integer> startsByKey = new ConcurrentHashMap<>();
 
   private Executions() {}
 
@@ -19,29 +19,29 @@
     return new Executions();
   }
 
-  void add(String key) {
-    byKey.merge(key, 1, Integer::sum);
+  void recordStart(String key) {
+    startsByKey.merge(key, 1, Integer::sum);
   }
 
   /** Starts of the request with that key. */
   public int count(String key) {
-    return byKey.getOrDefault(key, 0);
+    return startsByKey.getOrDefault(key, 0);
   }
 
   /** Keys of all requests that were started. */
   public Set<String> keys() {
-    return Set.copyOf(byKey.keySet());
+    return Set.copyOf(startsByKey.keySet());
   }
 
   /** Keys started more than once, with the number of starts. */
   public Map<String, Integer> repeated() {
-    Map<String, Integer> repeated = new TreeMap<>(byKey);
+    Map<String, Integer> repeated = new TreeMap<>(startsByKey);
     repeated.values().removeIf(count -> count < 2);
     return repeated;
   }
 
   /** Starts of all requests together. */
   public long total() {
-    return byKey.values().stream().mapToLong(Integer::longValue).sum();
+    return startsByKey.values().stream().mapToLong(Integer::longValue).sum();
   }
 }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/ServiceTime.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/ServiceTime.java
@@ -44,12 +44,12 @@
         return logNormal(Double.parseDouble(parts[1]), Double.parseDouble(parts[2]));
       }
     } catch (NumberFormatException e) {
-      throw unreadable(text, e);
+      throw malformed(text, e);
     }
-    throw unreadable(text, null);
+    throw malformed(text, null);
   }
 
-  private static IllegalArgumentException unreadable(String text, Throwable cause) {
+  private static IllegalArgumentException malformed(String text, Throwable cause) {
     return new IllegalArgumentException(
         "service time \""
             + text
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/SlotTable.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/SlotTable.java
@@ -16,13 +16,13 @@
   private final TargetOptions options;
   private final TimeSource time;
   private final SplittableRandom random;
-  private final Deque<Waiting> queue = new ArrayDeque<>();
-  private final Deque<Reading> readings = new ArrayDeque<>();
+  private final Deque<QueuedWork> queuedWork = new ArrayDeque<>();
+  private final Deque<LoadSample> loadSamples = new ArrayDeque<>();
   private TargetFaults faults = TargetFaults.none();
   private long startNanos;
   private long incarnation;
   private int busy;
-  private boolean draining;
+  private boolean isDraining;
 
   private SlotTable(TargetOptions options, TimeSource time) {
     this.options = options;
@@ -30,7 +30,7 @@
     this.random = new SplittableRandom(options.seed());
     this.startNanos = time.nanos();
     this.incarnation = options.incarnation();
-    note();
+    recordLoad();
   }
 
   static SlotTable create(TargetOptions options, TimeSource time) {
@@ -40,9 +40,9 @@
   /** What a target says of itself at {@code /load}. */
   record Load(int slots, int busy, int queued, boolean draining, long incarnation) {}
 
-  private record Reading(long atNanos, Load load) {}
+  private record LoadSample(long atNanos, Load load) {}
 
-  private record Waiting(Runnable start, long deadlineNanos) {}
+  private record QueuedWork(Runnable start, long deadlineNanos) {}
 
   /** What becomes of a request that has fully arrived. */
   enum Decision {
@@ -72,7 +72,7 @@
    * the work; with {@link Decision#QUEUED} {@code start} is returned by a later {@link #release}.
    */
   synchronized Decision offer(Runnable start, long deadlineNanos) {
-    if (draining) {
+    if (isDraining) {
       return Decision.DRAINING;
     }
     if (isStarting()) {
@@ -83,22 +83,22 @@
     }
     if (busy < options.slots()) {
       busy++;
-      note();
+      recordLoad();
       return Decision.STARTED;
     }
-    if (queue.size() >= options.queue()) {
+    if (queuedWork.size() >= options.queue()) {
       return Decision.SHEDDING;
     }
-    queue.add(new Waiting(start, deadlineNanos));
-    note();
+    queuedWork.add(new QueuedWork(start, deadlineNanos));
+    recordLoad();
     return Decision.QUEUED;
   }
 
   /** Takes waiting work back; false where it has been started or was never queued. */
-  synchronized boolean withdraw(Runnable start) {
-    boolean removed = queue.removeIf(waiting -> waiting.start() == start);
+  synchronized boolean removeQueued(Runnable start) {
+    boolean removed = queuedWork.removeIf(waiting -> waiting.start() == start);
     if (removed) {
-      note();
+      recordLoad();
     }
     return removed;
   }
@@ -108,47 +108,47 @@
     if (ofIncarnation != incarnation) {
       return null;
     }
-    Waiting next = queue.poll();
+    QueuedWork next = queuedWork.poll();
     if (next == null) {
       busy--;
     }
-    note();
+    recordLoad();
     return next == null ? null : next.start();
   }
 
   /** Draws the time that the next request holds its slot. */
-  synchronized long serviceNanos() {
-    double factor = faults.slowFactor() * coldFactor();
+  synchronized long drawServiceNanos() {
+    double factor = faults.slowFactor() * coldStartFactor();
     long late = random.nextDouble() < faults.lateProbability() ? faults.lateMillis() : 0;
     long usual = options.serviceTime().drawNanos(random);
     return (long) (usual * factor) + Duration.ofMillis(late).toNanos();
   }
 
   /** Draws whether the next answer is cut midway. */
-  synchronized boolean cutsAnswer() {
+  synchronized boolean drawTruncation() {
     return random.nextDouble() < faults.truncateProbability();
   }
 
-  synchronized void drain() {
-    draining = true;
-    note();
+  synchronized void startDraining() {
+    isDraining = true;
+    recordLoad();
   }
 
   /** Forgets all work and starts as a new incarnation. */
   synchronized void restart() {
-    queue.clear();
+    queuedWork.clear();
     busy = 0;
-    draining = false;
+    isDraining = false;
     incarnation++;
     startNanos = time.nanos();
-    note();
+    recordLoad();
   }
 
   synchronized long incarnation() {
     return incarnation;
   }
 
-  synchronized void faults(TargetFaults next) {
+  synchronized void setFaults(TargetFaults next) {
     faults = next;
   }
 
@@ -158,14 +158,14 @@
 
   /** The truth about this target now. */
   synchronized Load load() {
-    return new Load(options.slots(), busy, queue.size(), draining, incarnation);
+    return new Load(options.slots(), busy, queuedWork.size(), isDraining, incarnation);
   }
 
   /** The load as the faults let it be seen. */
   synchronized Load reportedLoad() {
     long cutoff = time.nanos() - Duration.ofMillis(faults.loadLagMillis()).toNanos();
-    Load seen = readings.getFirst().load();
-    for (Reading reading : readings) {
+    Load seen = loadSamples.getFirst().load();
+    for (LoadSample reading : loadSamples) {
       if (reading.atNanos() - cutoff > 0) {
         break;
       }
@@ -176,11 +176,11 @@
   }
 
   /** True where {@code /health} answers 200. */
-  synchronized boolean reportedUp() {
+  synchronized boolean isReportedUp() {
     return switch (faults.health()) {
       case ALWAYS_UP -> true;
       case ALWAYS_DOWN -> false;
-      case TRUE -> !draining && !isStarting();
+      case TRUE -> !isDraining && !isStarting();
     };
   }
 
@@ -188,7 +188,7 @@
     return time.nanos() - startNanos < Duration.ofMillis(options.startMillis()).toNanos();
   }
 
-  private double coldFactor() {
+  private double coldStartFactor() {
     double coldNanos = Duration.ofMillis(options.coldMillis()).toNanos();
     long warmingSince = startNanos + Duration.ofMillis(options.startMillis()).toNanos();
     double passed = time.nanos() - warmingSince;
@@ -199,14 +199,14 @@
   }
 
   /** Keeps the readings that the present lag may still show, and the one before them. */
-  private void note() {
+  private void recordLoad() {
     long now = time.nanos();
-    readings.add(new Reading(now, load()));
+    loadSamples.add(new LoadSample(now, load()));
     long cutoff = now - Duration.ofMillis(faults.loadLagMillis()).toNanos();
-    while (readings.size() > 1) {
-      Reading first = readings.removeFirst();
-      if (readings.getFirst().atNanos() - cutoff > 0) {
-        readings.addFirst(first);
+    while (loadSamples.size() > 1) {
+      LoadSample first = loadSamples.removeFirst();
+      if (loadSamples.getFirst().atNanos() - cutoff > 0) {
+        loadSamples.addFirst(first);
         return;
       }
     }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetFaults.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetFaults.java
@@ -39,12 +39,12 @@
     if (loadLagMillis < 0 || lateMillis < 0 || !(slowFactor >= 0)) {
       throw new IllegalArgumentException("a lag or factor is negative; expected 0 or more");
     }
-    if (!isShare(truncateProbability) || !isShare(lateProbability)) {
+    if (!isProbability(truncateProbability) || !isProbability(lateProbability)) {
       throw new IllegalArgumentException("a probability is out of range; expected 0 to 1");
     }
   }
 
-  private static boolean isShare(double probability) {
+  private static boolean isProbability(double probability) {
     return probability >= 0 && probability <= 1;
   }
 
@@ -54,7 +54,7 @@
   }
 
   /** The same faults with load reports of that age. */
-  public TargetFaults loadLag(long millis) {
+  public TargetFaults withLoadLagMillis(long millis) {
     return new TargetFaults(
         millis,
         reportBusy,
@@ -68,10 +68,10 @@
   }
 
   /** The same faults with a load report that always claims {@code busy} slots. */
-  public TargetFaults reportBusy(int busy) {
+  public TargetFaults withReportBusy(int busySlots) {
     return new TargetFaults(
         loadLagMillis,
-        busy,
+        busySlots,
         loadSilent,
         health,
         shed,
@@ -82,11 +82,11 @@
   }
 
   /** The same faults with load and health answered or not. */
-  public TargetFaults loadSilent(boolean silent) {
+  public TargetFaults withLoadSilent(boolean isSilent) {
     return new TargetFaults(
         loadLagMillis,
         reportBusy,
-        silent,
+        isSilent,
         health,
         shed,
         slowFactor,
@@ -96,7 +96,7 @@
   }
 
   /** The same faults with that health. */
-  public TargetFaults health(Health reported) {
+  public TargetFaults withHealth(Health reported) {
     return new TargetFaults(
         loadLagMillis,
         reportBusy,
@@ -110,13 +110,13 @@
   }
 
   /** The same faults with all work shed, or not. */
-  public TargetFaults shed(boolean all) {
+  public TargetFaults withShed(boolean shedsAll) {
     return new TargetFaults(
         loadLagMillis,
         reportBusy,
         loadSilent,
         health,
-        all,
+        shedsAll,
         slowFactor,
         truncateProbability,
         lateProbability,
@@ -124,7 +124,7 @@
   }
 
   /** The same faults with service times multiplied by {@code factor}. */
-  public TargetFaults slow(double factor) {
+  public TargetFaults withSlowFactor(double factor) {
     return new TargetFaults(
         loadLagMillis,
         reportBusy,
@@ -138,7 +138,7 @@
   }
 
   /** The same faults with a share of answers cut midway. */
-  public TargetFaults truncate(double probability) {
+  public TargetFaults withTruncateProbability(double probability) {
     return new TargetFaults(
         loadLagMillis,
         reportBusy,
@@ -152,7 +152,7 @@
   }
 
   /** The same faults with a share of answers late by {@code millis}. */
-  public TargetFaults late(double probability, long millis) {
+  public TargetFaults withLateAnswers(double probability, long millis) {
     return new TargetFaults(
         loadLagMillis,
         reportBusy,
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetMain.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetMain.java
@@ -48,7 +48,7 @@
       return;
     }
     try (TargetServer server = TargetServer.start(options)) {
-      script.play(server::faults);
+      script.play(server::setFaults);
       System.out.println(server.address());
       new CountDownLatch(1).await();
     }
@@ -57,24 +57,24 @@
   static TargetOptions options(CommandLine line) {
     TargetOptions usual = TargetOptions.create(line.getOptionValue("id", "target"));
     return usual
-        .address(line.getOptionValue("host", usual.host()), (int) number(line, "port", 0))
-        .slots((int) number(line, "slots", usual.slots()))
-        .queue((int) number(line, "queue", usual.queue()))
+        .listenAddress(line.getOptionValue("host", usual.host()), (int) longOption(line, "port", 0))
+        .slots((int) longOption(line, "slots", usual.slots()))
+        .queue((int) longOption(line, "queue", usual.queue()))
         .serviceTime(ServiceTime.parse(line.getOptionValue("service-time", "fixed:20")))
-        .seed(number(line, "seed", usual.seed()))
-        .answerBytes(number(line, "answer-bytes", usual.answerBytes()))
+        .seed(longOption(line, "seed", usual.seed()))
+        .answerBytes(longOption(line, "answer-bytes", usual.answerBytes()))
         .coldStart(
-            number(line, "start-millis", 0),
-            number(line, "cold-millis", 0),
-            (double) number(line, "cold-factor", 1))
-        .crashMillis(number(line, "crash-millis", usual.crashMillis()))
-        .incarnation(number(line, "incarnation", 1));
+            longOption(line, "start-millis", 0),
+            longOption(line, "cold-millis", 0),
+            (double) longOption(line, "cold-factor", 1))
+        .crashMillis(longOption(line, "crash-millis", usual.crashMillis()))
+        .incarnation(longOption(line, "incarnation", 1));
   }
 
-  private static long number(CommandLine line, String option, long absent) {
+  private static long longOption(CommandLine line, String option, long defaultValue) {
     String text = line.getOptionValue(option);
     if (text == null) {
-      return absent;
+      return defaultValue;
     }
     try {
       return Long.parseLong(text);
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetOptions.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetOptions.java
@@ -57,8 +57,8 @@
   }
 
   /** The same options listening elsewhere. */
-  public TargetOptions address(String newHost, int newPort) {
-    return changed(
+  public TargetOptions listenAddress(String newHost, int newPort) {
+    return with(
         copy -> {
           copy.host = newHost;
           copy.port = newPort;
@@ -67,32 +67,32 @@
 
   /** The same options with so many slots. */
   public TargetOptions slots(int newSlots) {
-    return changed(copy -> copy.slots = newSlots);
+    return with(copy -> copy.slots = newSlots);
   }
 
   /** The same options with a queue of that length. */
   public TargetOptions queue(int newQueue) {
-    return changed(copy -> copy.queue = newQueue);
+    return with(copy -> copy.queue = newQueue);
   }
 
   /** The same options with another service time. */
   public TargetOptions serviceTime(ServiceTime newServiceTime) {
-    return changed(copy -> copy.serviceTime = newServiceTime);
+    return with(copy -> copy.serviceTime = newServiceTime);
   }
 
   /** The same options with another seed. */
   public TargetOptions seed(long newSeed) {
-    return changed(copy -> copy.seed = newSeed);
+    return with(copy -> copy.seed = newSeed);
   }
 
   /** The same options with answers of that size. */
   public TargetOptions answerBytes(long newAnswerBytes) {
-    return changed(copy -> copy.answerBytes = newAnswerBytes);
+    return with(copy -> copy.answerBytes = newAnswerBytes);
   }
 
   /** The same options with a start that refuses first and is slow next. */
   public TargetOptions coldStart(long newStartMillis, long newColdMillis, double newColdFactor) {
-    return changed(
+    return with(
         copy -> {
           copy.startMillis = newStartMillis;
           copy.coldMillis = newColdMillis;
@@ -102,17 +102,17 @@
 
   /** The same options with that pause after a crash; negative: a crash ends the process. */
   public TargetOptions crashMillis(long newCrashMillis) {
-    return changed(copy -> copy.crashMillis = newCrashMillis);
+    return with(copy -> copy.crashMillis = newCrashMillis);
   }
 
   /** The same options with that first incarnation. */
   public TargetOptions incarnation(long newIncarnation) {
-    return changed(copy -> copy.incarnation = newIncarnation);
+    return with(copy -> copy.incarnation = newIncarnation);
   }
 
-  private TargetOptions changed(Consumer<Copy> change) {
+  private TargetOptions with(Consumer<Copy> edit) {
     Copy copy = new Copy(this);
-    change.accept(copy);
+    edit.accept(copy);
     return copy.options();
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetServer.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetServer.java
@@ -49,20 +49,20 @@
           });
   private static final int IO_THREADS = 1;
   private static final int CRASH_EXIT_CODE = 70;
-  private static final long REBIND_MILLIS = 50;
+  private static final long REBIND_DELAY_MILLIS = 50;
 
   private final TargetOptions options;
   private final SlotTable slots;
   private final Executions executions = Executions.create();
   private final ConnectionTable connections = ConnectionTable.create(peer -> {});
-  private final AtomicLong answered = new AtomicLong();
-  private final AtomicLong refused = new AtomicLong();
-  private final AtomicLong cancelled = new AtomicLong();
+  private final AtomicLong answerCount = new AtomicLong();
+  private final AtomicLong refusalCount = new AtomicLong();
+  private final AtomicLong cancellationCount = new AtomicLong();
   private final HttpAsyncServer server;
   private final Object listenLock = new Object();
   private ListenerEndpoint endpoint;
   private final int port;
-  private boolean closed;
+  private boolean isClosed;
 
   private TargetServer(TargetOptions options) throws IOException {
     this.options = options;
@@ -110,38 +110,38 @@
   }
 
   /** Busy slots, in truth. */
-  public int busy() {
+  public int busySlotCount() {
     return slots.load().busy();
   }
 
   /** Requests that wait for a slot, in truth. */
-  public int queued() {
+  public int queuedCount() {
     return slots.load().queued();
   }
 
   /** Requests whose caller closed the connection before the answer began. */
-  public long cancellations() {
-    return cancelled.get();
+  public long cancellationCount() {
+    return cancellationCount.get();
   }
 
   /** Requests refused before running. */
-  public long refusals() {
-    return refused.get();
+  public long refusalCount() {
+    return refusalCount.get();
   }
 
   /** Whole answers handed to connections. */
-  public long answers() {
-    return answered.get();
+  public long answerCount() {
+    return answerCount.get();
   }
 
   /** Open connections. */
-  public int openConnections() {
+  public int openConnectionCount() {
     return connections.size();
   }
 
   /** Replaces all faults. */
-  public void faults(TargetFaults next) {
-    slots.faults(next);
+  public void setFaults(TargetFaults next) {
+    slots.setFaults(next);
   }
 
   /** The faults in force. */
@@ -151,7 +151,7 @@
 
   /** From now on refuses new work; work under way goes on. Only a restart ends this. */
   public void drain() {
-    slots.drain();
+    slots.startDraining();
   }
 
   /** Ends the process, or cuts everything and keeps the port closed for a while. */
@@ -164,16 +164,16 @@
 
   /** Cuts everything and starts as a new incarnation on the same port at once. */
   public void restart() {
-    die();
-    listenAgain();
+    stopIncarnation();
+    rebind();
   }
 
   private void crashNow() {
-    die();
-    schedule(this::listenAgain, options.crashMillis());
+    stopIncarnation();
+    schedule(this::rebind, options.crashMillis());
   }
 
-  private void die() {
+  private void stopIncarnation() {
     synchronized (listenLock) {
       endpoint.close(CloseMode.IMMEDIATE);
       connections.cutAll();
@@ -181,15 +181,15 @@
     }
   }
 
-  private void listenAgain() {
+  private void rebind() {
     synchronized (listenLock) {
-      if (closed || !endpoint.isClosed()) {
+      if (isClosed || !endpoint.isClosed()) {
         return;
       }
       try {
         endpoint = Listeners.bind(server, options.host(), port);
       } catch (IOException e) {
-        schedule(this::listenAgain, REBIND_MILLIS);
+        schedule(this::rebind, REBIND_DELAY_MILLIS);
       }
     }
   }
@@ -201,7 +201,7 @@
   @Override
   public void close() {
     synchronized (listenLock) {
-      closed = true;
+      isClosed = true;
     }
     server.close(CloseMode.IMMEDIATE);
   }
@@ -210,29 +210,29 @@
     return slots;
   }
 
-  ScheduledFuture<?> after(long nanos, Runnable task) {
+  ScheduledFuture<?> scheduleAfter(long nanos, Runnable task) {
     return TIMER.schedule(task, nanos, TimeUnit.NANOSECONDS);
   }
 
-  void started(String key) {
+  void recordStart(String key) {
     if (!key.isEmpty()) {
-      executions.add(key);
+      executions.recordStart(key);
     }
   }
 
-  void answered() {
-    answered.incrementAndGet();
+  void recordAnswer() {
+    answerCount.incrementAndGet();
   }
 
-  void refused() {
-    refused.incrementAndGet();
+  void recordRefusal() {
+    refusalCount.incrementAndGet();
   }
 
-  void cancelled() {
-    cancelled.incrementAndGet();
+  void recordCancellation() {
+    cancellationCount.incrementAndGet();
   }
 
-  void cut(SocketAddress peer) {
+  void cutConnection(SocketAddress peer) {
     connections.cut(peer);
   }
 
@@ -240,12 +240,12 @@
     int end = pathAndQuery.indexOf('?');
     String path = end < 0 ? pathAndQuery : pathAndQuery.substring(0, end);
     if (path.equals("/load") || path.equals("/health") || path.startsWith("/admin/")) {
-      return () -> JsonExchange.create(this::report, connections);
+      return () -> JsonExchange.create(this::handleControlCall, connections);
     }
     return () -> WorkExchange.create(this);
   }
 
-  private CompletableFuture<Reply> report(Call call) throws IOException {
+  private CompletableFuture<Reply> handleControlCall(Call call) throws IOException {
     boolean probe = call.path().equals("/load") || call.path().equals("/health");
     if (probe && slots.faults().loadSilent()) {
       return new CompletableFuture<>();
@@ -260,26 +260,26 @@
       case "/admin/faults" -> faultsReply(call);
       case "/admin/executions" -> executionsReply(call);
       case "/admin/state" -> stateReply();
-      case "/admin/drain" -> posted(call, this::drain);
-      case "/admin/crash" -> posted(call, this::crash);
-      case "/admin/restart" -> posted(call, this::restartSoon);
+      case "/admin/drain" -> runIfPost(call, this::drain);
+      case "/admin/crash" -> runIfPost(call, this::crash);
+      case "/admin/restart" -> runIfPost(call, this::restartSoon);
       default -> Reply.json(404, Map.of("error", "no such path: " + call.path()));
     };
   }
 
   /** After the answer to the call that asked for it. */
   private void restartSoon() {
-    schedule(this::restart, REBIND_MILLIS);
+    schedule(this::restart, REBIND_DELAY_MILLIS);
   }
 
   private Reply health() {
-    boolean up = slots.reportedUp();
+    boolean up = slots.isReportedUp();
     return Reply.json(up ? 200 : 503, Map.of("up", up));
   }
 
   private Reply faultsReply(Call call) throws IOException {
     if (call.method().equals("PUT")) {
-      faults(FaultJson.read(call.body(), TargetFaults.none(), TargetFaults.class));
+      setFaults(FaultJson.read(call.body(), TargetFaults.none(), TargetFaults.class));
     }
     return Reply.json(200, faults());
   }
@@ -302,12 +302,12 @@
             "id", options.id(),
             "load", slots.load(),
             "connections", connections.size(),
-            "answered", answered.get(),
-            "refused", refused.get(),
-            "cancelled", cancelled.get()));
+            "answered", answerCount.get(),
+            "refused", refusalCount.get(),
+            "cancelled", cancellationCount.get()));
   }
 
-  private static Reply posted(Call call, Runnable action) {
+  private static Reply runIfPost(Call call, Runnable action) {
     if (!call.method().equals("POST")) {
       return Reply.json(405, Map.of("error", call.method() + ": expected POST"));
     }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/WorkExchange.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/WorkExchange.java
@@ -37,12 +37,12 @@
   private @Nullable ResponseChannel channel;
   private @Nullable HttpContext context;
   private @Nullable SocketAddress peer;
-  private @Nullable ScheduledFuture<?> alarm;
+  private @Nullable ScheduledFuture<?> timer;
   private long incarnation;
   private boolean holdsSlot;
-  private long produced;
-  private long cutAt = Long.MAX_VALUE;
-  private final Runnable startQueued = this::start;
+  private long producedBytes;
+  private long truncateAt = Long.MAX_VALUE;
+  private final Runnable startQueued = this::startWork;
 
   private WorkExchange(TargetServer server) {
     this.server = server;
@@ -73,7 +73,7 @@
       peer = ConnectionTable.peer(httpContext);
     }
     if (entity == null) {
-      offer();
+      requestSlot();
     }
   }
 
@@ -84,44 +84,44 @@
 
   @Override
   public void consume(ByteBuffer piece) {
-    received().checksum().add(piece);
+    requireRequest().checksum().add(piece);
   }
 
   @Override
   public void streamEnd(@Nullable List<? extends Header> trailers) {
-    offer();
+    requestSlot();
   }
 
-  private synchronized WorkRequest received() {
+  private synchronized WorkRequest requireRequest() {
     if (request == null) {
       throw new IllegalStateException("no request head yet");
     }
     return request;
   }
 
-  private void offer() {
-    WorkRequest work = received();
+  private void requestSlot() {
+    WorkRequest work = requireRequest();
     SlotTable.Decision decision;
     synchronized (this) {
       incarnation = server.slots().incarnation();
       phase = Phase.WAITING;
       decision = server.slots().offer(startQueued, work.deadlineNanos());
       if (decision == SlotTable.Decision.QUEUED) {
-        alarm = server.after(work.remainingNanos(), this::queueDeadline);
+        timer = server.scheduleAfter(work.remainingNanos(), this::onQueueDeadline);
       }
     }
     if (decision == SlotTable.Decision.STARTED) {
-      start();
+      startWork();
     } else if (decision.isRefusal()) {
       refuse(decision.refusal());
     }
   }
 
   /** Runs with a slot in hand, on the thread that got it. */
-  private void start() {
-    WorkRequest work = received();
+  private void startWork() {
+    WorkRequest work = requireRequest();
     synchronized (this) {
-      cancelAlarm();
+      cancelTimer();
       holdsSlot = true;
       if (phase != Phase.WAITING) {
         releaseSlot();
@@ -129,67 +129,67 @@
       }
       phase = Phase.RUNNING;
     }
-    server.started(work.key());
-    if (work.crashes()) {
+    server.recordStart(work.key());
+    if (work.crashesTarget()) {
       server.crash();
       return;
     }
-    long service = server.slots().serviceNanos();
+    long service = server.slots().drawServiceNanos();
     long allowed = work.remainingNanos();
     synchronized (this) {
       if (phase == Phase.RUNNING) {
-        alarm =
+        timer =
             service <= allowed
-                ? server.after(service, this::answer)
-                : server.after(allowed, this::deadlinePassed);
+                ? server.scheduleAfter(service, this::answer)
+                : server.scheduleAfter(allowed, this::onDeadline);
       }
     }
   }
 
-  private void queueDeadline() {
-    if (server.slots().withdraw(startQueued)) {
+  private void onQueueDeadline() {
+    if (server.slots().removeQueued(startQueued)) {
       refuse("shedding");
     }
   }
 
   private void refuse(String reason) {
-    server.refused();
-    HttpResponse response = head(503);
+    server.recordRefusal();
+    HttpResponse response = responseHead(503);
     response.addHeader("Target-Refused", reason);
     send(response, null);
   }
 
-  private void deadlinePassed() {
-    send(head(504), null);
+  private void onDeadline() {
+    send(responseHead(504), null);
   }
 
   private void answer() {
-    WorkRequest work = received();
+    WorkRequest work = requireRequest();
     long from = work.answerFrom();
     long size = work.answerBytes();
     if (from > 0 && from >= size) {
-      HttpResponse beyond = head(416);
+      HttpResponse beyond = responseHead(416);
       beyond.addHeader("Content-Range", "bytes */" + size);
       send(beyond, null);
       return;
     }
-    HttpResponse response = head(from > 0 ? 206 : 200);
+    HttpResponse response = responseHead(from > 0 ? 206 : 200);
     response.addHeader("Request-Checksum", work.checksum().value());
     response.addHeader("ETag", work.entityTag());
     if (from > 0) {
       response.addHeader("Content-Range", "bytes " + from + "-" + (size - 1) + "/" + size);
     }
     synchronized (this) {
-      produced = from;
-      if (server.slots().cutsAnswer()) {
-        cutAt = from + (size - from) / 2;
+      producedBytes = from;
+      if (server.slots().drawTruncation()) {
+        truncateAt = from + (size - from) / 2;
       }
     }
-    long length = work.chunked() ? -1 : size - from;
+    long length = work.isChunked() ? -1 : size - from;
     send(response, new BasicEntityDetails(length, ContentType.APPLICATION_OCTET_STREAM));
   }
 
-  private HttpResponse head(int status) {
+  private HttpResponse responseHead(int status) {
     HttpResponse response = new BasicHttpResponse(status);
     response.addHeader("Target-Id", server.options().id());
     response.addHeader("Target-Incarnation", incarnation);
@@ -222,35 +222,35 @@
 
   @Override
   public void produce(DataStreamChannel out) throws IOException {
-    WorkRequest work = received();
-    if (produced >= cutAt) {
+    WorkRequest work = requireRequest();
+    if (producedBytes >= truncateAt) {
       cutConnection();
       return;
     }
-    long end = Math.min(work.answerBytes(), cutAt);
-    while (produced < end) {
+    long end = Math.min(work.answerBytes(), truncateAt);
+    while (producedBytes < end) {
       if (!buffer.hasRemaining()) {
         refill(work, end);
       }
       int written = out.write(buffer);
-      produced += written;
+      producedBytes += written;
       if (written == 0) {
         return;
       }
     }
-    if (produced == work.answerBytes()) {
+    if (producedBytes == work.answerBytes()) {
       // The slot is free before the last byte goes: a gate that has the whole answer may send the
       // next request at once, which would otherwise be counted beyond the slots.
       finish();
       out.endStream();
-      server.answered();
+      server.recordAnswer();
     }
   }
 
   private void refill(WorkRequest work, long end) {
     buffer.clear();
-    buffer.limit((int) Math.min(BUFFER_BYTES, end - produced));
-    AnswerPattern.fill(work.checksum().value(), produced, buffer);
+    buffer.limit((int) Math.min(BUFFER_BYTES, end - producedBytes));
+    AnswerPattern.fill(work.checksum().value(), producedBytes, buffer);
     buffer.flip();
   }
 
@@ -260,7 +260,7 @@
       from = peer;
     }
     if (from != null) {
-      server.cut(from);
+      server.cutConnection(from);
     }
     releaseResources();
   }
@@ -278,24 +278,24 @@
       cancelled = phase == Phase.WAITING || phase == Phase.RUNNING;
     }
     if (cancelled) {
-      server.cancelled();
+      server.recordCancellation();
     }
     finish();
   }
 
   private synchronized void finish() {
     if (phase == Phase.WAITING) {
-      server.slots().withdraw(startQueued);
+      server.slots().removeQueued(startQueued);
     }
     phase = Phase.DONE;
-    cancelAlarm();
+    cancelTimer();
     releaseSlot();
   }
 
-  private void cancelAlarm() {
-    if (alarm != null) {
-      alarm.cancel(false);
-      alarm = null;
+  private void cancelTimer() {
+    if (timer != null) {
+      timer.cancel(false);
+      timer = null;
     }
   }
 
@@ -306,7 +306,7 @@
     holdsSlot = false;
     Runnable next = server.slots().release(incarnation);
     if (next != null) {
-      ScheduledFuture<?> unused = server.after(0, next);
+      ScheduledFuture<?> unused = server.scheduleAfter(0, next);
     }
   }
 }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/WorkRequest.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/WorkRequest.java
@@ -16,8 +16,8 @@
  * @param key what executions are counted by: query parameter {@code work}, else {@code Request-Id}
  * @param deadlineNanos monotonic time by which the caller wants the answer
  * @param answerBytes size of the answer's body
- * @param chunked true: the answer states no length
- * @param crashes true: running it crashes the target
+ * @param isChunked true: the answer states no length
+ * @param crashesTarget true: running it crashes the target
  * @param rangeFrom first byte that is asked for, 0 where the whole answer is
  * @param ifRange entity tag under which the range holds, or empty
  * @param checksum grows as the body comes in
@@ -26,22 +26,22 @@
     String key,
     long deadlineNanos,
     long answerBytes,
-    boolean chunked,
-    boolean crashes,
+    boolean isChunked,
+    boolean crashesTarget,
     long rangeFrom,
     String ifRange,
     RequestChecksum checksum) {
 
-  private static final long LONGEST_DEADLINE_MILLIS = TimeUnit.DAYS.toMillis(1);
+  private static final long MAX_DEADLINE_MILLIS = TimeUnit.DAYS.toMillis(1);
 
-  static WorkRequest read(HttpRequest head, long usualAnswerBytes) {
+  static WorkRequest read(HttpRequest head, long defaultAnswerBytes) {
     Map<String, String> query = query(head);
     long millis =
-        Math.min(number(header(head, "Deadline-Millis"), Long.MAX_VALUE), LONGEST_DEADLINE_MILLIS);
+        Math.min(parseLong(header(head, "Deadline-Millis"), Long.MAX_VALUE), MAX_DEADLINE_MILLIS);
     return new WorkRequest(
         query.getOrDefault("work", header(head, "Request-Id")),
         System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis),
-        number(query.getOrDefault("answerBytes", ""), usualAnswerBytes),
+        parseLong(query.getOrDefault("answerBytes", ""), defaultAnswerBytes),
         query.containsKey("chunked"),
         query.containsKey("crash"),
         rangeFrom(header(head, "Range")),
@@ -52,7 +52,7 @@
   /** Only {@code bytes=N-} is understood; anything else asks for the whole answer. */
   private static long rangeFrom(String range) {
     boolean open = range.startsWith("bytes=") && range.endsWith("-");
-    return open ? Math.max(0, number(range.substring(6, range.length() - 1), 0)) : 0;
+    return open ? Math.max(0, parseLong(range.substring(6, range.length() - 1), 0)) : 0;
   }
 
   /** Strong entity tag: the answer's bytes follow from the request alone. */
@@ -86,11 +86,11 @@
     return header == null ? "" : header.getValue();
   }
 
-  private static long number(String text, long absent) {
+  private static long parseLong(String text, long defaultValue) {
     try {
       return Long.parseLong(text);
     } catch (NumberFormatException e) {
-      return absent;
+      return defaultValue;
     }
   }
 }
--- a/sageladder-standin/src/test/java/org/sageladder/standin/fault/FaultScriptTest.java
+++ b/sageladder-standin/src/test/java/org/sageladder/standin/fault/FaultScriptTest.java
@@ -21,10 +21,10 @@
   }
 
   @Test
-  void whatAStepDoesNotNameIsHealthy() throws IOException {
+  void faultsNotNamedInAStepAreHealthy() throws IOException {
     FaultScript<TargetFaults> script =
         parse("[{\"atMillis\":0,\"faults\":{\"shed\":true}},{\"atMillis\":5,\"faults\":{}}]");
-    assertEquals(TargetFaults.none().shed(true), script.steps().get(0).faults());
+    assertEquals(TargetFaults.none().withShed(true), script.steps().get(0).faults());
     assertEquals(TargetFaults.none(), script.steps().get(1).faults());
   }
 
@@ -39,14 +39,14 @@
         "[{\"atMillis\":5,\"faults\":{\"sheds\":true}}] | fault \"sheds\" is unknown",
         "[{\"atMillis\":5,\"faults\":{\"slowFactor\":-2}}] | expected 0 or more",
       })
-  void aBadScriptNamesFileAndStep(String script, String expected) {
+  void errorsNameTheFileAndTheStep(String script, String expected) {
     IOException error = assertThrows(IOException.class, () -> parse(script));
     assertTrue(error.getMessage().contains(expected), error.getMessage());
     assertTrue(error.getMessage().startsWith("t.json: "), error.getMessage());
   }
 
   @Test
-  void stepsAreAppliedInTheirOrder() throws Exception {
+  void stepsAreAppliedInOrder() throws Exception {
     FaultScript<StoreFaults> script =
         FaultScript.parse(
             "s.json",
@@ -54,8 +54,8 @@
             StoreFaults.none(),
             StoreFaults.class);
     BlockingQueue<StoreFaults> applied = new LinkedBlockingQueue<>();
-    FaultScript.Playing playing = script.play(applied::add);
-    assertEquals(StoreFaults.none().down(true), applied.poll(20, TimeUnit.SECONDS));
+    FaultScript.Playback playing = script.play(applied::add);
+    assertEquals(StoreFaults.none().withDown(true), applied.poll(20, TimeUnit.SECONDS));
     assertEquals(StoreFaults.none(), applied.poll(20, TimeUnit.SECONDS));
     playing.close();
   }
--- a/sageladder-standin/src/test/java/org/sageladder/standin/network/SimulatedNetworkTest.java
+++ b/sageladder-standin/src/test/java/org/sageladder/standin/network/SimulatedNetworkTest.java
@@ -16,43 +16,43 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.sageladder.standin.network.SimulatedNetwork.Cut;
+import org.sageladder.standin.network.SimulatedNetwork.Partition;
 
 /** What passes between simulated hosts, when, and what each end is told. */
 class SimulatedNetworkTest {
   private final VirtualLoop loop = VirtualLoop.create();
   private final SimulatedNetwork network =
-      SimulatedNetwork.on(loop, SimulatedNetwork.Ways.standard(), 1);
-  private final SimulatedHost near = network.host("10.0.0.1", "north-a", "north");
-  private final SimulatedHost far = network.host("10.0.0.2", "south-a", "south");
-  private final List<String> seen = new ArrayList<>();
+      SimulatedNetwork.on(loop, SimulatedNetwork.OneWayDelays.standard(), 1);
+  private final SimulatedHost near = network.addHost("10.0.0.1", "north-a", "north");
+  private final SimulatedHost far = network.addHost("10.0.0.2", "south-a", "south");
+  private final List<String> events = new ArrayList<>();
 
-  private final class Noting extends ChannelInboundHandlerAdapter {
+  private final class RecordingHandler extends ChannelInboundHandlerAdapter {
     private final String name;
 
-    Noting(String name) {
+    RecordingHandler(String name) {
       this.name = name;
     }
 
-    private void note(String what) {
-      seen.add(loop.now() + " " + name + " " + what);
+    private void record(String what) {
+      events.add(loop.nowMillis() + " " + name + " " + what);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       ByteBuf bytes = (ByteBuf) message;
-      note(bytes.toString(StandardCharsets.UTF_8));
+      record(bytes.toString(StandardCharsets.UTF_8));
       bytes.release();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      note("end");
+      record("end");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      note(cause.getMessage());
+      record(cause.getMessage());
     }
   }
 
@@ -60,24 +60,24 @@
   void openPort() {
     var unused =
         network
-            .loopOf(far)
+            .processLoop(far)
             .listen(
                 far.ip(),
                 80,
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new Noting("far"));
+                    channel.pipeline().addLast(new RecordingHandler("far"));
                   }
                 });
     loop.runFor(1);
   }
 
   private ChannelFuture connect(int port, int millis) {
-    return network.loopOf(near).connect(far.ip(), port, millis, new Noting("near"));
+    return network.processLoop(near).connect(far.ip(), port, millis, new RecordingHandler("near"));
   }
 
-  private Channel connected() {
+  private Channel openConnection() {
     ChannelFuture opened = connect(80, 1_000);
     loop.runFor(100);
     assertTrue(opened.isSuccess());
@@ -89,17 +89,17 @@
   }
 
   @Test
-  void bytesTakeTheWaysTimeAndKeepTheirOrder() {
-    Channel channel = connected();
-    long sent = loop.now();
+  void bytesArriveInOrderAfterTheOneWayDelay() {
+    Channel channel = openConnection();
+    long sent = loop.nowMillis();
     write(channel, "a");
     write(channel, "b");
     loop.runFor(100);
-    assertEquals(List.of((sent + 20) + " far a", (sent + 20) + " far b"), seen);
+    assertEquals(List.of((sent + 20) + " far a", (sent + 20) + " far b"), events);
   }
 
   @Test
-  void aPortNobodyListensOnRefuses() {
+  void connectToAClosedPortIsRefused() {
     ChannelFuture opened = connect(81, 1_000);
     loop.runFor(39);
     assertTrue(!opened.isDone());
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void aDarkHostIsNoticedByTheTimeOutOnly() {
+  void connectToAHostWithoutPowerTimesOut() {
     far.powerOff();
     ChannelFuture opened = connect(80, 500);
     loop.runFor(499);
@@ -119,80 +119,80 @@
 
   /** Sent at 0, lost at 20, and again 200, 600 and 1,400 ms later. */
   @Test
-  void whatIsSentIntoACutArrivesWithTheNextTryAfterItHeals() {
-    Channel channel = connected();
-    Cut cut = network.cut((from, to) -> true);
-    long sent = loop.now();
+  void bytesSentDuringAPartitionArriveWithTheNextRetransmission() {
+    Channel channel = openConnection();
+    Partition cut = network.partition((from, to) -> true);
+    long sent = loop.nowMillis();
     write(channel, "late");
     loop.runFor(1_000);
     cut.close();
     loop.runFor(419);
-    assertEquals(List.of(), seen);
+    assertEquals(List.of(), events);
     loop.runFor(1);
-    assertEquals(List.of((sent + 1_420) + " far late"), seen);
+    assertEquals(List.of((sent + 1_420) + " far late"), events);
   }
 
   @Test
-  void whatACloseLeavesInACutArrivesAllTheSame() {
-    closeInACut(-1);
-    assertEquals(2, seen.size());
-    assertTrue(seen.get(0).endsWith("far late"), seen.toString());
+  void bytesSentBeforeAnOrderlyCloseArriveAfterThePartition() {
+    closeDuringPartition(-1);
+    assertEquals(2, events.size());
+    assertTrue(events.get(0).endsWith("far late"), events.toString());
   }
 
   @Test
-  void whatAResetLeavesInACutIsLost() {
-    closeInACut(0);
-    assertEquals(List.of(), seen);
+  void bytesSentBeforeAResetAreLostInThePartition() {
+    closeDuringPartition(0);
+    assertEquals(List.of(), events);
   }
 
-  private void closeInACut(int lingerSeconds) {
-    Channel channel = connected();
-    Cut cut = network.cut((from, to) -> from == near);
+  private void closeDuringPartition(int lingerSeconds) {
+    Channel channel = openConnection();
+    Partition cut = network.partition((from, to) -> from == near);
     write(channel, "late");
     loop.runFor(1_000);
     channel.config().setOption(ChannelOption.SO_LINGER, lingerSeconds);
     var unused = channel.close();
     cut.close();
     loop.runFor(10_000);
-    seen.removeIf(line -> line.contains(" near "));
+    events.removeIf(line -> line.contains(" near "));
   }
 
   @Test
-  void keepAliveEndsAConnectionOverALongCut() {
-    Channel channel = connected();
+  void keepAliveAbortsAConnectionDuringALongPartition() {
+    Channel channel = openConnection();
     channel.config().setOption(ChannelOption.SO_KEEPALIVE, true);
-    Cut cut = network.cut((from, to) -> true);
+    Partition cut = network.partition((from, to) -> true);
     loop.runFor(3_000);
     assertTrue(!channel.isActive());
-    assertTrue(seen.toString().contains("near Connection timed out"), seen.toString());
+    assertTrue(events.toString().contains("near Connection timed out"), events.toString());
     cut.close();
   }
 
   @Test
-  void aKilledProcessResetsItsConnections() {
-    var unused = connected();
+  void killedProcessResetsItsConnections() {
+    var unused = openConnection();
     far.kill();
     loop.runFor(100);
-    assertEquals(2, seen.size());
-    assertTrue(seen.get(0).endsWith("near Connection reset by peer"), seen.toString());
+    assertEquals(2, events.size());
+    assertTrue(events.get(0).endsWith("near Connection reset by peer"), events.toString());
   }
 
   @Test
-  void aSuspendedHostCatchesUpLater() {
-    Channel channel = connected();
+  void suspendedHostRunsDeferredTasksOnResume() {
+    Channel channel = openConnection();
     far.suspend();
     write(channel, "kept");
     loop.runFor(5_000);
-    assertEquals(List.of(), seen);
+    assertEquals(List.of(), events);
     far.resume();
-    assertEquals(List.of(loop.now() + " far kept"), seen);
+    assertEquals(List.of(loop.nowMillis() + " far kept"), events);
   }
 
   @Test
-  void tasksOfAProcessThatEndedAreDropped() {
-    network.loopOf(far).schedule(100, () -> seen.add("ran"));
+  void tasksOfAnEndedProcessAreDropped() {
+    network.processLoop(far).schedule(100, () -> events.add("ran"));
     far.kill();
     loop.runFor(200);
-    assertEquals(List.of(), seen);
+    assertEquals(List.of(), events);
   }
 }
--- a/sageladder-standin/src/test/java/org/sageladder/standin/platform/StoreModelTest.java
+++ b/sageladder-standin/src/test/java/org/sageladder/standin/platform/StoreModelTest.java
@@ -8,68 +8,68 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.sageladder.standin.platform.StoreModel.Watched;
+import org.sageladder.standin.platform.StoreModel.WatchResult;
 
 /** The stand-in of the store keeps what the platform's pages say. */
 class StoreModelTest {
   private long now;
-  private final StoreModel store = new StoreModel(() -> now, StoreModel.PAGE);
-  private final List<Watched> watched = new ArrayList<>();
+  private final StoreModel store = new StoreModel(() -> now, StoreModel.MAX_PAGE_ITEMS);
+  private final List<WatchResult> results = new ArrayList<>();
 
   private void watch(long after) {
-    store.watch("", after, 1_000, watched::add);
+    store.watch("", after, 1_000, results::add);
   }
 
   @Test
-  void aWatchBringsWhatCameAfterItsRevision() {
+  void watchReturnsChangesAfterItsRevision() {
     long first = store.put("a", "1", 0);
     watch(first);
-    assertEquals(0, watched.size());
+    assertEquals(0, results.size());
     store.put("b", "2", 0);
-    Watched.Changes changes = assertInstanceOf(Watched.Changes.class, watched.get(0));
+    WatchResult.Changes changes = assertInstanceOf(WatchResult.Changes.class, results.get(0));
     assertEquals(List.of("b"), changes.page().items().stream().map(i -> i.key()).toList());
-    assertEquals(store.revision(), changes.page().asOf());
+    assertEquals(store.revision(), changes.page().asOfRevision());
   }
 
   @Test
-  void aWatchEndsWithoutChangesWhenItsWaitIsOver() {
+  void watchWithoutChangesEndsEmptyAfterItsWait() {
     watch(store.revision());
     now = 1_000;
-    store.tick();
-    Watched.Changes changes = assertInstanceOf(Watched.Changes.class, watched.get(0));
+    store.expireDue();
+    WatchResult.Changes changes = assertInstanceOf(WatchResult.Changes.class, results.get(0));
     assertEquals(List.of(), changes.page().items());
   }
 
   @Test
-  void aWatchFromForgottenHistoryIsToldSo() {
+  void watchFromCompactedHistoryFails() {
     long before = store.revision();
     store.put("a", "1", 0);
-    store.forgetHistory();
+    store.compactHistory();
     watch(before);
-    assertInstanceOf(Watched.Forgotten.class, watched.get(0));
+    assertInstanceOf(WatchResult.Compacted.class, results.get(0));
   }
 
   @Test
-  void aLeaseTakesItsItemsWithIt() {
-    long lease = store.lease(3_000);
+  void expiredLeaseRemovesItsItems() {
+    long lease = store.grantLease(3_000);
     store.put("vm", "x", lease);
     now = 2_000;
-    assertTrue(store.renew(lease));
+    assertTrue(store.renewLease(lease));
     now = 4_000;
-    store.tick();
+    store.expireDue();
     assertEquals(List.of("vm"), store.keys(""));
     now = 5_000;
-    store.tick();
+    store.expireDue();
     assertEquals(List.of(), store.keys(""));
-    assertFalse(store.renew(lease));
+    assertFalse(store.renewLease(lease));
   }
 
   @Test
-  void aRemovedItemIsAChangeWithoutValue() {
+  void removedItemIsAChangeWithoutValue() {
     store.put("a", "1", 0);
     watch(store.revision());
     store.remove("a");
-    Watched.Changes changes = assertInstanceOf(Watched.Changes.class, watched.get(0));
+    WatchResult.Changes changes = assertInstanceOf(WatchResult.Changes.class, results.get(0));
     assertEquals(null, changes.page().items().get(0).value());
   }
 }
--- a/sageladder-standin/src/test/java/org/sageladder/standin/store/HttpStoreTest.java
+++ b/sageladder-standin/src/test/java/org/sageladder/standin/store/HttpStoreTest.java
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aWrittenValueIsReadBack() throws StoreException {
+  void writtenValueIsReadBack() throws StoreException {
     long revision = write("contracts/a b&c", 0, "täht");
     StoredValue value = store.read("contracts/a b&c").orElseThrow();
     assertEquals(revision, value.revision());
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void theLoserOfACompareSeesTheWinnersValue() throws StoreException {
+  void failedCompareReturnsTheCurrentValue() throws StoreException {
     long first = write("k", 0, "one");
     long second = write("k", first, "two");
     WriteResult lost = store.compareAndSet("k", first, bytes("three"), null);
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void listHoldsThePrefixOnlyAndInKeyOrder() throws StoreException {
+  void listReturnsOnlyThePrefixInKeyOrder() throws StoreException {
     write("b/2", 0, "x");
     write("b/1", 0, "x");
     write("c", 0, "x");
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void keysOfALeaseGoWhenItEnds() throws StoreException {
+  void expiredLeaseDeletesItsKeys() throws StoreException {
     long lease = store.grantLease(Duration.ofSeconds(3));
     store.compareAndSet("relays/x", 0, bytes("me"), lease);
     time.advance(Duration.ofSeconds(2));
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void revokingALeaseDeletesItsKeysAtOnce() throws StoreException {
+  void revokedLeaseDeletesItsKeysAtOnce() throws StoreException {
     long lease = store.grantLease(Duration.ofSeconds(3));
     store.compareAndSet("relays/x", 0, bytes("me"), lease);
     store.revokeLease(lease);
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void aWaitingWatchSeesTheWriteThatComesLater() throws Exception {
+  void pendingWatchReturnsALaterWrite() throws Exception {
     long first = write("w/1", 0, "x");
     CompletableFuture<WatchBatch> watch =
         CompletableFuture.supplyAsync(
@@ -133,7 +133,7 @@
   // were cut after the shorter time, each watch would end as an outage and a change would wait for
   // the next one.
   @Test
-  void aWatchMayWaitLongerThanTheTimeOutOfOtherCalls() throws Exception {
+  void watchMayWaitLongerThanTheTimeoutOfOtherCalls() throws Exception {
     long first = write("w/1", 0, "x");
     Duration shortTimeout = Duration.ofSeconds(1);
     try (HttpStore hasty = HttpStore.connect(server.address(), shortTimeout)) {
@@ -154,7 +154,7 @@
   }
 
   @Test
-  void aWatchFromTheStartSeesLatestValuesAndDeletes() throws StoreException {
+  void watchFromRevisionZeroReturnsLatestValuesAndDeletes() throws StoreException {
     long first = write("w/1", 0, "x");
     write("w/1", first, "y");
     long gone = write("w/2", 0, "x");
@@ -167,7 +167,7 @@
   }
 
   @Test
-  void aValueAboveAMegabyteIsRefusedAndOneOfAMegabyteIsKept() throws StoreException {
+  void valueOfOneMebibyteIsStoredAndALargerOneRefused() throws StoreException {
     byte[] largest = new byte[StoreState.MAX_VALUE_BYTES];
     store.compareAndSet("large", 0, largest, null);
     assertEquals(largest.length, store.read("large").orElseThrow().value().length);
@@ -182,8 +182,8 @@
   // answer. Reported as "not done", the operator would send it again and meet a conflict with
   // their own write; so the adapter must say that the outcome is not known.
   @Test
-  void aLostAnswerIsOfUnknownOutcomeAndTookEffect() throws StoreException {
-    server.faults(StoreFaults.none().loseAnswers(1));
+  void lostAnswerHasUnknownOutcomeAndTookEffect() throws StoreException {
+    server.setFaults(StoreFaults.none().withLoseAnswers(1));
     assertThrows(
         StoreException.OutcomeUnknown.class, () -> store.compareAndSet("k", 0, bytes("x"), null));
     assertTrue(store.read("k").isPresent());
@@ -191,16 +191,16 @@
   }
 
   @Test
-  void aLostRequestIsOfUnknownOutcomeAndHadNoEffect() throws StoreException {
-    server.faults(StoreFaults.none().loseRequests(1));
+  void lostRequestHasUnknownOutcomeAndNoEffect() throws StoreException {
+    server.setFaults(StoreFaults.none().withLoseRequests(1));
     assertThrows(
         StoreException.OutcomeUnknown.class, () -> store.compareAndSet("k", 0, bytes("x"), null));
     assertTrue(store.read("k").isEmpty());
   }
 
   @Test
-  void aStoreThatIsDownRefusesAndHasNoEffect() {
-    server.faults(StoreFaults.none().down(true));
+  void storeThatIsDownRefusesCallsWithoutEffect() {
+    server.setFaults(StoreFaults.none().withDown(true));
     assertThrows(
         StoreException.Unavailable.class, () -> store.compareAndSet("k", 0, bytes("x"), null));
     assertThrows(StoreException.Unavailable.class, () -> store.read("k"));
@@ -209,8 +209,8 @@
   }
 
   @Test
-  void aStoreThatHangsLeavesAWriteUnknownAndAReadUnavailable() {
-    server.faults(StoreFaults.none().hang(true));
+  void hangingStoreMakesAWriteUnknownAndAReadUnavailable() {
+    server.setFaults(StoreFaults.none().withHang(true));
     try (HttpStore hasty = HttpStore.connect(server.address(), Duration.ofSeconds(1))) {
       assertThrows(
           StoreException.OutcomeUnknown.class, () -> hasty.compareAndSet("k", 0, bytes("x"), null));
@@ -219,7 +219,7 @@
   }
 
   @Test
-  void aPortThatNobodyListensOnIsUnavailable() throws IOException {
+  void closedPortIsUnavailable() throws IOException {
     int port;
     try (ServerSocket socket = new ServerSocket(0)) {
       port = socket.getLocalPort();
@@ -231,13 +231,13 @@
   }
 
   @Test
-  void theSameSeedLosesTheSameAnswers() throws StoreException {
+  void sameSeedLosesTheSameAnswers() throws StoreException {
     assertEquals(outcomes(7), outcomes(7));
     assertTrue(outcomes(7).contains("lost") && outcomes(7).contains("answered"));
   }
 
   private List<String> outcomes(long seed) throws StoreException {
-    server.faults(StoreFaults.none().loseWithProbability(0.3, seed));
+    server.setFaults(StoreFaults.none().withLoseProbability(0.3, seed));
     List<String> outcomes = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       try {
@@ -251,11 +251,11 @@
   }
 
   @Test
-  void theListOfVmsShowsAChangeOnlyAfterItsLag() throws StoreException {
+  void vmListShowsAChangeOnlyAfterTheLag() throws StoreException {
     ListedVm vm =
         new ListedVm(
             VmRole.TARGET, "t-1", "kannelkoda", "lyrics", "tartu-a", "127.0.0.1", 1, 0, 3, false);
-    server.faults(StoreFaults.none().vmListLag(2000));
+    server.setFaults(StoreFaults.none().withVmListLagMillis(2000));
     server.putVm(vm);
     try (HttpVmList list = HttpVmList.connect(server.address(), TIMEOUT)) {
       assertEquals(List.of(), list.fetch());
--- a/sageladder-standin/src/test/java/org/sageladder/standin/target/SlotTableTest.java
+++ b/sageladder-standin/src/test/java/org/sageladder/standin/target/SlotTableTest.java
@@ -25,9 +25,9 @@
   }
 
   @Test
-  void aLaggingReportShowsTheLoadOfThen() {
+  void laggingReportShowsThePastLoad() {
     SlotTable table = table(options());
-    table.faults(TargetFaults.none().loadLag(1000));
+    table.setFaults(TargetFaults.none().withLoadLagMillis(1000));
     table.offer(SlotTableTest::work, 0);
     assertEquals(0, table.reportedLoad().busy());
     time.advance(Duration.ofMillis(999));
@@ -41,21 +41,21 @@
   }
 
   @Test
-  void aColdTargetRefusesThenIsSlowThenUsual() {
+  void coldTargetRefusesThenRunsSlowlyThenAtFullSpeed() {
     SlotTable table = table(options().coldStart(1000, 2000, 5));
     assertEquals(SlotTable.Decision.STARTING, table.offer(SlotTableTest::work, 0));
-    assertFalse(table.reportedUp());
+    assertFalse(table.isReportedUp());
     time.advance(Duration.ofSeconds(1));
-    assertTrue(table.reportedUp());
-    assertEquals(50_000_000, table.serviceNanos());
+    assertTrue(table.isReportedUp());
+    assertEquals(50_000_000, table.drawServiceNanos());
     time.advance(Duration.ofSeconds(1));
-    assertEquals(30_000_000, table.serviceNanos());
+    assertEquals(30_000_000, table.drawServiceNanos());
     time.advance(Duration.ofSeconds(1));
-    assertEquals(10_000_000, table.serviceNanos());
+    assertEquals(10_000_000, table.drawServiceNanos());
   }
 
   @Test
-  void aFreedSlotGoesToTheWorkThatWaits() {
+  void freedSlotGoesToQueuedWork() {
     SlotTable table = table(options());
     assertEquals(SlotTable.Decision.STARTED, table.offer(SlotTableTest::work, 0));
     assertEquals(SlotTable.Decision.QUEUED, table.offer(SlotTableTest::work, 0));
@@ -69,7 +69,7 @@
   // Work of a crashed incarnation ends late: giving back its slot would let the restarted target
   // run one request more than it has slots.
   @Test
-  void aSlotOfAnEndedIncarnationIsNotGivenBackTwice() {
+  void slotOfAnEndedIncarnationIsNotReleasedAgain() {
     SlotTable table = table(options());
     table.offer(SlotTableTest::work, 0);
     table.restart();
@@ -80,14 +80,14 @@
   }
 
   @Test
-  void theSameSeedDrawsTheSameTimes() {
+  void sameSeedDrawsTheSameServiceTimes() {
     TargetOptions random = options().serviceTime(ServiceTime.parse("lognormal:20:0.5")).seed(3);
     SlotTable one = table(random);
     SlotTable two = table(random);
     double sum = 0;
     for (int i = 0; i < 2000; i++) {
-      long nanos = one.serviceNanos();
-      assertEquals(nanos, two.serviceNanos());
+      long nanos = one.drawServiceNanos();
+      assertEquals(nanos, two.drawServiceNanos());
       sum += nanos / 1e6;
     }
     assertEquals(20, sum / 2000, 1);
--- a/sageladder-standin/src/test/java/org/sageladder/standin/target/TargetServerTest.java
+++ b/sageladder-standin/src/test/java/org/sageladder/standin/target/TargetServerTest.java
@@ -24,13 +24,13 @@
 
 /** The target stand-in over real connections, seen by a client that is not HttpCore's. */
 class TargetServerTest {
-  private static final long NEVER_MILLIS = 3_600_000;
-  private static final ServiceTime LONG = ServiceTime.fixed(3_600_000);
-  private static final ServiceTime NONE = ServiceTime.fixed(0);
+  private static final long NO_RESTART_MILLIS = 3_600_000;
+  private static final ServiceTime HOUR_LONG_SERVICE = ServiceTime.fixed(3_600_000);
+  private static final ServiceTime ZERO_SERVICE = ServiceTime.fixed(0);
   private final HttpClient client = HttpClient.newHttpClient();
 
   private static TargetOptions options() {
-    return TargetOptions.create("t-1").slots(1).queue(0).serviceTime(NONE);
+    return TargetOptions.create("t-1").slots(1).queue(0).serviceTime(ZERO_SERVICE);
   }
 
   private static HttpRequest.Builder to(TargetServer target, String pathAndQuery) {
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void anAnswerCarriesItsOwnRequestsChecksumAndBytes() throws Exception {
+  void answerCarriesTheChecksumAndPatternOfItsRequest() throws Exception {
     try (TargetServer target = TargetServer.start(options())) {
       byte[] body = "a bid".getBytes(StandardCharsets.UTF_8);
       String path = "/bids?work=17&answerBytes=70000";
@@ -74,12 +74,12 @@
       assertEquals(70_000, checker.length());
       assertTrue(checker.matches());
       assertEquals(1, target.executions().count("17"));
-      await(() -> target.busy() == 0);
+      await(() -> target.busySlotCount() == 0);
     }
   }
 
   @Test
-  void aRangeUnderTheSameEntityTagIsTheRestOfTheSameBytes() throws Exception {
+  void rangeWithTheSameEntityTagReturnsTheRemainingBytes() throws Exception {
     try (TargetServer target = TargetServer.start(options())) {
       HttpResponse<byte[]> whole = send(to(target, "/audio?answerBytes=1000"));
       String tag = whole.headers().firstValue("ETag").orElseThrow();
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void aRecordingOfAHundredMegabytesIsStreamed() throws Exception {
+  void answerOfAHundredMegabytesIsStreamed() throws Exception {
     long size = 100_000_000;
     try (TargetServer target = TargetServer.start(options())) {
       HttpRequest request = to(target, "/audio?chunked=1&answerBytes=" + size).build();
@@ -116,10 +116,11 @@
   }
 
   @Test
-  void workBeyondSlotsAndQueueIsShedBeforeRunning() throws Exception {
-    try (TargetServer target = TargetServer.start(options().queue(1).serviceTime(LONG))) {
+  void workBeyondSlotsAndQueueIsShedWithoutRunning() throws Exception {
+    try (TargetServer target =
+        TargetServer.start(options().queue(1).serviceTime(HOUR_LONG_SERVICE))) {
       Future<?> running = sendLater(to(target, "/x?work=1"));
-      await(() -> target.busy() == 1);
+      await(() -> target.busySlotCount() == 1);
       Future<?> queued = sendLater(to(target, "/x?work=2"));
       await(() -> target.slots().load().queued() == 1);
       HttpResponse<byte[]> answer = send(to(target, "/x?work=3"));
@@ -133,7 +134,7 @@
   }
 
   @Test
-  void queuedWorkStartsWhenTheSlotIsFree() throws Exception {
+  void queuedWorkStartsWhenASlotIsFree() throws Exception {
     try (TargetServer target =
         TargetServer.start(options().queue(1).serviceTime(ServiceTime.fixed(30)))) {
       Future<HttpResponse<byte[]>> first = sendLater(to(target, "/x?work=1"));
@@ -146,7 +147,7 @@
   }
 
   @Test
-  void aDrainingTargetFinishesWhatItHasAndTakesNothingNew() throws Exception {
+  void drainingTargetFinishesInFlightWorkAndRefusesNewWork() throws Exception {
     try (TargetServer target =
         TargetServer.start(options().slots(2).serviceTime(ServiceTime.fixed(100)))) {
       Future<HttpResponse<byte[]>> inFlight = sendLater(to(target, "/x?work=1"));
@@ -157,40 +158,41 @@
       assertEquals(503, send(to(target, "/health")).statusCode());
       assertTrue(text(target, "/load").contains("\"draining\":true"));
       assertEquals(200, inFlight.get().statusCode());
-      await(() -> target.busy() == 0);
+      await(() -> target.busySlotCount() == 0);
     }
   }
 
   @Test
-  void aCallerThatClosesItsConnectionCancelsTheWork() throws Exception {
-    try (TargetServer target = TargetServer.start(options().serviceTime(LONG))) {
+  void closedCallerConnectionCancelsTheWork() throws Exception {
+    try (TargetServer target = TargetServer.start(options().serviceTime(HOUR_LONG_SERVICE))) {
       try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), target.port())) {
         socket
             .getOutputStream()
             .write("GET /x?work=1 HTTP/1.1\r\nHost: t\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        await(() -> target.busy() == 1);
+        await(() -> target.busySlotCount() == 1);
       }
-      await(() -> target.busy() == 0);
-      assertEquals(1, target.cancellations());
+      await(() -> target.busySlotCount() == 0);
+      assertEquals(1, target.cancellationCount());
       assertEquals(1, target.executions().count("1"));
     }
   }
 
   @Test
-  void workPastItsDeadlineIsGivenUp() throws Exception {
-    try (TargetServer target = TargetServer.start(options().serviceTime(LONG))) {
+  void workPastItsDeadlineIsAborted() throws Exception {
+    try (TargetServer target = TargetServer.start(options().serviceTime(HOUR_LONG_SERVICE))) {
       HttpResponse<byte[]> running = send(to(target, "/x?work=1").header("Deadline-Millis", "400"));
       assertEquals(504, running.statusCode());
       assertEquals(1, target.executions().count("1"));
-      await(() -> target.busy() == 0);
+      await(() -> target.busySlotCount() == 0);
     }
   }
 
   @Test
-  void queuedWorkPastItsDeadlineIsRefusedBeforeRunning() throws Exception {
-    try (TargetServer target = TargetServer.start(options().queue(1).serviceTime(LONG))) {
+  void queuedWorkPastItsDeadlineIsRefusedWithoutRunning() throws Exception {
+    try (TargetServer target =
+        TargetServer.start(options().queue(1).serviceTime(HOUR_LONG_SERVICE))) {
       Future<?> running = sendLater(to(target, "/x?work=1"));
-      await(() -> target.busy() == 1);
+      await(() -> target.busySlotCount() == 1);
       HttpResponse<byte[]> queued = send(to(target, "/x?work=2").header("Deadline-Millis", "50"));
       assertEquals("shedding", queued.headers().firstValue("Target-Refused").orElseThrow());
       assertEquals(0, target.executions().count("2"));
@@ -201,13 +203,14 @@
   // A target dies in the middle of two requests: their callers must see cut connections, not short
   // answers; new connections are refused until it is back as the next incarnation, on its port.
   @Test
-  void aCrashCutsAllConnectionsUntilTheRestart() throws Exception {
+  void crashCutsAllConnectionsUntilTheRestart() throws Exception {
     try (TargetServer target =
-        TargetServer.start(options().slots(3).serviceTime(LONG).crashMillis(NEVER_MILLIS))) {
+        TargetServer.start(
+            options().slots(3).serviceTime(HOUR_LONG_SERVICE).crashMillis(NO_RESTART_MILLIS))) {
       CompletableFuture<HttpResponse<byte[]>> running =
           client.sendAsync(
               to(target, "/x?work=1").build(), HttpResponse.BodyHandlers.ofByteArray());
-      await(() -> target.busy() == 1);
+      await(() -> target.busySlotCount() == 1);
       assertThrows(IOException.class, () -> send(to(target, "/x?work=2&crash=1")));
       assertThrows(Exception.class, running::get);
       assertThrows(
@@ -217,12 +220,12 @@
       await(() -> canConnect(target));
       assertTrue(text(target, "/load").contains("\"incarnation\":3"));
       assertEquals(1, target.executions().count("2"));
-      assertEquals(0, target.busy());
+      assertEquals(0, target.busySlotCount());
     }
   }
 
   @Test
-  void aCrashedTargetComesBackByItselfAsTheNextIncarnation() throws Exception {
+  void crashedTargetRestartsAsTheNextIncarnation() throws Exception {
     try (TargetServer target = TargetServer.start(options().crashMillis(20))) {
       assertThrows(IOException.class, () -> send(to(target, "/x?work=1&crash=1")));
       await(() -> canConnect(target));
@@ -239,23 +242,24 @@
   }
 
   @Test
-  void aCutAnswerEndsInABrokenConnection() throws Exception {
+  void truncatedAnswerEndsInABrokenConnection() throws Exception {
     try (TargetServer target = TargetServer.start(options())) {
-      target.faults(TargetFaults.none().truncate(1));
+      target.setFaults(TargetFaults.none().withTruncateProbability(1));
       assertThrows(IOException.class, () -> send(to(target, "/x?answerBytes=50000")));
       assertThrows(IOException.class, () -> send(to(target, "/x?answerBytes=500&chunked=1")));
-      target.faults(TargetFaults.none());
+      target.setFaults(TargetFaults.none());
       assertEquals(500, send(to(target, "/x?answerBytes=500")).body().length);
     }
   }
 
   @Test
-  void reportsCanMisleadWhileTheWorkIsRight() throws Exception {
-    try (TargetServer target = TargetServer.start(options().serviceTime(LONG))) {
+  void reportsCanMisleadWhileWorkRunsCorrectly() throws Exception {
+    try (TargetServer target = TargetServer.start(options().serviceTime(HOUR_LONG_SERVICE))) {
       Future<?> running = sendLater(to(target, "/x?work=1"));
-      await(() -> target.busy() == 1);
+      await(() -> target.busySlotCount() == 1);
       assertTrue(text(target, "/load").contains("\"busy\":1"));
-      target.faults(TargetFaults.none().reportBusy(0).health(TargetFaults.Health.ALWAYS_DOWN));
+      target.setFaults(
+          TargetFaults.none().withReportBusy(0).withHealth(TargetFaults.Health.ALWAYS_DOWN));
       assertTrue(text(target, "/load").contains("\"busy\":0"));
       assertEquals(503, send(to(target, "/health")).statusCode());
       running.cancel(true);
@@ -271,7 +275,7 @@
       HttpResponse<byte[]> put =
           send(to(target, "/admin/faults").PUT(HttpRequest.BodyPublishers.ofString(body)));
       assertEquals(200, put.statusCode());
-      assertEquals(TargetFaults.none().shed(true), target.faults());
+      assertEquals(TargetFaults.none().withShed(true), target.faults());
       assertEquals(503, send(to(target, "/x")).statusCode());
     }
   }
--- a/sageladder-tools/src/test/java/org/sageladder/tools/ctl/CtlTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/ctl/CtlTest.java
@@ -90,7 +90,7 @@
 
   @Test
   void lostAnswerOfTheStoreIsReportedAsAccepted() {
-    store.faults(StoreFaults.none().loseAnswers(1));
+    store.setFaults(StoreFaults.none().withLoseAnswers(1));
 
     ExitCode code = run("apply", GOOD, "--store", uri());
 
@@ -102,13 +102,13 @@
   // without a word, she would take it for accepted. Cause: an outage before anything was sent.
   @Test
   void changeDuringAnOutageIsRefusedAloud() {
-    store.faults(StoreFaults.none().down(true));
+    store.setFaults(StoreFaults.none().withDown(true));
 
     ExitCode code = run("apply", GOOD, "--store", uri(), "--base", "0", "--timeout", "300ms");
 
     assertEquals(ExitCode.UNAVAILABLE, code, err());
     assertTrue(err().startsWith("kannelkoda: nothing was written: "), err());
-    store.faults(StoreFaults.none());
+    store.setFaults(StoreFaults.none());
     assertEquals(ExitCode.NOT_FOUND, run("show", "kannelkoda", "--store", uri()));
   }
 
@@ -116,14 +116,14 @@
   // but the operator cannot know; she must be told so, and be able to find out once answers come.
   @Test
   void changeWithoutAnyAnswerIsResolvedLaterByItsId() {
-    store.faults(StoreFaults.none().loseAnswers(20));
+    store.setFaults(StoreFaults.none().withLoseAnswers(20));
 
     ExitCode code = run("apply", GOOD, "--store", uri(), "--base", "0", "--timeout", "500ms");
 
     assertEquals(ExitCode.OUTCOME_UNKNOWN, code, err());
     Matcher command = Pattern.compile("history kannelkoda --change ([-0-9a-f]+)").matcher(err());
     assertTrue(command.find(), err());
-    store.faults(StoreFaults.none());
+    store.setFaults(StoreFaults.none());
     String id = command.group(1);
     assertEquals(ExitCode.OK, run("history", "kannelkoda", "--change", id, "--store", uri()));
     assertTrue(out().startsWith("accepted at revision "), out());
