--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
@@ -120,7 +120,7 @@
               parts.seed(),
               ended -> parts.day().requests().add(ended)));
     }
-    callers.forEach(each -> each.setApiKeys(customers::draw));
+    callers.forEach(each -> each.setCredentialSource(customers::draw));
     customers.all().forEach(each -> parts.day().hold(each.workspace()));
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/http/ConnectionTable.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/http/ConnectionTable.java
@@ -17,7 +17,7 @@
  * <p>Safe for use by several threads.
  */
 public final class ConnectionTable extends SessionObserver {
-  private final Map<SocketAddress, IOSession> open = new ConcurrentHashMap<>();
+  private final Map<SocketAddress, IOSession> sessionsByPeer = new ConcurrentHashMap<>();
   private final Consumer<SocketAddress> onClosed;
 
   private ConnectionTable(Consumer<SocketAddress> onClosed) {
@@ -39,32 +39,32 @@
   }
 
   /** Cuts the connection from {@code peer} at once, whatever is under way on it. */
-  public void cut(SocketAddress peer) {
-    IOSession session = open.get(peer);
+  public void close(SocketAddress peer) {
+    IOSession session = sessionsByPeer.get(peer);
     if (session != null) {
       session.close(CloseMode.IMMEDIATE);
     }
   }
 
   /** Cuts every connection. */
-  public void cutAll() {
-    open.values().forEach(session -> session.close(CloseMode.IMMEDIATE));
+  public void closeAll() {
+    sessionsByPeer.values().forEach(session -> session.close(CloseMode.IMMEDIATE));
   }
 
   /** Number of open connections. */
   public int size() {
-    return open.size();
+    return sessionsByPeer.size();
   }
 
   @Override
   public void connected(IOSession session) {
-    open.put(session.getRemoteAddress(), session);
+    sessionsByPeer.put(session.getRemoteAddress(), session);
   }
 
   @Override
   public void disconnected(IOSession session) {
     SocketAddress peer = session.getRemoteAddress();
-    if (peer != null && open.remove(peer) != null) {
+    if (peer != null && sessionsByPeer.remove(peer) != null) {
       onClosed.accept(peer);
     }
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/http/JsonExchange.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/http/JsonExchange.java
@@ -64,7 +64,7 @@
 
   /** An answer, or the decision to give none and cut the connection. */
   @SuppressWarnings("ArrayRecordComponent")
-  public record Reply(int status, byte[] body, boolean cut) {
+  public record Reply(int status, byte[] body, boolean closesConnection) {
     /** {@code value} as JSON. */
     public static Reply json(int status, Object value) {
       try {
@@ -75,7 +75,7 @@
     }
 
     /** No answer: the caller sees its connection close. */
-    public static Reply none() {
+    public static Reply closeConnection() {
       return new Reply(0, new byte[0], true);
     }
   }
@@ -130,8 +130,8 @@
         HttpContext context) {
       Reply sent =
           reply != null ? reply : Reply.json(500, Map.of("error", String.valueOf(failure)));
-      if (sent.cut()) {
-        connections.cut(peer);
+      if (sent.closesConnection()) {
+        connections.close(peer);
         return;
       }
       try {
@@ -141,7 +141,7 @@
                 .build(),
             context);
       } catch (HttpException | IOException e) {
-        connections.cut(peer);
+        connections.close(peer);
       }
     }
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/http/JsonServer.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/http/JsonServer.java
@@ -49,8 +49,8 @@
   }
 
   /** Cuts every open connection; callers may connect again. */
-  public void cutAll() {
-    connections.cutAll();
+  public void closeConnections() {
+    connections.closeAll();
   }
 
   @Override
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedChannel.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedChannel.java
@@ -28,8 +28,8 @@
   private final SimulatedHost host;
   private final Config config = new Config();
   private final Deque<ByteBuf> unread = new ArrayDeque<>();
-  private @Nullable SimulatedAddress local;
-  private @Nullable SimulatedAddress remote;
+  private @Nullable SimulatedAddress localAddress;
+  private @Nullable SimulatedAddress remoteAddress;
   private @Nullable Pipe out;
   private @Nullable SimulatedChannel peer;
   private int unreadBytes;
@@ -54,8 +54,8 @@
   }
 
   /** True where the kernel ends it once probes get no answer. */
-  boolean isKeptAlive() {
-    return config.keepAlive;
+  boolean hasKeepAlive() {
+    return config.hasKeepAlive;
   }
 
   /** Joins two ends; each is told by {@link #onEstablished} once its kernel knows. */
@@ -67,8 +67,8 @@
   }
 
   private void attach(SimulatedChannel other, SimulatedAddress own, SimulatedAddress others) {
-    local = own;
-    remote = others;
+    localAddress = own;
+    remoteAddress = others;
     peer = other;
     Pipe pipe = new Pipe(network, host, other.host);
     pipe.setReceiver(other);
@@ -211,12 +211,12 @@
 
   @Override
   protected @Nullable SocketAddress localAddress0() {
-    return local;
+    return localAddress;
   }
 
   @Override
   protected @Nullable SocketAddress remoteAddress0() {
-    return remote;
+    return remoteAddress;
   }
 
   @Override
@@ -252,7 +252,7 @@
   /** Options of a connection; a linger of 0 seconds makes its close a reset, as with sockets. */
   private final class Config extends DefaultChannelConfig {
     private int lingerSeconds = -1;
-    private boolean keepAlive;
+    private boolean hasKeepAlive;
 
     Config() {
       super(SimulatedChannel.this);
@@ -265,9 +265,9 @@
         return true;
       }
       if (option.equals(ChannelOption.SO_KEEPALIVE)) {
-        keepAlive = (Boolean) value;
+        hasKeepAlive = (Boolean) value;
         Pipe pipe = out;
-        if (keepAlive && pipe != null && pipe.isBlocked()) {
+        if (hasKeepAlive && pipe != null && pipe.isBlocked()) {
           network.scheduleKeepAliveCheck();
         }
         return true;
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedNetwork.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedNetwork.java
@@ -159,7 +159,7 @@
     for (SimulatedHost host : hosts.values()) {
       for (SimulatedChannel channel : host.channels()) {
         Pipe out = channel.out();
-        if (out != null && out.isBlocked() && channel.isKeptAlive()) {
+        if (out != null && out.isBlocked() && channel.hasKeepAlive()) {
           host.execute(() -> channel.abort("Connection timed out"));
         }
       }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallerConnection.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallerConnection.java
@@ -36,9 +36,9 @@
     record Failed(String cause) implements Reply {}
   }
 
-  private final Deque<Consumer<Reply>> pendingReplies = new ArrayDeque<>();
+  private final Deque<Consumer<Reply>> pendingCallbacks = new ArrayDeque<>();
   private @Nullable ChannelHandlerContext context;
-  private boolean closing;
+  private boolean isClosing;
 
   static void open(
       Loop loop,
@@ -85,7 +85,7 @@
   }
 
   boolean isUsable() {
-    return !closing && pendingReplies.isEmpty() && requireContext().channel().isActive();
+    return !isClosing && pendingCallbacks.isEmpty() && requireContext().channel().isActive();
   }
 
   void send(
@@ -104,25 +104,25 @@
     if (!body.isEmpty()) {
       HttpUtil.setContentLength(request, request.content().readableBytes());
     }
-    pendingReplies.addLast(onReply);
+    pendingCallbacks.addLast(onReply);
     var unused = requireContext().writeAndFlush(request);
   }
 
   /** Ends the connection; nobody is told any more. */
   void abandon() {
-    closing = true;
-    pendingReplies.clear();
+    isClosing = true;
+    pendingCallbacks.clear();
     var unused = requireContext().close();
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-    Consumer<Reply> first = pendingReplies.pollFirst();
+    Consumer<Reply> first = pendingCallbacks.pollFirst();
     if (!HttpUtil.isKeepAlive(response)) {
-      closing = true;
+      isClosing = true;
     }
     if (first == null || response.decoderResult().isFailure()) {
-      closing = true;
+      isClosing = true;
       var unused = ctx.close();
     }
     if (first == null) {
@@ -141,15 +141,15 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    closing = true;
-    while (!pendingReplies.isEmpty()) {
-      pendingReplies.removeFirst().accept(new Reply.Failed("the connection ended"));
+    isClosing = true;
+    while (!pendingCallbacks.isEmpty()) {
+      pendingCallbacks.removeFirst().accept(new Reply.Failed("the connection ended"));
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    closing = true;
+    isClosing = true;
     var unused = ctx.close();
   }
 }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallersStandIn.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallersStandIn.java
@@ -57,7 +57,8 @@
 
   private final class Request {
     final RequestProfile profile;
-    final Ledger.@Nullable Credential credential = apiKeys.drawCredential(keyRandom);
+    final Ledger.@Nullable Credential credential =
+        credentialSource.drawCredential(credentialRandom);
     final long startedAtMillis;
     final String object;
     final String body;
@@ -91,8 +92,8 @@
   private List<String> addresses = new ArrayList<>();
   private long addressesExpireAtMillis = Long.MIN_VALUE;
   private double rateFactor = 1;
-  private CredentialSource apiKeys = random -> null;
-  private final Random keyRandom;
+  private CredentialSource credentialSource = random -> null;
+  private final Random credentialRandom;
   private double abandonFraction;
   private long abandonAfterMillis;
   private boolean isSending = true;
@@ -111,7 +112,7 @@
     this.currentRoutes = currentRoutes;
     this.random = new Random(seed ^ location.zone().hashCode());
     this.onCompletion = onCompletion;
-    this.keyRandom = new Random(seed + location.zone().hashCode());
+    this.credentialRandom = new Random(seed + location.zone().hashCode());
   }
 
   /**
@@ -142,8 +143,8 @@
   }
 
   /** Sends requests with keys from now on. */
-  public void setApiKeys(CredentialSource source) {
-    apiKeys = source;
+  public void setCredentialSource(CredentialSource source) {
+    credentialSource = source;
   }
 
   /** Sends no further requests. */
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreServer.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreServer.java
@@ -194,7 +194,7 @@
       return completed(Reply.json(503, Map.of("error", "the store is down")));
     }
     if (fate.losesRequest) {
-      return completed(Reply.none());
+      return completed(Reply.closeConnection());
     }
     CompletableFuture<Reply> reply;
     try {
@@ -205,7 +205,7 @@
     if (kind.isWrite()) {
       watches.deliver();
     }
-    return fate.losesAnswer ? completed(Reply.none()) : reply;
+    return fate.losesAnswer ? completed(Reply.closeConnection()) : reply;
   }
 
   private CompletableFuture<Reply> apply(StoreCall kind, Call call) throws IOException {
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/WatchTable.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/WatchTable.java
@@ -14,7 +14,7 @@
 final class WatchTable {
   private final StoreState state;
   private final TimeSource time;
-  private final List<Watch> waiting = new ArrayList<>();
+  private final List<Watch> pending = new ArrayList<>();
 
   private WatchTable(StoreState state, TimeSource time) {
     this.state = state;
@@ -29,7 +29,7 @@
       String prefix,
       long afterRevision,
       long deadlineNanos,
-      CompletableFuture<WatchBatch> answer) {}
+      CompletableFuture<WatchBatch> result) {}
 
   private record CompletedWatch(Watch watch, WatchBatch batch) {}
 
@@ -38,17 +38,17 @@
     Watch watch =
         new Watch(prefix, afterRevision, time.nanos() + wait.toNanos(), new CompletableFuture<>());
     synchronized (this) {
-      waiting.add(watch);
+      pending.add(watch);
     }
     deliver();
-    return watch.answer();
+    return watch.result();
   }
 
   /** Answers the watches that have something to tell or have waited long enough. */
   void deliver() {
     List<CompletedWatch> due = new ArrayList<>();
     synchronized (this) {
-      Iterator<Watch> all = waiting.iterator();
+      Iterator<Watch> all = pending.iterator();
       while (all.hasNext()) {
         Watch watch = all.next();
         WatchBatch batch = state.changes(watch.prefix(), watch.afterRevision());
@@ -59,6 +59,6 @@
         }
       }
     }
-    due.forEach(item -> item.watch().answer().complete(item.batch()));
+    due.forEach(item -> item.watch().result().complete(item.batch()));
   }
 }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/SlotTable.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/SlotTable.java
@@ -19,16 +19,16 @@
   private final Deque<QueuedWork> queuedWork = new ArrayDeque<>();
   private final Deque<LoadSample> loadSamples = new ArrayDeque<>();
   private TargetFaults faults = TargetFaults.none();
-  private long startNanos;
+  private long startedAtNanos;
   private long incarnation;
-  private int busy;
+  private int busySlots;
   private boolean isDraining;
 
   private SlotTable(TargetOptions options, TimeSource time) {
     this.options = options;
     this.time = time;
     this.random = new SplittableRandom(options.seed());
-    this.startNanos = time.nanos();
+    this.startedAtNanos = time.nanos();
     this.incarnation = options.incarnation();
     recordLoad();
   }
@@ -81,8 +81,8 @@
     if (faults.shed()) {
       return Decision.SHEDDING;
     }
-    if (busy < options.slots()) {
-      busy++;
+    if (busySlots < options.slots()) {
+      busySlots++;
       recordLoad();
       return Decision.STARTED;
     }
@@ -110,7 +110,7 @@
     }
     QueuedWork next = queuedWork.poll();
     if (next == null) {
-      busy--;
+      busySlots--;
     }
     recordLoad();
     return next == null ? null : next.start();
@@ -137,10 +137,10 @@
   /** Forgets all work and starts as a new incarnation. */
   synchronized void restart() {
     queuedWork.clear();
-    busy = 0;
+    busySlots = 0;
     isDraining = false;
     incarnation++;
-    startNanos = time.nanos();
+    startedAtNanos = time.nanos();
     recordLoad();
   }
 
@@ -158,7 +158,7 @@
 
   /** The truth about this target now. */
   synchronized Load load() {
-    return new Load(options.slots(), busy, queuedWork.size(), isDraining, incarnation);
+    return new Load(options.slots(), busySlots, queuedWork.size(), isDraining, incarnation);
   }
 
   /** The load as the faults let it be seen. */
@@ -185,12 +185,12 @@
   }
 
   private boolean isStarting() {
-    return time.nanos() - startNanos < Duration.ofMillis(options.startMillis()).toNanos();
+    return time.nanos() - startedAtNanos < Duration.ofMillis(options.startMillis()).toNanos();
   }
 
   private double coldStartFactor() {
     double coldNanos = Duration.ofMillis(options.coldMillis()).toNanos();
-    long warmingSince = startNanos + Duration.ofMillis(options.startMillis()).toNanos();
+    long warmingSince = startedAtNanos + Duration.ofMillis(options.startMillis()).toNanos();
     double passed = time.nanos() - warmingSince;
     if (passed >= coldNanos) {
       return 1;
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetServer.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetServer.java
@@ -159,7 +159,7 @@
     if (options.crashMillis() < 0) {
       Runtime.getRuntime().halt(CRASH_EXIT_CODE);
     }
-    schedule(this::crashNow, 0);
+    schedule(this::closeAndScheduleRestart, 0);
   }
 
   /** Cuts everything and starts as a new incarnation on the same port at once. */
@@ -168,7 +168,7 @@
     rebind();
   }
 
-  private void crashNow() {
+  private void closeAndScheduleRestart() {
     stopIncarnation();
     schedule(this::rebind, options.crashMillis());
   }
@@ -176,7 +176,7 @@
   private void stopIncarnation() {
     synchronized (listenLock) {
       endpoint.close(CloseMode.IMMEDIATE);
-      connections.cutAll();
+      connections.closeAll();
       slots.restart();
     }
   }
@@ -232,8 +232,8 @@
     cancellationCount.incrementAndGet();
   }
 
-  void cutConnection(SocketAddress peer) {
-    connections.cut(peer);
+  void closeConnection(SocketAddress peer) {
+    connections.close(peer);
   }
 
   private Supplier<AsyncServerExchangeHandler> route(String pathAndQuery) {
@@ -262,13 +262,13 @@
       case "/admin/state" -> stateReply();
       case "/admin/drain" -> runIfPost(call, this::drain);
       case "/admin/crash" -> runIfPost(call, this::crash);
-      case "/admin/restart" -> runIfPost(call, this::restartSoon);
+      case "/admin/restart" -> runIfPost(call, this::scheduleRestart);
       default -> Reply.json(404, Map.of("error", "no such path: " + call.path()));
     };
   }
 
   /** After the answer to the call that asked for it. */
-  private void restartSoon() {
+  private void scheduleRestart() {
     schedule(this::restart, REBIND_DELAY_MILLIS);
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/WorkExchange.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/WorkExchange.java
@@ -41,7 +41,7 @@
   private long incarnation;
   private boolean holdsSlot;
   private long producedBytes;
-  private long truncateAt = Long.MAX_VALUE;
+  private long truncateAtByte = Long.MAX_VALUE;
   private final Runnable startQueued = this::startWork;
 
   private WorkExchange(TargetServer server) {
@@ -182,7 +182,7 @@
     synchronized (this) {
       producedBytes = from;
       if (server.slots().drawTruncation()) {
-        truncateAt = from + (size - from) / 2;
+        truncateAtByte = from + (size - from) / 2;
       }
     }
     long length = work.isChunked() ? -1 : size - from;
@@ -211,7 +211,7 @@
     try {
       out.sendResponse(response, entity, context);
     } catch (HttpException | IOException e) {
-      cutConnection();
+      closeConnection();
     }
   }
 
@@ -223,11 +223,11 @@
   @Override
   public void produce(DataStreamChannel out) throws IOException {
     WorkRequest work = requireRequest();
-    if (producedBytes >= truncateAt) {
-      cutConnection();
+    if (producedBytes >= truncateAtByte) {
+      closeConnection();
       return;
     }
-    long end = Math.min(work.answerBytes(), truncateAt);
+    long end = Math.min(work.answerBytes(), truncateAtByte);
     while (producedBytes < end) {
       if (!buffer.hasRemaining()) {
         refill(work, end);
@@ -254,13 +254,13 @@
     buffer.flip();
   }
 
-  private void cutConnection() {
+  private void closeConnection() {
     SocketAddress from;
     synchronized (this) {
       from = peer;
     }
     if (from != null) {
-      server.cutConnection(from);
+      server.closeConnection(from);
     }
     releaseResources();
   }
