--- a/sageladder-entry/src/main/java/org/sageladder/entry/EntryDaemon.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/EntryDaemon.java
@@ -55,7 +55,7 @@
 import org.sageladder.protocol.PeerAddress;
 
 /**
- * One entry VM's daemon: look-ups, gates and the path of each request.
+ * The daemon of an entry VM: look-ups, service gates and request forwarding.
  *
  * <pre>{@code
  * try (EntryDaemon daemon = EntryDaemon.start(EntrySettings.read(file))) {
@@ -100,10 +100,10 @@
   }
 
   /**
-   * Starts all parts; the ports are open when it returns.
+   * Starts the daemon; the ports are open when this method returns.
    *
-   * @throws IOException where a port cannot be opened or a needed answer is missing; what was
-   *     opened before is closed again
+   * @throws IOException if a port cannot be opened or the incarnation cannot be read from the
+   *     store; everything opened before is closed again
    */
   public static EntryDaemon start(EntrySettings settings) throws IOException, InterruptedException {
     ResourceStack resources = ResourceStack.empty();
@@ -233,8 +233,8 @@
       TimeSource time,
       ScheduledExecutorService timers,
       EventSink events) {
-    // Each request that waits holds a caller's connection. Without a common bound background work
-    // could hold them all, and a bid would find no connection to come in by.
+    // Each waiting request occupies a caller's connection. Without a common limit, background
+    // requests could occupy all of them and leave none for requests such as auction bids.
     QueueBudget queueBudget = QueueBudget.of(settings.callerLimits().maxConnections());
     return GateTable.create(
         settings.vm(),
@@ -262,7 +262,7 @@
               settings.incarnation(), settings.customer(), settings.vm(), store, time);
     } catch (StoreException e) {
       throw new IOException(
-          "incarnation.source is store, and the store gives no answer: " + e.getMessage(), e);
+          "incarnation.source is store, but the store does not answer: " + e.getMessage(), e);
     }
     return new Member(
         settings.vm(),
@@ -320,27 +320,27 @@
         .register(metrics);
   }
 
-  /** The port that callers use. */
+  /** The port for callers. */
   public int callersPort() {
     return callersListener.port();
   }
 
-  /** The port that peers use. */
+  /** The port for peers. */
   public int innerPort() {
     return controlPlane.innerPort();
   }
 
-  /** The port that operators' tools use. */
+  /** The port for operators and their tools. */
   public int operatorsPort() {
     return operatorsListener.port();
   }
 
-  /** Whether this entry VM may serve what needs a contract. */
+  /** Whether this entry VM may serve requests that need a contract. */
   public ControlPlane.Readiness readiness() {
     return controlPlane.readiness();
   }
 
-  /** True once a contract is in force here and {@code members} entry VMs are known. */
+  /** Whether a contract is in force here and at least {@code minMembers} entry VMs are known. */
   public boolean isServing(int minMembers) {
     long knownMembers =
         controlPlane.state().views().values().stream()
@@ -349,12 +349,15 @@
     return readiness() == ControlPlane.Readiness.READY && knownMembers >= minMembers;
   }
 
-  /** Returns once an operator has asked for a planned stop; the caller then stops the daemon. */
+  /** Waits until an operator requests a planned stop; the caller then stops the daemon. */
   public void awaitDrainRequest() throws InterruptedException {
     drainRequested.await();
   }
 
-  /** A planned stop: takes no new duties, lets what is in flight end, then closes. */
+  /**
+   * Performs a planned stop: announces that this VM leaves, waits for requests in flight, then
+   * closes the daemon.
+   */
   public PlannedStop.Outcome stop() throws InterruptedException {
     events.record(EventKind.STOPPING, "", settings.customer(), "", 0, settings.vm());
     PlannedStop.Outcome outcome = plannedStop.run();
--- a/sageladder-entry/src/main/java/org/sageladder/entry/EntryMain.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/EntryMain.java
@@ -15,8 +15,8 @@
  * The command {@code sageladder-entry --settings FILE}.
  *
  * <pre>{@code
- * sageladder-entry --settings entry.yaml          # serves until it is told to stop
- * sageladder-entry --settings entry.yaml --check  # reads the settings and opens nothing
+ * sageladder-entry --settings entry.yaml          # serves until it is stopped
+ * sageladder-entry --settings entry.yaml --check  # only checks the settings
  * }</pre>
  */
 public final class EntryMain {
@@ -25,18 +25,18 @@
       """
       Usage: sageladder-entry --settings FILE [--check]
 
-      Serves the callers of one customer from this entry VM until it is told to stop.
+      Serves the callers of one customer from this entry VM until it is stopped.
 
         -s, --settings FILE  YAML settings of this entry VM (docs/CONFIGURATION.md)
-        -c, --check          say what is wrong in the settings, and start nothing
+        -c, --check          check the settings and report the first error, but start nothing
         -h, --help           print this help
 
-      SIGTERM begins a planned stop, which cuts off no request. Exit codes: docs/CONFIGURATION.md
+      SIGTERM starts a planned stop, which aborts no request. Exit codes: docs/CONFIGURATION.md
       """;
 
   private EntryMain() {}
 
-  /** Runs the daemon until it is told to stop; exits by the table in docs/CONFIGURATION.md. */
+  /** Runs the daemon until it is stopped; docs/CONFIGURATION.md lists the exit codes. */
   public static void main(String[] args) throws InterruptedException {
     Options options = options();
     CommandLine commandLine;
@@ -51,7 +51,7 @@
       return;
     }
     if (!commandLine.hasOption("settings")) {
-      exitWithUsageError("no settings file is named");
+      exitWithUsageError("option --settings is missing");
       return;
     }
     EntrySettings settings;
@@ -105,12 +105,14 @@
             new Thread(
                 () -> {
                   try {
-                    // The JDK closes the logs at the same time, so this goes to standard output.
+                    // The JDK closes the logs at the same time, so this is written to standard
+                    // output.
                     System.out.println("stopped " + settings.vm() + " " + daemon.stop());
                   } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                   }
-                  // A JVM ended by SIGTERM reports 143; a planned stop that went well reports 0.
+                  // A JVM ended by SIGTERM exits with 143; a successful planned stop must exit with
+                  // 0.
                   Runtime.getRuntime().halt(ExitCode.OK.status());
                 },
                 "stop"));
--- a/sageladder-entry/src/main/java/org/sageladder/entry/KeyRefresher.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/KeyRefresher.java
@@ -11,7 +11,7 @@
 import org.sageladder.core.store.StoreException;
 import org.sageladder.core.time.TimeSource;
 
-/** Keeps the permits' MAC keys in step with the platform's store, a few reads an hour. */
+/** Reloads the MAC keys of permits from the platform's store a few times an hour. */
 final class KeyRefresher implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final Duration RETRY_DELAY = Duration.ofSeconds(2);
@@ -38,12 +38,12 @@
       scheduleRefresh(nextDelay());
     } catch (StoreException | RuntimeException e) {
       logger.atWarning().atMostEvery(1, TimeUnit.MINUTES).withCause(e).log(
-          "the permits' keys cannot be read; those known stay in use");
+          "cannot read the permit keys; the known keys stay in use");
       scheduleRefresh(RETRY_DELAY);
     }
   }
 
-  /** Spread over time, so that VMs started together do not read together for ever. */
+  /** Random delay, so that VMs started together do not keep reading at the same time. */
   private Duration nextDelay() {
     long maxMillis = keys.propagationDelay().toMillis() / 2;
     return Duration.ofMillis(ThreadLocalRandom.current().nextLong(maxMillis / 2, maxMillis));
--- a/sageladder-entry/src/main/java/org/sageladder/entry/ResourceStack.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/ResourceStack.java
@@ -5,16 +5,16 @@
 import java.util.Deque;
 
 /**
- * Closes the parts of a daemon in the reverse order of their opening.
+ * Closes the resources of a daemon in reverse order of their opening.
  *
  * <pre>{@code
- * OpenParts parts = OpenParts.none();
- * HttpListener callers = parts.add(HttpListener.open(...));
- * parts.close(); // closes callers first, then what was added before it
+ * ResourceStack resources = ResourceStack.empty();
+ * HttpListener callers = resources.add(HttpListener.open(...));
+ * resources.close(); // closes callers first, then what was added before it
  * }</pre>
  *
- * <p>A part uses only parts opened before it, so none is used after its end; and a daemon whose
- * start fails half-way leaves no port or thread behind.
+ * <p>A resource uses only resources opened before it, so none is used after it was closed. A daemon
+ * that fails to start leaves no open port or running thread behind.
  */
 final class ResourceStack implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -27,7 +27,7 @@
     return new ResourceStack();
   }
 
-  /** Adds a part that has just been opened, and returns it. */
+  /** Adds a resource that has just been opened, and returns it. */
   <T extends AutoCloseable> T add(T resource) {
     resources.push(resource);
     return resource;
@@ -39,8 +39,8 @@
       try {
         resources.pop().close();
       } catch (Exception e) {
-        // The others must be closed all the same, or their threads keep the process alive.
-        logger.atWarning().withCause(e).log("a part could not be closed");
+        // The other resources must still be closed, as their threads would keep the process alive.
+        logger.atWarning().withCause(e).log("cannot close a resource");
       }
     }
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlEffects.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlEffects.java
@@ -6,29 +6,31 @@
 import org.sageladder.protocol.InnerMessage;
 import org.sageladder.protocol.PeerAddress;
 
-/** What the control machine wants done outside of it; no method blocks. */
+/** The side effects of a {@link ControlStateMachine}; no method blocks. */
 interface ControlEffects {
-  /** Sends to a peer; false where it was surely not sent. */
+  /** Sends a message to a peer; returns false if it was certainly not sent. */
   boolean send(String vm, InnerMessage message);
 
-  /** Makes a peer's address known. */
+  /** Adds or updates the address of a peer. */
   void addPeerAddress(PeerAddress peer);
 
-  /** Makes a store call of the relay's duty; its end is reported to the machine. */
+  /** Starts a store call of the relay election; its result is reported to the election. */
   void startElectionCall(ElectionCall call);
 
-  /** Asks a target of a silent zone whether it works for anybody; answers come to the machine. */
+  /** Asks a target of a silent zone whether it is idle; passes its answer on the control thread. */
   void probeTarget(Holding target, Consumer<Boolean> onAnswer);
 
-  /** Starts or stops watching the contract and fetching the list, which only a relay does. */
+  /**
+   * Starts or stops watching the contract and fetching the platform's list, as only a relay does.
+   */
   void setRelay(boolean isRelay);
 
-  /** Ends a lease that is no longer wanted. */
+  /** Revokes a lease that is no longer needed. */
   void revokeLease(long lease);
 
-  /** Something that the request path reads has changed. */
+  /** Called when state that the request path reads has changed. */
   void onStateChanged();
 
-  /** A payload arrived; {@code from} is empty for an announcement. */
+  /** Delivers a received payload; {@code from} is empty for a broadcast. */
   void deliverPayload(String from, String topic, byte[] content);
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlIdentity.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlIdentity.java
@@ -2,7 +2,7 @@
 
 import org.sageladder.core.membership.Member;
 
-/** Who this process is: its customer and how its zone's view names it. */
+/** Identity of this entry VM: its customer and its entry in the view of its zone. */
 record ControlIdentity(String customer, Member self) {
   String vm() {
     return self.vm();
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlMetrics.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlMetrics.java
@@ -9,7 +9,7 @@
 import org.sageladder.protocol.ProtocolException;
 import org.sageladder.protocol.ZoneReport;
 
-/** Meters of the control plane; docs/MEMBERSHIP.md says what to watch. */
+/** Metrics of the control plane; docs/MEMBERSHIP.md says which to monitor. */
 public final class ControlMetrics {
   private static final List<String> STORE_CALL_KINDS =
       List.of(
@@ -25,7 +25,7 @@
 
   private ControlMetrics() {}
 
-  /** Registers the meters of {@code plane}. */
+  /** Registers the metrics of {@code controlPlane}. */
   public static void bind(MeterRegistry metrics, RelayControlPlane controlPlane) {
     LinkCounters links = controlPlane.linkCounters();
     registerCounter(metrics, "sageladder.control.bytes.in", links, LinkCounters::bytesIn);
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlPlane.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlPlane.java
@@ -10,11 +10,14 @@
 import org.sageladder.core.spread.PeerMessages;
 import org.sageladder.protocol.ZoneReport;
 
-/** How an entry VM learns of contracts, members and targets, and tells others of itself. */
+/**
+ * Distributes contracts, membership and target holdings to an entry VM, and publishes its own
+ * state.
+ */
 public interface ControlPlane extends AutoCloseable {
-  /** Whether this entry VM may serve what needs a contract. */
+  /** Whether this entry VM may serve requests that need a contract. */
   enum Readiness {
-    /** Neither the store nor a peer has told which contract is in force. */
+    /** Neither the store nor a peer has reported the contract in force yet. */
     WAITING,
     /** A contract is in force here. */
     READY,
@@ -22,38 +25,47 @@
     LEAVING
   }
 
-  /** The state as known now; never blocks. */
+  /** The latest known state; never blocks. */
   ClusterState state();
 
-  /** Calls {@code listener} with each new state, one at a time, from a control thread. */
+  /**
+   * Calls {@code listener} with each new state, one at a time, on a thread of the control plane.
+   */
   void onChange(Consumer<ClusterState> listener);
 
-  /** Names where this entry VM's own summaries come from. */
+  /** Sets the source of this entry VM's own load summaries. */
   void setSummarySource(Supplier<List<ZoneSummary>> source);
 
-  /** Tells the others that this entry VM takes no new duties and holds no targets from now on. */
+  /**
+   * Announces to the peers that this entry VM is leaving: it may no longer become relay or hold
+   * targets.
+   */
   void beginLeaving();
 
-  /** Whether this entry VM may serve what needs a contract. */
+  /** Whether this entry VM may serve requests that need a contract. */
   Readiness readiness();
 
-  /** Names where reports on the targets that this entry VM holds or still uses come from. */
+  /** Sets the source of reports on the targets that this entry VM holds or still uses. */
   default void setTargetReportSource(Supplier<List<TargetReport>> source) {}
 
-  /** Says, before each dispatch, how many slots of a holding may be used now. */
+  /** Limits, before each dispatch, how many slots of a holding may be used. */
   default HoldingGuard guard() {
     return HoldingGuard.unrestricted();
   }
 
-  /** Tells peers where callers reach this entry VM; only then does it join its zone's view. */
+  /**
+   * Publishes the port on which callers reach this entry VM, which joins its zone's view only then.
+   */
   default void startServing(int callersPort) {}
 
-  /** Small payloads to other entry VMs. */
+  /** Sends small payloads to other entry VMs and receives theirs. */
   default PeerMessages messages() {
     return PeerMessages.none();
   }
 
-  /** Latest report of each zone: lowest revision in force and who lags. */
+  /**
+   * Latest report of each zone, with its lowest contract revision in force and the VMs that lag.
+   */
   default List<ZoneReport> zoneReports() {
     return List.of();
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlSettings.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlSettings.java
@@ -6,11 +6,12 @@
 import org.sageladder.protocol.PeerAddress;
 
 /**
- * What the control plane must know of this entry VM.
+ * Settings of the control plane of this entry VM.
  *
- * @param self this VM, with the ports that peers and callers reach it on
- * @param seeds inner addresses of peers to try first; their names may be empty
- * @param listFetchInterval time between two fetches of the platform's list while relaying
+ * @param self this VM, with the ports on which peers and callers reach it
+ * @param seeds inner-protocol addresses of peers to contact first; their names may be empty
+ * @param listFetchInterval interval between two fetches of the platform's list while this VM is
+ *     relay
  */
 public record ControlSettings(
     String customer, Member self, List<PeerAddress> seeds, Duration listFetchInterval) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlStateMachine.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlStateMachine.java
@@ -38,9 +38,9 @@
 import org.sageladder.protocol.TopicPayload;
 
 /**
- * The control plane of one entry VM as a machine: driven by ticks, messages and the ends of store
- * calls, it decides what to send, to call and to put in force. Holds no thread and does no I/O; one
- * control thread calls it.
+ * State machine of the control plane of one entry VM. Ticks, messages and results of store calls
+ * drive it; it decides which messages to send, which store calls to make and which state is in
+ * force. Owns no thread and does no I/O; only the control thread calls it.
  */
 final class ControlStateMachine {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -156,7 +156,7 @@
     targetReportSource = source;
   }
 
-  /** The request path now acts on that revision. */
+  /** Called when the request path applies the contract of {@code revision}. */
   void onContractInForce(long revision) {
     if (revision > revisionInForce) {
       revisionInForce = revision;
@@ -164,7 +164,7 @@
     }
   }
 
-  /** One round; to be called every few tens of milliseconds. */
+  /** Performs all work that is due; call it every 100 ms or more often. */
   void tick() {
     guard.tick();
     if (!isReady) {
@@ -183,7 +183,7 @@
     spreader.tick();
   }
 
-  /** Callers are served on that port from now on. */
+  /** Called when the callers' port is open; the VM joins the view of its zone afterwards. */
   void startServing(int newCallersPort) {
     callersPort = newCallersPort;
     nextHeartbeatNanos = time.nanos();
@@ -210,7 +210,7 @@
 
   void onLinkOpened(String vm) {
     if (!isReady) {
-      // A fresh VM may know no other peer than the one that a seed turned out to be.
+      // A newly started VM may know no peer but the one that answers at a seed address.
       seeds.add(vm);
     }
     linkLostNanos.remove(vm);
@@ -239,25 +239,27 @@
     spreader.onLinkLost(vm);
   }
 
-  /** How long the zone's relay has not been heard. */
+  /** Time since the last sign of life of the zone's relay. */
   long relaySilenceNanos() {
     return time.nanos() - relayLastHeardNanos;
   }
 
-  /** The platform's list was fetched. */
+  /** Applies a newly fetched list of the platform's VMs. */
   void onPlatformList(List<ListedVm> vms) {
     directory.onPlatformList(vms).forEach(effects::addPeerAddress);
     relayRole.onPlatformList(vms);
   }
 
-  /** The store told the contract it holds, or that it holds none. */
+  /**
+   * Called with the result of the first store read: the stored contract, or empty if there is none.
+   */
   void onInitialStoreRead(Optional<StoredValue> contract) {
     contract.ifPresent(this::onStoredContract);
     initialSnapshot.recordStoreAnswer();
     becomeReadyIfComplete();
   }
 
-  /** A watch or a read brought the contract. */
+  /** Publishes to the peers a contract that a watch or a read returned. */
   void onStoredContract(StoredValue value) {
     if (value.key().equals(StoredContract.keyOf(identity.customer()))) {
       spreader.publish(
@@ -265,7 +267,7 @@
     }
   }
 
-  /** Tells all entry VMs. */
+  /** Publishes a payload to all entry VMs of the customer. */
   void broadcast(String topic, String id, byte[] content, Duration retention) {
     ItemKey key = new ItemKey(ItemKind.NOTICE, topic + "/" + id);
     long version = Math.max(time.wallMillis(), spreader.table().version(key) + 1);
@@ -302,7 +304,7 @@
       effects.deliverPayload("", payload.topic(), payload.content());
     } catch (ProtocolException e) {
       logger.atWarning().atMostEvery(10, TimeUnit.SECONDS).withCause(e).log(
-          "notice %s cannot be read", item.key().name());
+          "cannot decode notice %s", item.key().name());
     }
   }
 
@@ -359,8 +361,7 @@
 
   private void advanceElection() {
     long silenceNanos = time.nanos() - relayLastHeardNanos;
-    // The rank counts only among those that find the relay silent, and costs a hash for each
-    // member.
+    // The rank matters only once the relay is silent, and computing it hashes every member.
     boolean isRelaySilent = silenceNanos >= timings.relay().silenceTimeout().toNanos();
     int rank = isRelaySilent ? directory.rank(replicatedState.views()) : 0;
     boolean isEligible = isReady && !isLeaving && callersPort > 0;
@@ -393,7 +394,7 @@
           identity.customer(),
           zone,
           0,
-          "nothing heard of the zone for "
+          "no message from the zone for "
               + timings.zoneSilenceTimeout(replicatedState.views().size()).toMillis()
               + " ms");
     }
@@ -460,7 +461,7 @@
       return;
     }
     if (!answer.isRelay()) {
-      // It has given the duty up: no need to wait until its silence is noticed.
+      // The sender is no longer relay, so there is no need to wait for the silence timeout.
       relayLastHeardNanos =
           Math.min(relayLastHeardNanos, time.nanos() - timings.relay().silenceTimeout().toNanos());
       return;
@@ -473,7 +474,8 @@
   private void applyConfirmation(HeartbeatAnswer answer) {
     if (answer.knownIncarnation() > identity.self().incarnation()) {
       logger.atSevere().atMostEvery(10, TimeUnit.SECONDS).log(
-          "the zone knows a later incarnation %d of %s than this one, %d; is the name used twice?",
+          "the zone has a later incarnation %d of %s than this process, %d; is the name used"
+              + " twice?",
           answer.knownIncarnation(), identity.vm(), identity.self().incarnation());
       return;
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlTimings.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlTimings.java
@@ -6,17 +6,19 @@
 import org.sageladder.core.spread.SpreadSettings;
 
 /**
- * Times and budgets of the control plane.
+ * Intervals, timeouts and byte budgets of the control plane.
  *
- * @param reportInterval time between two reports of a zone's load to its own region, and the least
- *     between two to all zones
- * @param reportIntervalPerZone time for each zone between two reports to all zones, so that the
- *     reports of many zones, each of which passes every relay, keep to the byte budget; 8 s at 94
- *     zones, for as long as steering takes a reading for fresh
- * @param zoneSilenceTimeout how long nothing may be heard of another zone before it counts as lost;
- *     longer than a zone goes without a relay
- * @param snapshotRetryInterval time between two tries of a fresh VM to get a snapshot
- * @param snapshotPeerWait how long to wait for further peers after the first one answered
+ * @param reportInterval interval between two reports of a zone's load to its own region; also the
+ *     minimum interval between two reports to all zones
+ * @param reportIntervalPerZone multiplied by the number of zones, the interval between two reports
+ *     to all zones. Every such report passes every relay, so the interval must grow with the number
+ *     of zones to stay within the byte budget: 8 s at 94 zones, which is also the maximum age at
+ *     which steering uses a reading
+ * @param zoneSilenceTimeout time without a message from another zone after which it counts as
+ *     silent; longer than a zone takes to replace its relay
+ * @param snapshotRetryInterval interval between two attempts of a newly started VM to get a
+ *     snapshot
+ * @param snapshotPeerWait how long to wait for snapshots of more peers after the first one
  */
 record ControlTimings(
     MembershipSettings membership,
@@ -39,13 +41,15 @@
         Duration.ofSeconds(1));
   }
 
-  /** Time between two reports of a zone where there are {@code zones} zones. */
+  /** Interval between two reports to all zones if there are {@code zoneCount} zones. */
   Duration reportIntervalToAllZones(int zoneCount) {
     Duration byZones = reportIntervalPerZone.multipliedBy(zoneCount);
     return byZones.compareTo(reportInterval) > 0 ? byZones : reportInterval;
   }
 
-  /** How long nothing may be heard of a zone: at least three reports. */
+  /**
+   * Time without a message after which a zone counts as silent: at least three report intervals.
+   */
   Duration zoneSilenceTimeout(int zones) {
     Duration byReports = reportIntervalToAllZones(zones).multipliedBy(3);
     return byReports.compareTo(zoneSilenceTimeout) > 0 ? byReports : zoneSilenceTimeout;
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/HttpTargetProbe.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/HttpTargetProbe.java
@@ -17,7 +17,7 @@
 import org.sageladder.entry.exchange.BodyPipe;
 import org.sageladder.entry.exchange.RequestSender;
 
-/** Asks targets for their load over HTTP. */
+/** Probes targets by reading their load over HTTP. */
 public final class HttpTargetProbe implements TargetProbe {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final JsonMapper JSON = new JsonMapper();
@@ -30,7 +30,7 @@
     this.sender = sender;
   }
 
-  /** A probe that sends with {@code client}. */
+  /** Creates a probe that sends its requests with {@code sender}. */
   public static HttpTargetProbe of(RequestSender sender) {
     return new HttpTargetProbe(sender);
   }
@@ -65,7 +65,7 @@
         boolean idle = load.path("busy").asInt(1) == 0 && !load.path("draining").asBoolean();
         onAnswer.accept(idle);
       } catch (IOException e) {
-        logger.atFine().withCause(e).log("target %s reports no readable load", target.target());
+        logger.atFine().withCause(e).log("malformed load report from target %s", target.target());
       }
     }
 
@@ -74,7 +74,7 @@
 
     @Override
     public void onFailure(boolean sent, Exception cause) {
-      logger.atFine().withCause(cause).log("target %s is out of reach", target.target());
+      logger.atFine().withCause(cause).log("target %s is unreachable", target.target());
     }
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/Incarnations.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/Incarnations.java
@@ -10,7 +10,7 @@
 import org.sageladder.core.time.TimeSource;
 import org.sageladder.entry.settings.EntrySettings;
 
-/** The number that grows with each start of an entry VM. */
+/** Creates the incarnation of an entry VM, a number that grows with each start. */
 public final class Incarnations {
   private static final int RANDOM_BITS = 16;
   private static final int MAX_ATTEMPTS = 5;
@@ -18,12 +18,12 @@
   private Incarnations() {}
 
   /**
-   * The number of this start, by the source that the settings name.
+   * Returns the incarnation of this start, from the source that the settings select.
    *
-   * <p>From the clock it is the time of the start with random low bits, so that two starts differ
-   * even where the clock was set back. From the store it is the revision of one write.
+   * <p>From the clock, it is the start time with random low bits, so that two starts differ even if
+   * the clock was set back. From the store, it is the revision of one write.
    *
-   * @throws StoreException where the settings want the store and it gives no answer
+   * @throws StoreException if the source is the store and the store does not answer
    */
   public static long forThisStart(
       EntrySettings.Incarnation source, String customer, String vm, Store store, TimeSource time)
@@ -45,7 +45,7 @@
     new SecureRandom().nextBytes(nonce);
     byte[] value = new String(nonce, StandardCharsets.ISO_8859_1).getBytes(StandardCharsets.UTF_8);
     StoreException lastFailure =
-        new StoreException.Unavailable(key + ": other writers kept winning", null);
+        new StoreException.Unavailable(key + ": lost every compare-and-set to other writers", null);
     for (int i = 0; i < MAX_ATTEMPTS; i++) {
       try {
         Optional<StoredValue> current = store.read(key);
@@ -55,7 +55,8 @@
           return done.revision();
         }
       } catch (StoreException e) {
-        // A write whose answer was lost may stand; the next round writes over it with a higher one.
+        // A write whose response was lost may have succeeded; the next attempt overwrites it and
+        // gets a higher revision.
         lastFailure = e;
       }
     }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/InnerKeys.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/InnerKeys.java
@@ -11,11 +11,11 @@
 import org.sageladder.entry.settings.EntrySettings;
 
 /**
- * The keys of the inner protocol: those of the settings, then those of the store.
+ * Supplies the keys of the inner protocol: first those of the settings, then those of the store.
  *
  * <p>A VM that starts while the store is down has no key from there and could not ask its peers for
- * the contract. Keys from the settings close that gap; all VMs of a customer then have them, so
- * they come first and sign.
+ * the contract. Keys from the settings cover this case. All VMs of a customer have the same keys in
+ * their settings, so these come first and are used for signing.
  */
 public final class InnerKeys implements Supplier<Optional<KeyRing>> {
   private final List<KeyRing.Key> settingsKeys;
@@ -27,7 +27,8 @@
   }
 
   /**
-   * The keys of {@code settings}, and after them those that {@code fromStore} has at the moment.
+   * Combines the keys of {@code settings} with the keys that {@code storedRing} returns at each
+   * call.
    */
   public static InnerKeys of(
       List<EntrySettings.InnerKey> settings, Supplier<Optional<KeyRing>> storedRing) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/PeerDirectory.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/PeerDirectory.java
@@ -21,7 +21,7 @@
 import org.sageladder.core.spread.Overlay;
 import org.sageladder.protocol.PeerAddress;
 
-/** Which peers there are, from the views and, where there is no view yet, the platform's list. */
+/** Selects peers from the zone views or, for a zone without a view, from the platform's list. */
 final class PeerDirectory {
   private static final int TREE_FAN_OUT = 2;
   private static final int MAX_SPEAKERS = 2;
@@ -31,12 +31,12 @@
   private final RandomGenerator random;
   private final Map<String, ListedVm> listedVms = new TreeMap<>();
 
-  /** What is known of the way to a peer. */
+  /** State of the network path to a peer. */
   enum Reachability {
     REACHABLE,
-    /** The last message surely did not arrive, a moment ago. */
+    /** A message or the connection was lost a short time ago. */
     UNREACHABLE,
-    /** The same, longer ago: a message may arrive again, but nothing may depend on it. */
+    /** It was lost longer ago: messages are sent again, but a second path is used as well. */
     RETRYING
   }
 
@@ -45,7 +45,7 @@
     this.random = random;
   }
 
-  /** Takes in the platform's list; returns the addresses it tells. */
+  /** Replaces the listed VMs by those of a new list; returns the addresses of the peers in it. */
   List<PeerAddress> onPlatformList(List<ListedVm> vms) {
     listedVms.clear();
     List<PeerAddress> addresses = new ArrayList<>();
@@ -63,7 +63,7 @@
     return addresses;
   }
 
-  /** Addresses that a view tells. */
+  /** Addresses of the peers that a view names. */
   List<PeerAddress> peerAddresses(RelayedView view) {
     return view.view().members().stream()
         .filter(member -> !member.vm().equals(identity.vm()))
@@ -72,9 +72,11 @@
   }
 
   /**
-   * Whom to ask for a first snapshot: a few VMs of the own zone, one of another, and seeds.
+   * Random peers to ask for the initial snapshot: a few VMs of the own zone, and a few among the
+   * VMs of other zones and the seeds.
    *
-   * @param maxPeers how many, so that a fresh VM does not load all its peers
+   * @param maxPeers maximum number of VMs of other zones and seeds; for the own zone, one less. The
+   *     limit keeps a newly started VM from loading all its peers
    */
   List<String> snapshotPeers(Set<String> seeds, Map<String, RelayedView> views, int maxPeers) {
     List<String> ownZoneVms = new ArrayList<>();
@@ -94,7 +96,7 @@
     return List.copyOf(chosen);
   }
 
-  /** Who gets new items from this VM at once. */
+  /** Peers to which this VM forwards new items at once. */
   Set<String> neighbours(Map<String, RelayedView> views, boolean isRelay) {
     Set<String> neighbours = zoneNeighbours(views);
     if (isRelay) {
@@ -112,12 +114,12 @@
   }
 
   /**
-   * Whom a zone's report is handed on to: inside the zone along a tree; between zones, by
-   * {@linkplain #speaker speakers} alone, along the tree of the zone that reports, or to all zones
-   * of its region.
+   * Peers to which this VM forwards a zone's report. Within the zone, reports follow a tree.
+   * Between zones, only {@linkplain #speaker speakers} forward them: along a tree rooted at the
+   * reporting zone, or directly to all zones of its region.
    *
-   * <p>A zone whose speaker cannot be reached is replaced by the zones that it would have served;
-   * else one lost zone would cut those behind it off from reports.
+   * <p>If the speaker of a zone is unreachable, the report goes directly to the zone's children in
+   * the tree. Otherwise one failed zone would cut off all zones below it.
    */
   Set<String> summaryRoute(
       Item report,
@@ -174,13 +176,13 @@
   }
 
   /**
-   * The member that exchanges the report of that version with other zones: two members in turn, and
-   * not the relay where there is another.
+   * The member that exchanges the report of {@code version} with other zones: two members take
+   * turns, and the relay is used only if there is no other member.
    *
-   * <p>In a large zone the heartbeats of all members take most of the relay's byte budget, so the
-   * reports of all zones must not pass it as well. Were it always the same member, its pause would
-   * silence the zone until the next view; so only every other report is lost. All VMs find the same
-   * member in the zone's view.
+   * <p>In a large zone the heartbeats of all members use most of the relay's byte budget, so the
+   * reports of all zones must not pass through it as well. With a single speaker, a pause of that
+   * member would make the zone silent until the next view; with two, only every other report is
+   * lost. All VMs derive the same speaker from the zone's view.
    */
   static String speaker(RelayedView view, long version) {
     List<String> speakers =
@@ -235,7 +237,7 @@
     return neighbours;
   }
 
-  /** Whom to compare with at random: all of the own zone, and a few of others. */
+  /** Peers for anti-entropy repair: all members of the own zone and a few VMs of other zones. */
   List<String> repairPeers(Map<String, RelayedView> views) {
     Set<String> peers = new TreeSet<>(listedVmsIn(identity.zone()));
     RelayedView ownView = views.get(identity.zone());
@@ -259,7 +261,7 @@
     return List.copyOf(peers);
   }
 
-  /** This VM's place among those that follow a relay that fell silent; 0 is first. */
+  /** Rank of this VM among the candidates to replace a silent relay; 0 is first. */
   int rank(Map<String, RelayedView> views) {
     Set<String> candidates = new TreeSet<>();
     RelayedView ownView = views.get(identity.zone());
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/RateLimitedStore.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RateLimitedStore.java
@@ -19,11 +19,12 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * The platform's service within this process's budget of calls; thread-safe.
+ * The platform's store and VM list, with the call rate of this process limited; thread-safe.
  *
- * <p>Guards the service, whose rates grow more slowly than the fleet, against a process that calls
- * in a loop: beyond the budget a call fails here, as if the service were down, and its caller backs
- * off as it would then. A waiting watch counts as one call.
+ * <p>Protects the service, whose capacity grows more slowly than the number of VMs, from a process
+ * that calls it in a loop. A call beyond the limit fails with {@link StoreException.Unavailable}
+ * without being sent, so its caller backs off as during an outage. A watch counts as one call,
+ * however long it waits.
  */
 final class RateLimitedStore implements Store, VmList {
   private final Store store;
@@ -38,20 +39,20 @@
     this.tokenBucket = tokenBucket;
   }
 
-  /** At most {@code perSecond} calls a second in the long run, {@code burst} at once. */
+  /** Limits calls to {@code callsPerSecond} on average and {@code maxBurst} at once. */
   static RateLimitedStore of(
       Store store, VmList vmList, TimeSource time, double callsPerSecond, double maxBurst) {
     return new RateLimitedStore(store, vmList, TokenBucket.of(time, callsPerSecond, maxBurst));
   }
 
-  /** Calls made since the start by kind. */
+  /** Number of calls sent since the start, by kind. */
   Map<String, Long> callCounts() {
     Map<String, Long> counts = new TreeMap<>();
     callCounts.forEach((kind, count) -> counts.put(kind, count.sum()));
     return counts;
   }
 
-  /** Calls that the budget refused. */
+  /** Number of calls that the rate limit refused. */
   long refusedCallCount() {
     return refusedCallCount.sum();
   }
@@ -111,7 +112,7 @@
     return vmList.fetch();
   }
 
-  /** The store belongs to the daemon, which closes it. */
+  /** Does nothing: the daemon owns the store and closes it. */
   @Override
   public void close() {}
 
@@ -120,7 +121,7 @@
       if (!tokenBucket.tryTake(1)) {
         refusedCallCount.increment();
         throw new StoreException.Unavailable(
-            "this process's budget of store calls is used up; " + callKind + " was not sent", null);
+            "rate limit of store calls exceeded; " + callKind + " was not sent", null);
       }
     }
     callCounts.computeIfAbsent(callKind, name -> new LongAdder()).increment();
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayControlPlane.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayControlPlane.java
@@ -44,12 +44,12 @@
 import org.sageladder.protocol.ZoneReport;
 
 /**
- * The control plane in which one relay a zone talks to the platform and entry VMs hear the rest
- * from each other.
+ * Control plane in which one relay per zone calls the platform, and the entry VMs replicate the
+ * state among themselves.
  *
- * <p>Threads: one control thread owns the {@link ControlStateMachine}; the links' thread and the
- * store's threads hand everything to it; one thread of its own calls the listeners, so that a slow
- * listener does not look like a pause of this VM.
+ * <p>One control thread owns the {@link ControlStateMachine}; the threads of the links and of the
+ * store submit their results to it. A separate thread calls the listeners, so that a slow listener
+ * is not mistaken for a pause of this VM.
  */
 public final class RelayControlPlane implements ControlPlane {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -77,12 +77,12 @@
   private volatile List<ZoneReport> zoneReports = List.of();
   private volatile Readiness readiness = Readiness.WAITING;
   private volatile boolean isRelay;
-  // Without one no target of a silent zone ever answers, and none is taken over.
+  // With this default no probe is answered, so no target of a silent zone is taken over.
   private volatile TargetProbe targetProbe = (target, answer) -> {};
-  // Peers may connect before the constructor is done; what they say until then is dropped.
+  // Peers may connect before the constructor has finished; their messages are dropped until then.
   private volatile boolean isStarted;
   private long lastPublishNanos;
-  // Written and read by the delivery thread alone.
+  // Accessed only by the delivery thread.
   private long lastRevisionInForce;
 
   private RelayControlPlane(
@@ -128,11 +128,11 @@
   }
 
   /**
-   * Opens the inner port and starts to look for peers and the store.
+   * Opens the inner port and starts to contact peers and the store.
    *
-   * @param settings who this VM is; its callers' port must be one that peers can be told
-   * @param keys the customer's keys for the inner protocol, empty while not known
-   * @throws IOException where the inner port cannot be opened
+   * @param settings identity of this VM, its seeds and the interval of list fetches
+   * @param keys the customer's keys of the inner protocol, empty until they are known
+   * @throws IOException if the inner port cannot be opened
    */
   public static RelayControlPlane start(
       ControlSettings settings,
@@ -183,7 +183,7 @@
     runOnControlThread(() -> stateMachine.setTargetReportSource(source));
   }
 
-  /** Sets how targets of a silent zone are asked whether they can be reached. */
+  /** Sets the probe that finds out whether targets of a silent zone are reachable and idle. */
   public void setTargetProbe(TargetProbe probe) {
     targetProbe = probe;
   }
@@ -213,27 +213,27 @@
     return isRelay;
   }
 
-  /** What went over the links. */
+  /** Traffic counters of the connections with peers. */
   public LinkCounters linkCounters() {
     return links.counters();
   }
 
-  /** Open connections with peers. */
+  /** Number of open connections with peers. */
   public int openLinks() {
     return links.openLinkCount();
   }
 
-  /** Store calls made since the start by kind. */
+  /** Number of store calls sent since the start, by kind. */
   public Map<String, Long> storeCallCounts() {
     return store.callCounts();
   }
 
-  /** Store calls that the budget refused. */
+  /** Number of store calls that the rate limit refused. */
   public long refusedStoreCallCount() {
     return store.refusedCallCount();
   }
 
-  /** The inner protocol's port. */
+  /** The port of the inner protocol. */
   public int innerPort() {
     return links.port();
   }
@@ -281,13 +281,16 @@
     }
   }
 
-  /** A defect in one message's handling must not end the control thread, and with it the lease. */
+  /**
+   * Logs a failure, so that one message that cannot be handled does not end the control thread and
+   * with it the lease.
+   */
   private static void runAndLogFailure(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
       logger.atSevere().atMostEvery(1, TimeUnit.SECONDS).withCause(e).log(
-          "a step of the control plane failed");
+          "task of the control plane failed");
     }
   }
 
@@ -362,7 +365,7 @@
 
     @Override
     public void onStateChanged() {
-      // The change is seen after each step of the control thread.
+      // Nothing to do: the control thread checks for changes after each task.
     }
 
     @Override
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayRole.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayRole.java
@@ -23,7 +23,10 @@
 import org.sageladder.protocol.MembershipCodec;
 import org.sageladder.protocol.ZoneReport;
 
-/** What an entry VM does while it is its zone's relay: views, reports and answers to heartbeats. */
+/**
+ * Work of an entry VM while it is its zone's relay: publishes views and reports, answers
+ * heartbeats.
+ */
 final class RelayRole {
   private static final int MAX_LAGGING_NAMED = 5;
   private static final double MAJORITY_FRACTION = 0.5;
@@ -69,12 +72,12 @@
     this.confirmationBlockedUntilNanos = time.nanos();
   }
 
-  /** Whether this VM makes views now. */
+  /** Whether this VM builds views now. */
   boolean isActive() {
     return viewBuilder != null;
   }
 
-  /** This VM has loaded its first snapshot. */
+  /** Called when this VM has loaded its initial snapshot. */
   void onReady() {
     takeOver.assumeLent();
   }
@@ -87,7 +90,10 @@
     }
   }
 
-  /** Starts or stops with the duty, and publishes what is due. */
+  /**
+   * Starts when this VM becomes relay, stops when it no longer is, and publishes views and reports
+   * that are due.
+   */
   void tick() {
     detectPause();
     if (!election.isRelay()) {
@@ -107,7 +113,7 @@
     publishReports(builder);
   }
 
-  /** The answer to a heartbeat, as long as this VM is relay. */
+  /** The answer to a heartbeat; empty unless this VM is relay. */
   Optional<HeartbeatAnswer> onHeartbeat(Heartbeat heartbeat) {
     ZoneViewBuilder builder = viewBuilder;
     if (builder == null) {
@@ -124,12 +130,13 @@
   }
 
   /**
-   * Whether holders may rely on this relay alone.
+   * Whether members may treat the answer of this relay as a confirmation of their holdings.
    *
-   * <p>Guards against two relays that both confirm: one whose lease lapsed while it was paused, and
-   * the next one. With a valid lease there is no next one. Without, the relay waits after a pause
-   * until a next one's view would have reached it, and needs to hear most of the zone, so that of
-   * two parts of a split zone at most one is confirmed in full.
+   * <p>Prevents two relays from both confirming: one whose lease expired while it was paused, and
+   * its successor. While the lease is valid there is no successor. Without a valid lease, the relay
+   * waits after a pause until the view of a successor would have reached it. It must also receive
+   * heartbeats from a majority of the zone, so that at most one part of a partitioned zone is
+   * confirmed in full.
    */
   private boolean canConfirm(ZoneViewBuilder builder) {
     if (election.state() == RelayElection.State.HOLDING) {
@@ -174,7 +181,10 @@
         "relay, " + election.state());
   }
 
-  /** Targets of another zone that the relay before took over look like the own zone's. */
+  /**
+   * Restores the take-overs by the previous relay, whose last view lists targets of other zones
+   * like those of the own zone.
+   */
   private void restoreTakeOvers(ZoneViewBuilder builder) {
     builder.setLentTargets(takeOver::isLent);
     for (String zone : replicatedState.otherZonesOfRegion()) {
@@ -191,7 +201,12 @@
     }
     viewBuilder = null;
     events.record(
-        EventKind.LEASE_LOST, "", identity.customer(), identity.zone(), fencingToken, "no relay");
+        EventKind.LEASE_LOST,
+        "",
+        identity.customer(),
+        identity.zone(),
+        fencingToken,
+        "no longer relay");
   }
 
   private int slotsPerTarget(String service) {
@@ -209,8 +224,8 @@
   }
 
   /**
-   * Reports to all zones as often as the byte budget lets so many zones report, and to those of the
-   * own region, on which steering leans first, each {@link ControlTimings#reportInterval}.
+   * Publishes a report to all zones as often as the byte budget allows for their number, and to the
+   * zones of the own region, which steering prefers, every {@link ControlTimings#reportInterval}.
    */
   private void publishReports(ZoneViewBuilder builder) {
     long now = time.nanos();
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ReplicatedState.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ReplicatedState.java
@@ -26,10 +26,11 @@
 import org.sageladder.protocol.ZoneReport;
 
 /**
- * What the spread items say, decoded. Not thread-safe.
+ * The decoded content of the replicated items: contract, zone views and zone reports. Not
+ * thread-safe.
  *
- * <p>The table of items already refuses lower versions; this class refuses content that cannot be
- * read, and keeps what was in force before.
+ * <p>The item table already rejects older versions. This class rejects malformed content and keeps
+ * the previous state in force.
  */
 final class ReplicatedState {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -46,14 +47,14 @@
   private boolean hasChanged;
   private boolean hasUrgentChange;
 
-  /** Nothing is known; zones not heard for long count as lost. */
+  /** Creates an empty state. */
   ReplicatedState(ControlIdentity identity, TimeSource time, ControlTimings timings) {
     this.identity = identity;
     this.time = time;
     this.timings = timings;
   }
 
-  /** Takes an item in; true where its content could be read and concerns this customer. */
+  /** Applies an item; returns true if it changed state that the request path reads. */
   boolean accept(Item item) {
     try {
       boolean isAccepted = decode(item);
@@ -61,7 +62,7 @@
       return isAccepted;
     } catch (ProtocolException | SettingsException | RuntimeException e) {
       logger.atSevere().atMostEvery(10, TimeUnit.SECONDS).withCause(e).log(
-          "%s at version %d cannot be read; what was known before stays in force",
+          "%s at version %d is malformed; the previous state stays in force",
           item.key(), item.version());
       return false;
     }
@@ -113,7 +114,7 @@
     return true;
   }
 
-  /** Revision of the contract known here, 0 for none. */
+  /** Revision of the current contract, or 0 if there is none. */
   long contractRevision() {
     Contract current = contract;
     return current == null ? 0 : current.revision();
@@ -132,8 +133,8 @@
   }
 
   /**
-   * What another zone took over of {@code zone}: its targets as holdings, none once given back, and
-   * the zone that took them as relay.
+   * The take-over of targets of {@code zone} by another zone: the targets as holdings, empty once
+   * given back, and the zone that took them over in place of the relay.
    */
   Optional<RelayedView> takeOver(String zone) {
     return Optional.ofNullable(takeOvers.get(zone));
@@ -143,13 +144,13 @@
     return silentZones.contains(zone);
   }
 
-  /** Whether anything was heard lately of any of {@code zones}. */
+  /** Whether any of {@code zones} has sent a message and is not silent. */
   boolean isAnyLive(List<String> zones) {
     return zones.stream()
         .anyMatch(zone -> lastHeardNanos.containsKey(zone) && !silentZones.contains(zone));
   }
 
-  /** Zones of the own zone's region but itself, by the contract in force. */
+  /** The other zones of the own zone's region, according to the current contract. */
   List<String> otherZonesOfRegion() {
     Contract current = contract;
     if (current == null) {
@@ -176,11 +177,11 @@
   }
 
   /**
-   * Notes zones that have become silent, and returns them.
+   * Marks zones whose timeout has passed as silent, and returns those that are newly silent.
    *
-   * <p>Guards against steering to a zone that is lost: nobody is left there to change its view, so
-   * it would name dead VMs for ever. A zone that is only cut off from this one cannot be reached
-   * from here either. The own zone never counts as silent.
+   * <p>Prevents steering to a zone whose entry VMs have all failed: none is left to publish a new
+   * view, so the last one would name failed VMs indefinitely. A zone that is only partitioned from
+   * this one cannot be reached from here either. The own zone never counts as silent.
    */
   Set<String> detectSilentZones() {
     Set<String> newlySilent = new TreeSet<>();
@@ -198,7 +199,10 @@
     return newlySilent;
   }
 
-  /** Whether a contract or a view changed since the last {@link #buildClusterState}. */
+  /**
+   * Whether the contract, a view or the set of silent zones changed since the last {@link
+   * #buildClusterState}.
+   */
   boolean hasUrgentChange() {
     return hasUrgentChange;
   }
@@ -208,7 +212,10 @@
     return hasChanged;
   }
 
-  /** Everything known, for the request path. */
+  /**
+   * Builds the state for the request path and resets both change flags. Silent zones have no
+   * members and no holdings in it, and their load summaries are left out.
+   */
   ClusterState buildClusterState() {
     hasChanged = false;
     hasUrgentChange = false;
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ReportKeys.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ReportKeys.java
@@ -4,8 +4,8 @@
 import org.sageladder.core.spread.ItemKind;
 
 /**
- * Keys of the items that carry a zone's report: one that goes to all zones, and one that goes more
- * often, to the zones of the same region.
+ * Keys of the items that carry a zone's reports: one for all zones and one, published more often,
+ * for the zones of the same region.
  */
 final class ReportKeys {
   private static final String REGION_SUFFIX = "/near";
@@ -24,7 +24,7 @@
     return key.name().endsWith(REGION_SUFFIX);
   }
 
-  /** The zone that a report's key names. */
+  /** The zone whose report has {@code key}. */
   static String reportingZone(ItemKey key) {
     String name = key.name();
     return isForRegion(key) ? name.substring(0, name.length() - REGION_SUFFIX.length()) : name;
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/StoreWorker.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/StoreWorker.java
@@ -23,8 +23,8 @@
 import org.sageladder.platform.contract.StoredContract;
 
 /**
- * Makes the control plane's blocking calls to the platform on threads of its own and hands their
- * ends to the control thread.
+ * Makes the control plane's blocking calls to the platform on its own threads and passes the
+ * results to the control thread.
  */
 final class StoreWorker implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -64,12 +64,12 @@
     this.events = events;
   }
 
-  /** What the control thread is told. */
+  /** Receives the results of the calls. */
   interface Results {
     /** Runs on the control thread. */
     void runOnControlThread(Runnable task);
 
-    /** The store's answer to a fresh VM. */
+    /** Called once with the contract that the first successful read returned. */
     void onInitialRead(Optional<StoredValue> contract);
 
     void onContractChanged(StoredValue contract);
@@ -78,7 +78,8 @@
   }
 
   /**
-   * Starts the threads that read the contract once, watch it while relaying, and fetch the list.
+   * Starts the threads that read the contract once, watch it while this VM is relay, and fetch the
+   * platform's list.
    */
   void start(Results results, LongSupplier knownRevision) {
     executor.execute(() -> readContract(results));
@@ -90,12 +91,15 @@
     isRelay = newIsRelay;
   }
 
-  /** Whether the list is needed although this VM is no relay: it is fresh, or hears nobody. */
+  /**
+   * Sets whether the list is needed although this VM is not relay: it is not ready yet, or the
+   * relay has been silent for long.
+   */
   void setListNeeded(boolean isNeeded) {
     isListNeeded = isNeeded;
   }
 
-  /** Makes a call of the duty. */
+  /** Starts a call of the relay election. */
   void startElectionCall(ElectionCall call, RelayElection election, Results results) {
     executor.execute(() -> runElectionCall(call, election, results));
   }
@@ -106,7 +110,7 @@
           try {
             store.revokeLease(lease);
           } catch (StoreException e) {
-            logger.atFine().withCause(e).log("lease %d will end by itself", lease);
+            logger.atFine().withCause(e).log("lease %d was not revoked and will expire", lease);
           }
         });
   }
@@ -239,8 +243,7 @@
       events.record(EventKind.STORE_DOWN, "", "", "", 0, String.valueOf(cause.getMessage()));
     }
     logger.atWarning().atMostEvery(10, TimeUnit.SECONDS).log(
-        "the platform's service gave no answer; what is known stays in force: %s",
-        cause.getMessage());
+        "call to the platform failed; the known state stays in force: %s", cause.getMessage());
   }
 
   private void sleep(Duration pause) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/TargetProbe.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/TargetProbe.java
@@ -3,14 +3,14 @@
 import java.util.function.Consumer;
 import org.sageladder.core.membership.Holding;
 
-/** Finds out whether a target of a silent zone can be reached and works for nobody. */
+/** Checks whether a target of a silent zone is reachable and idle. */
 @FunctionalInterface
 public interface TargetProbe {
   /**
-   * Asks {@code target}; returns at once.
+   * Sends a probe to {@code target}; returns at once.
    *
-   * @param onAnswer told true where the target answered that none of its slots is busy; never told
-   *     where it gives no answer
+   * @param onAnswer receives whether the target is idle, that is, has no busy slot and is not
+   *     draining; not called if the target does not answer
    */
   void probe(Holding target, Consumer<Boolean> onAnswer);
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/TopicDispatcher.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/TopicDispatcher.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.sageladder.core.spread.PeerMessages;
 
-/** Who takes the payloads of which topic; thread-safe. */
+/** Dispatches payloads to the receivers registered for their topics; thread-safe. */
 final class TopicDispatcher {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -16,18 +16,18 @@
     receiversByTopic.put(topic, receiver);
   }
 
-  /** A payload of a topic that nobody takes is dropped: its sender may be of a later release. */
+  /** Drops a payload whose topic has no receiver: its sender may run a later release. */
   void deliver(String from, String topic, byte[] content) {
     PeerMessages.Receiver receiver = receiversByTopic.get(topic);
     if (receiver == null) {
-      logger.atFine().log("nobody takes topic '%s' from '%s'", topic, from);
+      logger.atFine().log("no receiver for topic '%s' from '%s'", topic, from);
       return;
     }
     try {
       receiver.receive(from, content);
     } catch (RuntimeException e) {
       logger.atWarning().atMostEvery(10, TimeUnit.SECONDS).withCause(e).log(
-          "a payload of topic '%s' from '%s' could not be used", topic, from);
+          "receiver failed on a payload of topic '%s' from '%s'", topic, from);
     }
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ViewEventRecorder.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ViewEventRecorder.java
@@ -12,11 +12,11 @@
 import org.sageladder.core.membership.ZoneView;
 
 /**
- * Puts on the time line what each new view of this entry VM's zone changes: members that came and
- * went, and targets of this VM that it got, lost or that are leaving.
+ * Records the changes in each new view of this entry VM's zone as events: members that joined or
+ * left, and targets that this VM now holds, no longer holds or that are draining.
  *
  * <pre>{@code
- * control.onChange(ViewEvents.of("tallinn-1-a", "tallinn-1", "kannelkoda", events));
+ * control.onChange(ViewEventRecorder.of("tallinn-1-a", "tallinn-1", "kannelkoda", events));
  * }</pre>
  *
  * <p>Called by one thread.
@@ -37,7 +37,7 @@
     this.events = events;
   }
 
-  /** Events of the entry VM {@code vm}, which has seen no view yet. */
+  /** Creates a recorder for the entry VM {@code vm} that has seen no view yet. */
   public static ViewEventRecorder of(String vm, String zone, String customer, EventSink events) {
     return new ViewEventRecorder(vm, zone, customer, events);
   }
@@ -70,10 +70,10 @@
     drainingTargets = newDraining;
   }
 
-  /** One event for each name that is in {@code these} and not in {@code others}. */
-  private void record(EventKind kind, Set<String> present, Set<String> absent, long viewNumber) {
-    present.stream()
-        .filter(name -> !absent.contains(name))
+  /** Records one event for each name that is in {@code names} but not in {@code excluded}. */
+  private void record(EventKind kind, Set<String> names, Set<String> excluded, long viewNumber) {
+    names.stream()
+        .filter(name -> !excluded.contains(name))
         .sorted()
         .forEach(name -> events.record(kind, "", customer, name, viewNumber, "by the zone's view"));
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ZoneTakeOver.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ZoneTakeOver.java
@@ -25,23 +25,23 @@
 import org.sageladder.protocol.MembershipCodec;
 
 /**
- * Lets one zone of a region use the targets of another whose entry VMs are all gone.
+ * Lets one zone of a region use the targets of another zone whose entry VMs have all failed.
  *
- * <p>A zone that is not heard is either dead or cut off. A target of it that answers, and works for
- * nobody, tells the two apart: under a cut it is out of reach, and where its own zone still serves,
- * it is busy sooner or later. Even so only half of its slots are used, and its own zone uses no
- * more than the other half until it knows that they were given back; so a wrong guess overloads no
- * target.
+ * <p>A silent zone has either failed or is partitioned from this one. If one of its targets answers
+ * a probe and is idle, the zone is assumed to have failed: in a partition the target would be
+ * unreachable, and if the zone still served requests, the target would be busy sooner or later. As
+ * this conclusion may be wrong, only half of the target's slots are used, and its own zone uses no
+ * more than the other half until it knows that they were given back. So no target is overloaded.
  *
- * <p>What is taken over is an item that spreads to all, so that the next relay of either zone
- * knows. Runs in the zone's relay; not thread-safe.
+ * <p>A take-over is published as a replicated item, so that the next relay of either zone knows of
+ * it. Runs on the zone's relay; not thread-safe.
  */
 final class ZoneTakeOver {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final String KEY_PREFIX = "taken-over/";
   private static final Duration PROBE_INTERVAL = Duration.ofSeconds(1);
 
-  /** How long a zone that was away may not know yet that its targets were taken over. */
+  /** Maximum time until a zone that was paused or partitioned learns that its targets are lent. */
   private static final Duration LOAN_PROPAGATION_DELAY = Duration.ofSeconds(4);
 
   private final ControlIdentity identity;
@@ -80,12 +80,18 @@
     return key.kind() == ItemKind.VIEW && key.name().startsWith(KEY_PREFIX);
   }
 
-  /** This VM has just started or was paused: others may have taken its zone's targets over. */
+  /**
+   * Treats all targets of the own zone as lent for a while. Called after a start, a pause or a
+   * partition, when another zone may have taken them over.
+   */
   void assumeLent() {
     assumeLentUntilNanos = time.nanos() + LOAN_PROPAGATION_DELAY.toNanos();
   }
 
-  /** Whether another zone may be using half of that target of the own zone. */
+  /**
+   * Whether another zone may be using half of the slots of {@code target}, a target of the own
+   * zone.
+   */
   boolean isLent(String target) {
     if (replicatedState.otherZonesOfRegion().isEmpty()) {
       return false;
@@ -97,7 +103,7 @@
     return isTakenOver || time.nanos() - assumeLentUntilNanos < 0;
   }
 
-  /** One round of the relay. */
+  /** Performs one round of probes, take-overs and returns; called on each tick of the relay. */
   void tick(ZoneViewBuilder builder) {
     List<String> otherZones = replicatedState.otherZonesOfRegion();
     updateContact(otherZones);
@@ -115,7 +121,7 @@
     }
   }
 
-  /** After a cut both sides may have gone on for long; the other one's items are on their way. */
+  /** Detects the end of a partition, when items of the other side may not have arrived yet. */
   private void updateContact(List<String> otherZones) {
     boolean hasContact = replicatedState.isAnyLive(otherZones);
     if (hasContact && !hadRegionContact) {
@@ -148,7 +154,10 @@
     return replicatedState.takeOver(zone).filter(view -> !view.view().holdings().isEmpty());
   }
 
-  /** The zone that serves for {@code zone}: all zones of the region that hear each other agree. */
+  /**
+   * The zone that takes over from {@code zone}; all zones of the region that reach each other
+   * choose the same one.
+   */
   private String successorZone(String zone, List<String> otherZones) {
     List<String> candidates = new ArrayList<>(List.of(identity.zone()));
     for (String otherZone : otherZones) {
@@ -170,7 +179,7 @@
     idleTargetsByZone.put(zone, idleTargets);
     for (Holding holding : lastHoldings(zone)) {
       if (!holding.isDraining()) {
-        probe.probe(holding, nobody -> recordAnswer(nobody, holding, idleTargets));
+        probe.probe(holding, isIdle -> recordAnswer(isIdle, holding, idleTargets));
       }
     }
   }
@@ -181,7 +190,7 @@
     }
   }
 
-  /** Takes what answered to the last round of probes. */
+  /** Takes over the targets that answered the last round of probes as idle. */
   private void takeOverIdleTargets(String zone, ZoneViewBuilder builder) {
     Set<String> idleTargets = idleTargetsByZone.getOrDefault(zone, Set.of());
     List<Holding> idleHoldings =
@@ -194,7 +203,7 @@
     publishTakeOver(zone, idleHoldings);
     builder.takeOver(zone, idleHoldings);
     logger.atWarning().log(
-        "zone %s is silent while %d of its targets answer: using half of their slots",
+        "zone %s is silent but %d of its targets are idle: using half of their slots",
         zone, idleHoldings.size());
     events.record(
         EventKind.VIEW_CHANGED,
@@ -215,7 +224,7 @@
     boolean isOwnTakeOver = takeOver.isPresent() && takeOver.get().relay().equals(identity.zone());
     if (isOwnTakeOver && !builder.holdsTargetsOf(zone)) {
       publishTakeOver(zone, List.of());
-      logger.atInfo().log("zone %s is back and has its targets' slots again", zone);
+      logger.atInfo().log("zone %s is live again; the slots of its targets were given back", zone);
     }
   }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/package-info.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/package-info.java
@@ -1,4 +1,4 @@
-/** How this entry VM learns of contracts, members and targets. */
+/** The control plane of an entry VM: contracts, membership and target holdings. */
 @NullMarked
 package org.sageladder.entry.control;
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/ConnectionLimiter.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/ConnectionLimiter.java
@@ -9,9 +9,9 @@
 /**
  * Counts the connections of one port and closes those beyond the limit.
  *
- * <p>Failure guarded against: callers that open connections without end take all descriptors of the
- * process, and then neither targets nor peers can be reached. A connection beyond the limit is
- * closed before anything was read from it, so its caller may go to another entry VM at once.
+ * <p>Without a limit, callers that keep opening connections use up all descriptors of the process,
+ * and then neither targets nor peers can be reached. A connection beyond the limit is closed before
+ * anything is read from it, so its caller can safely use another entry VM at once.
  */
 final class ConnectionLimiter extends SessionObserver {
   private final int maxConnections;
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/HttpListener.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/HttpListener.java
@@ -29,7 +29,7 @@
 import org.sageladder.entry.request.LocalReplies;
 import org.sageladder.platform.http.DisconnectDetectingSession;
 
-/** One listening HTTP port of an entry VM. */
+/** An HTTP server on one port of an entry VM. */
 public final class HttpListener implements AutoCloseable {
   private static final int HEAD_TO_LINE_RATIO = 2;
   private static final int MAX_HEADERS = 100;
@@ -47,8 +47,8 @@
   /**
    * Opens a port.
    *
-   * @param port 0 lets the machine choose
-   * @throws java.net.BindException where the port is taken
+   * @param port 0 lets the operating system choose
+   * @throws java.net.BindException if the port is in use
    */
   public static HttpListener open(
       String host, int port, ConnectionLimits limits, Supplier<AsyncServerExchangeHandler> handlers)
@@ -112,7 +112,9 @@
         null);
   }
 
-  /** Gives a number to the answers that the HTTP library makes for requests it cannot read. */
+  /**
+   * Adds a result code to the error responses that the HTTP library sends for malformed requests.
+   */
   private static HttpResponseInterceptor resultHeaderInterceptor() {
     return (response, entity, context) -> {
       if (response.getCode() < 400 || response.containsHeader(Headers.RESULT)) {
@@ -132,22 +134,22 @@
         response, tooLarge ? ResultCode.HEAD_TOO_LARGE : ResultCode.MALFORMED_REQUEST);
   }
 
-  /** The port that is open. */
+  /** The port on which this server listens. */
   public int port() {
     return port;
   }
 
-  /** Connections that are open now. */
+  /** Number of open connections. */
   public int openConnectionCount() {
     return connectionLimiter.openCount();
   }
 
-  /** Connections that were closed at once because as many as allowed were open. */
+  /** Number of connections closed at once because the limit was reached. */
   public long refusedConnectionCount() {
     return connectionLimiter.refusedCount();
   }
 
-  /** Closes all connections that have no exchange, then the rest after {@code grace}. */
+  /** Closes all connections without an exchange, and the remaining ones after {@code grace}. */
   public void stop(Timeout grace) throws InterruptedException {
     server.initiateShutdown();
     server.awaitShutdown(grace);
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/IdleConnectionHandler.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/IdleConnectionHandler.java
@@ -11,16 +11,17 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * Closes connections on which nothing moves, but none whose caller waits for an answer.
+ * Closes connections without traffic, unless the caller is waiting for a response.
  *
- * <p>Failure guarded against: callers that vanish without closing hold a descriptor each for ever,
- * and one day the port refuses everybody. The HTTP library's own timeout would also cut off a
- * caller whose export waits long for a slot; such a connection has more requests than answers.
+ * <p>Callers that vanish without closing their connection each occupy a descriptor forever, until
+ * the port refuses all callers. The HTTP library's own timeout would also close the connection of a
+ * caller whose request waits long for a slot; such a connection has received more requests than it
+ * has sent responses.
  */
 final class IdleConnectionHandler implements IOEventHandler {
   private final IOEventHandler delegate;
 
-  // Both are used by the connection's one I/O thread alone.
+  // Accessed only by the connection's I/O thread.
   private long lastActivityNanos = System.nanoTime();
   private long lastResponseCount;
 
@@ -28,18 +29,19 @@
     this.delegate = delegate;
   }
 
-  /** Decorates each connection that {@code factory} makes. */
+  /** Decorates the handler of each connection that {@code factory} creates. */
   static IOEventHandlerFactory decorate(IOEventHandlerFactory factory) {
     return (session, attachment) ->
         new IdleConnectionHandler(factory.createHandler(session, attachment));
   }
 
   /**
-   * Called at short intervals once nothing has moved for {@code timeout}.
+   * Called at short intervals once there has been no traffic for {@code timeout}.
    *
-   * <p>Failure guarded against: an answer that comes after a long wait counts as given before its
-   * first byte is written. Closed in that moment, the caller would see a cut connection in place of
-   * it. So the time begins anew with each look that finds an answer awaited, or one given since.
+   * <p>The library counts a response as sent before its first byte is written. If the connection
+   * were closed at that moment after a long wait, the caller would see a closed connection instead
+   * of the response. So the idle time restarts with each call that finds a pending request, or a
+   * response sent since the previous call.
    */
   @Override
   public void timeout(IOSession session, Timeout timeout) {
@@ -50,7 +52,8 @@
       lastResponseCount = responseCount;
       lastActivityNanos = now;
     } else if (now - lastActivityNanos > timeout.toNanoseconds()) {
-      // The library would reset it, and a caller that sends at this moment could not tell why.
+      // The library would reset the connection, and a caller that is just sending could not tell
+      // why.
       session.close(CloseMode.GRACEFUL);
     }
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/OperatorPort.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/OperatorPort.java
@@ -22,7 +22,9 @@
 import org.sageladder.platform.event.EventPage;
 import org.sageladder.protocol.ZoneReport;
 
-/** What operators and their tools read of one entry VM: metrics, state and events. */
+/**
+ * Serves operators and their tools: metrics, state, events, look-up explanations and planned stops.
+ */
 public final class OperatorPort implements CallerExchange.Handler {
   private static final JsonMapper JSON = new JsonMapper();
   private static final Pattern EVENTS = Pattern.compile("/v1/events(?:\\?after=(\\d{1,18}))?");
@@ -52,17 +54,17 @@
     this.startDrain = startDrain;
   }
 
-  /** Where the events that this port serves come from. */
+  /** Source of the events that this port serves. */
   @FunctionalInterface
   public interface EventSource {
-    /** The events after {@code sequence}. */
+    /** Returns the events after {@code sequence}. */
     EventPage readAfter(long sequence);
   }
 
   /**
-   * The routes of the operators' port of {@code vm}.
+   * Creates the request handler of the operators' port of {@code vm}.
    *
-   * @param startDrain begins a planned stop; must return at once and may be run more than once
+   * @param startDrain starts a planned stop; must return at once and may be called more than once
    */
   public static OperatorPort of(
       String vm,
@@ -162,7 +164,7 @@
     return json;
   }
 
-  /** What a zone's relay reported last of the contract in force there. */
+  /** Writes the last report of a zone's relay on the contract in force there. */
   private static void describe(ZoneReport report, ObjectNode json) {
     json.put("customer", report.customer());
     json.put("takenAtMillis", report.takenAtMillis());
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/RequestFramingValidator.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/RequestFramingValidator.java
@@ -13,12 +13,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Refuses requests whose headers leave open where the body ends.
+ * Rejects requests whose headers do not define unambiguously where the body ends.
  *
- * <p>Failure guarded against: of two lengths, or a length beside chunks, one reader takes the first
- * and another the second, and the tail of one body is read as the next request. The HTTP library
- * closes the connection without an answer for a bad length and takes a length beside chunks; here
- * both get a numbered 400, after which the connection closes and nothing more is read from it.
+ * <p>Prevents request smuggling: with two lengths, or a length and chunked encoding, two HTTP
+ * implementations may each use a different one, and the rest of one body is then read as the next
+ * request. For an invalid length, the HTTP library closes the connection without a response; a
+ * length next to chunked encoding it accepts. Here both get status 400 with a result code, after
+ * which the connection is closed and nothing more is read from it.
  */
 final class RequestFramingValidator implements HttpRequestInterceptor {
   private static final String INVALID_LENGTH_ATTRIBUTE = "sageladder.body-length-invalid";
@@ -30,13 +31,16 @@
     return new RequestFramingValidator();
   }
 
-  /** Reads no body where the length is invalid, so that {@link #process} gets to refuse it. */
+  /**
+   * Returns a strategy that reads no body if the length is invalid, so that {@link #process} can
+   * reject the request.
+   */
   static ContentLengthStrategy contentLengthStrategy() {
     return message ->
         isValid(message) ? DefaultContentLengthStrategy.INSTANCE.determineLength(message) : 0;
   }
 
-  /** True where the exchange was refused for its body's length. */
+  /** Whether the exchange was rejected because of the length of its body. */
   static boolean isRejected(HttpContext context) {
     return context.getAttribute(INVALID_LENGTH_ATTRIBUTE) != null;
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/package-info.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/package-info.java
@@ -1,4 +1,4 @@
-/** The callers' and the operators' HTTP servers. */
+/** The HTTP servers for callers and for operators. */
 @NullMarked
 package org.sageladder.entry.http;
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/package-info.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/package-info.java
@@ -1,4 +1,4 @@
-/** The entry daemon: look-ups, gates and the path of each request. */
+/** The entry daemon: its main class and the assembly of its components. */
 @NullMarked
 package org.sageladder.entry;
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/settings/EntrySettings.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/settings/EntrySettings.java
@@ -13,19 +13,20 @@
 import org.sageladder.platform.settings.SettingsSection;
 
 /**
- * Settings of one entry daemon, read once at start.
+ * Settings of an entry daemon, read once at start.
  *
  * <pre>{@code
  * EntrySettings settings = EntrySettings.read(Path.of("entry.yaml"));
  * }</pre>
  *
  * @param vm name of this entry VM, unique in the platform
- * @param customer the one customer whose requests this entry VM carries
- * @param zone availability zone that this entry VM runs in
- * @param host IP number that all ports are opened on
- * @param seeds inner addresses of peers to ask first; may be empty
- * @param innerKeys keys of the inner protocol, the first one in use; may be empty, then the store's
- * @param eventCapacity events kept for the time line
+ * @param customer the only customer whose requests this entry VM handles
+ * @param zone availability zone in which this entry VM runs
+ * @param host IP address on which all ports are opened
+ * @param seeds inner-protocol addresses of peers to contact first; may be empty
+ * @param innerKeys keys of the inner protocol, of which the first one signs; if empty, the keys of
+ *     the store are used
+ * @param eventCapacity number of recent events kept for the timeline tool
  */
 public record EntrySettings(
     String vm,
@@ -51,30 +52,30 @@
   private static final String INNER_KEY_ALLOWED =
       "an id of letters and digits, a colon and at least 16 bytes in base64";
 
-  /** Copies the list, so that the settings cannot change. */
+  /** Copies the lists, so that the settings are immutable. */
   public EntrySettings {
     seeds = List.copyOf(seeds);
     innerKeys = List.copyOf(innerKeys);
   }
 
-  /** TCP ports; 0 lets the machine choose a free one. */
+  /** TCP ports; 0 lets the operating system choose a free one. */
   public record Ports(int callers, int inner, int operators) {}
 
   /**
    * The platform's key-value service.
    *
-   * @param timeout longest wait for the answer to one call, a watch's own wait not counted
+   * @param timeout timeout of one call, not counting the wait time that a watch asks for
    */
   public record StoreSettings(URI uri, Duration timeout) {}
 
   /**
-   * The platform's list of live and leaving VMs.
+   * The platform's list of live and draining VMs.
    *
-   * @param fetchInterval time between two fetches
+   * @param fetchInterval interval between two fetches
    */
   public record VmListSettings(URI uri, Duration fetchInterval) {}
 
-  /** IP number and TCP port of a peer's inner protocol. */
+  /** IP address and TCP port of a peer's inner protocol. */
   public record PeerAddress(String host, int port) {
     static PeerAddress parse(String text) {
       int colon = text.lastIndexOf(':');
@@ -96,26 +97,28 @@
     }
   }
 
-  /** Where the number comes from that grows with each start of this entry VM. */
+  /** Source of the incarnation, a number that grows with each start of this entry VM. */
   public enum IncarnationSource {
-    /** The revision of one write to the store at start; safe against clocks that go back. */
+    /** The revision of one write to the store at start; unaffected by clocks that are set back. */
     STORE,
-    /** Milliseconds since the Unix epoch at start; needs no store. */
+    /** Start time in milliseconds since the Unix epoch with random low bits; needs no store. */
     CLOCK,
-    /** The number in the settings, from whoever makes the VM. */
+    /** The number in the settings, set by whatever creates the VM. */
     FIXED
   }
 
-  /** Source of the incarnation; {@code number} counts only for {@link IncarnationSource#FIXED}. */
+  /**
+   * Source of the incarnation; {@code number} is used only with {@link IncarnationSource#FIXED}.
+   */
   public record Incarnation(IncarnationSource source, long number) {}
 
-  /** Form of the logs. */
+  /** Format of log lines. */
   public enum LogFormat {
     TEXT,
     JSON
   }
 
-  /** Least level that is logged; {@code DEBUG} explains decisions. */
+  /** Minimum level that is logged; {@code DEBUG} explains decisions. */
   public enum LogLevel {
     ERROR,
     WARNING,
@@ -123,17 +126,17 @@
     DEBUG
   }
 
-  /** Logs go to standard error. */
+  /** Settings of the logs, which go to standard error. */
   public record Logs(LogFormat format, LogLevel level) {}
 
   /**
    * Limits of the callers' port.
    *
-   * @param maxHeadBytes largest request head
-   * @param maxBodyBytes largest request body
-   * @param maxConnections most open connections
-   * @param workerThreads threads of the pool that serves them
-   * @param idleTimeout time after which a connection is closed on which nothing moves
+   * @param maxHeadBytes maximum size of a request head
+   * @param maxBodyBytes maximum size of a request body
+   * @param maxConnections maximum number of open connections
+   * @param workerThreads number of threads that serve these connections
+   * @param idleTimeout time without traffic after which a connection is closed
    */
   public record CallerLimits(
       int maxHeadBytes,
@@ -145,13 +148,14 @@
   /**
    * Reads and checks a settings file.
    *
-   * @throws SettingsException naming the first mistake in one line
+   * @throws SettingsException if the file is invalid, with a one-line message that names the first
+   *     error
    */
   public static EntrySettings read(Path file) throws SettingsException {
     return from(SettingsDocument.read(file));
   }
 
-  /** Checks settings given as text; {@code fileName} is only used in errors. */
+  /** Parses and checks settings given as text; {@code fileName} is used only in error messages. */
   public static EntrySettings parse(String fileName, String yaml) throws SettingsException {
     return from(SettingsDocument.parse(fileName, yaml));
   }
@@ -188,7 +192,7 @@
         root.wholeNumber("eventCapacity", 1, 1 << 22, 16_384));
   }
 
-  /** Two listeners on one port would leave the second one closed, so a clash is refused here. */
+  /** Rejects two listeners on one port here, as the second one could not be opened. */
   private static Ports ports(SettingsSection root) throws SettingsException {
     SettingsSection section = root.section("ports", "callers", "inner", "operators");
     Ports ports =
@@ -244,7 +248,7 @@
     List<InnerKey> keys = new ArrayList<>();
     for (String text : root.texts("innerKeys", ANY_TEXT, INNER_KEY_ALLOWED)) {
       if (!INNER_KEY.matcher(text).matches()) {
-        // The wrong value may be most of a secret, so it is not quoted.
+        // A malformed value may contain most of a secret, so it is not quoted.
         throw root.error("innerKeys", "(not shown)", INNER_KEY_ALLOWED);
       }
       int colon = text.indexOf(':');
@@ -263,8 +267,8 @@
     if (section.has("number")) {
       throw section.error(
           "number",
-          "a number beside source " + source.name().toLowerCase(Locale.ROOT),
-          "it only with source fixed");
+          "a number with source " + source.name().toLowerCase(Locale.ROOT),
+          "a number only with source fixed");
     }
     return new Incarnation(source, 0);
   }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/ResourceStackTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/ResourceStackTest.java
@@ -6,32 +6,32 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How a daemon's parts end. */
+/** Tests how the resources of a daemon are closed. */
 class ResourceStackTest {
   private final List<String> closed = new ArrayList<>();
 
-  // An operator stops an entry VM and finds a stack trace in its log each time: the connections to
-  // targets were closed before the poller that uses them.
+  // Each stop of an entry VM used to log a stack trace, because the connections to targets were
+  // closed before the poller that uses them.
   @Test
   void resourcesAreClosedInReverseOrder() {
-    try (ResourceStack parts = ResourceStack.empty()) {
-      parts.add(() -> closed.add("connections"));
-      parts.add(() -> closed.add("poller"));
+    try (ResourceStack resources = ResourceStack.empty()) {
+      resources.add(() -> closed.add("connections"));
+      resources.add(() -> closed.add("poller"));
     }
     assertEquals(List.of("poller", "connections"), closed);
   }
 
-  // A port is taken, so the daemon cannot start; one part fails to close, and the threads of the
-  // others would keep a process alive that serves nobody.
+  // The daemon cannot start because a port is in use, and one resource fails to close. If the
+  // others stayed open, their threads would keep the process alive although it serves no caller.
   @Test
   void failureToCloseOneResourceDoesNotKeepOthersOpen() {
-    try (ResourceStack parts = ResourceStack.empty()) {
-      parts.add(() -> closed.add("store"));
-      parts.add(
+    try (ResourceStack resources = ResourceStack.empty()) {
+      resources.add(() -> closed.add("store"));
+      resources.add(
           () -> {
             throw new IllegalStateException("already closed");
           });
-      parts.add(() -> closed.add("timers"));
+      resources.add(() -> closed.add("timers"));
     }
     assertEquals(List.of("timers", "store"), closed);
   }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineFixture.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineFixture.java
@@ -28,7 +28,7 @@
 import org.sageladder.protocol.InnerMessage;
 import org.sageladder.protocol.PeerAddress;
 
-/** A few control machines on a virtual clock, with a store and links that can fail. */
+/** Simulates control state machines on a virtual clock, with a store and links that can fail. */
 final class ControlStateMachineFixture {
   static final String CUSTOMER = "k";
   static final Duration STEP = Duration.ofMillis(25);
@@ -48,7 +48,7 @@
   private long nextLease = 1;
   private int steps;
 
-  /** One entry VM. */
+  /** A simulated entry VM. */
   final class FakeNode implements ControlEffects {
     final String vm;
     final String zone;
@@ -173,7 +173,7 @@
     }
   }
 
-  /** The store's part that needs no call of the duty: the first read and the relay's watch. */
+  /** Delivers store data outside the relay election: the initial read and the relay's watch. */
   private void deliverStoreData(FakeNode node) {
     if (isStoreDown || partitionedZones.contains(node.zone)) {
       return;
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineTest.java
@@ -36,8 +36,8 @@
     fixture.nodes.values().forEach(node -> assertEquals(next, node.revision(), node.vm));
   }
 
-  // The store is down and a VM starts. Its peers are at different revisions, because one of them
-  // missed the last change. Taking the first answer, it could serve limits that are replaced.
+  // A VM starts while the store is down. Its peers have different revisions, as one of them missed
+  // the last change. If the VM used the first answer, it could apply limits that are out of date.
   @Test
   void vmStartedDuringStoreOutageUsesHighestRevisionOfItsPeers() {
     fixture.storeContract(20);
@@ -54,8 +54,8 @@
     assertEquals(newest, newNode.revision());
   }
 
-  // A VM starts in a zone that is cut off, with neither peers nor store. Serving whatever it thinks
-  // up would admit work without limits.
+  // A VM starts in a partitioned zone and reaches neither peers nor the store. If it became ready
+  // without a contract, it would admit requests without limits.
   @Test
   void vmWithoutStoreAndPeersIsNotReady() {
     fixture.isStoreDown = true;
@@ -66,7 +66,8 @@
     assertTrue(node.machine.readinessExplanation().contains("neither the store nor a ready peer"));
   }
 
-  // The whole zone starts during an outage. The VMs can only ask each other, and none knows.
+  // All VMs of a zone start during a store outage. They can only ask each other, and none has a
+  // contract.
   @Test
   void answersOfUnreadyPeersDoNotMakeVmReady() {
     fixture.isStoreDown = true;
@@ -80,7 +81,8 @@
     fixture.nodes.values().forEach(node -> assertEquals(revision, node.revision()));
   }
 
-  // The relay dies right after the store accepted a change. Nobody else in the zone watches.
+  // The relay fails right after the store accepted a change, and no other VM of the zone watches
+  // the store.
   @Test
   void changeIsInForceWithinSixSecondsOfRelayFailure() {
     fixture.storeContract(20);
@@ -99,8 +101,8 @@
     assertEquals(1, relays("tartu-1").size());
   }
 
-  // The store goes down and then the relay dies. Without a stand-in the dead VM's targets would
-  // stand idle until the store is back.
+  // The store fails and then the relay. If no other member acted as relay, the targets of the
+  // failed VM would stay unused until the store is available again.
   @Test
   void memberActsAsRelayWhenRelayFailsDuringStoreOutage() {
     fixture.storeContract(20);
@@ -114,7 +116,8 @@
     assertEquals(1, actingRelays.size());
     assertEquals(RelayElection.State.ACTING, actingRelays.get(0).machine.election().state());
     for (Holding holding : view(actingRelays.get(0), "tartu-1").holdings()) {
-      assertFalse(holding.holder().equals(failedRelay.vm), "the dead VM holds " + holding.target());
+      assertFalse(
+          holding.holder().equals(failedRelay.vm), "the failed VM holds " + holding.target());
     }
     long fencingToken =
         ZoneViewBuilder.fencingTokenOf(view(actingRelays.get(0), "tartu-1").number());
@@ -126,7 +129,8 @@
     assertTrue(ZoneViewBuilder.fencingTokenOf(view(nextRelay, "tartu-1").number()) > fencingToken);
   }
 
-  // The store is down for ten minutes. Lapsed leases must not cost any gate its slots.
+  // The store is down for ten minutes, so all leases expire. No gate may lose slots because of
+  // this.
   @Test
   void longStoreOutageLeavesAllSlotsUsable() {
     fixture.storeContract(20);
@@ -143,8 +147,8 @@
     assertEquals(1, relays("tartu-1").size());
   }
 
-  // The relay is paused for ten seconds and another VM becomes relay. On waking the old one still
-  // thinks that it is relay and holds its targets.
+  // The relay is paused for ten seconds and another VM becomes relay. When the old one resumes, it
+  // still has the state of a relay that holds targets.
   @Test
   void relayResumedAfterLongPauseNeitherDispatchesNorActsAsRelay() {
     fixture.storeContract(20);
@@ -167,7 +171,7 @@
     assertTrue(view(oldRelay, "tartu-1").number() >= newView.number());
   }
 
-  // A zone is cut off from the others and from the store, and healed after a minute.
+  // A zone is partitioned from the other zones and from the store for a minute.
   @Test
   void partitionedZoneKeepsServingAndCatchesUpAfterwards() {
     fixture.storeContract(20);
@@ -186,8 +190,8 @@
     fixture.nodes.values().forEach(node -> assertEquals(revision, node.revision(), node.vm));
   }
 
-  // A whole zone is lost. Its last view stays as it was, since nobody is left to change it, and
-  // callers would be sent to dead VMs for ever.
+  // All VMs of a zone fail. No VM is left to publish a new view of the zone, so callers would be
+  // steered to failed VMs indefinitely.
   @Test
   void silentZoneIsNotOfferedUntilItReportsAgain() {
     fixture.storeContract(20);
@@ -291,8 +295,9 @@
     assertEquals(revision, report.lowestRevision());
   }
 
-  // A zone is lost whole. Reports of the others that would have passed it must go round it, or the
-  // zones behind it would take living zones for silent and stop offering them to callers.
+  // All VMs of a zone fail. Reports that would have been forwarded by the zone must bypass it.
+  // Otherwise the zones below it in the tree would treat live zones as silent and stop steering
+  // callers to them.
   @Test
   void reportsBypassASilentZone() {
     fixture.storeContract(20);
@@ -316,8 +321,8 @@
     }
   }
 
-  // One of the two members that pass reports on is paused. Its zone must still be heard, or it
-  // would count as lost although its other entry VMs serve.
+  // One of the two speakers of a zone is paused. Reports of the zone must still arrive, or it would
+  // count as silent although its other entry VMs serve callers.
   @Test
   void pausedSpeakerDoesNotMakeItsZoneSilent() {
     fixture.storeContract(20);
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/FixedControlPlane.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/FixedControlPlane.java
@@ -9,7 +9,7 @@
 import org.sageladder.core.membership.ZoneSummary;
 import org.sageladder.core.membership.ZoneView;
 
-/** A control plane that knows the given members of one zone, and no more ever. */
+/** A control plane with a fixed state: one zone with the given members, and no contract. */
 public record FixedControlPlane(List<Member> members) implements ControlPlane {
   @Override
   public ClusterState state() {
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/RateLimitedStoreTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/RateLimitedStoreTest.java
@@ -24,9 +24,9 @@
   private final RateLimitedStore store =
       RateLimitedStore.of(countingStore(), List::of, time, CALLS_PER_SECOND, MAX_BURST);
 
-  // A watch that the service answers at once without a change makes its caller ask again at once.
-  // From 94 relays that is the whole of the service's read rate; the caller must be held back here,
-  // and a call held back must look like an outage, so that the caller backs off.
+  // If the service answers a watch at once without a change, the caller repeats it at once. From 94
+  // relays such calls use up the service's whole read rate, so they must be limited here. A refused
+  // call must look like an outage, so that the caller backs off.
   @Test
   void callsIncludingWatchesAreRateLimited() {
     int attempts = 0;
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ViewEventRecorderTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ViewEventRecorderTest.java
@@ -21,8 +21,8 @@
           (kind, request, contract, subject, revision, detail) ->
               recorded.add(kind + " " + subject + " " + revision));
 
-  // Story: after a drain an operator asks when the gate stopped sending, and the time line tells
-  // nothing between the list's sign and the last answer. Cause: views were recorded by number only.
+  // Only the numbers of views used to be recorded. After a drain, the timeline then did not show
+  // when the gate had stopped sending requests to the target.
   @Test
   void eachChangeOfTheZoneViewIsRecordedOnce() {
     applyView(1, List.of("a"), holding("t1", "a", false), holding("t2", "a", false));
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ZoneTakeOverTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ZoneTakeOverTest.java
@@ -28,8 +28,9 @@
     assertEquals(SLOTS, usableSlots("target-vm-1", SILENT_ZONE));
   }
 
-  // Story: all entry VMs of a zone die at once, its targets go on. Nobody is left to hold them, and
-  // callers of the zone are turned away although a third of the customer's capacity is idle.
+  // All entry VMs of a zone fail at once while its targets keep running. Without a take-over no VM
+  // holds the targets, and callers of the zone are refused although a third of the customer's
+  // capacity is idle.
   @Test
   void neighbourUsesPartOfTheSlotsOfAFailedZonesTargets() {
     nodesInZone(SILENT_ZONE).forEach(node -> node.hasFailed = true);
@@ -42,8 +43,8 @@
     assertEquals(SLOTS, usableSlots("target-vm-4", NEIGHBOUR_ZONE));
   }
 
-  // Story: a zone is cut off and serves on. Taken for dead, its targets would get work from two
-  // sides. Cause: silence alone; but under a cut the targets are out of reach, too.
+  // A partitioned zone keeps serving. If silence alone triggered a take-over, its targets would get
+  // requests from two zones. In a partition, however, the targets are unreachable as well.
   @Test
   void partitionedZoneIsNotTakenOver() {
     fixture.partitionedZones.add(SILENT_ZONE);
@@ -52,8 +53,8 @@
     assertEquals(0, usableSlots("target-vm-1", NEIGHBOUR_ZONE));
   }
 
-  // Story: only the entry VMs are cut off, their targets can be reached from both sides. The
-  // targets are at work for the silent zone, which shows that it lives.
+  // Only the entry VMs of a zone are partitioned, and its targets are reachable from both sides. A
+  // busy target shows that the silent zone may still be serving.
   @Test
   void busyTargetOfASilentZoneIsNotTakenOver() {
     fixture.busyTargets.add("target-vm-1");
@@ -63,8 +64,9 @@
     assertEquals(1, usableSlots("target-vm-2", NEIGHBOUR_ZONE));
   }
 
-  // Story: the zone's VMs are replaced while the neighbour has its targets. Starting with all slots
-  // before they know, both zones together would send more than the targets take.
+  // The VMs of a zone are replaced while the neighbour has taken over its targets. If the new VMs
+  // used all slots before they learn of the take-over, both zones together would overload the
+  // targets.
   @Test
   void slotsAreReturnedWithoutOverlapWhenTheZoneRestarts() {
     nodesInZone(SILENT_ZONE).forEach(node -> node.hasFailed = true);
@@ -79,8 +81,8 @@
     }
   }
 
-  // Story: a whole zone is paused for longer than the silence and wakes unaware. It still has its
-  // views and would go on with all slots while the neighbour uses half of them.
+  // All VMs of a zone are paused for longer than the silence timeout. When they resume, they still
+  // have their views and would use all slots while the neighbour uses half of them.
   @Test
   void zoneResumedAfterAPauseWaitsForItsSlots() {
     nodesInZone(SILENT_ZONE).forEach(node -> node.isPaused = true);
@@ -92,8 +94,8 @@
     assertEquals(0, usableSlots("target-vm-1", NEIGHBOUR_ZONE));
   }
 
-  // Story: the neighbour's relay dies while it has the targets. The next relay finds them in its
-  // zone's last view and would take them for its own, with all slots.
+  // The neighbour's relay fails while its zone has taken over targets. The next relay finds them in
+  // its zone's last view and could mistake them for targets of its own zone, with all slots.
   @Test
   void nextRelayOfTheNeighbourStillUsesPartOfTheSlots() {
     nodesInZone(SILENT_ZONE).forEach(node -> node.hasFailed = true);
@@ -108,7 +110,7 @@
       assertTrue(slots <= 1, "target-vm-" + i + " " + slots);
       totalSlots += slots;
     }
-    assertTrue(totalSlots >= 1, "all were lost with the relay");
+    assertTrue(totalSlots >= 1, "no slot is used after the relay failed");
   }
 
   private void advanceAndCheckSlots(Duration length) {
@@ -126,7 +128,7 @@
     }
   }
 
-  /** Slots of the target that entry VMs of that zone would use now. */
+  /** Number of slots of {@code target} that the entry VMs of {@code zone} may use now. */
   private int usableSlots(String target, String zone) {
     int slots = 0;
     for (FakeNode node : nodesInZone(zone)) {
--- a/sageladder-entry/src/test/java/org/sageladder/entry/http/HttpListenerTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/http/HttpListenerTest.java
@@ -20,12 +20,12 @@
 import org.sageladder.entry.exchange.CallerExchange;
 import org.sageladder.entry.request.LocalReplies;
 
-/** What a port grants to its connections. */
+/** Tests the connection limit and the idle timeout of a port. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class HttpListenerTest {
   private static final Duration LONG_IDLE_TIMEOUT = Duration.ofMinutes(10);
 
-  /** Much longer than the port's looks for idle connections, 200 ms, as in every real setting. */
+  /** Much longer than the 200 ms between checks for idle connections, as in every valid setting. */
   private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(2);
 
   private static HttpListener open(int connections, Duration idle, CallerExchange.Handler handler)
@@ -62,9 +62,10 @@
     return line.toString();
   }
 
-  // A crawler opens connections without end. Before, the entry VM took them all until it had no
-  // descriptor left for targets, and every caller got "no target". Now those beyond the limit are
-  // closed at once, the others go on, and room that is given back is used again.
+  // A crawler keeps opening connections. Without a limit, the entry VM accepted them until it had
+  // no descriptor left for targets, and every caller got "no target". Connections beyond the limit
+  // must be closed at once, the others must still be served, and a closed connection must make room
+  // for a new one.
   @Test
   void connectionsBeyondTheLimitAreClosedAndOthersServed() throws Exception {
     try (HttpListener listener = open(2, LONG_IDLE_TIMEOUT, HttpListenerTest::respondNotFound);
@@ -94,9 +95,9 @@
     }
   }
 
-  // Callers vanish without closing, and each holds a descriptor for ever. A silent connection is
-  // closed after the idle time; a scholar whose export waits for a slot much longer than that, on a
-  // connection on which nothing moves either, gets the answer all the same.
+  // Callers that vanish without closing their connection each occupy a descriptor, so a connection
+  // without traffic is closed after the idle timeout. A caller whose request waits for a slot much
+  // longer than that has no traffic on its connection either, but must still get its response.
   @Test
   void idleConnectionsAreClosedUnlessARequestAwaitsItsResponse() throws Exception {
     BlockingQueue<CallerExchange> received = new LinkedBlockingQueue<>();
@@ -111,7 +112,10 @@
     }
   }
 
-  /** On a busy machine the idle time may pass before the request is sent; then it is sent anew. */
+  /**
+   * Retries on a new connection if the idle timeout passed before the request was sent, as may
+   * happen on a busy machine.
+   */
   private static Socket connectWithPendingRequest(
       HttpListener listener, BlockingQueue<CallerExchange> received) throws IOException {
     while (true) {
--- a/sageladder-entry/src/test/java/org/sageladder/entry/http/IdleConnectionHandlerTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/http/IdleConnectionHandlerTest.java
@@ -13,7 +13,7 @@
 import org.apache.hc.core5.util.Timeout;
 import org.junit.jupiter.api.Test;
 
-/** Which connections count as idle. */
+/** Tests which connections count as idle. */
 class IdleConnectionHandlerTest {
   private static final Timeout LONG_TIMEOUT = Timeout.ofMinutes(10);
   private static final Timeout ZERO_TIMEOUT = Timeout.ZERO_MILLISECONDS;
@@ -22,9 +22,9 @@
   private long requestCount;
   private long responseCount;
 
-  // A scholar's export waited minutes for a slot. Its answer is handed to the connection, which
-  // counts it as given; before its first byte is written the port looks for idle connections, finds
-  // that nothing has moved for long and nobody waits, and cuts the scholar off.
+  // A request waited minutes for a slot. The connection counts its response as sent before the
+  // first byte is written. If the check for idle connections runs at that moment, it finds neither
+  // recent traffic nor a pending request and must not close the connection.
   @Test
   void connectionIsNotClosedBeforeItsResponseIsWritten() throws IOException {
     IOEventHandler idleHandler =
@@ -33,13 +33,13 @@
     requestCount = 1;
     responseCount = 1;
     idleHandler.timeout(session(), ZERO_TIMEOUT);
-    assertEquals(List.of(), closed, "answered since the last look");
+    assertEquals(List.of(), closed, "response sent since the last check");
     requestCount = 2;
     idleHandler.timeout(session(), ZERO_TIMEOUT);
-    assertEquals(List.of(), closed, "waits");
+    assertEquals(List.of(), closed, "request pending");
     responseCount = 2;
     idleHandler.timeout(session(), ZERO_TIMEOUT);
-    assertEquals(List.of(), closed, "answered since the last look");
+    assertEquals(List.of(), closed, "response sent since the last check");
     idleHandler.timeout(session(), LONG_TIMEOUT);
     assertEquals(List.of(), closed, "not idle for long enough");
     idleHandler.timeout(session(), ZERO_TIMEOUT);
--- a/sageladder-entry/src/test/java/org/sageladder/entry/settings/EntrySettingsTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/settings/EntrySettingsTest.java
@@ -56,7 +56,8 @@
             "vmList:",
             "vmlist:",
             "entry.yaml: vmlist: unknown key; did you mean 'vmList'? Allowed here: callerLimits,"
-                + " customer, eventCapacity, host, incarnation, innerKeys, logs, ports, seeds, store, vm, vmList, zone"),
+                + " customer, eventCapacity, host, incarnation, innerKeys, logs, ports, seeds,"
+                + " store, vm, vmList, zone"),
         invalidSetting(
             "missing key",
             "zone: tallinn-1\n",
@@ -133,7 +134,8 @@
         EntrySettings.parse(
             "entry.yaml",
             VALID_YAML
-                + "innerKeys: ['k2:c2FnZWxhZGRlci1iZW5jaC1rZXk=', 'k1:MDEyMzQ1Njc4OWFiY2RlZg==']\n");
+                + "innerKeys: ['k2:c2FnZWxhZGRlci1iZW5jaC1rZXk=',"
+                + " 'k1:MDEyMzQ1Njc4OWFiY2RlZg==']\n");
     assertEquals(
         List.of("k2", "k1"),
         settings.innerKeys().stream().map(EntrySettings.InnerKey::id).toList());
@@ -141,7 +143,7 @@
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("mistakes")
+  @MethodSource("invalidSettings")
   void invalidSettingIsReportedWithFileKeyValueAndAllowedValues(
       String name, String validText, String invalidText, String message) {
     SettingsException error =
