--- a/sageladder-client/src/main/java/org/sageladder/client/AttemptResult.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/AttemptResult.java
@@ -5,24 +5,24 @@
 import java.util.Map;
 import org.sageladder.core.result.ResultCode;
 
-/** What one try at one entry VM gave. */
+/** The result of one attempt at one entry VM. */
 sealed interface AttemptResult {
-  /** A whole answer of the target. */
+  /** A complete response of the target. */
   @SuppressWarnings("ArrayRecordComponent")
   record Complete(int status, Map<String, List<String>> headers, byte[] body, String target)
       implements AttemptResult {}
 
   /**
-   * The entry VM answered itself.
+   * The entry VM answered with a result of its own, without a response of the target.
    *
-   * @param newPermit a permit that came with it, or empty
+   * @param newPermit the permit that came with the result, or empty
    */
   record EntryVmResult(ResultCode code, Duration retryAfter, String detail, String newPermit)
       implements AttemptResult {}
 
-  /** No byte of the request was sent. */
+  /** No byte of the request was sent, for instance because no connection could be opened. */
   record NotSent(String detail) implements AttemptResult {}
 
-  /** Sent, and no whole answer came. */
+  /** The request was sent, but no complete response arrived. */
   record Lost(String detail) implements AttemptResult {}
 }
--- a/sageladder-client/src/main/java/org/sageladder/client/BodyConsumer.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/BodyConsumer.java
@@ -14,7 +14,7 @@
 import org.apache.hc.core5.http.protocol.HttpContext;
 import org.jspecify.annotations.Nullable;
 
-/** Reads one answer and completes only where it is provably whole. */
+/** Reads one response and completes only if the response is provably complete. */
 final class BodyConsumer implements AsyncResponseConsumer<BodyConsumer.ReceivedResponse> {
   private final @Nullable BodySink sink;
   private final long maxBytes;
@@ -29,21 +29,21 @@
     this.maxBytes = maxBytes;
   }
 
-  /** Keeps the body in memory up to {@code mostBytes}, or hands a target's answer to a sink. */
+  /** Buffers up to {@code maxBytes} of the body, or writes a target's response to a sink. */
   static BodyConsumer create(@Nullable BodySink sink, long maxBytes) {
     return new BodyConsumer(sink, maxBytes);
   }
 
-  /** A whole answer. */
+  /** A complete response; the body is empty if a sink received it. */
   @SuppressWarnings("ArrayRecordComponent")
   record ReceivedResponse(HttpResponse head, byte[] body) {}
 
   /**
-   * Ends the flow of pieces for good, after the one that is being taken.
+   * Rejects all further data, once a call to {@link #consume} that is in progress has returned.
    *
-   * <p>Failure guarded against: a try is given up while the I/O thread has a piece of its answer in
-   * hand. Handed to the sink after the next try has begun, it would stand twice or in the middle of
-   * another answer.
+   * <p>Otherwise, if an attempt is abandoned while the I/O thread holds data of its response, that
+   * data could reach the sink after the next attempt has started, and would appear twice or in the
+   * middle of another response.
    */
   synchronized void abandon() {
     isAbandoned = true;
@@ -51,7 +51,7 @@
 
   private void checkNotAbandoned() throws IOException {
     if (isAbandoned) {
-      throw new IOException("the answer was given up");
+      throw new IOException("the response was abandoned");
     }
   }
 
@@ -70,26 +70,29 @@
       return;
     }
     requireDelimitedBody(response);
-    BodySink to = sink;
-    writesToSink = to != null && EntryClient.isTargetAnswer(response) && acceptsBody(to, response);
-    if (to != null && writesToSink) {
-      to.begin();
+    BodySink currentSink = sink;
+    writesToSink =
+        currentSink != null
+            && EntryClient.isTargetAnswer(response)
+            && acceptsBody(currentSink, response);
+    if (currentSink != null && writesToSink) {
+      currentSink.begin();
     }
   }
 
-  private static boolean acceptsBody(BodySink to, HttpResponse response) throws IOException {
-    return !(to instanceof PartSink parts) || parts.acceptsBody(response);
+  private static boolean acceptsBody(BodySink bodySink, HttpResponse response) throws IOException {
+    return !(bodySink instanceof PartSink parts) || parts.acceptsBody(response);
   }
 
   /**
-   * Failure guarded against: a body that ends with its connection looks the same whole and cut, and
-   * the HTTP library reports it as chunked. Entry VMs send none; one from anything in between must
-   * not pass for a whole answer, so the headers themselves are asked.
+   * Rejects a close-delimited body: it looks the same whether it is complete or truncated, and the
+   * HTTP library reports it as chunked, so the headers themselves are checked. Entry VMs never send
+   * one, but an intermediary might.
    */
   private static void requireDelimitedBody(HttpResponse response) throws IOException {
     if (!response.containsHeader(HttpHeaders.CONTENT_LENGTH)
         && !response.containsHeader(HttpHeaders.TRANSFER_ENCODING)) {
-      throw new IOException("the answer states neither its length nor its end");
+      throw new IOException("the response has neither Content-Length nor Transfer-Encoding");
     }
   }
 
@@ -104,13 +107,13 @@
   @Override
   public synchronized void consume(ByteBuffer piece) throws IOException {
     checkNotAbandoned();
-    BodySink to = sink;
-    if (to != null && writesToSink) {
-      to.accept(piece);
+    BodySink currentSink = sink;
+    if (currentSink != null && writesToSink) {
+      currentSink.accept(piece);
       return;
     }
     if (buffer.size() + (long) piece.remaining() > maxBytes) {
-      throw new IOException("the answer is larger than " + maxBytes + " bytes; pass a sink");
+      throw new IOException("the response is larger than " + maxBytes + " bytes; use a sink");
     }
     byte[] bytes = new byte[piece.remaining()];
     piece.get(bytes);
@@ -119,18 +122,18 @@
 
   @Override
   public void streamEnd(@Nullable List<? extends Header> trailers) {
-    FutureCallback<ReceivedResponse> to = callback;
+    FutureCallback<ReceivedResponse> resultCallback = callback;
     HttpResponse response = head;
-    if (to != null && response != null) {
-      to.completed(new ReceivedResponse(response, buffer.toByteArray()));
+    if (resultCallback != null && response != null) {
+      resultCallback.completed(new ReceivedResponse(response, buffer.toByteArray()));
     }
   }
 
   @Override
   public void failed(Exception cause) {
-    FutureCallback<ReceivedResponse> to = callback;
-    if (to != null) {
-      to.failed(cause);
+    FutureCallback<ReceivedResponse> resultCallback = callback;
+    if (resultCallback != null) {
+      resultCallback.failed(cause);
     }
   }
 
--- a/sageladder-client/src/main/java/org/sageladder/client/BodySink.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/BodySink.java
@@ -4,15 +4,15 @@
 import java.nio.ByteBuffer;
 
 /**
- * Takes the body of an answer piece by piece, for recordings too large to hold.
+ * Receives the body of a response in chunks, for bodies too large to hold in memory.
  *
- * <p>What came in is whole only once {@link SageladderClient#send(Request, BodySink)} has returned
- * {@link Response.Whole}. Methods are called one at a time, from the client's I/O thread.
+ * <p>The received data is complete only once {@link SageladderClient#send(Request, BodySink)} has
+ * returned {@link Answer.Complete}. Calls are sequential and come from the client's I/O thread.
  */
 public interface BodySink {
-  /** A body begins; what an earlier try brought is to be dropped. */
+  /** Called when a body starts; data received from an earlier attempt must be discarded. */
   void begin() throws IOException;
 
-  /** Takes the next piece and empties it; may block, which slows the sender down. */
+  /** Consumes all of {@code piece}; may block, which applies backpressure to the sender. */
   void accept(ByteBuffer piece) throws IOException;
 }
--- a/sageladder-client/src/main/java/org/sageladder/client/ClientOptions.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/ClientOptions.java
@@ -4,16 +4,17 @@
 import java.util.List;
 
 /**
- * How a {@link SageladderClient} finds entry VMs and how hard it tries.
+ * Configures how a {@link SageladderClient} finds entry VMs, times out attempts and retries.
  *
- * @param seeds addresses of entry VMs to ask first, {@code IP:PORT}, at least one
- * @param connectTimeout longest wait for a connection
- * @param attemptTimeoutFraction share of the time left that one try may use before the next entry
- *     VM is asked, above 0 and at most 1
- * @param maxAttempts most times one request is sent
- * @param retryFraction tries beyond the first, over all requests, as a fraction of first tries
- * @param maxConnectionsPerEntry most connections to one entry VM
- * @param maxBodyBytes largest answer kept in memory; larger ones need a sink
+ * @param seeds addresses of the entry VMs to look up routes at, as {@code IP:PORT}; at least one
+ * @param connectTimeout maximum time to open a connection
+ * @param attemptTimeoutFraction fraction of the remaining time after which one attempt times out
+ *     and the next entry VM is tried; above 0 and at most 1
+ * @param maxAttempts maximum number of attempts per request, not counting those that reached no
+ *     entry VM or only query the outcome of a permit
+ * @param retryFraction retries allowed over all requests, as a fraction of the first attempts
+ * @param maxConnectionsPerEntry maximum number of connections to one entry VM
+ * @param maxBodyBytes maximum size of a response body held in memory; larger ones need a sink
  */
 public record ClientOptions(
     List<String> seeds,
@@ -25,7 +26,7 @@
     long maxBodyBytes) {
   private static final long DEFAULT_MAX_BODY_BYTES = 64L << 20;
 
-  /** Copies the list and rejects values out of range. */
+  /** Copies the list and rejects values that are out of range. */
   public ClientOptions {
     seeds = List.copyOf(seeds);
     if (seeds.isEmpty()) {
@@ -34,45 +35,48 @@
     seeds.forEach(EntryAddress::parse);
     if (!(attemptTimeoutFraction > 0 && attemptTimeoutFraction <= 1)) {
       throw new IllegalArgumentException(
-          "tryShare " + attemptTimeoutFraction + ": expected above 0, at most 1");
+          "attemptTimeoutFraction " + attemptTimeoutFraction + ": expected above 0, at most 1");
     }
     if (maxAttempts < 1 || maxConnectionsPerEntry < 1 || !(retryFraction >= 0)) {
       throw new IllegalArgumentException(
-          "expected at least one try, one connection and no negative retry fraction");
+          "expected at least one attempt, one connection and a retry fraction of 0 or more");
     }
   }
 
-  /** One second to connect, half of the time left per try, four tries, a fifth of retries. */
+  /**
+   * Defaults: one second to connect, half of the remaining time per attempt, four attempts, retries
+   * of a fifth of the first attempts, 64 connections per entry VM, bodies of up to 64 MiB.
+   */
   public static ClientOptions seeds(List<String> addresses) {
     return new ClientOptions(
         addresses, Duration.ofSeconds(1), 0.5, 4, 0.2, 64, DEFAULT_MAX_BODY_BYTES);
   }
 
-  /** The same options with that share of the time left for one try. */
-  public ClientOptions attemptTimeoutFraction(double share) {
+  /** Returns a copy with another fraction of the remaining time for each attempt. */
+  public ClientOptions attemptTimeoutFraction(double fraction) {
     return new ClientOptions(
         seeds,
         connectTimeout,
-        share,
+        fraction,
         maxAttempts,
         retryFraction,
         maxConnectionsPerEntry,
         maxBodyBytes);
   }
 
-  /** The same options with that many tries at most. */
-  public ClientOptions maxAttempts(int tries) {
+  /** Returns a copy with another maximum number of attempts. */
+  public ClientOptions maxAttempts(int attempts) {
     return new ClientOptions(
         seeds,
         connectTimeout,
         attemptTimeoutFraction,
-        tries,
+        attempts,
         retryFraction,
         maxConnectionsPerEntry,
         maxBodyBytes);
   }
 
-  /** The same options with that budget of retries. */
+  /** Returns a copy with another retry budget. */
   public ClientOptions retryFraction(double fraction) {
     return new ClientOptions(
         seeds,
@@ -84,7 +88,7 @@
         maxBodyBytes);
   }
 
-  /** The same options with that many connections to one entry VM at most. */
+  /** Returns a copy with another maximum number of connections to one entry VM. */
   public ClientOptions maxConnectionsPerEntry(int connections) {
     return new ClientOptions(
         seeds,
@@ -96,7 +100,7 @@
         maxBodyBytes);
   }
 
-  /** The same options with that limit on answers in memory. */
+  /** Returns a copy with another limit on response bodies held in memory. */
   public ClientOptions maxBodyBytes(long bytes) {
     return new ClientOptions(
         seeds,
--- a/sageladder-client/src/main/java/org/sageladder/client/EntryAddress.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/EntryAddress.java
@@ -1,6 +1,6 @@
 package org.sageladder.client;
 
-/** IP number and TCP port of an entry VM. */
+/** IP address and TCP port of an entry VM. */
 record EntryAddress(String host, int port) {
   static EntryAddress parse(String text) {
     int colon = text.lastIndexOf(':');
--- a/sageladder-client/src/main/java/org/sageladder/client/EntryClient.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/EntryClient.java
@@ -29,7 +29,7 @@
 import org.sageladder.core.result.ResultCode;
 import org.sageladder.http.Connector;
 
-/** Single tries at single entry VMs. */
+/** Makes single attempts, each at one entry VM. */
 final class EntryClient implements AutoCloseable {
   private static final String RESULT_HEADER = "Sageladder-Result";
   private static final String OUTCOME_HEADER = "Sageladder-Outcome";
@@ -48,13 +48,15 @@
     this.onDrainingEntry = onDrainingEntry;
   }
 
-  /** Calls that report to {@code whenLeaving} each entry VM that says it is about to stop. */
+  /**
+   * Creates a client that passes each entry VM that announces its stop to {@code onDrainingEntry}.
+   */
   static EntryClient start(ClientOptions options, Consumer<EntryAddress> onDrainingEntry) {
     Connector connector = Connector.start(IO_THREADS, options.maxConnectionsPerEntry());
     return new EntryClient(connector, options, onDrainingEntry);
   }
 
-  /** True where the answer is the target's own, which the entry VM only passed on. */
+  /** Returns true if the response comes from the target and was only forwarded by the entry VM. */
   static boolean isTargetAnswer(HttpResponse response) {
     return parseResultCode(response).filter(code -> code == ResultCode.OK).isPresent();
   }
@@ -62,10 +64,11 @@
   /**
    * Sends a request to {@code entry}.
    *
-   * @param remaining time until the caller's deadline, all tries together
-   * @param attemptTimeout how long to wait for this try's whole answer, at most {@code remaining};
-   *     the entry VM is told, since one that only knows of the whole time gives a request its slot
-   *     just before this library leaves for the next entry VM, and the work is cut in the middle
+   * @param remaining time until the caller's deadline, which covers all attempts
+   * @param attemptTimeout how long to wait for the complete response to this attempt, at most
+   *     {@code remaining}. It is sent to the entry VM, which could otherwise give the request a
+   *     slot just before this client times the attempt out and moves to the next entry VM, so that
+   *     the run is aborted
    */
   AttemptResult send(
       EntryAddress entry,
@@ -95,20 +98,20 @@
     return exchange(entry, builder.build(), attemptTimeout, sink);
   }
 
-  private static String millisValue(Duration span) {
-    return String.valueOf(Math.max(1, span.toMillis()));
+  private static String millisValue(Duration duration) {
+    return String.valueOf(Math.max(1, duration.toMillis()));
   }
 
-  /** What a look-up gave. */
+  /** The result of a look-up. */
   sealed interface LookUpResult {
-    /** Where to send requests. */
+    /** The entry VM answered with a route. */
     record RouteFound(Route route) implements LookUpResult {}
 
-    /** No answer to go by. */
+    /** The look-up failed. */
     record NoRoute(AttemptResult failure) implements LookUpResult {}
   }
 
-  /** Asks {@code entry} where to send requests. */
+  /** Looks up at {@code entry} where to send requests. */
   LookUpResult lookUp(EntryAddress entry, RouteCache.Key key, Duration timeout) {
     AsyncRequestProducer request =
         AsyncRequestBuilder.get()
@@ -122,14 +125,14 @@
                     + key.block())
             .build();
     AttemptResult result = exchange(entry, request, timeout, null);
-    if (!(result instanceof AttemptResult.Complete whole)) {
+    if (!(result instanceof AttemptResult.Complete complete)) {
       return new LookUpResult.NoRoute(result);
     }
     try {
-      return new LookUpResult.RouteFound(parseRoute(JSON.readTree(whole.body())));
+      return new LookUpResult.RouteFound(parseRoute(JSON.readTree(complete.body())));
     } catch (IOException | IllegalArgumentException e) {
       return new LookUpResult.NoRoute(
-          new AttemptResult.Lost(entry + ": not an answer to a look-up: " + e.getMessage()));
+          new AttemptResult.Lost(entry + ": not a look-up response: " + e.getMessage()));
     }
   }
 
@@ -139,7 +142,7 @@
       entries.add(EntryAddress.parse(entry.path("address").asText()));
     }
     if (entries.isEmpty()) {
-      throw new IllegalArgumentException("no entry VMs in " + json);
+      throw new IllegalArgumentException("no entry VMs in the look-up response " + json);
     }
     return new Route(
         json.path("revision").asLong(),
@@ -149,13 +152,13 @@
   }
 
   static String describe(AttemptResult result) {
-    if (result instanceof AttemptResult.EntryVmResult said) {
-      return said.code() + ": " + said.detail();
+    if (result instanceof AttemptResult.EntryVmResult entryVmResult) {
+      return entryVmResult.code() + ": " + entryVmResult.detail();
     }
     if (result instanceof AttemptResult.NotSent notSent) {
       return notSent.detail();
     }
-    return result instanceof AttemptResult.Lost lost ? lost.detail() : "answered";
+    return result instanceof AttemptResult.Lost lost ? lost.detail() : "responded";
   }
 
   private AttemptResult exchange(
@@ -167,21 +170,21 @@
     } catch (IOException e) {
       return new AttemptResult.NotSent(entry + ": " + e.getMessage());
     }
-    boolean whole = false;
+    boolean isComplete = false;
     BodyConsumer consumer = BodyConsumer.create(sink, options.maxBodyBytes());
     try {
       Future<BodyConsumer.ReceivedResponse> future =
           endpoint.execute(request, consumer, HttpCoreContext.create(), null);
       BodyConsumer.ReceivedResponse received =
           future.get(Math.max(0, deadline - System.nanoTime()), TimeUnit.NANOSECONDS);
-      whole = true;
+      isComplete = true;
       if (received.head().containsHeader(LOOK_UP_AGAIN_HEADER)) {
         onDrainingEntry.accept(entry);
       }
       return toAttemptResult(entry, received);
     } catch (TimeoutException e) {
       return new AttemptResult.Lost(
-          entry + ": no whole answer within " + timeout.toMillis() + " ms");
+          entry + ": no complete response within " + timeout.toMillis() + " ms");
     } catch (ExecutionException e) {
       return new AttemptResult.Lost(entry + ": " + e.getCause());
     } catch (InterruptedException e) {
@@ -189,16 +192,16 @@
       return new AttemptResult.Lost(entry + ": interrupted");
     } finally {
       consumer.abandon();
-      release(endpoint, whole);
+      release(endpoint, isComplete);
     }
   }
 
   /**
-   * Failure guarded against: a pooled connection whose last answer was given up brings that answer
-   * to the next request. It is closed instead, so a late answer reaches nobody.
+   * Returns the connection to the pool, or closes it if its response is incomplete: a late response
+   * to an abandoned attempt would otherwise be read as the response to the next request.
    */
-  private static void release(AsyncClientEndpoint endpoint, boolean whole) {
-    if (whole) {
+  private static void release(AsyncClientEndpoint endpoint, boolean isComplete) {
+    if (isComplete) {
       endpoint.releaseAndReuse();
     } else {
       endpoint.releaseAndDiscard();
@@ -206,9 +209,9 @@
   }
 
   private AsyncClientEndpoint connect(EntryAddress entry, Duration timeout) throws IOException {
-    Duration limit =
+    Duration connectTimeout =
         timeout.compareTo(options.connectTimeout()) < 0 ? timeout : options.connectTimeout();
-    return connector.lease(httpHost(entry), limit);
+    return connector.lease(httpHost(entry), connectTimeout);
   }
 
   private static AttemptResult toAttemptResult(
@@ -217,7 +220,7 @@
     Optional<ResultCode> code = parseResultCode(head);
     if (code.isEmpty()) {
       return new AttemptResult.Lost(
-          entry + ": status " + head.getCode() + " without a result this library knows");
+          entry + ": status " + head.getCode() + " without a result code known to this client");
     }
     if (code.get() == ResultCode.OK) {
       return new AttemptResult.Complete(
@@ -233,7 +236,10 @@
         headerValue(head, "Sageladder-Permit"));
   }
 
-  /** The code, unless this library and the entry VM differ on what it asserts. */
+  /**
+   * Returns the result code; empty if it is unknown or the response states an outcome that
+   * contradicts it.
+   */
   private static Optional<ResultCode> parseResultCode(HttpResponse head) {
     String text = headerValue(head, RESULT_HEADER);
     int space = text.indexOf(' ');
--- a/sageladder-client/src/main/java/org/sageladder/client/Request.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/Request.java
@@ -14,17 +14,17 @@
  *     .idempotencyKey("dealer-9/lot-77/3");
  * }</pre>
  *
- * @param contract customer whose contract carries the request
- * @param service service of that contract
- * @param block block of clients that the caller belongs to, at least 0
+ * @param contract customer whose contract applies to the request
+ * @param service name of a service in that contract
+ * @param block number of the client block that the caller belongs to, at least 0
  * @param method HTTP method
- * @param path path and query at the target, starting with a slash
- * @param headers further headers, handed on to the target
- * @param body whole body, empty where there is none; the caller must not change it
- * @param contentType type of the body, empty where there is no body
- * @param deadline longest time that the caller waits for the whole answer, all tries together
- * @param idempotencyKey the caller's own key for a request that must not repeat, or empty
- * @param id name of the request in logs and on the time line
+ * @param path path and query to send to the target, starting with a slash
+ * @param headers additional headers, forwarded to the target
+ * @param body complete body, empty if there is none; the caller must not modify it
+ * @param contentType media type of the body, empty if there is no body
+ * @param deadline maximum time to wait for the complete response, over all attempts
+ * @param idempotencyKey the caller's key that identifies a request which must not repeat, or empty
+ * @param id identifier of the request in logs and on the timeline
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record Request(
@@ -41,7 +41,7 @@
     String id) {
   private static final Duration DEFAULT_DEADLINE = Duration.ofSeconds(10);
 
-  /** Rejects what no entry VM would accept. */
+  /** Rejects values that no entry VM would accept. */
   public Request {
     if (!path.startsWith("/")) {
       throw new IllegalArgumentException(
@@ -60,7 +60,7 @@
     headers = Map.copyOf(headers);
   }
 
-  /** A request without a body. */
+  /** Creates a GET request, which has no body. */
   public static Request get(String contract, String service, int block, String path) {
     return new Request(
         contract,
@@ -76,7 +76,7 @@
         UUID.randomUUID().toString());
   }
 
-  /** A request with a body. */
+  /** Creates a POST request with a body. */
   public static Request post(
       String contract, String service, int block, String path, byte[] body, String contentType) {
     return new Request(
@@ -93,7 +93,7 @@
         UUID.randomUUID().toString());
   }
 
-  /** The same request with another deadline. */
+  /** Returns a copy with another deadline. */
   public Request deadline(Duration newDeadline) {
     return new Request(
         contract,
@@ -109,13 +109,13 @@
         id);
   }
 
-  /** The same request bound to the caller's own key. */
+  /** Returns a copy with an idempotency key chosen by the caller. */
   public Request idempotencyKey(String key) {
     return new Request(
         contract, service, block, method, path, headers, body, contentType, deadline, key, id);
   }
 
-  /** The same request under another id. */
+  /** Returns a copy with another id. */
   public Request id(String newId) {
     return new Request(
         contract,
@@ -131,17 +131,17 @@
         newId);
   }
 
-  /** The same request with one header more. */
+  /** Returns a copy with an additional header, which replaces one of the same name. */
   public Request header(String name, String value) {
-    Map<String, String> more = new LinkedHashMap<>(headers);
-    more.put(name, value);
+    Map<String, String> newHeaders = new LinkedHashMap<>(headers);
+    newHeaders.put(name, value);
     return new Request(
         contract,
         service,
         block,
         method,
         path,
-        more,
+        newHeaders,
         body,
         contentType,
         deadline,
--- a/sageladder-client/src/main/java/org/sageladder/client/ResumableDownload.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/ResumableDownload.java
@@ -15,15 +15,15 @@
 import org.sageladder.core.result.ResultCode;
 
 /**
- * Fetches one large answer, going on by range where a cut one ended.
+ * Downloads one large response; resumes a truncated one by a range request.
  *
- * <p>Failure guarded against: what came before a cut and what came after it belong to two versions
- * of the recording; glued together they look whole. So a part is asked for only with the strong
- * entity tag of the first one ({@code If-Range}), and one that begins elsewhere, names another tag
- * or leaves the length open is dropped. Without a strong tag the fetch begins anew.
+ * <p>The parts before and after a truncation may belong to two versions of the resource, and
+ * combined they would look complete. A part is therefore requested only with the strong entity tag
+ * of the first one ({@code If-Range}), and rejected if it starts at another offset, has another
+ * tag, or does not state the total length. Without a strong tag the download restarts.
  *
- * <p>One instance belongs to one request and one thread; the sink is called by the I/O thread while
- * that thread waits.
+ * <p>One instance serves one request on one thread; the I/O thread calls the sink while that thread
+ * waits.
  */
 final class ResumableDownload implements PartSink {
   private static final Duration INITIAL_ATTEMPT_TIMEOUT = Duration.ofMinutes(1);
@@ -51,40 +51,51 @@
     this.deadlineNanos = System.nanoTime() + request.deadline().toNanos();
   }
 
-  /** Sends one request once; {@code number} counts the parts, so that each asks another VM. */
+  /**
+   * Makes one attempt at one part; {@code partNumber} increases with each, so that each goes to
+   * another entry VM.
+   */
   @FunctionalInterface
   interface PartSender {
-    Answer send(Request part, PartSink sink, int number);
+    Answer send(Request part, PartSink sink, int partNumber);
   }
 
   static ResumableDownload of(PartSender sender, Request request, BodySink sink) {
     if (!request.method().equals("GET")) {
       throw new IllegalArgumentException(
-          "method \"" + request.method() + "\": only an answer to GET can be fetched in parts");
+          "method \"" + request.method() + "\": only a response to GET can be downloaded in parts");
     }
     return new ResumableDownload(sender, request, sink);
   }
 
-  /** Fetches until the answer is whole, the target answers otherwise, or the time is over. */
+  /**
+   * Downloads until the response is complete, the target sends another status, or the deadline has
+   * passed.
+   */
   Answer execute() {
-    for (int number = 0; ; number++) {
-      long before = receivedBytes.get();
+    for (int partNumber = 0; ; partNumber++) {
+      long receivedBefore = receivedBytes.get();
       isPartAccepted = false;
-      Answer answer = sender.send(nextPart(), this, number);
+      Answer answer = sender.send(nextPart(), this, partNumber);
       attemptCount += answer.attemptCount();
-      if (answer instanceof Answer.Complete whole && isFinished(whole)) {
+      if (answer instanceof Answer.Complete complete && isFinished(complete)) {
         return new Answer.Complete(
-            whole.status(), whole.headers(), whole.body(), whole.target(), attemptCount);
+            complete.status(),
+            complete.headers(),
+            complete.body(),
+            complete.target(),
+            attemptCount);
       }
-      if (!isRetryable(answer) || !pause(answer, receivedBytes.get() > before)) {
+      if (!isRetryable(answer) || !pause(answer, receivedBytes.get() > receivedBefore)) {
         return incompleteAnswer(answer);
       }
     }
   }
 
   private Request nextPart() {
-    Duration left = remainingTime();
-    Request part = request.deadline(left.compareTo(attemptTimeout) < 0 ? left : attemptTimeout);
+    Duration remaining = remainingTime();
+    Request part =
+        request.deadline(remaining.compareTo(attemptTimeout) < 0 ? remaining : attemptTimeout);
     if (receivedBytes.get() == 0 || entityTag.isEmpty()) {
       return part;
     }
@@ -92,11 +103,11 @@
         .header(HttpHeaders.IF_RANGE, entityTag);
   }
 
-  private boolean isFinished(Answer.Complete whole) {
+  private boolean isFinished(Answer.Complete complete) {
     if (isPartAccepted) {
       return totalBytes == UNKNOWN_LENGTH || receivedBytes.get() == totalBytes;
     }
-    if (whole.status() == HttpStatus.SC_REQUESTED_RANGE_NOT_SATISFIABLE
+    if (complete.status() == HttpStatus.SC_REQUESTED_RANGE_NOT_SATISFIABLE
         && receivedBytes.get() > 0) {
       resetProgress();
       return false;
@@ -111,28 +122,33 @@
     return !(answer instanceof Answer.RanAnswerUnavailable);
   }
 
-  /** Never a success: what the sink holds is not whole. */
+  /** Returns an outcome other than success, as the sink holds an incomplete response. */
   private Answer incompleteAnswer(Answer last) {
     if (last instanceof Answer.NotRun notRun && receivedBytes.get() == 0) {
       return new Answer.NotRun(notRun.code(), notRun.retryAfter(), notRun.detail(), attemptCount);
     }
     String detail =
-        "not whole: " + receivedBytes + " bytes of " + (totalBytes < 0 ? "?" : totalBytes);
+        "incomplete: " + receivedBytes + " bytes of " + (totalBytes < 0 ? "?" : totalBytes);
     return new Answer.Unknown(ResultCode.OUTCOME_UNKNOWN, "", detail, attemptCount);
   }
 
-  /** Waits longer each time nothing came; false where the time would be over. */
+  /**
+   * Waits with a backoff that doubles after each attempt that received nothing or cannot be
+   * resumed; returns false if the deadline would pass.
+   */
   private boolean pause(Answer answer, boolean madeProgress) {
     if (madeProgress && !entityTag.isEmpty()) {
       backoff = MIN_BACKOFF;
     } else {
-      // A target without ranges begins anew each time, so the next try needs more time than this.
+      // A target without range support restarts each time, so the next attempt needs more time than
+      // this one.
       attemptTimeout = attemptTimeout.multipliedBy(2);
       backoff = backoff.compareTo(MAX_BACKOFF) < 0 ? backoff.multipliedBy(2) : MAX_BACKOFF;
     }
-    long asked = answer instanceof Answer.NotRun notRun ? notRun.retryAfter().toNanos() : 0;
+    long retryAfterNanos =
+        answer instanceof Answer.NotRun notRun ? notRun.retryAfter().toNanos() : 0;
     long nanos =
-        Math.min(asked, MAX_BACKOFF.toNanos())
+        Math.min(retryAfterNanos, MAX_BACKOFF.toNanos())
             + ThreadLocalRandom.current().nextLong(backoff.toNanos());
     if (nanos >= remainingTime().toNanos()) {
       return false;
@@ -165,7 +181,7 @@
     }
     if (!continuesPreviousPart(response)) {
       resetProgress();
-      throw new IOException("the part does not go on where the last one ended");
+      throw new IOException("the part does not continue where the last one ended");
     }
     isPartAccepted = true;
     return true;
@@ -176,13 +192,13 @@
     if (!range.matches() || entityTag.isEmpty() || !strongEntityTag(response).equals(entityTag)) {
       return false;
     }
-    long whole = parseLength(range.group(3));
-    boolean sameLength = totalBytes == UNKNOWN_LENGTH || totalBytes == whole;
-    totalBytes = whole;
+    long statedBytes = parseLength(range.group(3));
+    boolean sameLength = totalBytes == UNKNOWN_LENGTH || totalBytes == statedBytes;
+    totalBytes = statedBytes;
     return sameLength && parseLength(range.group(1)) == receivedBytes.get();
   }
 
-  /** The next try begins anew. */
+  /** Makes the next attempt start from the first byte. */
   private void resetProgress() {
     receivedBytes.set(0);
     entityTag = "";
--- a/sageladder-client/src/main/java/org/sageladder/client/RetryBudget.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/RetryBudget.java
@@ -1,9 +1,10 @@
 package org.sageladder.client;
 
 /**
- * Keeps retries to a fraction of first tries, so that an outage does not multiply the load.
+ * A token bucket that limits retries to a fraction of first attempts, so that an outage does not
+ * multiply the load.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 final class RetryBudget {
   private static final double MAX_TOKENS = 100;
@@ -16,7 +17,7 @@
     this.tokens = saved;
   }
 
-  /** A budget that starts with ten retries. */
+  /** Creates a budget that starts with ten retries, or none if {@code fraction} is 0. */
   static RetryBudget create(double fraction) {
     return new RetryBudget(fraction, fraction > 0 ? 10 : 0);
   }
@@ -25,7 +26,7 @@
     tokens = Math.min(MAX_TOKENS, tokens + tokensPerRequest);
   }
 
-  /** Takes one retry out; false where none is left. */
+  /** Takes one retry from the budget; returns false if none is left. */
   synchronized boolean tryAcquire() {
     if (tokens < 1) {
       return false;
--- a/sageladder-client/src/main/java/org/sageladder/client/RetryPolicy.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/RetryPolicy.java
@@ -7,17 +7,18 @@
 import org.sageladder.core.result.ResultCode;
 
 /**
- * Decides after each try whether to send again, with what permit, or to end.
+ * Decides after each attempt whether to resend, under which permit, or to end.
  *
- * <p>Failure guarded against: a request that must not repeat is sent under two permits and runs
- * twice. It would show as a doubled bid. After a try whose outcome is not known this class only
- * ever sends the same permit again; a new permit is asked for only where every earlier try under
- * the old one is known not to have run, or where the old one's home says that it ended unused.
+ * <p>A request that must not repeat could run twice if it were sent under two permits; for
+ * instance, a bid would be placed twice. After an attempt whose outcome is unknown, this class
+ * therefore only resends under the same permit. It asks for a new permit only if every earlier
+ * attempt under the old one is known not to have run, or if the issuer of the old one reports that
+ * it ended unused.
  *
- * <p>One instance belongs to one request and one thread.
+ * <p>Not thread-safe; one instance serves one request.
  */
 final class RetryPolicy {
-  /** Not-run results that another entry VM or a later try may change. */
+  /** Results of requests that did not run but may succeed at another entry VM or later. */
   private static final Set<ResultCode> RETRYABLE =
       EnumSet.of(
           ResultCode.QUEUE_FULL,
@@ -44,75 +45,85 @@
     this.mayHaveRun = mayHaveRun;
   }
 
-  /** Rules for a new request; {@code permit} is empty where none has come with the look-up. */
+  /** Creates the policy for a new request; {@code permit} is empty if the look-up returned none. */
   static RetryPolicy begin(boolean needsPermit, String permit) {
     return new RetryPolicy(needsPermit, permit, false);
   }
 
-  /** Rules for a request that was sent under {@code permit} before, with unknown outcome. */
+  /** Creates the policy for a request that was sent under {@code permit} with unknown outcome. */
   static RetryPolicy resume(String permit) {
     return new RetryPolicy(true, permit, true);
   }
 
-  /** True where a later try, or one elsewhere, may get past that refusal. */
+  /** Returns true if an attempt may succeed later, or at another entry VM, despite that refusal. */
   static boolean isRetryable(ResultCode refusal) {
     return RETRYABLE.contains(refusal);
   }
 
-  /** What to do next. */
+  /** The next step of a request. */
   sealed interface Step {
-    /** Nothing more to send. */
+    /** Return {@code answer} to the caller. */
     record End(Answer answer) implements Step {}
 
     /**
-     * Send again after {@code pause}, under the same permit if there is one.
+     * Resend after {@code pause}, under the same permit if there is one.
      *
-     * @param isUncounted true where sending again is no retry of work: the last try reached nobody,
-     *     or the permit has been used, so that sending it again only asks what became of it
+     * @param isUncounted true if resending is not a retry of work: the last attempt reached no
+     *     entry VM, or the permit has been used, so that resending only queries its outcome
+     * @param answerIfExhausted the answer to return if no time or retry budget is left
      */
     record Resend(Duration pause, boolean isUncounted, Answer answerIfExhausted) implements Step {
       /**
-       * True where one entry VM had no room, so that another may have. What runs or may have run is
-       * known at its permit's home alone; asked elsewhere at once, the same home would answer.
+       * Returns true if the entry VM refused the request, so that another one may admit it. The
+       * outcome of a request that runs or may have run is known only to the issuer of its permit; a
+       * query at another entry VM would be forwarded to that same issuer.
        */
       boolean isRefusal() {
         return answerIfExhausted instanceof Answer.NotRun;
       }
     }
 
-    /** Get a new permit, then send; the old one is known not to have run. */
+    /** Get a new permit, then resend; nothing has run under the old one. */
     record RenewPermit(Duration pause, Answer answerIfExhausted) implements Step {}
   }
 
-  /** The permit to send with, or empty. */
+  /** The permit to send the next attempt under, or empty. */
   String permit() {
     return permit;
   }
 
-  /** True where a permit has to be had before the next try. */
+  /** Returns true if a permit is needed before the next attempt. */
   boolean lacksPermit() {
     return needsPermit && permit.isEmpty();
   }
 
-  /** Takes a permit for the next try; only after {@link Step.RenewPermit} or at the start. */
+  /**
+   * Sets the permit for the next attempt; only allowed after {@link Step.RenewPermit} or at the
+   * start.
+   */
   void usePermit(String newPermit) {
     if (mayHaveRun) {
-      throw new IllegalStateException("a new permit while the old one may have run");
+      throw new IllegalStateException(
+          "cannot replace a permit under which the request may have run");
     }
     permit = newPermit;
     needsPermit = needsPermit || !newPermit.isEmpty();
   }
 
-  /** Decides after a try. */
+  /** Records the result of an attempt and returns the next step. */
   Step onResult(AttemptResult result) {
     attemptCount++;
-    if (result instanceof AttemptResult.Complete whole) {
+    if (result instanceof AttemptResult.Complete complete) {
       return new Step.End(
           new Answer.Complete(
-              whole.status(), whole.headers(), whole.body(), whole.target(), attemptCount));
+              complete.status(),
+              complete.headers(),
+              complete.body(),
+              complete.target(),
+              attemptCount));
     }
-    if (result instanceof AttemptResult.EntryVmResult said) {
-      return onEntryVmResult(said);
+    if (result instanceof AttemptResult.EntryVmResult entryVmResult) {
+      return onEntryVmResult(entryVmResult);
     }
     if (result instanceof AttemptResult.NotSent notSent) {
       return new Step.Resend(Duration.ZERO, true, notSentAnswer(notSent.detail()));
@@ -134,75 +145,79 @@
         : new Answer.NotRun(ResultCode.NO_TARGET, Duration.ofSeconds(1), detail, attemptCount);
   }
 
-  private Step onEntryVmResult(AttemptResult.EntryVmResult said) {
-    if (said.code() == ResultCode.PERMIT_REQUIRED) {
-      return onPermitRequired(said);
+  private Step onEntryVmResult(AttemptResult.EntryVmResult result) {
+    if (result.code() == ResultCode.PERMIT_REQUIRED) {
+      return onPermitRequired(result);
     }
-    if (said.code() == ResultCode.PERMIT_EXPIRED && !mayHaveRun) {
+    if (result.code() == ResultCode.PERMIT_EXPIRED && !mayHaveRun) {
       permit = "";
-      return new Step.RenewPermit(Duration.ZERO, notRunAnswer(said));
+      return new Step.RenewPermit(Duration.ZERO, notRunAnswer(result));
     }
-    return switch (said.code().outcome()) {
+    return switch (result.code().outcome()) {
       case RAN ->
-          new Step.End(new Answer.RanAnswerUnavailable(said.code(), said.detail(), attemptCount));
-      case NOT_RUN -> onRefusal(said);
-      case UNKNOWN -> onUnknownOutcome(said);
+          new Step.End(
+              new Answer.RanAnswerUnavailable(result.code(), result.detail(), attemptCount));
+      case NOT_RUN -> onRefusal(result);
+      case UNKNOWN -> onUnknownOutcome(result);
     };
   }
 
-  /** To a request that carried a permit this is its home's word that the permit ended unused. */
-  private Step onPermitRequired(AttemptResult.EntryVmResult said) {
+  /**
+   * If the request was sent under a permit, this result is its issuer's statement that the permit
+   * ended unused.
+   */
+  private Step onPermitRequired(AttemptResult.EntryVmResult result) {
     if (!permit.isEmpty()) {
       mayHaveRun = false;
     }
     if (mayHaveRun) {
       return new Step.End(
-          unknownAnswer(ResultCode.OUTCOME_UNKNOWN, "sent before it needed a permit"));
+          unknownAnswer(ResultCode.OUTCOME_UNKNOWN, "sent before a permit was required"));
     }
     needsPermit = true;
-    permit = said.newPermit();
-    return new Step.RenewPermit(Duration.ZERO, notRunAnswer(said));
+    permit = result.newPermit();
+    return new Step.RenewPermit(Duration.ZERO, notRunAnswer(result));
   }
 
-  private Step onRefusal(AttemptResult.EntryVmResult said) {
-    if (!RETRYABLE.contains(said.code())) {
+  private Step onRefusal(AttemptResult.EntryVmResult result) {
+    if (!RETRYABLE.contains(result.code())) {
       return new Step.End(
-          mayHaveRun ? unknownAnswer(said.code(), said.detail()) : notRunAnswer(said));
+          mayHaveRun ? unknownAnswer(result.code(), result.detail()) : notRunAnswer(result));
     }
     if (mayHaveRun) {
       return new Step.Resend(
-          said.retryAfter(), onlyQueriesPermit(), unknownAnswer(said.code(), said.detail()));
+          result.retryAfter(), onlyQueriesPermit(), unknownAnswer(result.code(), result.detail()));
     }
     if (!needsPermit) {
-      return new Step.Resend(said.retryAfter(), onlyQueriesPermit(), notRunAnswer(said));
+      return new Step.Resend(result.retryAfter(), onlyQueriesPermit(), notRunAnswer(result));
     }
     permit = "";
-    return new Step.RenewPermit(said.retryAfter(), notRunAnswer(said));
+    return new Step.RenewPermit(result.retryAfter(), notRunAnswer(result));
   }
 
-  private Step onUnknownOutcome(AttemptResult.EntryVmResult said) {
+  private Step onUnknownOutcome(AttemptResult.EntryVmResult result) {
     mayHaveRun = true;
-    Answer answer = unknownAnswer(said.code(), said.detail());
-    if (said.code() == ResultCode.PERMIT_EXPIRED) {
+    Answer answer = unknownAnswer(result.code(), result.detail());
+    if (result.code() == ResultCode.PERMIT_EXPIRED) {
       return new Step.End(answer);
     }
     Duration pause =
-        said.code() == ResultCode.PERMIT_RUNNING && said.retryAfter().isZero()
+        result.code() == ResultCode.PERMIT_RUNNING && result.retryAfter().isZero()
             ? RUNNING_POLL_INTERVAL
-            : said.retryAfter();
-    if (needsPermit && said.code() == ResultCode.OUTCOME_UNKNOWN) {
+            : result.retryAfter();
+    if (needsPermit && result.code() == ResultCode.OUTCOME_UNKNOWN) {
       return new Step.End(answer);
     }
     return new Step.Resend(pause, onlyQueriesPermit(), answer);
   }
 
-  private Answer notRunAnswer(AttemptResult.EntryVmResult said) {
-    return new Answer.NotRun(said.code(), said.retryAfter(), said.detail(), attemptCount);
+  private Answer notRunAnswer(AttemptResult.EntryVmResult result) {
+    return new Answer.NotRun(result.code(), result.retryAfter(), result.detail(), attemptCount);
   }
 
   private Answer unknownAnswer(ResultCode code, String detail) {
-    ResultCode told = code.outcome() == Outcome.UNKNOWN ? code : ResultCode.OUTCOME_UNKNOWN;
-    String why = told == code ? detail : code + ": " + detail;
-    return new Answer.Unknown(told, permit, why, attemptCount);
+    ResultCode reportedCode = code.outcome() == Outcome.UNKNOWN ? code : ResultCode.OUTCOME_UNKNOWN;
+    String reportedDetail = reportedCode == code ? detail : code + ": " + detail;
+    return new Answer.Unknown(reportedCode, permit, reportedDetail, attemptCount);
   }
 }
--- a/sageladder-client/src/main/java/org/sageladder/client/Route.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/Route.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * The answer to a look-up.
+ * The result of a look-up: which entry VMs serve a request.
  *
- * @param revision revision of the contract that decided
- * @param ttlMillis how long it may be kept
- * @param entries entry VMs to use, best first
- * @param permit a permit for one request, empty where the service's requests may repeat
+ * @param revision revision of the contract that the look-up was answered from
+ * @param ttlMillis how long the route may be cached
+ * @param entries entry VMs to use, preferred one first
+ * @param permit a permit for one request, empty if the service's requests may repeat
  */
 record Route(long revision, long ttlMillis, List<EntryAddress> entries, String permit) {
   Route {
--- a/sageladder-client/src/main/java/org/sageladder/client/RouteCache.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/RouteCache.java
@@ -7,9 +7,9 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * Answers to look-ups until their time to live is over; the least recently used go first.
+ * Caches routes for their time to live; evicts the least recently used ones first.
  *
- * <p>Safe for use by several threads; one lock guards everything.
+ * <p>Thread-safe; one lock guards all state.
  */
 final class RouteCache {
   private static final int MAX_ROUTES = 10_000;
@@ -37,30 +37,31 @@
     }
   }
 
-  /** The route, where it is still to be used. */
+  /** Returns the route unless its time to live has passed. */
   synchronized Optional<Route> findUnexpired(Key key) {
-    CachedRoute kept = routes.get(key);
-    boolean usable = kept != null && kept.expiresAtNanos() - time.nanos() > 0;
-    return usable ? Optional.of(kept.route()) : Optional.empty();
+    CachedRoute cached = routes.get(key);
+    boolean usable = cached != null && cached.expiresAtNanos() - time.nanos() > 0;
+    return usable ? Optional.of(cached.route()) : Optional.empty();
   }
 
-  /** The route even past its time, for when no entry VM answers a look-up. */
+  /** Returns the route even if it has expired, for use when no entry VM answers a look-up. */
   synchronized Optional<Route> findIncludingExpired(Key key) {
     return Optional.ofNullable(routes.get(key)).map(CachedRoute::route);
   }
 
   /**
-   * Ends the time of all routes that send to {@code leaving} first; they stay as a last resort.
+   * Expires all routes whose preferred entry VM is {@code drainingEntry}; they remain available to
+   * {@link #findIncludingExpired}.
    *
-   * <p>Without this an entry VM that stops has to wait until all look-ups that name it have expired
-   * in all callers.
+   * <p>Otherwise an entry VM that stops would have to wait until every cached route to it has
+   * expired at every caller.
    */
   synchronized void expireRoutesTo(EntryAddress drainingEntry) {
     long now = time.nanos();
     routes.replaceAll(
-        (key, kept) ->
-            kept.route().entries().get(0).equals(drainingEntry)
-                ? new CachedRoute(kept.route(), now)
-                : kept);
+        (key, cached) ->
+            cached.route().entries().get(0).equals(drainingEntry)
+                ? new CachedRoute(cached.route(), now)
+                : cached);
   }
 }
--- a/sageladder-client/src/main/java/org/sageladder/client/SageladderClient.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/SageladderClient.java
@@ -14,8 +14,8 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * Sends requests through sageladder: asks which entry VM to use, keeps the answer for its time to
- * live, carries permits and sends again only where that is safe.
+ * Sends requests through sageladder: looks up which entry VM to use, caches the route for its time
+ * to live, manages permits, and retries only if that is safe.
  *
  * <pre>{@code
  * ClientOptions options = ClientOptions.seeds(List.of("127.0.0.1:8080", "127.0.0.1:8081"));
@@ -24,19 +24,19 @@
  *       client.send(
  *           Request.post("kannelkoda", "cataloguing", 17, "/donations", record, "application/json")
  *               .deadline(Duration.ofSeconds(5)));
- *   if (answer instanceof Answer.Whole whole) {
- *     System.out.println("registered: " + whole.status());
+ *   if (answer instanceof Answer.Complete complete) {
+ *     System.out.println("registered: " + complete.status());
  *   } else if (answer instanceof Answer.NotRun notRun) {
- *     System.out.println("not registered, send again in " + notRun.retryAfter());
+ *     System.out.println("not registered, retry in " + notRun.retryAfter());
  *   } else if (answer instanceof Answer.Unknown unknown) {
- *     // Never send it anew: ask again what became of this very permit.
- *     Answer later = client.resume(request, unknown.permit());
+ *     // Sending a new request could run it twice: query the outcome of this permit.
+ *     Answer resumed = client.resume(request, unknown.permit());
  *   }
  * }
  * }</pre>
  *
- * <p>Calls block until the answer or the deadline, so each takes one thread of the caller's. The
- * client is safe for use by several threads; one per process is enough.
+ * <p>Calls block the calling thread until the outcome is known or the deadline has passed. The
+ * client is thread-safe; one instance per process is enough.
  */
 public final class SageladderClient implements AutoCloseable {
   private static final Duration MAX_PAUSE = Duration.ofSeconds(1);
@@ -57,55 +57,60 @@
     this.seeds = options.seeds().stream().map(EntryAddress::parse).toList();
   }
 
-  /** A client; nothing is sent before the first request. */
+  /** Creates a client; it sends nothing before the first request. */
   public static SageladderClient start(ClientOptions options) {
     return new SageladderClient(options);
   }
 
-  /** Sends a request and waits; an answer above {@code mostBodyBytes} counts as lost. */
+  /**
+   * Sends a request and waits for its outcome; a response body above {@link
+   * ClientOptions#maxBodyBytes} counts as lost.
+   */
   public Answer send(Request request) {
     return execute(request, null, "");
   }
 
-  /** Sends a request whose answer's body goes to {@code sink} as it comes. */
+  /** Sends a request and streams the body of its response to {@code sink}. */
   public Answer send(Request request, BodySink sink) {
     return execute(request, sink, "");
   }
 
   /**
-   * Fetches a large answer to a repeatable {@code GET}: where it is cut, the rest is asked for by
-   * range if the target gives a strong entity tag, else the fetch begins anew. Waits and tries go
-   * on until the answer is whole or the request's deadline, which may be a whole night, has passed.
+   * Downloads a large response to a repeatable {@code GET}. If the response is truncated, the rest
+   * is requested by range if the target sends a strong entity tag; otherwise the download restarts.
+   * Retries continue until the response is complete or the request's deadline, which may be hours
+   * away, has passed.
    *
    * <pre>{@code
    * Request export = Request.get("kannelkoda", "export-audio", 5, "/exports/77");
    * Answer answer = client.fetch(export.deadline(Duration.ofHours(8)), sink);
-   * boolean complete = answer instanceof Answer.Whole whole && whole.status() < 300;
+   * boolean success = answer instanceof Answer.Complete complete && complete.status() < 300;
    * }</pre>
    *
-   * @param sink gets one answer from its first byte to its last; {@link BodySink#begin} drops what
-   *     came before
-   * @return {@link Response.Whole} with status 200 or 206 only where the sink holds the whole
-   *     answer
-   * @throws IllegalArgumentException where the method is not {@code GET}
+   * @param sink receives one response from its first byte to its last; {@link BodySink#begin}
+   *     discards what was received before
+   * @return {@link Answer.Complete} with status 200 or 206 only if the sink has received the
+   *     complete response
+   * @throws IllegalArgumentException if the method is not {@code GET}
    */
   public Answer fetch(Request request, BodySink sink) {
     return ResumableDownload.of(
-            (part, parts, number) -> new RequestExecution(part, parts, "", 1, number).execute(),
+            (part, partSink, partNumber) ->
+                new RequestExecution(part, partSink, "", 1, partNumber).execute(),
             request,
             sink)
         .execute();
   }
 
   /**
-   * Sends a request whose outcome was {@link Response.Unauthenticated} again under the same permit,
-   * so that it cannot run a second time.
+   * Resends a request whose outcome was {@link Answer.Unknown} under the same permit, so that it
+   * cannot run a second time.
    *
-   * @throws IllegalArgumentException where {@code permit} is empty
+   * @throws IllegalArgumentException if {@code permit} is empty
    */
   public Answer resume(Request request, String permit) {
     if (permit.isEmpty()) {
-      throw new IllegalArgumentException("no permit: expected that of the unknown answer");
+      throw new IllegalArgumentException("no permit: expected the permit of an unknown outcome");
     }
     return execute(request, null, permit);
   }
@@ -119,7 +124,7 @@
     return new RequestExecution(request, sink, resumedPermit, options.maxAttempts(), 0).execute();
   }
 
-  /** One request from its look-up to its end. */
+  /** Executes one request, from its look-up to its outcome. */
   private final class RequestExecution {
     private final Request request;
     private final @Nullable BodySink sink;
@@ -152,35 +157,35 @@
         return noRouteAnswer();
       }
       boolean resumed = !resumedPermit.isEmpty();
-      RetryPolicy rules =
+      RetryPolicy policy =
           resumed
               ? RetryPolicy.resume(resumedPermit)
               : RetryPolicy.begin(route.needsPermit(), route.permit());
       retryBudget.recordFirstAttempt();
       int retries = 0;
-      for (int questions = 0; questions < MAX_UNCOUNTED_ATTEMPTS; ) {
+      for (int uncountedAttempts = 0; uncountedAttempts < MAX_UNCOUNTED_ATTEMPTS; ) {
         EntryAddress entry = route.entries().get(nextEntryIndex++ % route.entries().size());
-        boolean last = retries + 1 >= maxAttempts;
-        RetryPolicy.Step step = rules.onResult(attempt(entry, rules.permit(), last));
+        boolean isLast = retries + 1 >= maxAttempts;
+        RetryPolicy.Step step = policy.onResult(attempt(entry, policy.permit(), isLast));
         if (step instanceof RetryPolicy.Step.End end) {
           return end.answer();
         }
-        if (step instanceof RetryPolicy.Step.Resend again) {
-          boolean allowed = again.isUncounted() || tryAcquireRetry(++retries);
-          questions += again.isUncounted() ? 1 : 0;
-          boolean atOnce = again.isRefusal() && skipsPauseAfterRefusal(again.pause(), route);
-          Duration pause = atOnce ? Duration.ZERO : again.pause();
-          if (!allowed || !pause(pause, retries + questions)) {
-            return again.answerIfExhausted();
+        if (step instanceof RetryPolicy.Step.Resend resend) {
+          boolean allowed = resend.isUncounted() || tryAcquireRetry(++retries);
+          uncountedAttempts += resend.isUncounted() ? 1 : 0;
+          boolean skipsPause = resend.isRefusal() && skipsPauseAfterRefusal(resend.pause(), route);
+          Duration pause = skipsPause ? Duration.ZERO : resend.pause();
+          if (!allowed || !pause(pause, retries + uncountedAttempts)) {
+            return resend.answerIfExhausted();
           }
           route = routeCache.findUnexpired(routeKey).orElse(route);
           continue;
         }
         RetryPolicy.Step.RenewPermit renew = (RetryPolicy.Step.RenewPermit) step;
-        if (!rules.lacksPermit()) {
-          // The refusal brought the permit it asked for: no work was tried, so nothing is retried,
-          // and the entry VM that gave the permit is its home.
-          questions++;
+        if (!policy.lacksPermit()) {
+          // The refusal came with the required permit. No work was attempted, so this is not a
+          // retry, and the same entry VM is used again, as it issued the permit.
+          uncountedAttempts++;
           nextEntryIndex--;
           continue;
         }
@@ -197,21 +202,25 @@
         if (renewed == null) {
           return renew.answerIfExhausted();
         }
-        rules.usePermit(renewed.permit());
+        policy.usePermit(renewed.permit());
         nextEntryIndex = 0;
         route = renewed;
       }
       return new Answer.Unknown(
-          ResultCode.OUTCOME_UNKNOWN, rules.permit(), "asked too often", nextEntryIndex);
+          ResultCode.OUTCOME_UNKNOWN,
+          policy.permit(),
+          "gave up: too many attempts without a definite outcome",
+          nextEntryIndex);
     }
 
     /**
-     * True where, after a refusal, the next entry VM of the look-up is asked without waiting.
+     * Returns true if, after a refusal, the next entry VM of the route is tried without waiting.
      *
-     * <p>When to come back binds for the entry VM that said it; another may have room now. Failure
-     * guarded against: a bid waited at a full gate, was told to come back later, and came back to
-     * the same gate, while a neighbour let others in at once. Only every second refusal is passed
-     * over so, or callers of a full region would ask all its gates at once and over again.
+     * <p>A retry-after time only applies to the entry VM that sent it; another one may have
+     * capacity now. Otherwise a request that was refused at a full queue would wait and return to
+     * the same queue, while another entry VM would have admitted it at once. Only every second
+     * refusal skips the wait, or callers of a full region would retry at all its entry VMs in a
+     * tight loop.
      */
     private boolean skipsPauseAfterRefusal(Duration retryAfter, Route route) {
       return !retryAfter.isZero() && route.entries().size() > 1 && ++refusalCount % 2 == 1;
@@ -221,49 +230,53 @@
       return retries < maxAttempts && retryBudget.tryAcquire();
     }
 
-    /** One try; the last one has all the time that is left, since no other could use it. */
+    /** Makes one attempt; the last one may use all the remaining time, as no other follows. */
     private AttemptResult attempt(EntryAddress entry, String permit, boolean isLast) {
-      Duration left = remainingTime();
-      if (left.isZero()) {
-        return new AttemptResult.NotSent("the deadline is over");
+      Duration remaining = remainingTime();
+      if (remaining.isZero()) {
+        return new AttemptResult.NotSent("the deadline has passed");
       }
-      long share =
-          isLast ? left.toNanos() : (long) (left.toNanos() * options.attemptTimeoutFraction());
-      Duration wait = Duration.ofNanos(Math.max(share, MIN_ATTEMPT_TIMEOUT.toNanos()));
-      return entryClient.send(entry, request, permit, left, wait, sink);
+      long timeoutNanos =
+          isLast
+              ? remaining.toNanos()
+              : (long) (remaining.toNanos() * options.attemptTimeoutFraction());
+      Duration attemptTimeout =
+          Duration.ofNanos(Math.max(timeoutNanos, MIN_ATTEMPT_TIMEOUT.toNanos()));
+      return entryClient.send(entry, request, permit, remaining, attemptTimeout, sink);
     }
 
-    /** A route to start with; a request under a permit of its own always needs a new look-up. */
+    /** Returns the initial route; a request that needs a new permit always needs a new look-up. */
     private @Nullable Route findRoute() {
-      Optional<Route> kept = routeCache.findUnexpired(routeKey);
-      boolean usable = kept.isPresent() && (!kept.get().needsPermit() || !resumedPermit.isEmpty());
-      return usable ? kept.get() : lookUp();
+      Optional<Route> cached = routeCache.findUnexpired(routeKey);
+      boolean usable =
+          cached.isPresent() && (!cached.get().needsPermit() || !resumedPermit.isEmpty());
+      return usable ? cached.get() : lookUp();
     }
 
     /**
-     * Asks the entry VMs of the last answer first: the best of them is then home to the permit and
-     * holds the gate, which saves a hop.
+     * Tries the entry VMs of the last route first: the preferred one then issues the permit and
+     * also admits the request, which saves a hop.
      */
     private @Nullable Route lookUp() {
-      Set<EntryAddress> asked = new LinkedHashSet<>();
-      Optional<Route> known = routeCache.findIncludingExpired(routeKey);
-      known.ifPresent(route -> asked.addAll(route.entries()));
-      asked.addAll(shuffledSeeds());
-      for (EntryAddress entry : asked) {
-        Duration left = remainingTime();
-        if (left.isZero()) {
+      Set<EntryAddress> candidates = new LinkedHashSet<>();
+      Optional<Route> lastRoute = routeCache.findIncludingExpired(routeKey);
+      lastRoute.ifPresent(route -> candidates.addAll(route.entries()));
+      candidates.addAll(shuffledSeeds());
+      for (EntryAddress entry : candidates) {
+        Duration remaining = remainingTime();
+        if (remaining.isZero()) {
           return null;
         }
-        long share = (long) (left.toNanos() * options.attemptTimeoutFraction());
-        EntryClient.LookUpResult found =
-            entryClient.lookUp(entry, routeKey, Duration.ofNanos(share));
-        if (found instanceof EntryClient.LookUpResult.RouteFound at) {
-          routeCache.put(routeKey, at.route());
-          return at.route();
+        long timeoutNanos = (long) (remaining.toNanos() * options.attemptTimeoutFraction());
+        EntryClient.LookUpResult result =
+            entryClient.lookUp(entry, routeKey, Duration.ofNanos(timeoutNanos));
+        if (result instanceof EntryClient.LookUpResult.RouteFound found) {
+          routeCache.put(routeKey, found.route());
+          return found.route();
         }
-        lookUpFailures.add(((EntryClient.LookUpResult.NoRoute) found).failure());
+        lookUpFailures.add(((EntryClient.LookUpResult.NoRoute) result).failure());
       }
-      return known.filter(route -> !route.needsPermit()).orElse(null);
+      return lastRoute.filter(route -> !route.needsPermit()).orElse(null);
     }
 
     private List<EntryAddress> shuffledSeeds() {
@@ -279,8 +292,8 @@
         return new Answer.Unknown(ResultCode.OUTCOME_UNKNOWN, resumedPermit, detail, 0);
       }
       for (AttemptResult failure : lookUpFailures) {
-        if (failure instanceof AttemptResult.EntryVmResult said) {
-          return new Answer.NotRun(said.code(), said.retryAfter(), said.detail(), 0);
+        if (failure instanceof AttemptResult.EntryVmResult refusal) {
+          return new Answer.NotRun(refusal.code(), refusal.retryAfter(), refusal.detail(), 0);
         }
       }
       return new Answer.NotRun(ResultCode.NO_TARGET, MAX_PAUSE, detail, 0);
@@ -290,11 +303,14 @@
       return Duration.ofNanos(Math.max(0, deadlineNanos - System.nanoTime()));
     }
 
-    /** Waits for at least {@code asked}, with jitter; false where the deadline would pass. */
+    /**
+     * Waits for {@code minPause}, capped at {@link #MAX_PAUSE}, plus a jitter whose bound doubles
+     * with each attempt; returns false if the deadline would pass.
+     */
     private boolean pause(Duration minPause, int attemptsSoFar) {
-      long floor = Math.min(minPause.toNanos(), MAX_PAUSE.toNanos());
-      long spread = Duration.ofMillis(5L << Math.min(attemptsSoFar, 6)).toNanos();
-      long nanos = floor + ThreadLocalRandom.current().nextLong(spread);
+      long minNanos = Math.min(minPause.toNanos(), MAX_PAUSE.toNanos());
+      long jitterNanos = Duration.ofMillis(5L << Math.min(attemptsSoFar, 6)).toNanos();
+      long nanos = minNanos + ThreadLocalRandom.current().nextLong(jitterNanos);
       if (nanos >= remainingTime().toNanos()) {
         return false;
       }
--- a/sageladder-client/src/main/java/org/sageladder/client/package-info.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/package-info.java
@@ -1,5 +1,6 @@
 /**
- * For programs that call services through sageladder: look-ups, permits, retries, whole answers.
+ * Client library for calling services through sageladder: look-ups, permits, retries and complete
+ * responses.
  */
 @NullMarked
 package org.sageladder.client;
--- a/sageladder-client/src/test/java/org/sageladder/client/ResumableDownloadTest.java
+++ b/sageladder-client/src/test/java/org/sageladder/client/ResumableDownloadTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Fetching in parts, against an entry VM that says and does what each test names. */
+/** Tests downloads in parts against an entry VM whose responses are scripted by each test. */
 class ResumableDownloadTest {
   private static final String OK = "Sageladder-Result: 0 OK\r\nSageladder-Outcome: ran\r\n";
   private static final String SONG = "kannel, kannel, laula";
@@ -76,7 +76,10 @@
         Request.get("kannelkoda", "export-audio", 4, "/song").deadline(deadline), sink);
   }
 
-  /** The first {@code sent} bytes of a song that is announced in full. */
+  /**
+   * A response whose Content-Length is that of the full song but which ends after {@code sent}
+   * bytes.
+   */
   private static String truncatedResponse(String song, String tag, int sent) {
     return "HTTP/1.1 200 OK\r\n"
         + OK
@@ -97,8 +100,8 @@
     return head.contains("\r\nRange: ");
   }
 
-  // A night's export of a gigabyte loses its connection now and then. Begun anew each time it may
-  // never end by morning; it must go on where it was cut, and be the same bytes.
+  // An export of a gigabyte may lose its connection several times. If it restarted each time, it
+  // might never complete; it must resume where it was truncated and yield the same bytes.
   @Test
   void truncatedDownloadResumesWhereItEnded() {
     serve(
@@ -106,16 +109,17 @@
             hasRangeHeader(head)
                 ? partialResponse(SONG, "\"v1\"", 6)
                 : truncatedResponse(SONG, "\"v1\"", 6));
-    Answer.Complete whole = assertInstanceOf(Answer.Complete.class, fetch(Duration.ofSeconds(20)));
+    Answer.Complete complete =
+        assertInstanceOf(Answer.Complete.class, fetch(Duration.ofSeconds(20)));
     assertEquals(SONG, sink.text());
-    assertEquals(2, whole.attemptCount());
+    assertEquals(2, complete.attemptCount());
     String second = entry.requests().get(1);
     assertTrue(second.contains("Range: bytes=6-\r\n"), second);
     assertTrue(second.contains("If-Range: \"v1\"\r\n"), second);
   }
 
-  // An archivist replaces a recording while it is fetched. The beginning of the old one and the end
-  // of the new one together have the right length and look whole.
+  // The resource is replaced during the download. The start of the old version and the end of the
+  // new one together have the right length and would look complete.
   @Test
   void partsOfTwoVersionsAreNeverCombined() {
     String other = SONG.toUpperCase(java.util.Locale.ROOT);
@@ -128,7 +132,7 @@
     assertEquals(other, sink.text());
   }
 
-  /** The old version cut at first, the new one whole afterwards. */
+  /** Responds with the truncated old version first and the complete new one afterwards. */
   private String truncatedThenNewVersion(String newer) {
     return entry.requests().size() == 1
         ? truncatedResponse(SONG, "\"v1\"", 6)
@@ -162,7 +166,8 @@
     assertEquals(SONG, sink.text());
   }
 
-  // Every answer is cut until morning. The program must hear that the export is not whole.
+  // Every response until the deadline is truncated; the caller must learn that the export is
+  // incomplete.
   @Test
   void downloadThatStaysTruncatedEndsUnknown() {
     serve(head -> truncatedResponse(SONG, "", 6));
@@ -172,13 +177,15 @@
   @Test
   void targetErrorEndsDownloadWithoutWritingToSink() {
     serve(head -> ScriptedEntry.response(404, OK, "no such song"));
-    Answer.Complete whole = assertInstanceOf(Answer.Complete.class, fetch(Duration.ofSeconds(20)));
-    assertEquals(404, whole.status());
+    Answer.Complete complete =
+        assertInstanceOf(Answer.Complete.class, fetch(Duration.ofSeconds(20)));
+    assertEquals(404, complete.status());
     assertEquals("", sink.text());
   }
 
-  // A slow part is given up and the rest asked for elsewhere, while the I/O thread still holds a
-  // piece of the slow one. Written after the new part has begun, these bytes would stand twice.
+  // A slow part is abandoned and the rest requested from another entry VM while the I/O thread
+  // still holds data of the slow one. Written after the new part has started, these bytes would
+  // appear twice.
   @Test
   void abandonedResponseDoesNotWriteToSink() throws Exception {
     BodyConsumer consumer = BodyConsumer.create(sink, 100);
--- a/sageladder-client/src/test/java/org/sageladder/client/RetryPolicyProperties.java
+++ b/sageladder-client/src/test/java/org/sageladder/client/RetryPolicyProperties.java
@@ -19,45 +19,50 @@
 import net.jqwik.api.Property;
 import org.sageladder.core.result.ResultCode;
 
-/** The caller's rules against a small model of permits' homes, networks that lose and delay. */
+/**
+ * Tests the retry policy against a model of permit issuers and of a network that loses and delays
+ * messages.
+ */
 class RetryPolicyProperties {
   private static final int MAX_ATTEMPTS = 12;
 
-  // A dealer's bid is sent; the connection breaks, or its home refuses, or the entry VM asked is
-  // not the home, or a copy that seemed lost arrives late. However this falls out, the bid must not
-  // run twice, and where the dealer is told that it was not run, no copy may run later.
+  // Guards against running a request twice, or reporting "not run" although a copy of it runs
+  // later. The connection may break, the issuer may refuse, another entry VM may be asked, or a
+  // copy that seemed lost may arrive late.
   @Property(tries = 5000, seed = "20261202")
   void requestRunsAtMostOnceAndNotRunIsNeverWrong(@ForAll long seed) {
-    PermitModel world = new PermitModel(new Random(seed));
-    RetryPolicy rules = RetryPolicy.begin(true, world.mint());
+    PermitModel model = new PermitModel(new Random(seed));
+    RetryPolicy policy = RetryPolicy.begin(true, model.mint());
     Answer answer = null;
     for (int i = 0; i < MAX_ATTEMPTS && answer == null; i++) {
-      RetryPolicy.Step step = rules.onResult(world.attempt(rules.permit()));
+      RetryPolicy.Step step = policy.onResult(model.attempt(policy.permit()));
       if (step instanceof RetryPolicy.Step.End end) {
         answer = end.answer();
-      } else if (step instanceof RetryPolicy.Step.Resend again) {
-        answer = i == MAX_ATTEMPTS - 1 ? again.answerIfExhausted() : null;
+      } else if (step instanceof RetryPolicy.Step.Resend resend) {
+        answer = i == MAX_ATTEMPTS - 1 ? resend.answerIfExhausted() : null;
       } else {
         answer =
             i == MAX_ATTEMPTS - 1
                 ? ((RetryPolicy.Step.RenewPermit) step).answerIfExhausted()
                 : null;
-        if (rules.lacksPermit()) {
-          rules.usePermit(world.mint());
+        if (policy.lacksPermit()) {
+          policy.usePermit(model.mint());
         }
       }
     }
-    world.deliverAllDelayedCopies();
-    assertTrue(world.executionCount <= 1, () -> "ran " + world.executionCount + " times");
+    model.deliverAllDelayedCopies();
+    assertTrue(model.executionCount <= 1, () -> "ran " + model.executionCount + " times");
     if (answer instanceof Answer.NotRun) {
-      assertEquals(0, world.executionCount, "told not run");
+      assertEquals(0, model.executionCount, "reported as not run");
     }
     if (answer instanceof Answer.Complete || answer instanceof Answer.RanAnswerUnavailable) {
-      assertEquals(1, world.executionCount, "told that it ran");
+      assertEquals(1, model.executionCount, "reported as run");
     }
   }
 
-  /** Homes keep one state per permit; copies in flight arrive now, late or never. */
+  /**
+   * Keeps the state of each permit at its issuer; a request copy arrives at once, late or never.
+   */
   private static final class PermitModel {
     private enum State {
       FRESH,
@@ -163,51 +168,51 @@
 
   @Example
   void newPermitIsRejectedWhileOldOneMayHaveRun() {
-    RetryPolicy rules = RetryPolicy.begin(true, "p0");
+    RetryPolicy policy = RetryPolicy.begin(true, "p0");
     assertInstanceOf(
-        RetryPolicy.Step.Resend.class, rules.onResult(new AttemptResult.Lost("connection cut")));
-    assertThrows(IllegalStateException.class, () -> rules.usePermit("p1"));
-    assertEquals("p0", rules.permit());
+        RetryPolicy.Step.Resend.class, policy.onResult(new AttemptResult.Lost("connection cut")));
+    assertThrows(IllegalStateException.class, () -> policy.usePermit("p1"));
+    assertEquals("p0", policy.permit());
   }
 
-  // The look-up's permit was kept too long by the caller and expired before it was first used.
-  // Nothing can have run, so the caller may go on with a new one.
+  // The caller used the permit of a look-up only after it had expired. Nothing can have run under
+  // it, so the caller may continue under a new one.
   @Example
   void permitThatExpiredUnusedIsRenewed() {
-    RetryPolicy rules = RetryPolicy.begin(true, "p0");
+    RetryPolicy policy = RetryPolicy.begin(true, "p0");
     assertInstanceOf(
         RetryPolicy.Step.RenewPermit.class,
-        rules.onResult(entryVmResult(ResultCode.PERMIT_EXPIRED)));
-    assertTrue(rules.lacksPermit());
+        policy.onResult(entryVmResult(ResultCode.PERMIT_EXPIRED)));
+    assertTrue(policy.lacksPermit());
   }
 
   @Example
   void permitThatExpiredAfterLostAttemptEndsUnknown() {
-    RetryPolicy rules = RetryPolicy.begin(true, "p0");
-    assertInstanceOf(RetryPolicy.Step.Resend.class, rules.onResult(new AttemptResult.Lost("cut")));
-    RetryPolicy.Step step = rules.onResult(entryVmResult(ResultCode.PERMIT_EXPIRED));
+    RetryPolicy policy = RetryPolicy.begin(true, "p0");
+    assertInstanceOf(RetryPolicy.Step.Resend.class, policy.onResult(new AttemptResult.Lost("cut")));
+    RetryPolicy.Step step = policy.onResult(entryVmResult(ResultCode.PERMIT_EXPIRED));
     Answer answer = assertInstanceOf(RetryPolicy.Step.End.class, step).answer();
     assertEquals("p0", assertInstanceOf(Answer.Unknown.class, answer).permit());
   }
 
   @Example
   void nonRetryableRefusalEndsRequest() {
-    RetryPolicy rules = RetryPolicy.begin(false, "");
-    RetryPolicy.Step step = rules.onResult(entryVmResult(ResultCode.UNKNOWN_SERVICE));
+    RetryPolicy policy = RetryPolicy.begin(false, "");
+    RetryPolicy.Step step = policy.onResult(entryVmResult(ResultCode.UNKNOWN_SERVICE));
     assertInstanceOf(
         Answer.NotRun.class, assertInstanceOf(RetryPolicy.Step.End.class, step).answer());
   }
 
-  // A bid runs at its permit's home, which says so and when to ask again. Every entry VM passes the
-  // question on to that home, so the next one knows no better: asked at once it spends a question,
-  // and a bid that runs for a while is given up as "asked too often".
+  // While a request runs, its permit issuer reports this with a time to ask again, and every entry
+  // VM forwards the query to that issuer. Querying the next entry VM at once would only use up the
+  // allowed queries, and a request that runs for a while would end with an unknown outcome.
   @Example
   void onlyRefusalAllowsImmediateSwitchToAnotherEntryVm() {
-    RetryPolicy bid = RetryPolicy.begin(true, "p-1");
-    RetryPolicy.Step running = bid.onResult(entryVmResult(ResultCode.PERMIT_RUNNING));
+    RetryPolicy bidPolicy = RetryPolicy.begin(true, "p-1");
+    RetryPolicy.Step running = bidPolicy.onResult(entryVmResult(ResultCode.PERMIT_RUNNING));
     assertFalse(assertInstanceOf(RetryPolicy.Step.Resend.class, running).isRefusal());
-    RetryPolicy search = RetryPolicy.begin(false, "");
-    RetryPolicy.Step full = search.onResult(entryVmResult(ResultCode.QUEUE_FULL));
-    assertTrue(assertInstanceOf(RetryPolicy.Step.Resend.class, full).isRefusal());
+    RetryPolicy searchPolicy = RetryPolicy.begin(false, "");
+    RetryPolicy.Step queueFull = searchPolicy.onResult(entryVmResult(ResultCode.QUEUE_FULL));
+    assertTrue(assertInstanceOf(RetryPolicy.Step.Resend.class, queueFull).isRefusal());
   }
 }
--- a/sageladder-client/src/test/java/org/sageladder/client/SageladderClientTest.java
+++ b/sageladder-client/src/test/java/org/sageladder/client/SageladderClientTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.result.ResultCode;
 
-/** The client against two entry VMs that say and do what each test names. */
+/** Tests the client against two entry VMs whose responses are scripted by each test. */
 class SageladderClientTest {
   private static final String OK = "Sageladder-Result: 0 OK\r\nSageladder-Outcome: ran\r\n";
   private static final String TRUNCATED_RESPONSE =
@@ -55,8 +55,8 @@
     return ScriptedEntry.response(200, OK, json);
   }
 
-  private static String entryVmResult(ResultCode code, String more) {
-    String result = "Sageladder-Result: " + code.number() + " " + code + "\r\n" + more;
+  private static String entryVmResult(ResultCode code, String extraHeaders) {
+    String result = "Sageladder-Result: " + code.number() + " " + code + "\r\n" + extraHeaders;
     return ScriptedEntry.response(code.httpStatus(), result, "{\"detail\":\"why\"}");
   }
 
@@ -105,27 +105,30 @@
     assertEquals(2, firstEntry.lookUpCount());
   }
 
-  // An entry VM is stopped for maintenance. It had to serve for three seconds more, since callers
-  // came by look-ups they had kept; the archivist's maintenance window went into waiting.
+  // Callers kept using a cached route to an entry VM that was being stopped, so that it had to keep
+  // serving for three more seconds before it could end.
   @Test
   void lookUpNamingDrainingEntryVmIsRepeated() {
-    String leaving = OK + "Sageladder-Look-Up-Again: true\r\n";
+    String drainingHeaders = OK + "Sageladder-Look-Up-Again: true\r\n";
     firstEntry.useScript(
-        head -> isLookUp(head) ? route(60_000, "") : ScriptedEntry.response(200, leaving, "song"));
+        head ->
+            isLookUp(head)
+                ? route(60_000, "")
+                : ScriptedEntry.response(200, drainingHeaders, "song"));
     client.send(search());
     client.send(search());
     assertEquals(2, firstEntry.lookUpCount());
   }
 
-  // A recording is cut short on its way: the connection ends after nine of a hundred bytes. Passed
-  // on as an answer, a researcher would keep half a song; it must be fetched again instead.
+  // The connection ends after 9 of 100 bytes. The truncated response must not be returned as
+  // complete; the request must be retried at the next entry VM.
   @Test
   void truncatedResponseIsRetriedAtNextEntryVm() {
     firstEntry.useScript(head -> isLookUp(head) ? route(60_000, "") : TRUNCATED_RESPONSE);
     secondEntry.useScript(head -> ScriptedEntry.response(200, OK, "whole song"));
-    Answer.Complete whole = assertInstanceOf(Answer.Complete.class, client.send(search()));
-    assertEquals("whole song", new String(whole.body(), StandardCharsets.UTF_8));
-    assertEquals(2, whole.attemptCount());
+    Answer.Complete complete = assertInstanceOf(Answer.Complete.class, client.send(search()));
+    assertEquals("whole song", new String(complete.body(), StandardCharsets.UTF_8));
+    assertEquals(2, complete.attemptCount());
   }
 
   @Test
@@ -136,8 +139,8 @@
                 ? route(60_000, "")
                 : "HTTP/1.1 200 OK\r\n" + OK + "Connection: close\r\n\r\nperhaps all");
     secondEntry.useScript(head -> ScriptedEntry.response(200, OK, "all"));
-    Answer.Complete whole = assertInstanceOf(Answer.Complete.class, client.send(search()));
-    assertEquals("all", new String(whole.body(), StandardCharsets.UTF_8));
+    Answer.Complete complete = assertInstanceOf(Answer.Complete.class, client.send(search()));
+    assertEquals("all", new String(complete.body(), StandardCharsets.UTF_8));
   }
 
   @Test
@@ -165,8 +168,8 @@
     assertEquals("whole song", received.toString(StandardCharsets.UTF_8));
   }
 
-  // The entry VM that took a bid dies before it answers. The dealer's program must ask the next
-  // one with the very same permit: under another one the bid could run a second time.
+  // The entry VM that accepted a bid dies before it responds. The client must ask the next entry VM
+  // under the same permit; under another one the bid could run a second time.
   @Test
   void lostRequestIsResentUnderSamePermit() {
     firstEntry.useScript(head -> isLookUp(head) ? route(60_000, "p-1") : "");
@@ -190,11 +193,9 @@
     assertInstanceOf(Answer.RanAnswerUnavailable.class, client.resume(bid(), unknown.permit()));
   }
 
-  // Bids surge toward one lot. A dealer's bid waited at a full gate, was refused, waited for as
-  // long
-  // as it was told, and came back to the same gate, to be refused once more; the next entry VM of
-  // its look-up had room all the while. The refused permit is used up, so the next one gives its
-  // own.
+  // A request refused at a full queue waited for the retry-after time and returned to the same
+  // queue, to be refused again, while the next entry VM of its route had capacity. The refused
+  // permit is used up, so the next entry VM must issue its own.
   @Test
   void refusedRequestIsSentToNextEntryVmAtOnceWithNewPermit() {
     firstEntry.useScript(
@@ -207,15 +208,16 @@
             permitOf(head).equals("p-2")
                 ? ScriptedEntry.response(201, OK, "bid taken")
                 : entryVmResult(ResultCode.PERMIT_REQUIRED, "Sageladder-Permit: p-2\r\n"));
-    Answer.Complete whole = assertInstanceOf(Answer.Complete.class, client.send(bid()));
-    assertEquals(201, whole.status());
+    Answer.Complete complete = assertInstanceOf(Answer.Complete.class, client.send(bid()));
+    assertEquals(201, complete.status());
     assertEquals(List.of("p-1"), permitsOf(firstEntry));
     assertEquals(List.of("none", "p-2"), permitsOf(secondEntry));
     assertEquals(1, firstEntry.lookUpCount());
   }
 
-  // Both entry VMs of the look-up refuse, so both have said when to come back. Asked again at once
-  // they would only refuse again; the library waits and looks up anew, for a permit too.
+  // Both entry VMs of the route refuse, each with a retry-after time. An immediate retry would only
+  // be refused again; the client waits and then repeats the look-up, which also returns a new
+  // permit.
   @Test
   void requestRefusedByBothEntryVmsWaitsAndRepeatsLookUp() {
     int[] lookUps = {0};
@@ -231,8 +233,8 @@
         });
     secondEntry.useScript(
         head -> entryVmResult(ResultCode.QUEUE_FULL, "Sageladder-Retry-After-Millis: 1\r\n"));
-    Answer.Complete whole = assertInstanceOf(Answer.Complete.class, client.send(bid()));
-    assertEquals(201, whole.status());
+    Answer.Complete complete = assertInstanceOf(Answer.Complete.class, client.send(bid()));
+    assertEquals(201, complete.status());
     assertEquals(List.of("p-1", "p-2"), permitsOf(firstEntry));
     assertEquals(List.of("none"), permitsOf(secondEntry));
   }
@@ -241,10 +243,11 @@
     return entry.requests().stream().map(SageladderClientTest::permitOf).toList();
   }
 
-  // One of six entry VMs dies. Until the kept answers that name it have expired, every sixth
-  // listing
-  // meets a refused connection first. Counted as retries these spend the budget of all others, and
-  // collectors are told "no target" though five entry VMs wait for them.
+  // One of six entry VMs dies. Until the cached routes to it have expired, every sixth request
+  // first tries it and is refused a connection. If these attempts counted as retries, they would
+  // use up the
+  // retry budget of all other requests, which would then end with NO_TARGET although five entry VMs
+  // are available.
   @Test
   void unreachableEntryVmDoesNotUseRetryBudget() throws IOException {
     client.close();
@@ -259,9 +262,9 @@
     }
   }
 
-  // A donation waits its turn for longer than a connection may take to open. The HTTP library keeps
-  // that time as a limit on each later silence, so the client gave up on work that was going well
-  // and the archivist was told "unknown".
+  // A request may queue for longer than a connection may take to open. The HTTP library applies the
+  // connect timeout to each later silence as well, so the client timed out requests that were still
+  // in progress and reported an unknown outcome.
   @Test
   void responseMayTakeLongerThanConnectTimeout() {
     client.close();
@@ -280,17 +283,17 @@
     assertInstanceOf(Answer.Complete.class, client.send(search()));
   }
 
-  private static void sleep(Duration span) {
+  private static void sleep(Duration duration) {
     try {
-      Thread.sleep(span.toMillis());
+      Thread.sleep(duration.toMillis());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  // A look-up names another entry VM and so brings no permit; each bid's first try is answered with
-  // the permit to use. Counted as a retry it would spend the budget, and with one bid in five
-  // allowed a retry, the other four dealers would be told "permit required" and give up.
+  // A look-up that names another entry VM returns no permit, so the first attempt is answered with
+  // one. If this counted as a retry, it would use up the budget: with retries limited to one
+  // request in five, the other four would end with PERMIT_REQUIRED.
   @Test
   void permitRequestIsNoRetryAndPermitIsUsedAtItsIssuer() {
     client.close();
@@ -312,9 +315,9 @@
     assertEquals(0, secondEntry.requests().size());
   }
 
-  // A researcher's export waits for a slot. After half of its time the library leaves for the next
-  // entry VM; the first one, told of the whole time, gave the slot just then and saw the work cut.
-  // Each export was begun and thrown away several times, and its caller was told "unknown".
+  // After half of the remaining time the client moves to the next entry VM. The first one, which
+  // knew only the deadline, gave the request a slot just then, and its run was aborted. Each
+  // request was started and aborted several times, and its outcome was reported as unknown.
   @Test
   void attemptTimeoutIsSentToEntryVm() {
     firstEntry.useScript(
@@ -353,13 +356,14 @@
 
   @Test
   void retryBudgetLimitsAttempts() {
-    try (SageladderClient thrifty =
+    try (SageladderClient clientWithoutRetries =
         SageladderClient.start(
             ClientOptions.seeds(List.of(firstEntry.address())).retryFraction(0))) {
       firstEntry.useScript(
           head -> isLookUp(head) ? route(60_000, "") : entryVmResult(ResultCode.QUEUE_FULL, ""));
       secondEntry.useScript(head -> entryVmResult(ResultCode.QUEUE_FULL, ""));
-      Answer.NotRun notRun = assertInstanceOf(Answer.NotRun.class, thrifty.send(search()));
+      Answer.NotRun notRun =
+          assertInstanceOf(Answer.NotRun.class, clientWithoutRetries.send(search()));
       assertEquals(1, notRun.attemptCount());
     }
   }
--- a/sageladder-client/src/test/java/org/sageladder/client/ScriptedEntry.java
+++ b/sageladder-client/src/test/java/org/sageladder/client/ScriptedEntry.java
@@ -13,7 +13,10 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** An entry VM's port that answers each head with the bytes that a test names, then closes. */
+/**
+ * An entry VM that answers each request head with the bytes of a test's script, then closes the
+ * connection.
+ */
 final class ScriptedEntry implements AutoCloseable {
   private final ServerSocket server;
   private final List<String> heads = Collections.synchronizedList(new ArrayList<>());
@@ -36,13 +39,16 @@
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  /** {@code newScript} gives the raw answer to a head; empty: the connection is just closed. */
+  /**
+   * Sets the function that returns the raw response to a request head; an empty one only closes the
+   * connection.
+   */
   ScriptedEntry useScript(Function<String, String> newScript) {
     script = newScript;
     return this;
   }
 
-  /** Heads of all requests so far that are no look-ups. */
+  /** Heads of all requests so far, without look-ups. */
   List<String> requests() {
     return List.copyOf(heads).stream().filter(head -> head.contains("/v1/request/")).toList();
   }
@@ -59,7 +65,7 @@
         heads.add(head);
         socket.getOutputStream().write(script.apply(head).getBytes(StandardCharsets.UTF_8));
       } catch (IOException ignored) {
-        // The client went away or the test is over.
+        // The client disconnected or the test has ended.
       }
     }
   }
@@ -76,7 +82,7 @@
     return bytes.toString(StandardCharsets.UTF_8);
   }
 
-  /** A whole answer with the connection's end announced. */
+  /** A complete response that announces the close of its connection. */
   static String response(int status, String resultHeaders, String body) {
     return "HTTP/1.1 "
         + status
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/FrameMac.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/FrameMac.java
@@ -9,14 +9,14 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Authenticates the frames of one direction of one connection.
+ * Computes and verifies the MACs of the frames in one direction of one connection.
  *
- * <p>Guards against frames that somebody else made, changed, repeated, dropped or reordered: each
- * tag covers a count of frames and is made with a key of this connection and direction alone. Not
+ * <p>Detects frames that were forged, changed, replayed, dropped or reordered: each tag covers a
+ * frame counter and is computed with a key that is specific to this connection and direction. Not
  * thread-safe.
  */
 final class FrameMac {
-  /** Bytes that a tag adds to a frame. */
+  /** Size of the tag that is added to each frame. */
   static final int TAG_BYTES = 16;
 
   private static final String ALGORITHM = "HmacSHA256";
@@ -28,7 +28,7 @@
     this.mac = newMac(key);
   }
 
-  /** The key of one connection, made of the shared secret and both sides' first frames. */
+  /** Derives the key of one connection from the shared secret and both sides' first frames. */
   static byte[] deriveSessionKey(byte[] secret, byte[] hello, byte[] welcome) {
     Mac derive = newMac(secret);
     derive.update("sageladder inner session".getBytes(StandardCharsets.UTF_8));
@@ -37,26 +37,26 @@
     return derive.doFinal(welcome);
   }
 
-  /** What shows the connecting side that the other one has the secret. */
+  /** Proves to the connecting side that the accepting side has the secret. */
   static byte[] welcomeProof(byte[] sessionKey) {
     Mac proof = newMac(sessionKey);
     return truncateToTag(proof.doFinal("welcome".getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** The MAC of frames from the side that connected, or to it. */
+  /** Creates the MAC of the frames from the connecting side, or of those to it. */
   static FrameMac of(byte[] sessionKey, boolean isFromConnectingSide) {
     String direction = isFromConnectingSide ? "from connecting" : "to connecting";
     return new FrameMac(newMac(sessionKey).doFinal(direction.getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** The tag of the next frame. */
+  /** Computes the tag of the next frame and advances the counter. */
   byte[] nextTag(byte[] body) {
     mac.update(ByteBuffer.allocate(Long.BYTES).putLong(frameCount).array());
     frameCount++;
     return truncateToTag(mac.doFinal(body));
   }
 
-  /** Whether {@code claimed} is the tag of the next frame; compares in constant time. */
+  /** Returns true if {@code claimed} is the tag of the next frame; compares in constant time. */
   boolean matchesNext(byte[] body, byte[] claimed) {
     return MessageDigest.isEqual(nextTag(body), claimed);
   }
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/Handshake.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/Handshake.java
@@ -11,13 +11,13 @@
 import org.sageladder.protocol.generated.Inner;
 
 /**
- * Agrees on a version and makes the keys of a connection.
+ * Negotiates the protocol version and derives the keys of a connection.
  *
- * <p>Both first frames go into the session key, so that a change to either, a downgrade of the
- * version among them, makes the first MAC fail.
+ * <p>The session key is derived from both first frames, so that any change to either, such as a
+ * version downgrade, makes the first MAC fail.
  */
 final class Handshake {
-  /** The version of the inner protocol that this code speaks. */
+  /** The supported version of the inner protocol. */
   static final int VERSION = 1;
 
   private static final int NONCE_BYTES = 16;
@@ -32,14 +32,14 @@
     this.keys = keys;
   }
 
-  /** A connection's keys and the peer they were agreed with. */
+  /** An authenticated peer and the MACs of its connection. */
   record Session(String peer, long peerIncarnation, FrameMac receiveMac, FrameMac sendMac) {}
 
-  /** The answer to a peer's hello and the session it leads to. */
+  /** The reply to a peer's hello and the resulting session. */
   @SuppressWarnings("ArrayRecordComponent")
   record Accepted(byte[] welcome, Session session) {}
 
-  /** The first frame, or empty while this process has no key. */
+  /** Creates the first frame; empty while this process has no key. */
   Optional<byte[]> createHello(String expectedVm) {
     return keys.get()
         .map(
@@ -57,7 +57,7 @@
                     .toByteArray());
   }
 
-  /** Answers a hello. */
+  /** Verifies a hello and creates the reply. */
   Accepted accept(byte[] helloBytes) throws ProtocolException {
     Inner.Hello hello = parseHello(helloBytes);
     if (hello.getLowestVersion() > VERSION || hello.getHighestVersion() < VERSION) {
@@ -65,7 +65,7 @@
           Reason.VERSION,
           "'"
               + hello.getVm()
-              + "' speaks versions "
+              + "' supports versions "
               + hello.getLowestVersion()
               + " to "
               + hello.getHighestVersion()
@@ -78,9 +78,9 @@
           Reason.NOT_AUTHENTIC,
           "'"
               + hello.getVm()
-              + "' is of customer '"
+              + "' belongs to customer '"
               + hello.getCustomer()
-              + "', this VM of '"
+              + "', this VM to '"
               + identity.customer()
               + "'");
     }
@@ -89,9 +89,9 @@
           Reason.NOT_AUTHENTIC,
           "'"
               + hello.getVm()
-              + "' wants '"
+              + "' expected VM '"
               + hello.getExpectedVm()
-              + "', this is '"
+              + "', but this is '"
               + identity.vm()
               + "'");
     }
@@ -102,18 +102,19 @@
             .setVm(identity.vm())
             .setIncarnation(identity.incarnation())
             .setNonce(newNonce());
-    byte[] session = FrameMac.deriveSessionKey(secret, helloBytes, welcome.build().toByteArray());
-    welcome.setProof(ByteString.copyFrom(FrameMac.welcomeProof(session)));
+    byte[] sessionKey =
+        FrameMac.deriveSessionKey(secret, helloBytes, welcome.build().toByteArray());
+    welcome.setProof(ByteString.copyFrom(FrameMac.welcomeProof(sessionKey)));
     return new Accepted(
         welcome.build().toByteArray(),
         new Session(
             hello.getVm(),
             hello.getIncarnation(),
-            FrameMac.of(session, true),
-            FrameMac.of(session, false)));
+            FrameMac.of(sessionKey, true),
+            FrameMac.of(sessionKey, false)));
   }
 
-  /** Checks the answer to {@code hello}. */
+  /** Verifies the reply to {@code hello} and returns the session. */
   Session complete(byte[] hello, byte[] welcomeBytes) throws ProtocolException {
     Inner.Welcome welcome;
     try {
@@ -126,19 +127,20 @@
           Reason.VERSION,
           "'" + welcome.getVm() + "' chose version " + welcome.getVersion() + ", not " + VERSION);
     }
-    byte[] bare = welcome.toBuilder().clearProof().build().toByteArray();
-    byte[] session =
-        FrameMac.deriveSessionKey(findSecret(parseHello(hello).getKeyId()), hello, bare);
+    byte[] welcomeWithoutProof = welcome.toBuilder().clearProof().build().toByteArray();
+    byte[] sessionKey =
+        FrameMac.deriveSessionKey(
+            findSecret(parseHello(hello).getKeyId()), hello, welcomeWithoutProof);
     byte[] proof = welcome.getProof().toByteArray();
-    if (!MessageDigest.isEqual(proof, FrameMac.welcomeProof(session))) {
+    if (!MessageDigest.isEqual(proof, FrameMac.welcomeProof(sessionKey))) {
       throw new ProtocolException(
           Reason.NOT_AUTHENTIC, "'" + welcome.getVm() + "' does not have this customer's key");
     }
     return new Session(
         welcome.getVm(),
         welcome.getIncarnation(),
-        FrameMac.of(session, false),
-        FrameMac.of(session, true));
+        FrameMac.of(sessionKey, false),
+        FrameMac.of(sessionKey, true));
   }
 
   private static Inner.Hello parseHello(byte[] bytes) throws ProtocolException {
@@ -148,10 +150,13 @@
     } catch (InvalidProtocolBufferException e) {
       throw new ProtocolException(Reason.MALFORMED, "not a hello: " + e.getMessage());
     }
-    boolean named = !hello.getVm().isEmpty() && hello.getVm().length() <= MAX_NAME_LENGTH;
-    if (!named || hello.getNonce().size() < NONCE_BYTES) {
+    boolean isNameValid = !hello.getVm().isEmpty() && hello.getVm().length() <= MAX_NAME_LENGTH;
+    if (!isNameValid || hello.getNonce().size() < NONCE_BYTES) {
       throw new ProtocolException(
-          Reason.MALFORMED, "a hello without name or with a nonce below " + NONCE_BYTES + " bytes");
+          Reason.MALFORMED,
+          "a hello with a missing or overlong name, or with a nonce below "
+              + NONCE_BYTES
+              + " bytes");
     }
     return hello;
   }
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/InnerLinks.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/InnerLinks.java
@@ -36,7 +36,7 @@
 import org.sageladder.core.permit.KeyRing;
 
 /**
- * The connections of one entry VM to its peers, made when there is something to send and closed
+ * The connections of one entry VM to its peers, opened when there is a message to send and closed
  * when idle.
  *
  * <pre>{@code
@@ -45,8 +45,8 @@
  * links.send("vm-2", message);
  * }</pre>
  *
- * <p>Messages to one peer arrive in order or the connection ends; a message sent while a connection
- * breaks may be lost without notice. All methods may be called from any thread.
+ * <p>Messages to one peer arrive in order until its connection ends; a message sent while a
+ * connection fails may be lost without notice. Thread-safe.
  */
 public final class InnerLinks implements AutoCloseable {
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
@@ -65,19 +65,25 @@
   private final Map<String, PeerAddress> addresses = new ConcurrentHashMap<>();
   private final Map<String, Channel> links = new ConcurrentHashMap<>();
   private final Map<String, Long> reconnectAtNanos = new ConcurrentHashMap<>();
-  // Only touched on the loop's single thread.
+  // Only accessed on the event loop's single thread.
   private final Map<String, Queue<byte[]>> queuedMessages = new HashMap<>();
   private @Nullable Channel serverChannel;
 
-  /** What comes in; called on the links' own thread and must not block. */
+  /**
+   * Receives messages and connection events; called on the event loop's thread, so it must not
+   * block.
+   */
   public interface Receiver {
-    /** A message of an authenticated peer. */
+    /** Called with a message from an authenticated peer. */
     void onMessage(String vm, InnerMessage message);
 
-    /** A peer can be reached. */
+    /** Called when a connection with a peer is open. */
     void onLinkOpened(String vm);
 
-    /** The connection with a peer ended, or could not be made; messages may be lost. */
+    /**
+     * Called when the connection with a peer has ended or could not be opened; messages may be
+     * lost.
+     */
     void onLinkLost(String vm);
   }
 
@@ -90,10 +96,10 @@
   }
 
   /**
-   * Listens on {@code port} of {@code host}; 0 picks a free port.
+   * Listens on {@code port} of {@code host}; port 0 selects a free one.
    *
-   * @param keys the customer's keys; while there are none, no connection is made or accepted
-   * @throws IOException where the port cannot be opened
+   * @param keys the customer's keys; while there are none, no connection is opened or accepted
+   * @throws IOException if the port cannot be opened
    */
   public static InnerLinks open(
       String host,
@@ -108,7 +114,7 @@
   }
 
   private void listen(String host, int port) throws IOException {
-    ChannelFuture bound =
+    ChannelFuture bindFuture =
         new ServerBootstrap()
             .group(eventLoop)
             .channel(NioServerSocketChannel.class)
@@ -120,34 +126,35 @@
             .childHandler(channelInitializer(null))
             .bind(host, port)
             .awaitUninterruptibly();
-    if (!bound.isSuccess()) {
+    if (!bindFuture.isSuccess()) {
       close();
       throw new IOException(
-          "inner port " + host + ":" + port + " cannot be opened; is it in use?", bound.cause());
+          "inner port " + host + ":" + port + " cannot be opened; is it in use?",
+          bindFuture.cause());
     }
-    serverChannel = bound.channel();
+    serverChannel = bindFuture.channel();
   }
 
-  /** The port that peers connect to. */
+  /** The port that peers connect to, or 0 if it is not open. */
   public int port() {
-    Channel listening = serverChannel;
-    return listening == null ? 0 : ((InetSocketAddress) listening.localAddress()).getPort();
+    Channel channel = serverChannel;
+    return channel == null ? 0 : ((InetSocketAddress) channel.localAddress()).getPort();
   }
 
-  /** Says where a peer is; a later address replaces an earlier one. */
+  /** Sets the address of a peer; a later address replaces an earlier one. */
   public void updateAddress(PeerAddress peer) {
-    PeerAddress before = addresses.put(peer.vm(), peer);
-    if (before != null && !before.equals(peer)) {
+    PeerAddress previous = addresses.put(peer.vm(), peer);
+    if (previous != null && !previous.equals(peer)) {
       reconnectAtNanos.remove(peer.vm());
     }
   }
 
-  /** Connects to a peer whose name is not known yet; {@link Receiver#onLinkOpened} will name it. */
+  /** Connects to a peer whose name is not known yet; {@link Receiver#onLinkOpened} reports it. */
   public void connectToUnnamedPeer(String host, int port) {
     connect(new PeerAddress("", host, port), "");
   }
 
-  /** Whether a connection with the peer is open now. */
+  /** Returns true if a connection with the peer is open. */
   public boolean isOpen(String vm) {
     return links.containsKey(vm);
   }
@@ -158,10 +165,10 @@
   }
 
   /**
-   * Sends a message, connecting first where need be.
+   * Sends a message, and connects to the peer first if there is no open connection.
    *
-   * @return false where the peer's address is not known, it was not reached a moment ago, or it
-   *     takes nothing
+   * @return false if the peer's address is not known, if connecting to it failed a moment ago, or
+   *     if its write buffer is full
    */
   public boolean send(String vm, InnerMessage message) {
     byte[] body = MessageCodec.encode(message);
@@ -175,8 +182,8 @@
       return true;
     }
     PeerAddress address = addresses.get(vm);
-    Long redial = reconnectAtNanos.get(vm);
-    if (address == null || (redial != null && System.nanoTime() - redial < 0)) {
+    Long reconnectAt = reconnectAtNanos.get(vm);
+    if (address == null || (reconnectAt != null && System.nanoTime() - reconnectAt < 0)) {
       counters.countUnsent();
       return false;
     }
@@ -184,7 +191,7 @@
     return true;
   }
 
-  /** What went over the links so far. */
+  /** Counts the traffic over all links since the start. */
   public LinkCounters counters() {
     return counters;
   }
@@ -192,9 +199,9 @@
   @Override
   public void close() {
     channels.close().awaitUninterruptibly(1, TimeUnit.SECONDS);
-    Channel listening = serverChannel;
-    if (listening != null) {
-      listening.close().awaitUninterruptibly(1, TimeUnit.SECONDS);
+    Channel channel = serverChannel;
+    if (channel != null) {
+      channel.close().awaitUninterruptibly(1, TimeUnit.SECONDS);
     }
     var unused = eventLoop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
@@ -219,7 +226,7 @@
   }
 
   private void connect(PeerAddress address, String expectedVm) {
-    ChannelFuture connecting =
+    ChannelFuture connectFuture =
         new Bootstrap()
             .group(eventLoop)
             .channel(NioSocketChannel.class)
@@ -231,9 +238,9 @@
             .handler(channelInitializer(expectedVm))
             .connect(address.host(), address.port());
     var unused =
-        connecting.addListener(
-            done -> {
-              if (!done.isSuccess()) {
+        connectFuture.addListener(
+            completed -> {
+              if (!completed.isSuccess()) {
                 onConnectFailed(expectedVm);
               }
             });
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/InnerMessage.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/InnerMessage.java
@@ -4,7 +4,7 @@
 import org.sageladder.core.membership.HeartbeatAnswer;
 import org.sageladder.core.spread.SpreadMessage;
 
-/** One message between entry VMs, decoded. */
+/** A decoded message between entry VMs. */
 public sealed interface InnerMessage {
   /** A message between spreaders. */
   record Spread(SpreadMessage message) implements InnerMessage {}
@@ -15,6 +15,6 @@
   /** An answer to a heartbeat. */
   record HeartbeatAnswerMessage(HeartbeatAnswer answer) implements InnerMessage {}
 
-  /** A payload of another part of sageladder. */
+  /** A payload that another component of sageladder sends to one entry VM. */
   record Direct(TopicPayload payload) implements InnerMessage {}
 }
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/LinkCounters.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/LinkCounters.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.LongAdder;
 import org.sageladder.protocol.ProtocolException.Reason;
 
-/** What went over all links of this process since its start; thread-safe. */
+/** Traffic counters over all links of this process since its start; thread-safe. */
 public final class LinkCounters {
   private final LongAdder bytesIn = new LongAdder();
   private final LongAdder bytesOut = new LongAdder();
@@ -41,7 +41,7 @@
     }
   }
 
-  /** Bytes received, frame lengths and MACs included, TCP and IP heads not. */
+  /** Bytes received, including frame lengths and MACs but not TCP and IP headers. */
   public long bytesIn() {
     return bytesIn.sum();
   }
@@ -61,12 +61,15 @@
     return framesOut.sum();
   }
 
-  /** Messages given up because the peer took nothing. */
+  /**
+   * Messages that were not sent because the peer's address was unknown, connecting to it had just
+   * failed, or its buffer or queue was full.
+   */
   public long unsentMessages() {
     return unsentMessages.sum();
   }
 
-  /** Connections dropped for that reason. */
+  /** Number of connections dropped for {@code reason}. */
   public long dropCount(Reason reason) {
     LongAdder adder = dropsByReason.get(reason);
     return adder == null ? 0 : adder.sum();
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/LinkHandler.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/LinkHandler.java
@@ -18,15 +18,18 @@
 import org.sageladder.protocol.ProtocolException.Reason;
 import org.sageladder.protocol.generated.Inner;
 
-/** One connection: handshake, then sealed frames; whatever does not fit ends it. */
+/**
+ * Handles one connection: the handshake, then authenticated frames; any violation ends the
+ * connection.
+ */
 final class LinkHandler extends ChannelDuplexHandler {
-  /** Largest frame before the peer has proved that it has the key. */
+  /** Maximum frame size before the peer has proved that it has the key. */
   static final int MAX_HANDSHAKE_FRAME_BYTES = 1_024;
 
-  /** Largest frame afterwards: the largest item, or a push of many, and its envelope. */
+  /** Maximum frame size afterwards: the largest item, or a push of many, and its envelope. */
   static final int MAX_FRAME_BYTES = (1 << 20) + (1 << 18);
 
-  /** Bytes of a frame's length. */
+  /** Size of a frame's length field. */
   static final int LENGTH_FIELD_BYTES = 4;
 
   static final String FRAME_DECODER = "frames";
@@ -40,12 +43,12 @@
   private final LinkCounters counters;
   private final Events events;
   private final @Nullable String expectedVm;
-  private byte @Nullable [] hello;
+  private byte @Nullable [] sentHello;
   private @Nullable Session session;
   private boolean isOpen;
   private @Nullable Future<?> handshakeTimeout;
 
-  /** What the owner of the links is told; called on the connection's thread. */
+  /** Events for the owner of the links; called on the connection's thread. */
   interface Events {
     void onOpened(String vm, ChannelHandlerContext context);
 
@@ -62,12 +65,15 @@
     this.expectedVm = expectedVm;
   }
 
-  /** The side that was connected to. */
+  /** Creates the handler of an accepted connection. */
   static LinkHandler accepting(Handshake handshake, LinkCounters counters, Events events) {
     return new LinkHandler(handshake, counters, events, null);
   }
 
-  /** The side that connects; {@code expectedVm} is empty where the name is not known. */
+  /**
+   * Creates the handler of an outgoing connection; {@code expectedVm} is empty if the name is not
+   * known.
+   */
   static LinkHandler connecting(
       Handshake handshake, LinkCounters counters, Events events, String expectedVm) {
     return new LinkHandler(handshake, counters, events, expectedVm);
@@ -79,18 +85,22 @@
         context
             .executor()
             .schedule(
-                () -> drop(context, Reason.SLOW_HANDSHAKE, "no proof of the key in time"),
+                () ->
+                    drop(
+                        context,
+                        Reason.SLOW_HANDSHAKE,
+                        "no proof of the key within the handshake timeout"),
                 HANDSHAKE_TIMEOUT_SECONDS,
                 TimeUnit.SECONDS);
     if (expectedVm == null) {
       return;
     }
-    hello = handshake.createHello(expectedVm).orElse(null);
-    if (hello == null) {
+    sentHello = handshake.createHello(expectedVm).orElse(null);
+    if (sentHello == null) {
       close(context);
       return;
     }
-    writeFrame(context, hello, context.newPromise());
+    writeFrame(context, sentHello, context.newPromise());
   }
 
   @Override
@@ -108,41 +118,40 @@
   }
 
   private void handleFrame(ChannelHandlerContext context, byte[] bytes) throws ProtocolException {
-    Session now = session;
-    byte[] sentHello = hello;
-    if (now == null && expectedVm == null) {
+    Session currentSession = session;
+    byte[] hello = sentHello;
+    if (currentSession == null && expectedVm == null) {
       Handshake.Accepted accepted = handshake.accept(bytes);
       writeFrame(context, accepted.welcome(), context.newPromise());
       session = accepted.session();
       return;
     }
-    if (now == null && sentHello != null) {
-      Session complete = handshake.complete(sentHello, bytes);
-      session = complete;
-      writeFrame(context, seal(complete, ENCODED_PROOF), context.newPromise());
-      completeHandshake(context, complete);
+    if (currentSession == null && hello != null) {
+      Session newSession = handshake.complete(hello, bytes);
+      session = newSession;
+      writeFrame(context, seal(newSession, ENCODED_PROOF), context.newPromise());
+      completeHandshake(context, newSession);
       return;
     }
-    if (now == null) {
+    if (currentSession == null) {
       return;
     }
-    byte[] body = unseal(now, bytes);
+    byte[] body = unseal(currentSession, bytes);
     if (!isOpen) {
-      completeHandshake(context, now);
+      completeHandshake(context, currentSession);
       return;
     }
-    events.onMessage(now.peer(), MessageCodec.decode(body));
+    events.onMessage(currentSession.peer(), MessageCodec.decode(body));
   }
 
   private void completeHandshake(ChannelHandlerContext context, Session establishedSession) {
     isOpen = true;
-    Future<?> waiting = handshakeTimeout;
-    if (waiting != null) {
-      waiting.cancel(false);
+    Future<?> timeout = handshakeTimeout;
+    if (timeout != null) {
+      timeout.cancel(false);
     }
-    // First, as the new decoder passes on at once what was read behind the handshake: a message
-    // that
-    // came before its link was known could not be answered.
+    // This must come before the decoder is replaced: the new decoder at once delivers any data read
+    // after the handshake, and a message delivered before its link is open could not be answered.
     events.onOpened(establishedSession.peer(), context);
     context
         .pipeline()
@@ -162,7 +171,8 @@
 
   private static byte[] unseal(Session session, byte[] sealed) throws ProtocolException {
     if (sealed.length < FrameMac.TAG_BYTES) {
-      throw new ProtocolException(Reason.MALFORMED, "a frame of " + sealed.length + " bytes");
+      throw new ProtocolException(
+          Reason.MALFORMED, "a frame of " + sealed.length + " bytes is shorter than a MAC");
     }
     byte[] body = Arrays.copyOfRange(sealed, FrameMac.TAG_BYTES, sealed.length);
     if (!session.receiveMac().matchesNext(body, Arrays.copyOf(sealed, FrameMac.TAG_BYTES))) {
@@ -172,22 +182,23 @@
     return body;
   }
 
-  /** Takes encoded envelopes from the owner of the links. */
+  /** Writes an encoded envelope, passed as a byte array by the owner of the links. */
   @Override
   public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
-    Session now = session;
-    if (!isOpen || now == null || !(message instanceof byte[] body)) {
+    Session currentSession = session;
+    if (!isOpen || currentSession == null || !(message instanceof byte[] body)) {
       promise.setFailure(new IllegalStateException("the link is not open"));
       return;
     }
-    writeFrame(context, seal(now, body), promise);
+    writeFrame(context, seal(currentSession, body), promise);
   }
 
   private void writeFrame(ChannelHandlerContext context, byte[] bytes, ChannelPromise promise) {
     counters.countSent(bytes.length + LENGTH_FIELD_BYTES);
-    ByteBuf head = Unpooled.buffer(LENGTH_FIELD_BYTES).writeInt(bytes.length);
+    ByteBuf lengthField = Unpooled.buffer(LENGTH_FIELD_BYTES).writeInt(bytes.length);
     var unused =
-        context.writeAndFlush(Unpooled.wrappedBuffer(head, Unpooled.wrappedBuffer(bytes)), promise);
+        context.writeAndFlush(
+            Unpooled.wrappedBuffer(lengthField, Unpooled.wrappedBuffer(bytes)), promise);
   }
 
   @Override
@@ -210,9 +221,9 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    Future<?> waiting = handshakeTimeout;
-    if (waiting != null) {
-      waiting.cancel(false);
+    Future<?> timeout = handshakeTimeout;
+    if (timeout != null) {
+      timeout.cancel(false);
     }
     events.onClosed(isOpen ? peerName() : null, context);
   }
@@ -230,7 +241,7 @@
   }
 
   private String peerName() {
-    Session now = session;
-    return now == null ? "unknown" : now.peer();
+    Session currentSession = session;
+    return currentSession == null ? "unknown" : currentSession.peer();
   }
 }
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/LinkIdentity.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/LinkIdentity.java
@@ -1,4 +1,4 @@
 package org.sageladder.protocol;
 
-/** Who this process is towards its peers. */
+/** The identity that this process presents to its peers. */
 public record LinkIdentity(String vm, String customer, long incarnation) {}
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/MembershipCodec.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/MembershipCodec.java
@@ -12,11 +12,11 @@
 import org.sageladder.protocol.ProtocolException.Reason;
 import org.sageladder.protocol.generated.Inner;
 
-/** Turns heartbeats, views and zone reports into protobuf messages and back. */
+/** Encodes heartbeats, views and zone reports as protobuf messages and decodes them. */
 public final class MembershipCodec {
   private MembershipCodec() {}
 
-  /** The payload of an item that carries a view. */
+  /** Encodes a view as an item's payload. */
   public static byte[] encode(RelayedView relayed) {
     ZoneView view = relayed.view();
     Inner.View.Builder builder =
@@ -38,7 +38,7 @@
     return builder.build().toByteArray();
   }
 
-  /** The view in an item's payload. */
+  /** Decodes the view in an item's payload. */
   public static RelayedView decodeView(byte[] payload) throws ProtocolException {
     Inner.View view;
     try {
@@ -59,11 +59,11 @@
                         entry.getViewNumber(),
                         entry.getSilent()))
             .toList();
-    ZoneView plain = new ZoneView(view.getZone(), view.getNumber(), members, holdings);
-    return new RelayedView(plain, view.getRelay(), withheld);
+    ZoneView zoneView = new ZoneView(view.getZone(), view.getNumber(), members, holdings);
+    return new RelayedView(zoneView, view.getRelay(), withheld);
   }
 
-  /** The payload of an item that carries a zone's report. */
+  /** Encodes a zone's report as an item's payload. */
   public static byte[] encode(ZoneReport report) {
     Inner.ZoneReport.Builder builder =
         Inner.ZoneReport.newBuilder()
@@ -77,7 +77,7 @@
     return builder.build().toByteArray();
   }
 
-  /** The report in an item's payload. */
+  /** Decodes the zone report in an item's payload. */
   public static ZoneReport decodeReport(byte[] payload) throws ProtocolException {
     Inner.ZoneReport report;
     try {
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/MessageCodec.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/MessageCodec.java
@@ -16,20 +16,20 @@
 import org.sageladder.protocol.generated.Inner;
 
 /**
- * Turns messages into bytes and back.
+ * Encodes and decodes the messages of the inner protocol.
  *
- * <p>Whatever bytes come in, decoding returns a checked message or throws {@link
+ * <p>For any input, decoding either returns a validated message or throws {@link
  * ProtocolException}.
  */
 public final class MessageCodec {
   private MessageCodec() {}
 
-  /** The envelope's bytes. */
+  /** Encodes a message in an envelope. */
   public static byte[] encode(InnerMessage message) {
     return toEnvelope(message).toByteArray();
   }
 
-  /** The message in an envelope. */
+  /** Decodes the message in an envelope. */
   public static InnerMessage decode(byte[] bytes) throws ProtocolException {
     try {
       return fromEnvelope(Inner.Envelope.parseFrom(bytes));
@@ -70,16 +70,16 @@
       case DIRECT -> new InnerMessage.Direct(fromProtobuf(envelope.getDirect().getPayload()));
       case PROOF, BODY_NOT_SET ->
           throw new ProtocolException(
-              Reason.UNKNOWN_KIND, "message kind " + envelope.getBodyCase() + " is not known here");
+              Reason.UNKNOWN_KIND, "message kind " + envelope.getBodyCase() + " is not supported");
     };
   }
 
-  /** The bytes of a payload that is carried in a notice. */
+  /** Encodes a payload that is sent in a notice. */
   public static byte[] encode(TopicPayload payload) {
     return toProtobuf(payload).toByteArray();
   }
 
-  /** The payload in a notice. */
+  /** Decodes the payload of a notice. */
   public static TopicPayload decodePayload(byte[] bytes) throws ProtocolException {
     try {
       return fromProtobuf(Inner.Payload.parseFrom(bytes));
@@ -206,7 +206,8 @@
       case KIND_NOTICE -> ItemKind.NOTICE;
       case KIND_SUMMARY -> ItemKind.SUMMARY;
       case KIND_UNKNOWN, UNRECOGNIZED ->
-          throw new ProtocolException(Reason.UNKNOWN_KIND, "item kind " + kind + " is not known");
+          throw new ProtocolException(
+              Reason.UNKNOWN_KIND, "item kind " + kind + " is not supported");
     };
   }
 
@@ -240,7 +241,7 @@
 
   private static TopicPayload fromProtobuf(Inner.Payload payload) throws ProtocolException {
     if (payload.getContentCase() != Inner.Payload.ContentCase.TOPIC) {
-      throw new ProtocolException(Reason.UNKNOWN_KIND, "a payload without a known content");
+      throw new ProtocolException(Reason.UNKNOWN_KIND, "a payload without supported content");
     }
     Inner.Topic topic = payload.getTopic();
     return new TopicPayload(topic.getName(), topic.getContent().toByteArray());
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/PeerAddress.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/PeerAddress.java
@@ -1,8 +1,8 @@
 package org.sageladder.protocol;
 
 /**
- * Where an entry VM takes the inner protocol.
+ * The address at which an entry VM accepts connections of the inner protocol.
  *
- * @param vm its name; empty for a seed whose name is not known yet
+ * @param vm name of the entry VM; empty for a seed whose name is not known yet
  */
 public record PeerAddress(String vm, String host, int port) {}
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/ProtocolException.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/ProtocolException.java
@@ -1,34 +1,37 @@
 package org.sageladder.protocol;
 
-/** A peer sent what this version of the inner protocol does not accept; its connection ends. */
+/** Thrown when a peer violates the inner protocol; its connection is closed. */
 public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final Reason reason;
 
-  /** Why a connection was dropped; each is counted. */
+  /** The reason for which a connection was dropped; drops are counted by reason. */
   public enum Reason {
-    /** The frame's length is above the limit. */
+    /** The frame is longer than the limit. */
     TOO_LARGE,
-    /** Not a message, or one that lacks what it must have. */
+    /** Not a valid message, or one without a required field. */
     MALFORMED,
     /** A message kind or enum value that this version does not know. */
     UNKNOWN_KIND,
-    /** No common version. */
+    /** The peers have no protocol version in common. */
     VERSION,
-    /** The MAC does not fit, the key is unknown, or the peer is of another customer. */
+    /**
+     * The MAC is wrong, the key is unknown, or the peer belongs to another customer or expects
+     * another VM.
+     */
     NOT_AUTHENTIC,
-    /** The peer did not finish the handshake in time. */
+    /** The peer did not complete the handshake in time. */
     SLOW_HANDSHAKE
   }
 
-  /** A refusal with what was found and what would have been accepted. */
+  /** Creates an exception whose message says what was found and what was expected. */
   public ProtocolException(Reason reason, String message) {
     super(message);
     this.reason = reason;
   }
 
-  /** What kind of refusal this is. */
+  /** The reason under which the drop is counted. */
   public Reason reason() {
     return reason;
   }
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/TopicPayload.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/TopicPayload.java
@@ -1,20 +1,21 @@
 package org.sageladder.protocol;
 
 /**
- * A small payload that the inner protocol carries without knowing its form.
+ * A small payload that is opaque to the inner protocol.
  *
- * @param topic names the part that reads it, 1 to {@value #MAX_TOPIC_LENGTH} characters
- * @param content at most {@value #MAX_CONTENT_BYTES} bytes; must not be changed
+ * @param topic name of the topic, which selects the component that reads the payload; 1 to {@value
+ *     #MAX_TOPIC_LENGTH} characters
+ * @param content at most {@value #MAX_CONTENT_BYTES} bytes; must not be modified
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record TopicPayload(String topic, byte[] content) {
-  /** Longest name of a topic. */
+  /** Maximum length of a topic name in characters. */
   public static final int MAX_TOPIC_LENGTH = 64;
 
-  /** Largest content, so that payloads cannot crowd out contracts. */
+  /** Maximum size of the content, so that payloads cannot crowd out contracts. */
   public static final int MAX_CONTENT_BYTES = 64 * 1024;
 
-  /** Checks the sizes. */
+  /** Checks the length of the topic and the size of the content. */
   public TopicPayload {
     if (topic.isEmpty() || topic.length() > MAX_TOPIC_LENGTH) {
       throw new IllegalArgumentException(
@@ -22,7 +23,7 @@
               + topic
               + "' has "
               + topic.length()
-              + " characters; use 1 to "
+              + " characters; expected 1 to "
               + MAX_TOPIC_LENGTH);
     }
     if (content.length > MAX_CONTENT_BYTES) {
@@ -31,9 +32,9 @@
               + topic
               + "' has "
               + content.length
-              + " bytes; at most "
+              + " bytes; expected at most "
               + MAX_CONTENT_BYTES
-              + " are carried");
+              + " bytes");
     }
   }
 }
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/ZoneReport.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/ZoneReport.java
@@ -4,11 +4,11 @@
 import org.sageladder.core.membership.ZoneSummary;
 
 /**
- * What a zone's relay tells all others of its zone.
+ * What a zone's relay reports about its zone to the other zones.
  *
- * @param memberCount live members
- * @param lowestRevision lowest contract revision in force at any of them, 0 where one has none
- * @param laggingVms members below the relay's own revision, some of them where they are many
+ * @param memberCount number of live members
+ * @param lowestRevision lowest contract revision in force at any of them, 0 if one has none
+ * @param laggingVms members below the relay's own revision; only some of them if there are many
  */
 public record ZoneReport(
     String zone,
--- a/sageladder-protocol/src/test/java/org/sageladder/protocol/HostilePeersProperties.java
+++ b/sageladder-protocol/src/test/java/org/sageladder/protocol/HostilePeersProperties.java
@@ -18,8 +18,9 @@
 import org.sageladder.protocol.ProtocolException.Reason;
 
 /**
- * Strangers and broken peers at the inner port. Each bad connection must end, be counted once under
- * its reason, and disturb neither the link of a good peer nor the next connection.
+ * Tests the inner port against unauthenticated clients and faulty peers. Each such connection must
+ * be closed, be counted once under its reason, and affect neither the link of an authentic peer nor
+ * the next connection.
  */
 class HostilePeersProperties {
   private static final InnerMessage OFFER =
@@ -50,36 +51,38 @@
     return InnerLinks.open("127.0.0.1", 0, identity, () -> Optional.of(ring), receiver);
   }
 
-  // A port scanner, or a process that takes the inner port for another one, sends any first frame.
-  // The handshake's rules, asked directly, say under which reason it must be dropped.
+  // A port scanner, or a client of another protocol, sends an arbitrary first frame. It must be
+  // dropped with the reason that the handshake returns for the same bytes.
   @Property(tries = 100, seed = "20261202")
-  void arbitraryFirstFrameIsDroppedWithExpectedReason(@ForAll @Size(max = 200) byte[] first)
+  void arbitraryFirstFrameIsDroppedWithExpectedReason(@ForAll @Size(max = 200) byte[] firstFrame)
       throws Exception {
-    Reason reason = parseFailure(() -> RawLink.handshake("vm-2").accept(first)).orElseThrow();
-    assertDropped(reason, link -> link.writeFrame(first));
+    Reason reason = parseFailure(() -> RawLink.handshake("vm-2").accept(firstFrame)).orElseThrow();
+    assertDropped(reason, link -> link.writeFrame(firstFrame));
   }
 
-  // The same with a first frame that was a good one before one of its bytes was damaged. Damage to
-  // the name or the nonce alone leaves a hello that is answered; its proof then does not fit.
+  // The same with a valid first frame of which one byte was corrupted. If only the name or the
+  // nonce is corrupted, the hello is answered, but the proof that follows is wrong.
   @Property(tries = 100, seed = "20261202")
-  void corruptedFirstFrameIsDroppedWithExpectedReason(@ForAll int at, @ForAll byte with)
+  void corruptedFirstFrameIsDroppedWithExpectedReason(@ForAll int position, @ForAll byte newByte)
       throws Exception {
-    byte[] damaged = RawLink.hello("vm-9").toByteArray();
-    damaged[Math.floorMod(at, damaged.length)] = with;
-    Optional<Reason> refusal = parseFailure(() -> RawLink.handshake("vm-2").accept(damaged));
+    byte[] corrupted = RawLink.hello("vm-9").toByteArray();
+    corrupted[Math.floorMod(position, corrupted.length)] = newByte;
+    Optional<Reason> expectedReason =
+        parseFailure(() -> RawLink.handshake("vm-2").accept(corrupted));
     assertDropped(
-        refusal.orElse(Reason.NOT_AUTHENTIC),
+        expectedReason.orElse(Reason.NOT_AUTHENTIC),
         link -> {
-          link.writeFrame(damaged);
-          if (refusal.isEmpty()) {
+          link.writeFrame(corrupted);
+          if (expectedReason.isEmpty()) {
             link.readFrame();
             link.writeFrame(new byte[FrameMac.TAG_BYTES + 1]);
           }
         });
   }
 
-  // A length field decides how much is kept in memory before a frame is whole. Before the proof of
-  // the key even a kilobyte more than a hello needs is refused, at once, without waiting for it.
+  // The length field decides how much data is buffered before a frame is complete. Before the proof
+  // of the key, a frame above the limit for a hello must be rejected at once, without waiting for
+  // its body.
   @Property(tries = 50, seed = "20261202")
   void oversizeFirstFrameIsDroppedBeforeItsBody(
       @ForAll @IntRange(min = LinkHandler.MAX_HANDSHAKE_FRAME_BYTES + 1) int length)
@@ -87,7 +90,7 @@
     assertDropped(Reason.TOO_LARGE, link -> link.writeFrame(length, new byte[0]));
   }
 
-  // Bytes of some other protocol often set the length's first bit; it is no sign.
+  // Bytes of another protocol often set the highest bit of the length, which is unsigned.
   @Property(tries = 50, seed = "20261202")
   void firstFrameWithNegativeLengthIsOversize(
       @ForAll @IntRange(min = Integer.MIN_VALUE, max = -1) int length) throws Exception {
@@ -106,7 +109,8 @@
         });
   }
 
-  // Bytes change on the way, or somebody writes into the connection of a peer that has the key.
+  // Bytes are corrupted on the network, or an attacker writes into the connection of a peer that
+  // has the key.
   @Property(tries = 50, seed = "20261202")
   void frameWithoutValidMacIsDropped(@ForAll @Size(max = 200) byte[] frame) throws Exception {
     Reason reason = frame.length < FrameMac.TAG_BYTES ? Reason.MALFORMED : Reason.NOT_AUTHENTIC;
@@ -118,40 +122,44 @@
         });
   }
 
-  // A peer of another version, or a broken one, seals what is no message. What the decoder takes is
-  // passed on, what it refuses ends the connection under the decoder's reason.
+  // A peer of another version, or a faulty one, sends an authenticated frame that is not a valid
+  // message. A body that the decoder accepts is delivered; one that it rejects ends the connection
+  // with the reason of the decoder.
   @Property(tries = 100, seed = "20261202")
   void authenticatedBodyIsDeliveredOrDroppedWithDecoderReason(
-      @ForAll @Size(max = 60) byte[] body, @ForAll int cut, @ForAll boolean random)
+      @ForAll @Size(max = 60) byte[] body, @ForAll int truncatedLength, @ForAll boolean random)
       throws Exception {
-    byte[] sent =
-        random ? body : Arrays.copyOf(ENCODED_OFFER, Math.floorMod(cut, ENCODED_OFFER.length));
-    Optional<Reason> refusal = parseFailure(() -> MessageCodec.decode(sent));
-    Scenario steps =
+    byte[] payload =
+        random
+            ? body
+            : Arrays.copyOf(ENCODED_OFFER, Math.floorMod(truncatedLength, ENCODED_OFFER.length));
+    Optional<Reason> expectedReason = parseFailure(() -> MessageCodec.decode(payload));
+    Scenario scenario =
         link -> {
           Handshake.Session session = link.authenticate("vm-9");
           link.writeFrame(RawLink.seal(session, RawLink.proof()));
-          link.writeFrame(RawLink.seal(session, sent));
+          link.writeFrame(RawLink.seal(session, payload));
         };
-    if (refusal.isPresent()) {
-      assertDropped(refusal.get(), steps);
+    if (expectedReason.isPresent()) {
+      assertDropped(expectedReason.get(), scenario);
       return;
     }
     try (RawLink link = RawLink.connect(links.port())) {
-      steps.run(link);
+      scenario.run(link);
       assertEquals("vm-9", inbox.nextSender());
     }
     awaitOpenLinks(1);
   }
 
-  // A peer dies in the middle of a frame. That is no offence: nothing is counted, nothing is kept.
+  // A peer dies in the middle of a frame. This is not a protocol violation: no drop is counted, and
+  // no state is kept.
   @Property(tries = 50, seed = "20261202")
-  void truncatedFrameIsNotCountedAsDrop(@ForAll @IntRange(min = 1, max = 200) int missing)
+  void truncatedFrameIsNotCountedAsDrop(@ForAll @IntRange(min = 1, max = 200) int missingBytes)
       throws Exception {
     long before = totalDropCount();
     try (RawLink link = RawLink.connect(links.port())) {
       byte[] hello = RawLink.hello("vm-9").toByteArray();
-      link.writeFrame(hello.length + missing, hello);
+      link.writeFrame(hello.length + missingBytes, hello);
     }
     assertAuthenticPeerCanSend();
     assertEquals(before, totalDropCount());
@@ -176,15 +184,15 @@
     }
   }
 
-  private void assertDropped(Reason reason, Scenario steps) throws Exception {
-    long before = links.counters().dropCount(reason);
-    long all = totalDropCount();
+  private void assertDropped(Reason reason, Scenario scenario) throws Exception {
+    long reasonCountBefore = links.counters().dropCount(reason);
+    long totalCountBefore = totalDropCount();
     try (RawLink link = RawLink.connect(links.port())) {
-      steps.run(link);
+      scenario.run(link);
       link.awaitClose();
     }
-    assertEquals(before + 1, links.counters().dropCount(reason), reason.toString());
-    assertEquals(all + 1, totalDropCount(), "counted once only");
+    assertEquals(reasonCountBefore + 1, links.counters().dropCount(reason), reason.toString());
+    assertEquals(totalCountBefore + 1, totalDropCount(), "drop not counted exactly once");
     awaitOpenLinks(1);
     assertAuthenticPeerCanSend();
   }
--- a/sageladder-protocol/src/test/java/org/sageladder/protocol/Inbox.java
+++ b/sageladder-protocol/src/test/java/org/sageladder/protocol/Inbox.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Keeps who sent each message that came in over links. */
+/** Records the sender of each message received over the links of a test. */
 final class Inbox implements InnerLinks.Receiver {
   private static final long TIMEOUT_SECONDS = 60;
 
@@ -25,9 +25,9 @@
     return senders.isEmpty();
   }
 
-  /** Sender of the next message; {@code nobody} where none comes. */
+  /** Returns the sender of the next message, or {@code no message} if none arrives in time. */
   String nextSender() throws InterruptedException {
     String sender = senders.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    return sender == null ? "nobody" : sender;
+    return sender == null ? "no message" : sender;
   }
 }
--- a/sageladder-protocol/src/test/java/org/sageladder/protocol/InnerLinksTest.java
+++ b/sageladder-protocol/src/test/java/org/sageladder/protocol/InnerLinksTest.java
@@ -34,43 +34,43 @@
 
   @Test
   void messagesAreSentBothWaysOverOneConnection() throws Exception {
-    Inbox first = new Inbox();
-    Inbox second = new Inbox();
-    InnerLinks one = open("vm-1", "k", "k1", 1, first);
-    InnerLinks two = open("vm-2", "k", "k1", 1, second);
-    one.updateAddress(new PeerAddress("vm-2", LOOPBACK, two.port()));
-    assertTrue(one.send("vm-2", OFFER));
-    assertEquals("vm-1", second.nextSender());
-    assertTrue(two.send("vm-1", OFFER), "the same connection serves the way back");
-    assertEquals("vm-2", first.nextSender());
+    Inbox vm1Inbox = new Inbox();
+    Inbox vm2Inbox = new Inbox();
+    InnerLinks vm1Links = open("vm-1", "k", "k1", 1, vm1Inbox);
+    InnerLinks vm2Links = open("vm-2", "k", "k1", 1, vm2Inbox);
+    vm1Links.updateAddress(new PeerAddress("vm-2", LOOPBACK, vm2Links.port()));
+    assertTrue(vm1Links.send("vm-2", OFFER));
+    assertEquals("vm-1", vm2Inbox.nextSender());
+    assertTrue(vm2Links.send("vm-1", OFFER), "the reply uses the same connection");
+    assertEquals("vm-2", vm1Inbox.nextSender());
   }
 
   @Test
   void sendFailsWithoutPeerAddress() throws Exception {
-    InnerLinks one = open("vm-1", "k", "k1", 1, new Inbox());
-    assertFalse(one.send("vm-2", OFFER));
+    InnerLinks vm1Links = open("vm-1", "k", "k1", 1, new Inbox());
+    assertFalse(vm1Links.send("vm-2", OFFER));
   }
 
-  // On a busy machine a peer's proof and its first message arrive in one piece. The message was
-  // passed on before the link was known, so that what its receiver answered went to nobody: the
-  // larger frames' decoder was put in first, and at once decoded what had been read already.
+  // On a busy machine a peer's proof and its first message arrive in one read. The decoder for
+  // larger frames was installed first and decoded the data that had been read already, so the
+  // message was delivered before its link was open, and the receiver's answer could not be sent.
   @Test
   void linkIsOpenBeforeFirstMessageIsDelivered() throws Exception {
-    AnsweringReceiver answering = new AnsweringReceiver();
-    InnerLinks two = open("vm-2", "k", "k1", 1, answering);
-    answering.links.complete(two);
-    try (RawLink link = RawLink.connect(two.port())) {
+    AnsweringReceiver receiver = new AnsweringReceiver();
+    InnerLinks vm2Links = open("vm-2", "k", "k1", 1, receiver);
+    receiver.links.complete(vm2Links);
+    try (RawLink link = RawLink.connect(vm2Links.port())) {
       Handshake.Session session = link.authenticate("vm-1");
       byte[] proof = RawLink.withLength(RawLink.seal(session, RawLink.proof()));
-      byte[] first = RawLink.withLength(RawLink.seal(session, MessageCodec.encode(OFFER)));
-      link.writeRaw(RawLink.concatenate(proof, first));
+      byte[] firstMessage = RawLink.withLength(RawLink.seal(session, MessageCodec.encode(OFFER)));
+      link.writeRaw(RawLink.concatenate(proof, firstMessage));
       assertEquals(
           List.of("opened", "received, answered"),
-          answering.receivedEvents.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS));
+          receiver.receivedEvents.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS));
     }
   }
 
-  /** Answers the first message on the links' thread, as the control plane does. */
+  /** Answers the first message on the event loop's thread, as the control plane does. */
   private static final class AnsweringReceiver implements InnerLinks.Receiver {
     final CompletableFuture<InnerLinks> links = new CompletableFuture<>();
     final CompletableFuture<List<String>> receivedEvents = new CompletableFuture<>();
@@ -91,80 +91,79 @@
     public void onLinkLost(String vm) {}
   }
 
-  // A process of another customer, or anybody on the network, connects and sends contracts. Without
-  // the key it must neither be heard nor told anything.
+  // A process of another customer, or any host on the network, connects and sends contracts.
+  // Without the key it must neither have a message accepted nor receive one.
   @Test
   void peerWithAnotherSecretIsDroppedBeforeAnyMessage() throws Exception {
-    Inbox second = new Inbox();
-    InnerLinks one = open("vm-1", "k", "k1", 1, new Inbox());
-    InnerLinks two = open("vm-2", "k", "k1", 2, second);
-    one.updateAddress(new PeerAddress("vm-2", LOOPBACK, two.port()));
-    one.send("vm-2", OFFER);
-    await(() -> one.counters().dropCount(Reason.NOT_AUTHENTIC) == 1);
-    assertTrue(second.isEmpty());
-    assertEquals(0, two.openLinkCount());
+    Inbox vm2Inbox = new Inbox();
+    InnerLinks vm1Links = open("vm-1", "k", "k1", 1, new Inbox());
+    InnerLinks vm2Links = open("vm-2", "k", "k1", 2, vm2Inbox);
+    vm1Links.updateAddress(new PeerAddress("vm-2", LOOPBACK, vm2Links.port()));
+    vm1Links.send("vm-2", OFFER);
+    await(() -> vm1Links.counters().dropCount(Reason.NOT_AUTHENTIC) == 1);
+    assertTrue(vm2Inbox.isEmpty());
+    assertEquals(0, vm2Links.openLinkCount());
   }
 
   @Test
   void peerOfAnotherCustomerIsDropped() throws Exception {
-    InnerLinks one = open("vm-1", "other", "k1", 1, new Inbox());
-    InnerLinks two = open("vm-2", "k", "k1", 1, new Inbox());
-    one.updateAddress(new PeerAddress("vm-2", LOOPBACK, two.port()));
-    one.send("vm-2", OFFER);
-    await(() -> two.counters().dropCount(Reason.NOT_AUTHENTIC) == 1);
+    InnerLinks vm1Links = open("vm-1", "other", "k1", 1, new Inbox());
+    InnerLinks vm2Links = open("vm-2", "k", "k1", 1, new Inbox());
+    vm1Links.updateAddress(new PeerAddress("vm-2", LOOPBACK, vm2Links.port()));
+    vm1Links.send("vm-2", OFFER);
+    await(() -> vm2Links.counters().dropCount(Reason.NOT_AUTHENTIC) == 1);
   }
 
-  // A VM was replaced and its address given to another. A heartbeat meant for the old one would be
-  // answered by the wrong one.
+  // A VM was replaced and its address reassigned to another VM. A heartbeat meant for the old VM
+  // would be answered by the wrong one.
   @Test
   void connectionToReassignedAddressIsDropped() throws Exception {
-    Inbox second = new Inbox();
-    InnerLinks one = open("vm-1", "k", "k1", 1, new Inbox());
-    InnerLinks two = open("vm-2", "k", "k1", 1, second);
-    one.updateAddress(new PeerAddress("vm-9", LOOPBACK, two.port()));
-    one.send("vm-9", OFFER);
-    await(() -> two.counters().dropCount(Reason.NOT_AUTHENTIC) == 1);
-    assertTrue(second.isEmpty());
+    Inbox vm2Inbox = new Inbox();
+    InnerLinks vm1Links = open("vm-1", "k", "k1", 1, new Inbox());
+    InnerLinks vm2Links = open("vm-2", "k", "k1", 1, vm2Inbox);
+    vm1Links.updateAddress(new PeerAddress("vm-9", LOOPBACK, vm2Links.port()));
+    vm1Links.send("vm-9", OFFER);
+    await(() -> vm2Links.counters().dropCount(Reason.NOT_AUTHENTIC) == 1);
+    assertTrue(vm2Inbox.isEmpty());
   }
 
-  // The operators change the key. For a while some VMs sign with the new one and others with the
-  // old.
+  // During a key rotation some VMs sign with the new key and others with the old one.
   @Test
   void peersWithOverlappingKeyRingsConnectDuringRotation() throws Exception {
-    Inbox second = new Inbox();
-    KeyRing.Key old = RawLink.key("k1", 1);
-    KeyRing.Key fresh = RawLink.key("k2", 2);
-    InnerLinks one = open("vm-1", "k", KeyRing.of(List.of(old)), new Inbox());
-    InnerLinks two = open("vm-2", "k", KeyRing.of(List.of(fresh, old)), second);
-    one.updateAddress(new PeerAddress("vm-2", LOOPBACK, two.port()));
-    one.send("vm-2", OFFER);
-    assertEquals("vm-1", second.nextSender());
+    Inbox vm2Inbox = new Inbox();
+    KeyRing.Key oldKey = RawLink.key("k1", 1);
+    KeyRing.Key newKey = RawLink.key("k2", 2);
+    InnerLinks vm1Links = open("vm-1", "k", KeyRing.of(List.of(oldKey)), new Inbox());
+    InnerLinks vm2Links = open("vm-2", "k", KeyRing.of(List.of(newKey, oldKey)), vm2Inbox);
+    vm1Links.updateAddress(new PeerAddress("vm-2", LOOPBACK, vm2Links.port()));
+    vm1Links.send("vm-2", OFFER);
+    assertEquals("vm-1", vm2Inbox.nextSender());
   }
 
   @Test
   void oversizeFirstFrameIsDroppedAndCounted() throws Exception {
-    InnerLinks two = open("vm-2", "k", "k1", 1, new Inbox());
-    try (RawLink link = RawLink.connect(two.port())) {
+    InnerLinks vm2Links = open("vm-2", "k", "k1", 1, new Inbox());
+    try (RawLink link = RawLink.connect(vm2Links.port())) {
       link.writeFrame(LinkHandler.MAX_HANDSHAKE_FRAME_BYTES + 1, new byte[0]);
       link.awaitClose();
     }
-    await(() -> two.counters().dropCount(Reason.TOO_LARGE) == 1);
+    await(() -> vm2Links.counters().dropCount(Reason.TOO_LARGE) == 1);
   }
 
   @Test
   void bytesThatAreNoHelloAreDroppedAndCounted() throws Exception {
-    InnerLinks two = open("vm-2", "k", "k1", 1, new Inbox());
-    try (RawLink link = RawLink.connect(two.port())) {
+    InnerLinks vm2Links = open("vm-2", "k", "k1", 1, new Inbox());
+    try (RawLink link = RawLink.connect(vm2Links.port())) {
       link.writeRaw("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       link.awaitClose();
     }
-    await(() -> two.counters().dropCount(Reason.TOO_LARGE) == 1);
+    await(() -> vm2Links.counters().dropCount(Reason.TOO_LARGE) == 1);
   }
 
   @Test
   void peerOfAnUnknownVersionIsDroppedAndCounted() throws Exception {
-    InnerLinks two = open("vm-2", "k", "k1", 1, new Inbox());
-    try (RawLink link = RawLink.connect(two.port())) {
+    InnerLinks vm2Links = open("vm-2", "k", "k1", 1, new Inbox());
+    try (RawLink link = RawLink.connect(vm2Links.port())) {
       link.writeFrame(
           RawLink.hello("vm-1").toBuilder()
               .setLowestVersion(8)
@@ -173,45 +172,45 @@
               .toByteArray());
       link.awaitClose();
     }
-    await(() -> two.counters().dropCount(Reason.VERSION) == 1);
+    await(() -> vm2Links.counters().dropCount(Reason.VERSION) == 1);
   }
 
-  // Somebody records a whole connection and plays it again later. The recorded frames must not be
-  // taken for new ones.
+  // An attacker records a complete connection and replays it later. The recorded frames must not be
+  // accepted as new ones.
   @Test
   void replayedFramesAreRejected() throws Exception {
-    Inbox second = new Inbox();
-    InnerLinks two = open("vm-2", "k", "k1", 1, second);
+    Inbox vm2Inbox = new Inbox();
+    InnerLinks vm2Links = open("vm-2", "k", "k1", 1, vm2Inbox);
     byte[] helloBytes = RawLink.hello("vm-1").toByteArray();
     byte[] recorded;
-    try (RawLink link = RawLink.connect(two.port())) {
+    try (RawLink link = RawLink.connect(vm2Links.port())) {
       recorded = RawLink.seal(link.authenticate("vm-1"), RawLink.proof());
       link.writeFrame(recorded);
-      await(() -> two.openLinkCount() == 1);
+      await(() -> vm2Links.openLinkCount() == 1);
     }
-    await(() -> two.openLinkCount() == 0);
-    try (RawLink link = RawLink.connect(two.port())) {
+    await(() -> vm2Links.openLinkCount() == 0);
+    try (RawLink link = RawLink.connect(vm2Links.port())) {
       link.writeFrame(helloBytes);
       link.readFrame();
       link.writeFrame(recorded);
       link.awaitClose();
     }
-    await(() -> two.counters().dropCount(Reason.NOT_AUTHENTIC) == 1);
+    await(() -> vm2Links.counters().dropCount(Reason.NOT_AUTHENTIC) == 1);
   }
 
   @Test
   void unknownMessageKindEndsTheConnectionAndIsCounted() throws Exception {
-    Inbox second = new Inbox();
-    InnerLinks two = open("vm-2", "k", "k1", 1, second);
-    try (RawLink link = RawLink.connect(two.port())) {
+    Inbox vm2Inbox = new Inbox();
+    InnerLinks vm2Links = open("vm-2", "k", "k1", 1, vm2Inbox);
+    try (RawLink link = RawLink.connect(vm2Links.port())) {
       Handshake.Session session = link.authenticate("vm-1");
       link.writeFrame(RawLink.seal(session, new byte[0]));
-      byte[] fieldOfALaterVersion = {(byte) 0xba, 0x1f, 0};
-      link.writeFrame(RawLink.seal(session, fieldOfALaterVersion));
+      byte[] unknownField = {(byte) 0xba, 0x1f, 0};
+      link.writeFrame(RawLink.seal(session, unknownField));
       link.awaitClose();
     }
-    await(() -> two.counters().dropCount(Reason.UNKNOWN_KIND) == 1);
-    assertTrue(second.isEmpty());
+    await(() -> vm2Links.counters().dropCount(Reason.UNKNOWN_KIND) == 1);
+    assertTrue(vm2Inbox.isEmpty());
   }
 
   private InnerLinks open(
@@ -231,7 +230,8 @@
   private static void await(BooleanSupplier condition) throws InterruptedException {
     long end = System.nanoTime() + TIMEOUT.toNanos();
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, () -> "waited " + TIMEOUT + " in vain");
+      assertTrue(
+          System.nanoTime() < end, () -> "waited " + TIMEOUT + " without the condition being met");
       Thread.sleep(5);
     }
   }
--- a/sageladder-protocol/src/test/java/org/sageladder/protocol/MessageCodecProperties.java
+++ b/sageladder-protocol/src/test/java/org/sageladder/protocol/MessageCodecProperties.java
@@ -56,8 +56,8 @@
           MembershipCodec.encode(VIEW),
           MembershipCodec.encode(REPORT));
 
-  // A peer of another version, a port scanner or a broken process sends bytes that are no message.
-  // An exception of another kind would end the connection's thread, not the connection.
+  // A peer of another version, a port scanner or a faulty process sends bytes that are not a
+  // message. Any other exception would end the connection's thread instead of the connection.
   @Property(tries = 500, seed = "20261202")
   void arbitraryBytesDecodeOrThrowProtocolException(@ForAll byte[] bytes) {
     for (Decoder decoder : DECODERS) {
@@ -65,15 +65,15 @@
     }
   }
 
-  // The same for bytes that were a message once: damage that leaves most of it in shape gets
-  // further into a decoder than random bytes do.
+  // The same for messages with one corrupted byte: as most of the structure remains valid, they
+  // reach deeper into a decoder than random bytes do.
   @Property(tries = 500, seed = "20261202")
   void corruptedMessagesDecodeOrThrowProtocolException(
-      @ForAll @IntRange(max = 3) int which, @ForAll int at, @ForAll byte with) {
-    byte[] damaged = ENCODED.get(which).clone();
-    damaged[Math.floorMod(at, damaged.length)] = with;
+      @ForAll @IntRange(max = 3) int index, @ForAll int position, @ForAll byte newByte) {
+    byte[] corrupted = ENCODED.get(index).clone();
+    corrupted[Math.floorMod(position, corrupted.length)] = newByte;
     for (Decoder decoder : DECODERS) {
-      decodeOrReject(decoder, damaged);
+      decodeOrReject(decoder, corrupted);
     }
   }
 
@@ -81,7 +81,7 @@
     try {
       decoder.decode(bytes);
     } catch (ProtocolException expected) {
-      // That is the answer to bytes that are no message.
+      // Expected for bytes that are not a message.
     }
   }
 
@@ -91,20 +91,20 @@
   }
 
   @Property(tries = 500, seed = "20261202")
-  void truncatedMessageDecodesOrThrowsProtocolException(@ForAll int cut) {
-    byte[] whole = MessageCodec.encode(new InnerMessage.HeartbeatMessage(heartbeat()));
-    byte[] part = java.util.Arrays.copyOf(whole, Math.floorMod(cut, whole.length));
+  void truncatedMessageDecodesOrThrowsProtocolException(@ForAll int length) {
+    byte[] complete = MessageCodec.encode(new InnerMessage.HeartbeatMessage(heartbeat()));
+    byte[] truncated = java.util.Arrays.copyOf(complete, Math.floorMod(length, complete.length));
     try {
-      MessageCodec.decode(part);
+      MessageCodec.decode(truncated);
     } catch (ProtocolException expected) {
-      // That is the answer to bytes that are no message.
+      // Expected for bytes that are not a message.
     }
   }
 
   @Example
   void heartbeatSurvivesRoundTrip() throws ProtocolException {
-    InnerMessage.HeartbeatMessage beat = new InnerMessage.HeartbeatMessage(heartbeat());
-    assertEquals(beat, MessageCodec.decode(MessageCodec.encode(beat)));
+    InnerMessage.HeartbeatMessage message = new InnerMessage.HeartbeatMessage(heartbeat());
+    assertEquals(message, MessageCodec.decode(MessageCodec.encode(message)));
   }
 
   @Example
@@ -134,9 +134,9 @@
   @Property(tries = 100, seed = "20261202")
   void payloadSurvivesRoundTrip(@ForAll byte[] content) throws ProtocolException {
     TopicPayload payload = new TopicPayload("share-transfer", content);
-    TopicPayload back = MessageCodec.decodePayload(MessageCodec.encode(payload));
-    assertEquals("share-transfer", back.topic());
-    assertArrayEquals(content, back.content());
+    TopicPayload decoded = MessageCodec.decodePayload(MessageCodec.encode(payload));
+    assertEquals("share-transfer", decoded.topic());
+    assertArrayEquals(content, decoded.content());
   }
 
   private static Heartbeat heartbeat() {
--- a/sageladder-protocol/src/test/java/org/sageladder/protocol/RawLink.java
+++ b/sageladder-protocol/src/test/java/org/sageladder/protocol/RawLink.java
@@ -13,7 +13,7 @@
 import org.sageladder.core.permit.KeyRing;
 import org.sageladder.protocol.generated.Inner;
 
-/** A connection to an inner port on which a test decides about each byte. */
+/** A connection to an inner port over which a test sends arbitrary bytes. */
 final class RawLink implements AutoCloseable {
   private final Socket socket;
 
@@ -45,13 +45,13 @@
         .build();
   }
 
-  /** The handshake's own rules, of a VM that has the key {@code k1}. */
+  /** A handshake as performed by a VM that has the key {@code k1}. */
   static Handshake handshake(String vm) {
     KeyRing ring = KeyRing.of(List.of(key("k1", 1)));
     return new Handshake(new LinkIdentity(vm, "k", 1), () -> Optional.of(ring));
   }
 
-  /** Goes through the handshake; what follows can be sealed with the session. */
+  /** Performs the handshake; the returned session seals the frames that follow. */
   Handshake.Session authenticate(String vm) throws IOException, ProtocolException {
     byte[] hello = hello(vm).toByteArray();
     writeFrame(hello);
@@ -72,7 +72,7 @@
     return sealed;
   }
 
-  /** A frame's length and bytes. */
+  /** Prefixes a frame with its length. */
   static byte[] withLength(byte[] bytes) {
     return ByteBuffer.allocate(4 + bytes.length).putInt(bytes.length).put(bytes).array();
   }
@@ -85,7 +85,7 @@
     writeFrame(bytes.length, bytes);
   }
 
-  /** A frame whose stated length need not be true. */
+  /** Writes a frame whose stated length may differ from its actual one. */
   void writeFrame(int length, byte[] bytes) throws IOException {
     DataOutputStream out = new DataOutputStream(socket.getOutputStream());
     out.writeInt(length);
@@ -104,12 +104,12 @@
     return bytes;
   }
 
-  /** Reads until the peer ends the connection. */
+  /** Reads until the peer closes the connection. */
   void awaitClose() {
     try {
       byte[] unused = socket.getInputStream().readAllBytes();
     } catch (IOException expected) {
-      // A reset is an end too: the peer had not read all.
+      // The peer resets the connection if it closes it before reading all data.
     }
   }
 
