--- a/sageladder-http/src/main/java/org/sageladder/http/Connector.java
+++ b/sageladder-http/src/main/java/org/sageladder/http/Connector.java
@@ -25,7 +25,7 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * Pooled HTTP connections whose silence is limited by the deadlines of requests alone.
+ * Pooled HTTP connections without a socket timeout; only the deadline of a request limits the wait.
  *
  * <pre>{@code
  * try (Connector connector = Connector.start(2, 64)) {
@@ -33,17 +33,17 @@
  * }
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>This class is thread-safe.
  */
 public final class Connector implements AutoCloseable {
   private static final int MAX_LEASE_ATTEMPTS = 3;
 
   /**
-   * How long a connection is used.
+   * Maximum age of a pooled connection.
    *
-   * <p>Failure guarded against: the other side closes an idle connection in the moment in which a
-   * request is sent on it; nobody knows then whether the request was read, and a bid's outcome is
-   * "unknown". Entry VMs close idle connections after a minute at the earliest.
+   * <p>Shorter than the idle timeout of entry VMs, which is at least one minute. If the peer closed
+   * an idle connection just when a request is sent on it, it would be unknown whether the request
+   * was read, and the outcome of a bid would be "unknown".
    */
   private static final Timeout CONNECTION_TTL = Timeout.ofSeconds(50);
 
@@ -55,7 +55,10 @@
     this.requester = requester;
   }
 
-  /** A started connector with {@code threads} I/O threads and a limit on connections to a host. */
+  /**
+   * Starts a connector with {@code threads} I/O threads and at most {@code connectionsPerHost}
+   * connections to each host.
+   */
   public static Connector start(int threads, int connectionsPerHost) {
     HttpAsyncRequester requester =
         AsyncRequesterBootstrap.bootstrap()
@@ -77,8 +80,9 @@
   }
 
   /**
-   * The library's usual steps but for {@code Expect: 100-continue}, which costs a round trip for
-   * each request with a body; targets and entry VMs answer early by themselves.
+   * Returns the library's default processors except the one for {@code Expect: 100-continue}, which
+   * costs a round trip for each request with a body. Targets and entry VMs can respond before the
+   * end of a body without it.
    */
   private static HttpProcessor httpProcessorWithoutExpect() {
     return HttpProcessorBuilder.create()
@@ -91,11 +95,11 @@
   }
 
   /**
-   * Lifts the limit on silence from new connections.
+   * Disables the socket timeout of new connections.
    *
-   * <p>Failure guarded against: the library keeps the time allowed for connecting as a limit on
-   * each later silence, so a target that works for longer than that, or a watch that waits, is cut
-   * off as lost. The deadline of the request ends a wait that is too long.
+   * <p>The library uses the connect timeout as the socket timeout too. A target that takes longer
+   * than that to respond, or a waiting watch, would be disconnected and treated as lost. The
+   * deadline of the request limits the wait instead.
    */
   private static final class SocketTimeoutDisabler extends SessionObserver {
     @Override
@@ -104,38 +108,41 @@
     }
   }
 
-  /** Begins to lease a connection and tells {@code whenDone}; pooled ones may have been closed. */
+  /**
+   * Starts leasing a connection and notifies {@code callback}; the peer may have closed a pooled
+   * connection.
+   */
   public Future<AsyncClientEndpoint> connect(
       HttpHost host, Duration timeout, FutureCallback<AsyncClientEndpoint> callback) {
     return requester.connect(host, Timeout.of(timeout), null, callback);
   }
 
   /**
-   * Leases a live connection within {@code limit}, waiting for it.
+   * Leases an open connection, waiting for it up to {@code timeout}.
    *
-   * <p>A pooled connection that the peer has closed since would turn a request that was never sent
-   * into one of unknown outcome, so such connections are dropped here, before anything is written.
+   * <p>With a pooled connection that the peer has closed, a request that was never sent would have
+   * an unknown outcome. Such connections are discarded here, before anything is written.
    *
-   * @throws IOException where there is none; nothing was sent
+   * @throws IOException if no connection is available; nothing was sent
    */
   public AsyncClientEndpoint lease(HttpHost host, Duration timeout) throws IOException {
-    for (int tried = 0; tried < MAX_LEASE_ATTEMPTS; tried++) {
+    for (int attempt = 0; attempt < MAX_LEASE_ATTEMPTS; attempt++) {
       AsyncClientEndpoint endpoint = leaseOnce(host, timeout);
       if (endpoint.isConnected()) {
         return endpoint;
       }
       endpoint.releaseAndDiscard();
     }
-    throw new IOException("connections keep closing");
+    throw new IOException("all leased connections were already closed by the peer");
   }
 
-  private AsyncClientEndpoint leaseOnce(HttpHost host, Duration limit) throws IOException {
-    Future<AsyncClientEndpoint> future = requester.connect(host, Timeout.of(limit));
+  private AsyncClientEndpoint leaseOnce(HttpHost host, Duration timeout) throws IOException {
+    Future<AsyncClientEndpoint> future = requester.connect(host, Timeout.of(timeout));
     try {
-      return future.get(limit.toNanos(), TimeUnit.NANOSECONDS);
+      return future.get(timeout.toNanos(), TimeUnit.NANOSECONDS);
     } catch (TimeoutException e) {
       future.cancel(true);
-      throw new IOException("no connection within " + limit.toMillis() + " ms", e);
+      throw new IOException("no connection within " + timeout.toMillis() + " ms", e);
     } catch (ExecutionException e) {
       throw new IOException("no connection: " + e.getCause(), e);
     } catch (InterruptedException e) {
@@ -145,7 +152,7 @@
     }
   }
 
-  /** Lets exchanges that run end, then closes. */
+  /** Waits for running exchanges to end, then closes. */
   public void closeGracefully() {
     requester.close(CloseMode.GRACEFUL);
   }
--- a/sageladder-http/src/main/java/org/sageladder/http/SessionObserver.java
+++ b/sageladder-http/src/main/java/org/sageladder/http/SessionObserver.java
@@ -4,7 +4,7 @@
 import org.apache.hc.core5.reactor.IOSessionListener;
 
 /**
- * Observes the beginnings and ends of connections; a subclass overrides what it wants to know.
+ * Session listener with empty methods; a subclass overrides those for the events that it needs.
  *
  * <pre>{@code
  * new SessionObserver() {
@@ -15,7 +15,7 @@
  * }</pre>
  */
 public abstract class SessionObserver implements IOSessionListener {
-  /** An observer that ignores all news. */
+  /** Creates an observer that ignores all events. */
   protected SessionObserver() {}
 
   @Override
--- a/sageladder-http/src/main/java/org/sageladder/http/package-info.java
+++ b/sageladder-http/src/main/java/org/sageladder/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Pooled HTTP connections, alike for the platform's clients, the callers' library and the daemon.
+ * Pooled HTTP connections, shared by the platform's clients, the callers' library and the daemon.
  */
 @NullMarked
 package org.sageladder.http;
--- a/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractDiff.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractDiff.java
@@ -8,9 +8,9 @@
 import java.util.TreeSet;
 import org.sageladder.core.contract.Contract;
 
-/** Finds the values in which two contracts differ, each under the key that operators know. */
+/** Finds the values in which two contracts differ, each under its path in the contract file. */
 public final class ContractDiff {
-  /** Text of a value that one of the contracts does not have. */
+  /** Text for a value that one of the contracts does not have. */
   public static final String ABSENT = "(absent)";
 
   private ContractDiff() {}
@@ -18,7 +18,7 @@
   /**
    * One value that differs.
    *
-   * @param key place in the contract, such as {@code services[bid].queueWait}
+   * @param key path in the contract, such as {@code services[bid].queueWait}
    */
   public record Difference(String key, String before, String after) {
     @Override
@@ -27,18 +27,18 @@
     }
   }
 
-  /** All differences ordered by key; empty where only the revisions differ. */
+  /** Returns all differences ordered by key; empty if only the revisions differ. */
   public static List<Difference> between(Contract before, Contract after) {
-    Map<String, String> old = valuesByKey(before);
-    Map<String, String> changed = valuesByKey(after);
-    TreeSet<String> keys = new TreeSet<>(old.keySet());
-    keys.addAll(changed.keySet());
+    Map<String, String> oldValues = valuesByKey(before);
+    Map<String, String> newValues = valuesByKey(after);
+    TreeSet<String> keys = new TreeSet<>(oldValues.keySet());
+    keys.addAll(newValues.keySet());
     List<Difference> differences = new ArrayList<>();
     for (String key : keys) {
-      String was = old.getOrDefault(key, ABSENT);
-      String is = changed.getOrDefault(key, ABSENT);
-      if (!was.equals(is)) {
-        differences.add(new Difference(key, was, is));
+      String oldValue = oldValues.getOrDefault(key, ABSENT);
+      String newValue = newValues.getOrDefault(key, ABSENT);
+      if (!oldValue.equals(newValue)) {
+        differences.add(new Difference(key, oldValue, newValue));
       }
     }
     return differences;
@@ -65,7 +65,10 @@
     }
   }
 
-  /** Entries of lists are told apart by what names them, so that moving one is no difference. */
+  /**
+   * Identifies a list entry by its naming fields instead of its index, so that moving an entry is
+   * not a difference.
+   */
   private static String entryId(JsonNode entry) {
     if (entry.has("name")) {
       return entry.get("name").asText();
--- a/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractFormat.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractFormat.java
@@ -28,7 +28,7 @@
     try {
       return MAPPER.writeValueAsString(tree);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree of plain values could not be written", e);
+      throw new IllegalStateException("the contract could not be serialized", e);
     }
   }
 
--- a/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractWriter.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractWriter.java
@@ -26,7 +26,7 @@
  * }</pre>
  */
 public final class ContractWriter {
-  /** Tries to learn how a write without an answer ended. */
+  /** Maximum number of times that a write is sent until its outcome is known. */
   private static final int MAX_WRITE_ATTEMPTS = 5;
 
   private final Store store;
@@ -41,20 +41,20 @@
     this.changeIds = changeIds;
   }
 
-  /** A writer whose change ids are random. */
+  /** Creates a writer with random change ids. */
   public static ContractWriter of(Store store, TimeSource time, String author) {
     return of(store, time, author, () -> UUID.randomUUID().toString());
   }
 
-  /** A writer with its own source of change ids, each of which must be unique. */
+  /** Creates a writer with a supplier of change ids, each of which must be unique. */
   public static ContractWriter of(
       Store store, TimeSource time, String author, Supplier<String> changeIds) {
     return new ContractWriter(store, time, author, changeIds);
   }
 
   /**
-   * Accepts {@code contract} if the one in the store still has {@code baseRevision}; 0 means that
-   * there must be none yet.
+   * Writes {@code contract} if the one in the store still has {@code baseRevision}; 0 means that
+   * none may exist yet.
    */
   public ApplyResult apply(Contract contract, long baseRevision) {
     List<ContractCheck.Problem> problems = ContractCheck.problems(contract);
@@ -77,25 +77,25 @@
     }
   }
 
-  /** The stored contract of that customer, or null where there is none. */
+  /** Returns the stored contract of the customer, or null if there is none. */
   public @Nullable StoredContract read(String customer) throws StoreException {
     Optional<StoredValue> stored = store.read(StoredContract.keyOf(customer));
     return stored.isEmpty() ? null : decode(stored.get());
   }
 
   /**
-   * Writes until an answer comes. A store may carry out a write whose answer is lost, at once or
-   * late; sending the same change again is safe, because it expects the same revision, so at most
-   * one copy takes effect, and the other's conflict shows this change id as current or in the
-   * history.
+   * Sends a write until a response arrives. The store may apply a write whose response is lost,
+   * immediately or later. Sending the same change again is safe: it expects the same revision, so
+   * at most one copy takes effect, and the conflict of any other copy shows this change id as
+   * current or in the history.
    */
   private ApplyResult write(StoredContract change, long baseRevision, List<Difference> differences)
       throws StoreException {
     String key = StoredContract.keyOf(change.contract().customer());
     byte[] value = change.toBytes();
     String reason = "";
-    boolean sentBefore = false;
-    for (int i = 0; i < MAX_WRITE_ATTEMPTS; i++) {
+    boolean mayHaveTakenEffect = false;
+    for (int attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt++) {
       try {
         WriteResult result = store.compareAndSet(key, baseRevision, value, null);
         if (result instanceof WriteResult.Written written) {
@@ -104,10 +104,10 @@
         StoredValue current = ((WriteResult.Conflict) result).current();
         return resolveConflict(change, current, baseRevision, differences);
       } catch (StoreException.OutcomeUnknown e) {
-        sentBefore = true;
+        mayHaveTakenEffect = true;
         reason = e.getMessage();
       } catch (StoreException.Unavailable e) {
-        if (!sentBefore) {
+        if (!mayHaveTakenEffect) {
           throw e;
         }
         reason = e.getMessage();
@@ -124,32 +124,32 @@
     if (current == null) {
       return new ApplyResult.Conflict(null, List.of(), List.of());
     }
-    StoredContract standing = decode(current);
-    if (standing.changeId().equals(change.changeId())) {
+    StoredContract stored = decode(current);
+    if (stored.changeId().equals(change.changeId())) {
       return new ApplyResult.Accepted(current.revision(), differences);
     }
-    for (Change earlier : standing.history()) {
+    for (Change earlier : stored.history()) {
       if (earlier.changeId().equals(change.changeId())) {
         return new ApplyResult.Accepted(earlier.revision(), differences);
       }
     }
-    return conflict(standing, change.contract(), baseRevision);
+    return conflict(stored, change.contract(), baseRevision);
   }
 
   private static ApplyResult conflict(
-      @Nullable StoredContract current, Contract wanted, long baseRevision) {
+      @Nullable StoredContract current, Contract requested, long baseRevision) {
     if (current == null) {
       return new ApplyResult.Conflict(null, List.of(), List.of());
     }
-    List<Difference> differences = ContractDiff.between(current.contract(), wanted);
-    List<String> changedThere = new ArrayList<>();
+    List<Difference> differences = ContractDiff.between(current.contract(), requested);
+    List<String> changedKeys = new ArrayList<>();
     for (Change change : current.history()) {
       if (change.revision() > baseRevision) {
-        changedThere.addAll(change.fields());
+        changedKeys.addAll(change.fields());
       }
     }
     List<String> conflicting =
-        differences.stream().map(Difference::key).filter(changedThere::contains).toList();
+        differences.stream().map(Difference::key).filter(changedKeys::contains).toList();
     return new ApplyResult.Conflict(current, differences, conflicting);
   }
 
@@ -160,21 +160,22 @@
     List<Change> history = new ArrayList<>();
     history.add(new Change(0, changeId, author, time.wallMillis(), fields));
     if (current != null) {
-      int kept = Math.min(current.history().size(), StoredContract.MAX_HISTORY_LENGTH - 1);
-      history.addAll(current.history().subList(0, kept));
+      int keptCount = Math.min(current.history().size(), StoredContract.MAX_HISTORY_LENGTH - 1);
+      history.addAll(current.history().subList(0, keptCount));
     }
     return new StoredContract(changeId, author, contract, history);
   }
 
-  private static List<Difference> differences(@Nullable StoredContract current, Contract wanted) {
-    return current == null ? List.of() : ContractDiff.between(current.contract(), wanted);
+  private static List<Difference> differences(
+      @Nullable StoredContract current, Contract requested) {
+    return current == null ? List.of() : ContractDiff.between(current.contract(), requested);
   }
 
   private static StoredContract decode(StoredValue value) {
     try {
       return StoredContract.fromStored(value);
     } catch (SettingsException e) {
-      throw new IllegalStateException("the store holds what is no contract: " + e.getMessage(), e);
+      throw new IllegalStateException("the store has a malformed contract: " + e.getMessage(), e);
     }
   }
 }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractYaml.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/contract/ContractYaml.java
@@ -18,17 +18,18 @@
 import org.sageladder.platform.settings.SettingsSection;
 
 /**
- * Contracts as operators write them.
+ * Parses and formats contracts in the YAML form that operators write.
  *
  * <pre>{@code
  * Contract contract = ContractYaml.parse("kannelkoda.yaml", text);
  * String same = ContractYaml.format(contract);
  * }</pre>
  *
- * <p>Parsing checks each value by itself; {@code ContractCheck} checks them against one another.
+ * <p>Parsing checks each value on its own; {@code ContractCheck} checks the values against each
+ * other.
  */
 public final class ContractYaml {
-  /** Largest block number that a contract may name. */
+  /** Largest block number allowed in a contract. */
   public static final int MAX_BLOCK = 999_999;
 
   private static final int MAX_COUNT_PER_SERVICE = 100_000;
@@ -59,20 +60,24 @@
   private ContractYaml() {}
 
   /**
-   * Reads a contract with revision 0; {@code fileName} is only used in errors.
+   * Parses a contract, with revision 0; {@code fileName} is only used in errors.
    *
-   * @throws SettingsException naming the first key that is missing, unknown or has a wrong value
+   * @throws SettingsException if a key is missing, unknown or has an invalid value; it names the
+   *     first such key
    */
   public static Contract parse(String fileName, String yaml) throws SettingsException {
     return read(SettingsDocument.parse(fileName, yaml).root(CONTRACT_KEYS));
   }
 
-  /** Reads a contract file in UTF-8, as {@link #parse}. */
+  /** Reads and parses a contract file in UTF-8, as {@link #parse} does. */
   public static Contract read(Path file) throws SettingsException {
     return read(SettingsDocument.read(file).root(CONTRACT_KEYS));
   }
 
-  /** The contract as YAML text that {@link #parse} reads back alike, but for the revision. */
+  /**
+   * Returns the contract as YAML text, from which {@link #parse} makes an equal contract except for
+   * the revision.
+   */
   public static String format(Contract contract) {
     return ContractFormat.toYaml(ContractFormat.toTree(contract));
   }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/contract/StoredContract.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/contract/StoredContract.java
@@ -14,9 +14,9 @@
 import org.sageladder.platform.settings.SettingsSection;
 
 /**
- * A contract as the platform's store keeps it under {@code contracts/<customer>}.
+ * A contract as stored in the platform's store under {@code contracts/<customer>}.
  *
- * @param changeId unique for each change, so that a writer whose answer was lost can tell by
+ * @param changeId unique for each change, so that a writer whose response was lost can determine by
  *     reading back whether its own write took effect
  * @param author operator who made the change
  * @param history the latest changes, newest first, this one included; at most {@link
@@ -24,10 +24,10 @@
  */
 public record StoredContract(
     String changeId, String author, Contract contract, List<Change> history) {
-  /** Keys of contracts in the store start with this. */
+  /** Prefix of the keys of contracts in the store. */
   public static final String KEY_PREFIX = "contracts/";
 
-  /** Most changes that are kept beside the contract. */
+  /** Maximum number of changes that are stored with the contract. */
   public static final int MAX_HISTORY_LENGTH = 20;
 
   private static final int MAX_FIELDS = 20;
@@ -48,31 +48,31 @@
    *
    * @param revision store revision of the change; 0 in a value not yet written
    * @param atMillis wall clock of the operator's machine, milliseconds since the Unix epoch
-   * @param fields keys whose values changed; the first 20 where there are more
+   * @param fields keys whose values changed; at most the first 20
    */
   public record Change(
       long revision, String changeId, String author, long atMillis, List<String> fields) {
-    /** Copies the list and cuts it to the number that is kept. */
+    /** Copies the list and truncates it to the maximum length. */
     public Change {
       fields = List.copyOf(fields.subList(0, Math.min(MAX_FIELDS, fields.size())));
     }
 
-    Change atRevision(long accepted) {
-      return new Change(accepted, changeId, author, atMillis, fields);
+    Change atRevision(long acceptedRevision) {
+      return new Change(acceptedRevision, changeId, author, atMillis, fields);
     }
   }
 
-  /** The store's key of that customer's contract. */
+  /** Returns the store key of the customer's contract. */
   public static String keyOf(String customer) {
     return KEY_PREFIX + customer;
   }
 
-  /** True where the change with that id is this one or came before it. */
+  /** Returns true if the change with that id is the current one or is in the history. */
   public boolean includesChange(String id) {
     return changeId.equals(id) || history.stream().anyMatch(change -> change.changeId().equals(id));
   }
 
-  /** The value to store: YAML text in UTF-8. */
+  /** Returns the value to store: YAML text in UTF-8. */
   public byte[] toBytes() {
     ObjectNode tree = JsonNodeFactory.instance.objectNode();
     tree.put("changeId", changeId).put("author", author);
@@ -93,9 +93,9 @@
   }
 
   /**
-   * Reads a stored value; the contract's revision is that of the stored value.
+   * Parses a stored value; the contract gets the revision of the stored value.
    *
-   * @throws SettingsException where the value is not a stored contract
+   * @throws SettingsException if the value is not a stored contract
    */
   public static StoredContract fromStored(StoredValue stored) throws SettingsException {
     String yaml = new String(stored.value(), StandardCharsets.UTF_8);
@@ -110,7 +110,10 @@
         readHistory(root, stored.revision()));
   }
 
-  /** The newest change was written before its revision was known, so it takes the value's. */
+  /**
+   * Reads the history. The newest change was written before its revision was known, so it gets the
+   * revision of the stored value.
+   */
   private static List<Change> readHistory(SettingsSection root, long revision)
       throws SettingsException {
     List<Change> history = new ArrayList<>();
--- a/sageladder-platform/src/main/java/org/sageladder/platform/contract/package-info.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/contract/package-info.java
@@ -1,4 +1,7 @@
-/** Contracts as operators write them (YAML) and as the platform's store keeps them. */
+/**
+ * Formats of contracts, as YAML files of operators and as values in the platform's store, and
+ * changes of contracts.
+ */
 @NullMarked
 package org.sageladder.platform.contract;
 
--- a/sageladder-platform/src/main/java/org/sageladder/platform/event/EventPage.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/event/EventPage.java
@@ -9,18 +9,19 @@
 import org.sageladder.core.event.EventBuffer;
 
 /**
- * Answer of {@code GET /v1/events?after=N} on an operators' port.
+ * Response to {@code GET /v1/events?after=N} on an operators' port.
  *
  * <pre>{@code
  * byte[] body = EventPage.of("tallinn-1-a", 7, "tallinn-1", buffer, after, 5_000).toJson();
  * }</pre>
  *
  * @param process name of the VM whose process recorded the events
- * @param incarnation grows with each start of the process; sequences begin anew with it
+ * @param incarnation increases with each start of the process; event sequences restart with it
  * @param zone availability zone of the process
- * @param nowMicros the process's event clock as it answered, microseconds since the Unix epoch
- * @param lost events after N that had given way to later ones
- * @param next pass this as N in the next read
+ * @param nowMicros event clock of the process at the time of the response, in microseconds since
+ *     the Unix epoch
+ * @param lost number of events after N that later events had already replaced in the buffer
+ * @param next value of N for the next request
  */
 public record EventPage(
     String process,
@@ -38,7 +39,7 @@
     events = List.copyOf(events);
   }
 
-  /** What {@code buffer} holds after sequence {@code after}, at most {@code limit} events. */
+  /** Returns the events of {@code buffer} after sequence {@code after}, at most {@code limit}. */
   public static EventPage of(
       String process, long incarnation, String zone, EventBuffer buffer, long after, int limit) {
     EventBuffer.Batch batch = buffer.readAfter(after, limit);
@@ -52,19 +53,19 @@
         batch.events());
   }
 
-  /** The page as JSON in UTF-8. */
+  /** Returns the page as JSON in UTF-8. */
   public byte[] toJson() {
     try {
       return JSON.writeValueAsBytes(this);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("records of plain values could not be written", e);
+      throw new IllegalStateException("the event page could not be serialized", e);
     }
   }
 
   /**
-   * Reads a page back.
+   * Parses a page.
    *
-   * @throws IOException where the bytes are no such page
+   * @throws IOException if the bytes are not an event page
    */
   public static EventPage fromJson(byte[] json) throws IOException {
     return JSON.readValue(json, EventPage.class);
--- a/sageladder-platform/src/main/java/org/sageladder/platform/event/package-info.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/event/package-info.java
@@ -1,4 +1,4 @@
-/** Events of one process as JSON, as the operators' port serves them. */
+/** JSON format in which the operators' port serves the events of a process. */
 @NullMarked
 package org.sageladder.platform.event;
 
--- a/sageladder-platform/src/main/java/org/sageladder/platform/http/DisconnectDetectingSession.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/http/DisconnectDetectingSession.java
@@ -13,16 +13,16 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * Closes a server's connection as soon as its caller has closed it.
+ * Closes a server's connection as soon as its client has closed it.
  *
- * <p>Failure guarded against: HttpCore takes the end of a caller's input while an answer is being
- * worked out for a half-close and goes on, so work for a caller that has gone holds its slot to the
- * end. Closing the session when a read meets the end of input makes the library tell the exchange
- * handler ({@code failed}, then {@code releaseResources}) at once. A caller that half-closes and
- * still waits for an answer is cut too; HTTP clients do not do that.
+ * <p>By default, HttpCore treats the end of a client's input during request processing as a
+ * half-close and continues, so the work for a disconnected client occupies its slot to the end.
+ * Closing the session when a read returns the end of input makes the library notify the exchange
+ * handler ({@code failed}, then {@code releaseResources}) at once. A client that half-closes and
+ * still waits for the response is disconnected too; HTTP clients do not do that.
  *
  * <pre>{@code
- * AsyncServerBootstrap.bootstrap().setIOSessionDecorator(HangUpSession.decorator())
+ * AsyncServerBootstrap.bootstrap().setIOSessionDecorator(DisconnectDetectingSession.decorator())
  * }</pre>
  */
 public final class DisconnectDetectingSession implements IOSession {
@@ -32,7 +32,7 @@
     this.session = session;
   }
 
-  /** Decorates each session of a server. */
+  /** Returns a decorator for the sessions of a server. */
   public static Decorator<IOSession> decorator() {
     return DisconnectDetectingSession::new;
   }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/http/package-info.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/http/package-info.java
@@ -1,4 +1,4 @@
-/** What sageladder's HTTP servers and clients need beyond the library. */
+/** Extensions of the HTTP library for sageladder's servers and clients. */
 @NullMarked
 package org.sageladder.platform.http;
 
--- a/sageladder-platform/src/main/java/org/sageladder/platform/settings/DurationText.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/settings/DurationText.java
@@ -6,14 +6,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Durations as people write them: {@code 1.5ms}, {@code 6s}, {@code 10m}, {@code 8h}. */
+/** Parses and formats durations such as {@code 1.5ms}, {@code 6s}, {@code 10m} and {@code 8h}. */
 public final class DurationText {
   private static final Pattern DURATION_PATTERN =
       Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m|h)");
 
   private DurationText() {}
 
-  /** The duration that {@code text} states, or empty where it states none. */
+  /** Returns the duration in {@code text}, or empty if the text is not a duration. */
   public static Optional<Duration> parse(String text) {
     Matcher matcher = DURATION_PATTERN.matcher(text.strip());
     if (!matcher.matches()) {
@@ -24,7 +24,7 @@
     return Optional.of(Duration.ofNanos(nanos.longValue()));
   }
 
-  /** The shortest text from which {@link #parse} makes {@code duration} again. */
+  /** Returns the shortest text that {@link #parse} converts back to {@code duration}. */
   public static String format(Duration duration) {
     long nanos = duration.toNanos();
     for (String unit : new String[] {"h", "m", "s", "ms"}) {
@@ -47,7 +47,9 @@
       case "s" -> 1_000_000_000L;
       case "m" -> 60_000_000_000L;
       case "h" -> 3_600_000_000_000L;
-      default -> throw new IllegalArgumentException("no unit '" + unit + "'; us, ms, s, m or h");
+      default ->
+          throw new IllegalArgumentException(
+              "unknown unit '" + unit + "'; expected us, ms, s, m or h");
     };
   }
 }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/settings/ExitCode.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/settings/ExitCode.java
@@ -1,26 +1,26 @@
 package org.sageladder.platform.settings;
 
-/** How sageladder's programs end; {@code docs/CONFIGURATION.md} has the same table. */
+/** Exit codes of sageladder's programs; {@code docs/CONFIGURATION.md} has the same table. */
 public enum ExitCode {
-  /** All was done. */
+  /** The command succeeded. */
   OK(0),
-  /** It ran, and the verdict is that something does not hold, or that two things differ. */
+  /** The command ran; a check failed, or the compared items differ. */
   VERDICT_FAILED(1),
-  /** The command line is wrong. */
+  /** The command line is invalid. */
   USAGE(64),
-  /** A contract is wrong. */
+  /** A contract is invalid. */
   BAD_CONTRACT(65),
   /** Something named on the command line does not exist. */
   NOT_FOUND(66),
-  /** A service that is needed gave no answer; nothing took effect. */
+  /** A required service did not respond; nothing took effect. */
   UNAVAILABLE(69),
-  /** A fault in sageladder itself. */
+  /** An internal error of sageladder. */
   INTERNAL(70),
-  /** Another operator's change came first; nothing took effect. */
+  /** The change conflicts with an earlier one of another operator; nothing took effect. */
   CONFLICT(73),
-  /** The change may or may not have taken effect; look before trying again. */
+  /** The change may or may not have taken effect; check before retrying. */
   OUTCOME_UNKNOWN(75),
-  /** A settings file is wrong; nothing was started. */
+  /** A settings file is invalid; nothing was started. */
   BAD_SETTINGS(78);
 
   private final int status;
@@ -29,7 +29,7 @@
     this.status = status;
   }
 
-  /** The process's exit status. */
+  /** Returns the exit status of the process. */
   public int status() {
     return status;
   }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/settings/SettingsDocument.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/settings/SettingsDocument.java
@@ -12,7 +12,7 @@
 import java.nio.file.Path;
 
 /**
- * One settings file, parsed from YAML.
+ * A settings file, parsed from YAML.
  *
  * <pre>{@code
  * SettingsSection root = SettingsDocument.parse("entry.yaml", text).root("vm", "ports");
@@ -38,7 +38,8 @@
   /**
    * Parses {@code yaml}; {@code fileName} is only used in errors.
    *
-   * @throws SettingsException where the text is no YAML, has a key twice, or is not a map of keys
+   * @throws SettingsException if the text is not valid YAML, has a duplicate key, or is not a map
+   *     of keys
    */
   public static SettingsDocument parse(String fileName, String yaml) throws SettingsException {
     JsonNode node;
@@ -56,7 +57,7 @@
   /**
    * Reads and parses a file in UTF-8.
    *
-   * @throws SettingsException also where the file cannot be read
+   * @throws SettingsException if the file cannot be read, or as {@link #parse} does
    */
   public static SettingsDocument read(Path file) throws SettingsException {
     String yaml;
@@ -72,9 +73,9 @@
   }
 
   /**
-   * The top of the file, in which only {@code keys} may stand.
+   * Returns the top level of the file, which may contain only {@code keys}.
    *
-   * @throws SettingsException where the file has another key
+   * @throws SettingsException if the file has another key
    */
   public SettingsSection root(String... keys) throws SettingsException {
     return SettingsSection.of(fileName, "", content, keys);
--- a/sageladder-platform/src/main/java/org/sageladder/platform/settings/SettingsException.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/settings/SettingsException.java
@@ -1,9 +1,9 @@
 package org.sageladder.platform.settings;
 
 /**
- * A mistake in a settings or contract file.
+ * Thrown for an error in a settings or contract file.
  *
- * <p>The message is one line that names file, key, value and what is allowed, for instance {@code
+ * <p>The message is one line with file, key, value and the allowed values, for example {@code
  * entry.yaml: ports.callers: 70000 is not allowed; give a whole number from 0 to 65535}.
  */
 public final class SettingsException extends Exception {
@@ -15,21 +15,21 @@
     super(message);
   }
 
-  /** A value that is not allowed under {@code key}. */
+  /** Creates an error for a value that is not allowed for {@code key}. */
   static SettingsException badValue(String file, String key, String value, String allowed) {
     return new SettingsException(
         file + ": " + key + ": " + truncate(value) + " is not allowed; give " + allowed);
   }
 
-  /** A required key that the file does not have. */
+  /** Creates an error for a required key that the file does not have. */
   static SettingsException missing(String file, String key, String allowed) {
     return new SettingsException(file + ": " + key + ": missing; give " + allowed);
   }
 
-  /** A mistake that is neither a wrong value nor a missing key; {@code key} may be empty. */
+  /** Creates an error other than an invalid value or a missing key; {@code key} may be empty. */
   static SettingsException of(String file, String key, String problem) {
-    String place = key.isEmpty() ? file : file + ": " + key;
-    return new SettingsException(place + ": " + toSingleLine(problem));
+    String location = key.isEmpty() ? file : file + ": " + key;
+    return new SettingsException(location + ": " + toSingleLine(problem));
   }
 
   private static String truncate(String value) {
--- a/sageladder-platform/src/main/java/org/sageladder/platform/settings/SettingsSection.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/settings/SettingsSection.java
@@ -16,9 +16,9 @@
 /**
  * Keys and values at one level of a settings file.
  *
- * <p>The keys that may stand here are stated up front, so that a misspelt key is reported as such
- * and not as a missing one. Each accessor throws {@link SettingsException} where the key is missing
- * or its value is not allowed; those with a default accept a missing key.
+ * <p>The allowed keys are declared up front, so that a misspelt key is reported as such and not as
+ * a missing one. Each accessor throws {@link SettingsException} if the key is missing or its value
+ * is not allowed; accessors with a default value accept a missing key.
  */
 public final class SettingsSection {
   private final String fileName;
@@ -46,22 +46,22 @@
     return section;
   }
 
-  /** True where the file gives a value for {@code key}. */
+  /** Returns true if the file has a value for {@code key}. */
   public boolean has(String key) {
     return content.has(requireKnown(key));
   }
 
-  /** A text that is not empty. */
+  /** Returns a string that is not empty. */
   public String text(String key) throws SettingsException {
-    String allowed = "a text that is not empty";
+    String allowed = "a string that is not empty";
     JsonNode node = required(key, allowed);
     if (!node.isTextual() || node.textValue().isBlank()) {
-      throw badValue(key, node, allowed + " (a number goes in quotes)");
+      throw badValue(key, node, allowed + " (put a number in quotes)");
     }
     return node.textValue();
   }
 
-  /** A text that matches {@code pattern}; {@code allowed} describes it in errors. */
+  /** Returns a string that matches {@code pattern}; {@code allowed} describes it in errors. */
   public String text(String key, Pattern pattern, String allowed) throws SettingsException {
     JsonNode node = required(key, allowed);
     if (!node.isTextual() || !pattern.matcher(node.textValue()).matches()) {
@@ -70,7 +70,9 @@
     return node.textValue();
   }
 
-  /** The constant whose name in lower case, with hyphens for underscores, is the value. */
+  /**
+   * Returns the constant whose name, in lower case and with hyphens for underscores, is the value.
+   */
   public <E extends Enum<E>> E choice(String key, Class<E> type) throws SettingsException {
     List<String> names = new ArrayList<>();
     for (E constant : type.getEnumConstants()) {
@@ -85,13 +87,13 @@
     return type.getEnumConstants()[index];
   }
 
-  /** As {@link #choice(String, Class)}, {@code otherwise} where the key is missing. */
-  public <E extends Enum<E>> E choice(String key, Class<E> type, E otherwise)
+  /** As {@link #choice(String, Class)}, or {@code defaultValue} if the key is missing. */
+  public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue)
       throws SettingsException {
-    return has(key) ? choice(key, type) : otherwise;
+    return has(key) ? choice(key, type) : defaultValue;
   }
 
-  /** True or false. */
+  /** Returns a boolean. */
   public boolean flag(String key) throws SettingsException {
     String allowed = "true or false";
     JsonNode node = required(key, allowed);
@@ -101,78 +103,81 @@
     return node.booleanValue();
   }
 
-  /** As {@link #flag(String)}, {@code otherwise} where the key is missing. */
-  public boolean flag(String key, boolean otherwise) throws SettingsException {
-    return has(key) ? flag(key) : otherwise;
+  /** As {@link #flag(String)}, or {@code defaultValue} if the key is missing. */
+  public boolean flag(String key, boolean defaultValue) throws SettingsException {
+    return has(key) ? flag(key) : defaultValue;
   }
 
-  /** A whole number from {@code least} to {@code most}, both included. */
-  public int wholeNumber(String key, int least, int most) throws SettingsException {
-    return (int) longNumber(key, least, most);
+  /** Returns a whole number from {@code min} to {@code max}, both included. */
+  public int wholeNumber(String key, int min, int max) throws SettingsException {
+    return (int) longNumber(key, min, max);
   }
 
-  /** As {@link #wholeNumber(String, int, int)}, {@code otherwise} where the key is missing. */
-  public int wholeNumber(String key, int least, int most, int otherwise) throws SettingsException {
-    return has(key) ? wholeNumber(key, least, most) : otherwise;
+  /** As {@link #wholeNumber(String, int, int)}, or {@code defaultValue} if the key is missing. */
+  public int wholeNumber(String key, int min, int max, int defaultValue) throws SettingsException {
+    return has(key) ? wholeNumber(key, min, max) : defaultValue;
   }
 
-  /** A whole number from {@code least} to {@code most}, both included. */
-  public long longNumber(String key, long least, long most) throws SettingsException {
-    String allowed = "a whole number from " + least + " to " + most;
+  /** Returns a whole number from {@code min} to {@code max}, both included. */
+  public long longNumber(String key, long min, long max) throws SettingsException {
+    String allowed = "a whole number from " + min + " to " + max;
     JsonNode node = required(key, allowed);
     boolean inRange =
         node.isIntegralNumber()
             && node.canConvertToLong()
-            && least <= node.longValue()
-            && node.longValue() <= most;
+            && min <= node.longValue()
+            && node.longValue() <= max;
     if (!inRange) {
       throw badValue(key, node, allowed);
     }
     return node.longValue();
   }
 
-  /** A number from {@code least} to {@code most}, both included. */
-  public double decimal(String key, double least, double most) throws SettingsException {
-    String allowed = "a number from " + formatNumber(least) + " to " + formatNumber(most);
+  /** Returns a number from {@code min} to {@code max}, both included. */
+  public double decimal(String key, double min, double max) throws SettingsException {
+    String allowed = "a number from " + formatNumber(min) + " to " + formatNumber(max);
     JsonNode node = required(key, allowed);
-    boolean inRange = node.isNumber() && least <= node.doubleValue() && node.doubleValue() <= most;
+    boolean inRange = node.isNumber() && min <= node.doubleValue() && node.doubleValue() <= max;
     if (!inRange) {
       throw badValue(key, node, allowed);
     }
     return node.doubleValue();
   }
 
-  /** As {@link #decimal(String, double, double)}, {@code otherwise} where the key is missing. */
-  public double decimal(String key, double least, double most, double otherwise)
+  /** As {@link #decimal(String, double, double)}, or {@code defaultValue} if the key is missing. */
+  public double decimal(String key, double min, double max, double defaultValue)
       throws SettingsException {
-    return has(key) ? decimal(key, least, most) : otherwise;
+    return has(key) ? decimal(key, min, max) : defaultValue;
   }
 
-  /** A duration such as {@code 250ms}, from {@code least} to {@code most}, both included. */
-  public Duration duration(String key, Duration least, Duration most) throws SettingsException {
+  /** Returns a duration such as {@code 250ms}, from {@code min} to {@code max}, both included. */
+  public Duration duration(String key, Duration min, Duration max) throws SettingsException {
     String allowed =
         "a duration from "
-            + DurationText.format(least)
+            + DurationText.format(min)
             + " to "
-            + DurationText.format(most)
+            + DurationText.format(max)
             + ", such as 250ms, 6s or 10m";
     JsonNode node = required(key, allowed);
     Optional<Duration> value = DurationText.parse(node.asText());
     boolean inRange =
-        value.isPresent() && value.get().compareTo(least) >= 0 && value.get().compareTo(most) <= 0;
+        value.isPresent() && value.get().compareTo(min) >= 0 && value.get().compareTo(max) <= 0;
     if (!inRange) {
       throw badValue(key, node, allowed);
     }
     return value.get();
   }
 
-  /** As {@link #duration(String, Duration, Duration)}, {@code otherwise} where it is missing. */
-  public Duration duration(String key, Duration least, Duration most, Duration otherwise)
+  /**
+   * As {@link #duration(String, Duration, Duration)}, or {@code defaultValue} if the key is
+   * missing.
+   */
+  public Duration duration(String key, Duration min, Duration max, Duration defaultValue)
       throws SettingsException {
-    return has(key) ? duration(key, least, most) : otherwise;
+    return has(key) ? duration(key, min, max) : defaultValue;
   }
 
-  /** A list of texts, each matching {@code pattern}; empty where the key is missing. */
+  /** Returns a list of strings, each matching {@code pattern}; empty if the key is missing. */
   public List<String> texts(String key, Pattern pattern, String allowed) throws SettingsException {
     List<String> texts = new ArrayList<>();
     ArrayNode list = list(key, "a list, each entry " + allowed);
@@ -186,7 +191,7 @@
     return texts;
   }
 
-  /** The level under {@code key}, in which only {@code keys} may stand. */
+  /** Returns the section under {@code key}, which may contain only {@code keys}. */
   public SettingsSection section(String key, String... keys) throws SettingsException {
     String allowed = "keys " + String.join(", ", keys);
     JsonNode node = required(key, allowed);
@@ -196,7 +201,7 @@
     return of(fileName, pathOf(key), object, keys);
   }
 
-  /** As {@link #section(String, String...)}, empty where the key is missing. */
+  /** As {@link #section(String, String...)}, or an empty section if the key is missing. */
   public SettingsSection sectionOrEmpty(String key, String... keys) throws SettingsException {
     if (has(key)) {
       return section(key, keys);
@@ -204,7 +209,10 @@
     return of(fileName, pathOf(key), content.objectNode(), keys);
   }
 
-  /** A list of levels, in each of which only {@code keys} may stand; empty where it is missing. */
+  /**
+   * Returns a list of sections, each of which may contain only {@code keys}; empty if the key is
+   * missing.
+   */
   public List<SettingsSection> sections(String key, String... keys) throws SettingsException {
     String allowed = "a list, each entry with keys " + String.join(", ", keys);
     List<SettingsSection> sections = new ArrayList<>();
@@ -219,12 +227,15 @@
     return sections;
   }
 
-  /** An error about {@code key} that only the caller can find, such as a clash of two ports. */
+  /**
+   * Creates an error about {@code key} that only the calling code can detect, such as two settings
+   * with the same port.
+   */
   public SettingsException error(String key, String value, String allowed) {
     return SettingsException.badValue(fileName, pathOf(key), value, allowed);
   }
 
-  /** An error that {@code key} is missing. */
+  /** Creates an error for a missing {@code key}. */
   public SettingsException missing(String key, String allowed) {
     return SettingsException.missing(fileName, pathOf(key), allowed);
   }
@@ -250,7 +261,7 @@
 
   private String requireKnown(String key) {
     if (!knownKeys.contains(key)) {
-      throw new IllegalStateException("key " + key + " was not stated for section " + path);
+      throw new IllegalStateException("key " + key + " was not declared for section " + path);
     }
     return key;
   }
--- a/sageladder-platform/src/main/java/org/sageladder/platform/settings/package-info.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Reading of settings files: typed access to YAML with one clear error for each mistake. */
+/** Typed access to YAML settings files, with one error message for each mistake. */
 @NullMarked
 package org.sageladder.platform.settings;
 
--- a/sageladder-platform/src/main/java/org/sageladder/platform/store/HttpStore.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/store/HttpStore.java
@@ -14,7 +14,7 @@
 import org.sageladder.core.store.WriteResult;
 
 /**
- * The platform's key-value service over HTTP and JSON.
+ * Client of the platform's key-value service, over HTTP and JSON.
  *
  * <pre>{@code
  * try (HttpStore store = HttpStore.connect(URI.create("http://127.0.0.1:4100"), Duration.ofSeconds(2))) {
@@ -22,9 +22,9 @@
  * }
  * }</pre>
  *
- * <p>A call fails with {@link StoreException.Unavailable} where it was refused or never sent, and
- * where it was a read. A write whose answer did not come within the time-out fails with {@link
- * StoreException.OutcomeUnknown}. No call is tried again here. Safe for use by several threads.
+ * <p>A call that was refused or never sent, or a read that failed, throws {@link
+ * StoreException.Unavailable}. A write whose response did not arrive within the timeout throws
+ * {@link StoreException.OutcomeUnknown}. Calls are not retried here. This class is thread-safe.
  */
 public final class HttpStore implements Store {
   private static final int CONFLICT = 409;
@@ -38,10 +38,10 @@
   }
 
   /**
-   * A store at {@code base}; nothing is sent until the first call.
+   * Creates a client of the store at {@code base}; nothing is sent until the first call.
    *
-   * @param base scheme, IP number and port, such as {@code http://127.0.0.1:4100}
-   * @param timeout longest wait for an answer; a watch may take its own wait in addition
+   * @param base scheme, IP address and port, such as {@code http://127.0.0.1:4100}
+   * @param timeout maximum wait for a response; a watch waits for its own duration in addition
    */
   public static HttpStore connect(URI base, Duration timeout) {
     return new HttpStore(JsonHttpClient.connect(base, timeout));
@@ -49,19 +49,19 @@
 
   @Override
   public Optional<StoredValue> read(String key) throws StoreException {
-    JsonHttpClient.Response answer =
+    JsonHttpClient.Response response =
         client.read(StoreMessages.VALUE + "?key=" + encode(key), Duration.ZERO);
-    if (answer.status() == NOT_FOUND) {
+    if (response.status() == NOT_FOUND) {
       return Optional.empty();
     }
-    return Optional.of(requireOk(answer).read(StoredValue.class));
+    return Optional.of(requireOk(response).read(StoredValue.class));
   }
 
   @Override
   public List<StoredValue> list(String prefix) throws StoreException {
-    JsonHttpClient.Response answer =
+    JsonHttpClient.Response response =
         client.read(StoreMessages.VALUES + "?prefix=" + encode(prefix), Duration.ZERO);
-    return requireOk(answer).read(StoreMessages.Values.class).values();
+    return requireOk(response).read(StoreMessages.Values.class).values();
   }
 
   @Override
@@ -80,26 +80,27 @@
   }
 
   private WriteResult writeConditionally(String path, Object body) throws StoreException {
-    JsonHttpClient.Response answer = client.write(path, body);
-    if (answer.status() == CONFLICT) {
-      return new WriteResult.Conflict(answer.read(StoreMessages.Conflict.class).current());
+    JsonHttpClient.Response response = client.write(path, body);
+    if (response.status() == CONFLICT) {
+      return new WriteResult.Conflict(response.read(StoreMessages.Conflict.class).current());
     }
-    return new WriteResult.Written(requireOk(answer).read(StoreMessages.Written.class).revision());
+    return new WriteResult.Written(
+        requireOk(response).read(StoreMessages.Written.class).revision());
   }
 
   @Override
   public long grantLease(Duration timeToLive) throws StoreException {
-    JsonHttpClient.Response answer =
+    JsonHttpClient.Response response =
         client.write(
             StoreMessages.LEASE_GRANT, new StoreMessages.GrantLease(timeToLive.toMillis()));
-    return requireOk(answer).read(StoreMessages.Lease.class).lease();
+    return requireOk(response).read(StoreMessages.Lease.class).lease();
   }
 
   @Override
   public boolean keepAlive(long lease) throws StoreException {
-    JsonHttpClient.Response answer =
+    JsonHttpClient.Response response =
         client.write(StoreMessages.LEASE_KEEP_ALIVE, new StoreMessages.Lease(lease));
-    return requireOk(answer).read(StoreMessages.Alive.class).alive();
+    return requireOk(response).read(StoreMessages.Alive.class).alive();
   }
 
   @Override
@@ -119,16 +120,19 @@
     client.close();
   }
 
-  /** A 4xx other than a conflict says that the call itself is wrong, so a retry cannot help. */
-  private static JsonHttpClient.Response requireOk(JsonHttpClient.Response answer) {
-    if (answer.status() == OK) {
-      return answer;
+  /**
+   * Returns the response if its status is 200. A 4xx status other than a conflict means that the
+   * call itself is invalid, so a retry cannot help.
+   */
+  private static JsonHttpClient.Response requireOk(JsonHttpClient.Response response) {
+    if (response.status() == OK) {
+      return response;
     }
     throw new IllegalArgumentException(
         "the store refused the call with status "
-            + answer.status()
+            + response.status()
             + ": "
-            + new String(answer.body(), StandardCharsets.UTF_8));
+            + new String(response.body(), StandardCharsets.UTF_8));
   }
 
   private static String encode(String text) {
--- a/sageladder-platform/src/main/java/org/sageladder/platform/store/HttpVmList.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/store/HttpVmList.java
@@ -7,7 +7,9 @@
 import org.sageladder.core.platform.VmList;
 import org.sageladder.core.store.StoreException;
 
-/** The platform's list of VMs over HTTP and JSON; every failure is an outage. */
+/**
+ * Client of the platform's list of VMs, over HTTP and JSON; every failure is reported as an outage.
+ */
 public final class HttpVmList implements VmList, AutoCloseable {
   private final JsonHttpClient client;
 
@@ -15,18 +17,21 @@
     this.client = client;
   }
 
-  /** A list at {@code base}, such as {@code http://127.0.0.1:4100}; nothing is sent yet. */
+  /**
+   * Creates a client of the list at {@code base}, such as {@code http://127.0.0.1:4100}; nothing is
+   * sent yet.
+   */
   public static HttpVmList connect(URI base, Duration timeout) {
     return new HttpVmList(JsonHttpClient.connect(base, timeout));
   }
 
   @Override
   public List<ListedVm> fetch() throws StoreException {
-    JsonHttpClient.Response answer = client.read(StoreMessages.VMS, Duration.ZERO);
-    if (answer.status() != 200) {
-      throw new StoreException.Unavailable("the list of VMs: status " + answer.status(), null);
+    JsonHttpClient.Response response = client.read(StoreMessages.VMS, Duration.ZERO);
+    if (response.status() != 200) {
+      throw new StoreException.Unavailable("the list of VMs: status " + response.status(), null);
     }
-    return answer.read(StoreMessages.Vms.class).vms();
+    return response.read(StoreMessages.Vms.class).vms();
   }
 
   @Override
--- a/sageladder-platform/src/main/java/org/sageladder/platform/store/JsonHttpClient.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/store/JsonHttpClient.java
@@ -26,8 +26,8 @@
 import org.sageladder.http.Connector;
 
 /**
- * Blocking JSON calls to one address, which tell a call that was never sent from one whose answer
- * was lost.
+ * Blocking JSON client for one address that distinguishes a call that was never sent from one whose
+ * response was lost.
  */
 final class JsonHttpClient implements AutoCloseable {
   private static final int MAX_CONNECTIONS = 32;
@@ -44,7 +44,10 @@
     this.timeout = timeout;
   }
 
-  /** Calls to {@code base}, such as {@code http://127.0.0.1:4100}; connects at the first call. */
+  /**
+   * Creates a client for {@code base}, such as {@code http://127.0.0.1:4100}; connects at the first
+   * call.
+   */
   static JsonHttpClient connect(URI base, Duration timeout) {
     if (!"http".equals(base.getScheme()) || base.getHost() == null || base.getPort() < 1) {
       throw new IllegalArgumentException(
@@ -55,7 +58,7 @@
         connector, new HttpHost("http", base.getHost(), base.getPort()), timeout);
   }
 
-  /** The status and body of an answer. */
+  /** The status and body of a response. */
   @SuppressWarnings("ArrayRecordComponent")
   record Response(int status, byte[] body) {
     <T> T read(Class<T> type) throws StoreException {
@@ -63,7 +66,7 @@
         return JSON.readValue(body, type);
       } catch (IOException e) {
         throw new StoreException.OutcomeUnknown(
-            "the store's answer is no " + type.getSimpleName() + ": " + excerpt(), e);
+            "the store's response is not a valid " + type.getSimpleName() + ": " + excerpt(), e);
       }
     }
 
@@ -73,7 +76,10 @@
     }
   }
 
-  /** Reads; no effect is possible, so every failure is {@link StoreException.Unavailable}. */
+  /**
+   * Sends a GET request. A read has no effect, so every failure is {@link
+   * StoreException.Unavailable}.
+   */
   Response read(String pathAndQuery, Duration extraWait) throws StoreException {
     AsyncRequestProducer request = AsyncRequestBuilder.get(uri(pathAndQuery)).build();
     try {
@@ -83,7 +89,7 @@
     }
   }
 
-  /** Sends {@code body} as JSON. */
+  /** Sends a POST request with {@code body} as JSON. */
   Response write(String path, Object body) throws StoreException {
     AsyncRequestProducer request =
         AsyncRequestBuilder.post(uri(path))
@@ -104,34 +110,35 @@
     }
   }
 
-  private Response call(String what, AsyncRequestProducer request, Duration extraWait)
+  private Response call(String operation, AsyncRequestProducer request, Duration extraWait)
       throws StoreException {
     long deadline = System.nanoTime() + timeout.plus(extraWait).toNanos();
-    AsyncClientEndpoint endpoint = leaseEndpoint(what);
-    Message<HttpResponse, byte[]> answer = exchange(what, endpoint, request, deadline);
-    int status = answer.getHead().getCode();
+    AsyncClientEndpoint endpoint = leaseEndpoint(operation);
+    Message<HttpResponse, byte[]> response = exchange(operation, endpoint, request, deadline);
+    int status = response.getHead().getCode();
     if (status == 503) {
-      throw new StoreException.Unavailable(what + " at " + host + ": refused with 503", null);
+      throw new StoreException.Unavailable(operation + " at " + host + ": refused with 503", null);
     }
     if (status >= 500) {
-      throw new StoreException.OutcomeUnknown(what + " at " + host + ": status " + status, null);
+      throw new StoreException.OutcomeUnknown(
+          operation + " at " + host + ": status " + status, null);
     }
-    byte[] body = answer.getBody();
+    byte[] body = response.getBody();
     return new Response(status, body == null ? new byte[0] : body);
   }
 
-  private AsyncClientEndpoint leaseEndpoint(String what) throws StoreException {
+  private AsyncClientEndpoint leaseEndpoint(String operation) throws StoreException {
     try {
       return connector.lease(host, timeout);
     } catch (IOException e) {
-      throw new StoreException.Unavailable(what + " at " + host + ": " + e.getMessage(), e);
+      throw new StoreException.Unavailable(operation + " at " + host + ": " + e.getMessage(), e);
     }
   }
 
   private Message<HttpResponse, byte[]> exchange(
-      String what, AsyncClientEndpoint endpoint, AsyncRequestProducer request, long deadline)
+      String operation, AsyncClientEndpoint endpoint, AsyncRequestProducer request, long deadline)
       throws StoreException {
-    boolean reusable = false;
+    boolean isReusable = false;
     try {
       Future<Message<HttpResponse, byte[]>> future =
           endpoint.execute(
@@ -139,33 +146,37 @@
               new BasicResponseConsumer<>(new BasicAsyncEntityConsumer()),
               HttpCoreContext.create(),
               null);
-      Message<HttpResponse, byte[]> answer =
+      Message<HttpResponse, byte[]> response =
           future.get(Math.max(0, deadline - System.nanoTime()), TimeUnit.NANOSECONDS);
-      reusable = true;
-      return answer;
+      isReusable = true;
+      return response;
     } catch (TimeoutException e) {
-      throw outcomeUnknown(what, "no answer in time", e);
+      throw outcomeUnknown(operation, "no response in time", e);
     } catch (ExecutionException e) {
-      throw outcomeUnknown(what, "connection lost before the answer", e.getCause());
+      throw outcomeUnknown(operation, "connection lost before the response", e.getCause());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw outcomeUnknown(what, "interrupted before the answer", e);
+      throw outcomeUnknown(operation, "interrupted before the response", e);
     } finally {
-      release(endpoint, reusable);
+      release(endpoint, isReusable);
     }
   }
 
-  /** A connection with an abandoned exchange is closed: its late answer must reach nobody. */
-  private static void release(AsyncClientEndpoint endpoint, boolean reusable) {
-    if (reusable) {
+  /**
+   * Releases a connection. One with an abandoned exchange is closed, because its late response must
+   * not reach the next exchange.
+   */
+  private static void release(AsyncClientEndpoint endpoint, boolean isReusable) {
+    if (isReusable) {
       endpoint.releaseAndReuse();
     } else {
       endpoint.releaseAndDiscard();
     }
   }
 
-  private StoreException outcomeUnknown(String what, String why, @Nullable Throwable cause) {
-    return new StoreException.OutcomeUnknown(what + " at " + host + ": " + why, cause);
+  private StoreException outcomeUnknown(
+      String operation, String reason, @Nullable Throwable cause) {
+    return new StoreException.OutcomeUnknown(operation + " at " + host + ": " + reason, cause);
   }
 
   @Override
--- a/sageladder-platform/src/main/java/org/sageladder/platform/store/StoreMessages.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/store/StoreMessages.java
@@ -6,10 +6,10 @@
 import org.sageladder.core.store.StoredValue;
 
 /**
- * JSON bodies and paths of the platform's service.
+ * JSON bodies and paths of the platform's key-value service and VM list.
  *
- * <p>Byte arrays travel as base64 text. A refused call is answered with status 503 and has not
- * taken effect; a lost compare is answered with status 409 and a {@link Conflict}.
+ * <p>Byte arrays are encoded as base64. The response to a refused call has status 503, and the call
+ * has not taken effect; the response to a failed comparison has status 409 and a {@link Conflict}.
  */
 public final class StoreMessages {
   /** GET with {@code key}: a {@link StoredValue}, or status 404. */
@@ -30,7 +30,7 @@
   /** POST of {@link Lease}: {@link Alive}. */
   public static final String LEASE_KEEP_ALIVE = "/v1/lease/keep-alive";
 
-  /** POST of {@link Lease}: {@link Alive}, true where there was such a lease. */
+  /** POST of {@link Lease}: {@link Alive}, true if the lease existed. */
   public static final String LEASE_REVOKE = "/v1/lease/revoke";
 
   /** GET with {@code prefix}, {@code after} and {@code waitMillis}: a watch batch. */
@@ -55,16 +55,16 @@
   /** The revision of a write that took effect. */
   public record Written(long revision) {}
 
-  /** What stands in place of the expected revision, null where the key is gone. */
+  /** The current value instead of the expected revision, null if the key does not exist. */
   public record Conflict(@Nullable StoredValue current) {}
 
-  /** A lease that ends {@code ttlMillis} after its last renewal. */
+  /** A request for a lease that expires {@code ttlMillis} after its last renewal. */
   public record GrantLease(long ttlMillis) {}
 
   /** A lease's id. */
   public record Lease(long lease) {}
 
-  /** Whether a lease was there. */
+  /** Whether the lease existed. */
   public record Alive(boolean alive) {}
 
   /** The platform's list of VMs. */
--- a/sageladder-platform/src/main/java/org/sageladder/platform/store/package-info.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/store/package-info.java
@@ -1,4 +1,4 @@
-/** The platform's key-value service and VM list over HTTP and JSON. */
+/** Clients of the platform's key-value service and VM list, over HTTP and JSON. */
 @NullMarked
 package org.sageladder.platform.store;
 
--- a/sageladder-platform/src/test/java/org/sageladder/platform/contract/ContractCheckTest.java
+++ b/sageladder-platform/src/test/java/org/sageladder/platform/contract/ContractCheckTest.java
@@ -50,26 +50,26 @@
             "linkLimits[tallinn-tartu].requestsPerSecond: 6000 is more than the sum that the"
                 + " targets of 'tartu' carry, 348; the limit could never hold"),
         problem(
-            "region cap out of the targets' reach",
+            "region cap above what the target caps allow",
             "gainFraction: 0.34",
             "gainFraction: 0.1",
             "services[lyric-search].regionShiftCap: it lets a region gain 5 % of its capacity a"
                 + " second, which is out of reach while targetShiftCap lets its targets gain 2 %;"
                 + " lower it or raise targetShiftCap"),
         problem(
-            "cap that never admits a first request",
+            "cap that allows less than one request more",
             "targetShiftCap: {gainFraction: 0.2, window: 10s}",
             "targetShiftCap: {gainFraction: 0.2, window: 700ms}",
             "services[export-audio].targetShiftCap: it admits 0.840 requests more in a window, so"
                 + " traffic could never shift; let it be at least 1"),
         problem(
-            "retries of what must not repeat",
+            "retries of requests that are not repeatable",
             "retryFraction: 0\n",
             "retryFraction: 0.2\n",
             "services[donation-cataloguing].retryFraction: 0.200 for requests that must not"
                 + " repeat; give 0, or repeatable: true"),
         problem(
-            "queue whose end can never be served",
+            "queue whose last request waits longer than queueWait",
             "queuePerTarget: 12",
             "queuePerTarget: 900",
             "services[donation-cataloguing].queuePerTarget: the last of 900 waits about 30000 ms,"
@@ -90,11 +90,10 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("problems")
-  void eachProblemIsReported(String name, String good, String bad, String message)
-      throws Exception {
+  void eachProblemIsReported(String name, String from, String to, String message) throws Exception {
     String yaml = text("kannelkoda.yaml");
-    int at = yaml.indexOf(good);
-    String changed = yaml.substring(0, at) + bad + yaml.substring(at + good.length());
+    int at = yaml.indexOf(from);
+    String changed = yaml.substring(0, at) + to + yaml.substring(at + from.length());
     Contract contract = ContractYaml.parse(name, changed);
 
     List<String> found =
@@ -103,8 +102,8 @@
     assertEquals(List.of(message), found);
   }
 
-  private static Arguments problem(String name, String good, String bad, String message) {
-    return Arguments.of(name, good, bad, message);
+  private static Arguments problem(String name, String from, String to, String message) {
+    return Arguments.of(name, from, to, message);
   }
 
   private static String text(String file) throws Exception {
--- a/sageladder-platform/src/test/java/org/sageladder/platform/contract/ContractWriterTest.java
+++ b/sageladder-platform/src/test/java/org/sageladder/platform/contract/ContractWriterTest.java
@@ -43,24 +43,23 @@
         new ApplyResult.Unchanged(baseRevision), maie.apply(contract("", ""), baseRevision));
   }
 
-  // Story: two operators edit the same contract from one revision. Juris's change of the queue is
-  // accepted; Maie's, sent a moment later from the same base, would silently undo it. Cause: both
-  // read before either wrote.
+  // Guards against a lost update. Two operators edit the same contract from one revision. Juris's
+  // change is accepted; Maie's, sent from the same base revision, would silently revert it.
   @Test
   void conflictNamesTheOtherAuthorAndTheConflictingKeys() throws Exception {
-    Contract his = contract("queueWait: 2s", "queueWait: 4s");
-    store.beforeNextWrite(() -> juris.apply(his, baseRevision));
+    Contract jurisContract = contract("queueWait: 2s", "queueWait: 4s");
+    store.beforeNextWrite(() -> juris.apply(jurisContract, baseRevision));
 
     ApplyResult result = maie.apply(contract("queueWait: 2s", "queueWait: 1s"), baseRevision);
 
     var conflict = assertInstanceOf(ApplyResult.Conflict.class, result);
     assertEquals("juris", conflict.current().author());
     assertEquals(List.of("services[donation-cataloguing].queueWait"), conflict.conflictingKeys());
-    assertEquals(his.atRevision(baseRevision + 1), storedContract().contract());
+    assertEquals(jurisContract.atRevision(baseRevision + 1), storedContract().contract());
   }
 
-  // Story: the store carries out a write and its answer is lost; the operator would be told of a
-  // conflict with her own change, or would apply it twice. Cause: a cut connection after effect.
+  // The store applies a write, but the connection closes before the response arrives. Without the
+  // change id, the operator would get a conflict with her own change, or would apply it twice.
   @Test
   void appliedWriteWithLostResponseIsReportedAsAccepted() throws Exception {
     store.failNextWrites(Fault.LOST_AFTER_EFFECT);
@@ -71,19 +70,19 @@
     assertEquals(2, storedContract().history().size());
   }
 
-  // Story: as above, but before Maie's tool sends again Juris changes the contract on top of hers.
-  // Maie would be told that she lost, though her change was in force and is part of what stands.
+  // As above, but Juris changes the contract on top of Maie's change before her tool retries. Maie
+  // would get a conflict, although her change was in force and is part of the stored contract.
   @Test
   void appliedWriteIsFoundInTheHistoryAfterAnotherChange() throws Exception {
     store.failNextWrites(Fault.LOST_AFTER_EFFECT);
-    Contract hers = contract("queueWait: 2s", "queueWait: 3s");
+    Contract maieContract = contract("queueWait: 2s", "queueWait: 3s");
     store.beforeNextWrite(
         () ->
             store.beforeNextWrite(
                 () ->
                     juris.apply(contract("drainLimit: 60s", "drainLimit: 90s"), baseRevision + 1)));
 
-    ApplyResult result = maie.apply(hers, baseRevision);
+    ApplyResult result = maie.apply(maieContract, baseRevision);
 
     assertEquals(baseRevision + 1, assertInstanceOf(ApplyResult.Accepted.class, result).revision());
     assertEquals("juris", storedContract().author());
@@ -98,8 +97,9 @@
     assertInstanceOf(ApplyResult.Accepted.class, result);
   }
 
-  // Story: an answer is lost and then the store goes down. "Nothing was written" would be a lie if
-  // the first write took effect. Cause: the outage is of the second call, not of the first.
+  // A response is lost, and then the store becomes unavailable. Only the later calls are refused,
+  // so
+  // reporting that nothing was written would be wrong if the first write took effect.
   @Test
   void outageAfterALostResponseIsReportedAsOutcomeUnknown() throws Exception {
     store.failNextWrites(
@@ -135,15 +135,15 @@
   }
 
   private StoredContract storedContract() throws Exception {
-    @Nullable StoredContract standing = maie.read("kannelkoda");
-    assertInstanceOf(StoredContract.class, standing);
-    return standing;
+    @Nullable StoredContract stored = maie.read("kannelkoda");
+    assertInstanceOf(StoredContract.class, stored);
+    return stored;
   }
 
-  private static Contract contract(String good, String bad) {
+  private static Contract contract(String from, String to) {
     try {
       String yaml = Files.readString(Path.of("..", "contracts", "kannelkoda.yaml"));
-      return ContractYaml.parse("k.yaml", yaml.replace(good, bad));
+      return ContractYaml.parse("k.yaml", yaml.replace(from, to));
     } catch (Exception e) {
       throw new IllegalStateException(e);
     }
--- a/sageladder-platform/src/test/java/org/sageladder/platform/contract/FakeStore.java
+++ b/sageladder-platform/src/test/java/org/sageladder/platform/contract/FakeStore.java
@@ -15,9 +15,12 @@
 import org.sageladder.core.store.WatchBatch;
 import org.sageladder.core.store.WriteResult;
 
-/** A store in memory whose next writes can lose their answer, before or after taking effect. */
+/**
+ * In-memory store whose next writes can be refused, or can lose their response before or after
+ * taking effect.
+ */
 final class FakeStore implements Store {
-  /** What happens to one write. */
+  /** Fault of one write. */
   enum Fault {
     NONE,
     REFUSED,
@@ -30,12 +33,12 @@
   private final List<Runnable> nextWriteActions = new ArrayList<>();
   private long revision = 40;
 
-  /** The next writes meet {@code next}, in that order. */
+  /** Applies {@code next} to the next writes, in that order. */
   void failNextWrites(Fault... next) {
     faults.addAll(List.of(next));
   }
 
-  /** Runs once, just before the next write takes effect. */
+  /** Runs {@code action} once, just before the next write takes effect. */
   void beforeNextWrite(Runnable action) {
     nextWriteActions.add(action);
   }
@@ -61,17 +64,17 @@
       throw new StoreException.Unavailable("refused", new IllegalStateException());
     }
     if (fault == Fault.LOST_BEFORE_EFFECT) {
-      throw new StoreException.OutcomeUnknown("no answer", new IllegalStateException());
+      throw new StoreException.OutcomeUnknown("no response", new IllegalStateException());
     }
     StoredValue current = values.get(key);
-    long standing = current == null ? 0 : current.revision();
-    if (standing != expectedRevision) {
+    long currentRevision = current == null ? 0 : current.revision();
+    if (currentRevision != expectedRevision) {
       return new WriteResult.Conflict(current);
     }
     revision++;
     values.put(key, new StoredValue(key, revision, value));
     if (fault == Fault.LOST_AFTER_EFFECT) {
-      throw new StoreException.OutcomeUnknown("no answer", new IllegalStateException());
+      throw new StoreException.OutcomeUnknown("no response", new IllegalStateException());
     }
     return new WriteResult.Written(revision);
   }
