--- a/sageladder-standin/src/main/java/org/sageladder/standin/fault/FaultJson.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/fault/FaultJson.java
@@ -6,31 +6,31 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** Reads faults that name only what is wrong; all else is healthy. */
+/** Reads faults from JSON that names only the deviations from a healthy state. */
 public final class FaultJson {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private FaultJson() {}
 
   /**
-   * The faults that {@code json} names, over {@code healthy}.
+   * Reads {@code json}; fields that it does not name have the value of {@code healthy}.
    *
-   * @throws IOException for a field that faults of this kind lack, or a value out of range
+   * @throws IOException for an unknown field or a value out of range
    */
   public static <T> T read(byte[] json, T healthy, Class<T> type) throws IOException {
     return read(JSON.readTree(json), healthy, type);
   }
 
-  static <T> T read(JsonNode given, T healthy, Class<T> type) throws IOException {
-    ObjectNode whole = JSON.valueToTree(healthy);
-    for (Map.Entry<String, JsonNode> field : given.properties()) {
-      if (!whole.has(field.getKey())) {
+  static <T> T read(JsonNode json, T healthy, Class<T> type) throws IOException {
+    ObjectNode merged = JSON.valueToTree(healthy);
+    for (Map.Entry<String, JsonNode> field : json.properties()) {
+      if (!merged.has(field.getKey())) {
         throw new IOException(
-            "fault \"" + field.getKey() + "\" is unknown; expected one of " + names(whole));
+            "fault \"" + field.getKey() + "\" is unknown; expected one of " + names(merged));
       }
-      whole.set(field.getKey(), field.getValue());
+      merged.set(field.getKey(), field.getValue());
     }
-    return JSON.treeToValue(whole, type);
+    return JSON.treeToValue(merged, type);
   }
 
   private static String names(ObjectNode faults) {
--- a/sageladder-standin/src/main/java/org/sageladder/standin/fault/FaultScript.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/fault/FaultScript.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 
 /**
- * Faults that come and go at stated times after the start.
+ * A schedule of faults, each set at a time after the start.
  *
  * <pre>{@code
  * [
@@ -24,27 +24,27 @@
  * ]
  * }</pre>
  *
- * <p>Each step replaces all faults of the one before.
+ * <p>Each step replaces all faults of the previous one.
  *
- * @param steps in the order of their times
+ * @param steps steps in increasing order of time
  */
 public record FaultScript<T>(List<Step<T>> steps) {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** Copies the list, so that the script cannot change. */
+  /** Copies the list, which makes the script immutable. */
   public FaultScript {
     steps = List.copyOf(steps);
   }
 
-  /** Faults in force from {@code atMillis} after the start on. */
+  /** Faults that apply from {@code atMillis} after the start. */
   public record Step<T>(long atMillis, T faults) {}
 
-  /** Reads a script file; errors name the file and the step. */
+  /** Reads a script file; error messages name the file and the step. */
   public static <T> FaultScript<T> read(Path file, T healthy, Class<T> type) throws IOException {
     return parse(file.toString(), Files.readString(file), healthy, type);
   }
 
-  /** Reads a script given as text; {@code name} is only used in errors. */
+  /** Parses a script; {@code name} is only used in error messages. */
   public static <T> FaultScript<T> parse(String name, String text, T healthy, Class<T> type)
       throws IOException {
     JsonNode root = JSON.readTree(text);
@@ -52,16 +52,23 @@
       throw new IOException(name + ": expected a list of {\"atMillis\": N, \"faults\": {...}}");
     }
     List<Step<T>> steps = new ArrayList<>();
-    long before = -1;
+    long previousMillis = -1;
     for (JsonNode step : root) {
-      JsonNode at = step.path("atMillis");
-      if (!at.canConvertToLong() || !at.isIntegralNumber() || at.asLong() <= before) {
+      JsonNode atMillis = step.path("atMillis");
+      if (!atMillis.canConvertToLong()
+          || !atMillis.isIntegralNumber()
+          || atMillis.asLong() <= previousMillis) {
         throw new IOException(
-            name + ": step " + steps.size() + ": atMillis " + at + " must grow from 0 on");
+            name
+                + ": step "
+                + steps.size()
+                + ": atMillis "
+                + atMillis
+                + ": expected a whole number, at least 0 and above the previous step's");
       }
-      before = at.asLong();
+      previousMillis = atMillis.asLong();
       try {
-        steps.add(new Step<>(before, FaultJson.read(step.path("faults"), healthy, type)));
+        steps.add(new Step<>(previousMillis, FaultJson.read(step.path("faults"), healthy, type)));
       } catch (IOException e) {
         throw new IOException(name + ": step " + steps.size() + ": " + e.getMessage(), e);
       }
@@ -69,7 +76,7 @@
     return new FaultScript<>(steps);
   }
 
-  /** Applies each step at its time from now on, until closed. */
+  /** Starts to apply each step at its time from now, until the playback is closed. */
   public Playback play(Consumer<T> apply) {
     ScheduledExecutorService timer =
         Executors.newSingleThreadScheduledExecutor(
@@ -85,10 +92,10 @@
     return timer::shutdownNow;
   }
 
-  /** A script under way. */
+  /** A script that is being played. */
   @FunctionalInterface
   public interface Playback extends AutoCloseable {
-    /** Applies no further step. */
+    /** Stops the playback; no further step is applied. */
     @Override
     void close();
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/fault/package-info.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/fault/package-info.java
@@ -1,4 +1,4 @@
-/** Faults of the stand-ins as JSON, at once or by a script. */
+/** Faults of the stand-ins, set directly as JSON or by a timed script. */
 @NullMarked
 package org.sageladder.standin.fault;
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/http/ConnectionTable.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/http/ConnectionTable.java
@@ -12,9 +12,9 @@
 import org.sageladder.http.SessionObserver;
 
 /**
- * Open connections by the caller's address, so that a fault can cut the one that a request came on.
+ * Open connections by the caller's address, so that a fault can close the connection of a request.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class ConnectionTable extends SessionObserver {
   private final Map<SocketAddress, IOSession> sessionsByPeer = new ConcurrentHashMap<>();
@@ -24,12 +24,12 @@
     this.onClosed = onClosed;
   }
 
-  /** An empty table that tells {@code onClosed} of each connection that ends. */
+  /** Creates an empty table that calls {@code onClosed} for each connection that closes. */
   public static ConnectionTable create(Consumer<SocketAddress> onClosed) {
     return new ConnectionTable(onClosed);
   }
 
-  /** The caller's address of the connection that {@code context} belongs to. */
+  /** Returns the caller's address of the connection that {@code context} belongs to. */
   public static SocketAddress peer(HttpContext context) {
     EndpointDetails details = HttpCoreContext.cast(context).getEndpointDetails();
     if (details == null) {
@@ -38,7 +38,7 @@
     return details.getRemoteAddress();
   }
 
-  /** Cuts the connection from {@code peer} at once, whatever is under way on it. */
+  /** Closes the connection from {@code peer} at once, even with requests in flight. */
   public void close(SocketAddress peer) {
     IOSession session = sessionsByPeer.get(peer);
     if (session != null) {
@@ -46,12 +46,12 @@
     }
   }
 
-  /** Cuts every connection. */
+  /** Closes all connections at once. */
   public void closeAll() {
     sessionsByPeer.values().forEach(session -> session.close(CloseMode.IMMEDIATE));
   }
 
-  /** Number of open connections. */
+  /** Returns the number of open connections. */
   public int size() {
     return sessionsByPeer.size();
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/http/JsonExchange.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/http/JsonExchange.java
@@ -26,46 +26,46 @@
 import org.apache.hc.core5.net.URIBuilder;
 import org.jspecify.annotations.Nullable;
 
-/** One call whose answer is JSON and may come later than the request. */
+/** A call that is answered with JSON, possibly asynchronously. */
 public final class JsonExchange {
   private static final ObjectMapper JSON =
       new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
   private JsonExchange() {}
 
-  /** Lets {@code handler} answer the next call of a connection in {@code connections}. */
+  /** Creates an exchange that {@code handler} answers on a connection in {@code connections}. */
   public static AsyncServerExchangeHandler create(Handler handler, ConnectionTable connections) {
     return new BasicServerExchangeHandler<>(new Adapter(handler, connections));
   }
 
-  /** Answers one call, at once or later; must not block. */
+  /** Answers calls, possibly asynchronously; must not block. */
   @FunctionalInterface
   public interface Handler {
     /**
-     * Completes with the reply; a failed future is answered with status 500, a thrown exception
-     * with status 400.
+     * Returns a future of the reply. A failed future is answered with status 500, a thrown
+     * exception with status 400.
      */
     CompletableFuture<Reply> handle(Call call) throws IOException;
   }
 
-  /** A request with its whole body. */
+  /** A request with its complete body. */
   @SuppressWarnings("ArrayRecordComponent")
   public record Call(String method, String path, Map<String, String> query, byte[] body) {
-    /** The query parameter {@code name}, or {@code absent} where the request has none. */
+    /** Returns the query parameter {@code name}, or {@code defaultValue} if it is absent. */
     public String query(String name, String defaultValue) {
       return query.getOrDefault(name, defaultValue);
     }
 
-    /** The body read as JSON. */
+    /** Parses the body as JSON. */
     public <T> T body(Class<T> type) throws IOException {
       return JSON.readValue(body, type);
     }
   }
 
-  /** An answer, or the decision to give none and cut the connection. */
+  /** An answer, or the decision to close the connection without one. */
   @SuppressWarnings("ArrayRecordComponent")
   public record Reply(int status, byte[] body, boolean closesConnection) {
-    /** {@code value} as JSON. */
+    /** Returns an answer with {@code value} as JSON. */
     public static Reply json(int status, Object value) {
       try {
         return new Reply(status, JSON.writeValueAsBytes(value), false);
@@ -74,7 +74,7 @@
       }
     }
 
-    /** No answer: the caller sees its connection close. */
+    /** Returns a reply that closes the connection without an answer. */
     public static Reply closeConnection() {
       return new Reply(0, new byte[0], true);
     }
@@ -118,7 +118,7 @@
         byte[] body = message.getBody();
         return new Call(head.getMethod(), uri.getPath(), query, body == null ? new byte[0] : body);
       } catch (URISyntaxException e) {
-        throw new IOException("not a path: " + head.getPath(), e);
+        throw new IOException("malformed request path: " + head.getPath(), e);
       }
     }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/http/JsonServer.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/http/JsonServer.java
@@ -5,7 +5,7 @@
 import org.apache.hc.core5.io.CloseMode;
 
 /**
- * A small HTTP server whose answers are JSON and may come later than the request.
+ * A small HTTP server that answers calls with JSON, possibly asynchronously.
  *
  * <pre>{@code
  * JsonServer server = JsonServer.start("127.0.0.1", 0, call -> JsonExchange.Reply.json(200, Map.of("up", true)));
@@ -24,7 +24,7 @@
     this.port = port;
   }
 
-  /** Listens on {@code port} of {@code host}; 0 picks a free port. */
+  /** Starts a server on {@code port} of {@code host}; 0 picks a free port. */
   public static JsonServer start(String host, int port, JsonExchange.Handler handler)
       throws IOException {
     ConnectionTable connections = ConnectionTable.create(peer -> {});
@@ -35,20 +35,20 @@
             (request, context) -> () -> JsonExchange.create(handler, connections));
     server.start();
     try {
-      int bound = Listeners.port(Listeners.bind(server, host, port));
-      return new JsonServer(server, connections, bound);
+      int boundPort = Listeners.port(Listeners.bind(server, host, port));
+      return new JsonServer(server, connections, boundPort);
     } catch (IOException e) {
       server.close(CloseMode.IMMEDIATE);
       throw e;
     }
   }
 
-  /** The port that callers connect to. */
+  /** Returns the port that it listens on. */
   public int port() {
     return port;
   }
 
-  /** Cuts every open connection; callers may connect again. */
+  /** Closes all open connections at once; callers may connect again. */
   public void closeConnections() {
     connections.closeAll();
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/http/Listeners.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/http/Listeners.java
@@ -14,11 +14,11 @@
 import org.apache.hc.core5.util.Timeout;
 import org.sageladder.platform.http.DisconnectDetectingSession;
 
-/** Builds the HTTP servers of the stand-ins and binds them. */
+/** Creates and binds the HTTP servers of the stand-ins. */
 public final class Listeners {
   private Listeners() {}
 
-  /** A server, not yet started, whose connections never time out for being silent. */
+  /** Creates a server, not yet started, without an idle timeout for its connections. */
   public static HttpAsyncServer server(
       int ioThreads,
       ConnectionTable connections,
@@ -38,7 +38,7 @@
         .create();
   }
 
-  /** Binds {@code server}, which has been started; port 0 picks a free one. */
+  /** Binds a started server to a port; 0 picks a free one. */
   public static ListenerEndpoint bind(HttpAsyncServer server, String host, int port)
       throws IOException {
     try {
@@ -51,7 +51,7 @@
     }
   }
 
-  /** The port that {@code endpoint} listens on. */
+  /** Returns the port that {@code endpoint} listens on. */
   public static int port(ListenerEndpoint endpoint) {
     return ((InetSocketAddress) endpoint.getAddress()).getPort();
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/http/package-info.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/http/package-info.java
@@ -1,4 +1,4 @@
-/** The HTTP edge that the stand-ins share. */
+/** HTTP server support shared by the stand-ins. */
 @NullMarked
 package org.sageladder.standin.http;
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/Pipe.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/Pipe.java
@@ -6,25 +6,26 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One direction of a connection: what was sent arrives in order, after the way's delay.
+ * One direction of a connection: segments arrive in order after the one-way delay.
  *
- * <p>What arrives at a cut is sent again by the kernel, after pauses that double, until it passes;
- * after a long cut it arrives up to as long again later. Only a reset ends that.
+ * <p>Segments lost to a network partition are retransmitted with exponential backoff, as a kernel
+ * does, so after a long partition they may arrive late by up to its length. Only a reset stops the
+ * retransmission.
  */
 final class Pipe {
-  /** What travels: bytes, the connection's orderly end, or its reset. */
+  /** A segment: bytes, the orderly close of the connection, or its reset. */
   sealed interface Segment {
     /** Bytes; the receiver releases them. */
     record Bytes(ByteBuf bytes) implements Segment {}
 
-    /** Nothing more comes. */
+    /** The sender has closed the connection; no more bytes follow. */
     record End() implements Segment {}
 
-    /** The connection is gone. */
+    /** The sender has reset the connection. */
     record Reset() implements Segment {}
   }
 
-  /** Pause of a kernel before it sends a lost packet again the first time. */
+  /** Initial retransmission timeout of a kernel. */
   private static final long INITIAL_RETRANSMIT_NANOS = 200_000_000;
 
   private record InFlightSegment(long arrivalNanos, Segment segment) {}
@@ -58,7 +59,7 @@
     receiver = channel;
   }
 
-  /** Loses whatever is sent from now on, and tells nobody. */
+  /** Silently loses everything that is sent from now on. */
   void blackhole() {
     isBlackholed = true;
   }
@@ -67,13 +68,13 @@
     return isBlackholed || !to.isPowered() || !network.isReachable(from, to);
   }
 
-  void send(Segment parcel) {
+  void send(Segment segment) {
     lastArrivalNanos = Math.max(lastArrivalNanos, network.arrivalNanos(from, to));
-    inFlight.addLast(new InFlightSegment(lastArrivalNanos, parcel));
+    inFlight.addLast(new InFlightSegment(lastArrivalNanos, segment));
     network.scheduleAt(lastArrivalNanos, this::deliverDue);
   }
 
-  /** Ends the connection: what is on its way arrives, what was lost is not sent again. */
+  /** Resets the connection: segments in flight arrive, lost ones are not retransmitted. */
   void reset() {
     isReset = true;
     send(new Segment.Reset());
@@ -83,11 +84,11 @@
   }
 
   private void dropInFlight() {
-    inFlight.forEach(lost -> release(lost.segment()));
+    inFlight.forEach(each -> release(each.segment()));
     inFlight.clear();
   }
 
-  /** Hands over what is due. */
+  /** Delivers the segments that are due. */
   private void deliverDue() {
     if (network.nowNanos() < retransmitAtNanos) {
       return;
@@ -98,12 +99,12 @@
         return;
       }
       retransmitNanos = INITIAL_RETRANSMIT_NANOS;
-      Segment parcel = inFlight.removeFirst().segment();
-      SimulatedChannel known = receiver;
-      if (isBlackholed || known == null || !to.isPowered()) {
-        release(parcel);
+      Segment segment = inFlight.removeFirst().segment();
+      SimulatedChannel channel = receiver;
+      if (isBlackholed || channel == null || !to.isPowered()) {
+        release(segment);
       } else {
-        known.host().execute(() -> known.receive(parcel));
+        channel.host().execute(() -> channel.receive(segment));
       }
     }
   }
@@ -118,8 +119,8 @@
     network.scheduleAt(retransmitAtNanos, this::deliverDue);
   }
 
-  static void release(Segment parcel) {
-    if (parcel instanceof Segment.Bytes bytes) {
+  static void release(Segment segment) {
+    if (segment instanceof Segment.Bytes bytes) {
       bytes.bytes().release();
     }
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedAddress.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedAddress.java
@@ -2,8 +2,8 @@
 
 import java.net.SocketAddress;
 
-/** IP number of a {@link SimulatedHost}, and a port there. */
-@SuppressWarnings("serial") // Never serialized; the base class only happens to be serializable.
+/** IP address of a {@link SimulatedHost} and a port. */
+@SuppressWarnings("serial") // never serialized; SocketAddress implements Serializable
 public final class SimulatedAddress extends SocketAddress {
   private final String ip;
   private final int port;
@@ -13,12 +13,12 @@
     this.port = port;
   }
 
-  /** The IP number. */
+  /** Returns the IP address. */
   public String ip() {
     return ip;
   }
 
-  /** The port. */
+  /** Returns the port. */
   public int port() {
     return port;
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedChannel.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedChannel.java
@@ -17,11 +17,11 @@
 import java.util.Deque;
 import org.jspecify.annotations.Nullable;
 
-/** One end of a connection of the simulated network. */
+/** One end of a connection in the simulated network. */
 final class SimulatedChannel extends AbstractChannel {
   private static final ChannelMetadata METADATA = new ChannelMetadata(false);
 
-  /** Bytes that a receiver holds unread before the sender has to wait, as small links do. */
+  /** Receive window: unread bytes after which the sender has to wait, sized as on small links. */
   private static final int WINDOW_BYTES = 64 << 10;
 
   private final SimulatedNetwork network;
@@ -53,12 +53,12 @@
     return out;
   }
 
-  /** True where the kernel ends it once probes get no answer. */
+  /** Returns whether the kernel closes the connection when keep-alive probes go unanswered. */
   boolean hasKeepAlive() {
     return config.hasKeepAlive;
   }
 
-  /** Joins two ends; each is told by {@link #onEstablished} once its kernel knows. */
+  /** Connects two ends; each learns of it separately by {@link #onEstablished}. */
   static void connectPair(
       SimulatedChannel client, SimulatedChannel server, SimulatedAddress to, int clientPort) {
     SimulatedAddress from = new SimulatedAddress(client.host.ip(), clientPort);
@@ -66,9 +66,10 @@
     server.attach(client, to, from);
   }
 
-  private void attach(SimulatedChannel other, SimulatedAddress own, SimulatedAddress others) {
-    localAddress = own;
-    remoteAddress = others;
+  private void attach(
+      SimulatedChannel other, SimulatedAddress ownAddress, SimulatedAddress peerAddress) {
+    localAddress = ownAddress;
+    remoteAddress = peerAddress;
     peer = other;
     Pipe pipe = new Pipe(network, host, other.host);
     pipe.setReceiver(other);
@@ -76,24 +77,24 @@
     host.addChannel(this);
   }
 
-  /** The connection can be used at this end. */
+  /** Called when the connection is established at this end. */
   void onEstablished() {
     isConnected = true;
   }
 
-  /** Something has come from the other end. */
-  void receive(Pipe.Segment parcel) {
+  /** Handles a segment from the other end. */
+  void receive(Pipe.Segment segment) {
     if (!isOpen) {
-      Pipe.release(parcel);
-      if (parcel instanceof Pipe.Segment.Bytes) {
+      Pipe.release(segment);
+      if (segment instanceof Pipe.Segment.Bytes) {
         sendReset();
       }
       return;
     }
-    if (parcel instanceof Pipe.Segment.Bytes bytes) {
+    if (segment instanceof Pipe.Segment.Bytes bytes) {
       unread.addLast(bytes.bytes());
       unreadBytes += bytes.bytes().readableBytes();
-    } else if (parcel instanceof Pipe.Segment.End) {
+    } else if (segment instanceof Pipe.Segment.End) {
       peerClosed = true;
     } else {
       abort("Connection reset by peer");
@@ -102,7 +103,7 @@
     deliver();
   }
 
-  /** The kernel gives the connection up. */
+  /** Closes the connection with an error, as the kernel does. */
   void abort(String cause) {
     if (!isOpen) {
       return;
@@ -134,7 +135,7 @@
     }
   }
 
-  /** Ends with its process, which is told nothing any more. */
+  /** Closes the connection when its process ends, without firing events. */
   void closeWithProcess(boolean resetsPeer) {
     isOpen = false;
     isConnected = false;
@@ -221,7 +222,7 @@
 
   @Override
   protected void doBind(SocketAddress address) {
-    throw new UnsupportedOperationException("a connection's own port is chosen by the network");
+    throw new UnsupportedOperationException("the network chooses the local port of a connection");
   }
 
   @Override
@@ -249,7 +250,7 @@
     return METADATA;
   }
 
-  /** Options of a connection; a linger of 0 seconds makes its close a reset, as with sockets. */
+  /** Options of a connection; as with sockets, closing with SO_LINGER 0 resets it. */
   private final class Config extends DefaultChannelConfig {
     private int lingerSeconds = -1;
     private boolean hasKeepAlive;
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedHost.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedHost.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.Executor;
 
 /**
- * A machine of the network: up, suspended, or without power; runs what its process has to do.
+ * A host of the simulated network, which is running, suspended or powered off.
  *
- * <p>As an executor it runs tasks at once while it is up, keeps them while it is suspended, and
- * drops those of a process that has ended.
+ * <p>As an executor it runs tasks at once while it is running, defers them while it is suspended,
+ * and drops them while it is powered off.
  */
 public final class SimulatedHost implements Executor {
   private final SimulatedNetwork network;
@@ -34,17 +34,17 @@
     this.region = region;
   }
 
-  /** Its IP number. */
+  /** Returns the IP address. */
   public String ip() {
     return ip;
   }
 
-  /** Availability zone that it is in. */
+  /** Returns the availability zone. */
   public String zone() {
     return zone;
   }
 
-  /** Region that it is in. */
+  /** Returns the region. */
   public String region() {
     return region;
   }
@@ -53,19 +53,19 @@
     return isCallerHost;
   }
 
-  /** False where it has no power: it answers nothing, not even with a reset. */
+  /** Returns false if the host is powered off: it does not even answer with a reset. */
   public boolean isPowered() {
     return isPowered;
   }
 
   /**
-   * What runs the tasks of the process that runs there now; once that process has ended they are
-   * dropped, also where another one runs by then.
+   * Returns an executor for the current process. Once that process has ended, its tasks are
+   * dropped, even if another process is running by then.
    */
   public Executor processExecutor() {
-    int mine = processEpoch;
+    int ownEpoch = processEpoch;
     return task -> {
-      if (processEpoch == mine) {
+      if (processEpoch == ownEpoch) {
         execute(task);
       }
     };
@@ -82,28 +82,28 @@
     }
   }
 
-  /** Ends its process; the kernel resets its connections and closes its ports. */
+  /** Kills the process; the kernel resets its connections and closes its ports. */
   public void kill() {
     endProcess(true);
   }
 
-  /** Takes its power away; nobody is told. */
+  /** Powers the host off; its peers receive no reset. */
   public void powerOff() {
     isPowered = false;
     endProcess(false);
   }
 
-  /** Gives it power again; its process has to be started anew. */
+  /** Powers the host on; its process has to be started again. */
   public void powerOn() {
     isPowered = true;
   }
 
-  /** Lets everything on it stand still. */
+  /** Suspends the host; its tasks are deferred. */
   public void suspend() {
     isSuspended = true;
   }
 
-  /** Goes on where it stood still. */
+  /** Resumes the host and runs the deferred tasks. */
   public void resume() {
     isSuspended = false;
     while (!isSuspended && !deferredTasks.isEmpty()) {
@@ -116,7 +116,7 @@
     isSuspended = false;
     deferredTasks.clear();
     network.closePorts(this);
-    // In the order of their opening: an unordered copy would differ from one JVM to the next.
+    // In the order of opening: the order of an unordered copy would differ between JVMs.
     List<SimulatedChannel> open = List.copyOf(channels);
     channels.clear();
     open.forEach(channel -> channel.closeWithProcess(resetsPeers));
@@ -130,7 +130,7 @@
     channels.remove(channel);
   }
 
-  /** Its connections, in the order in which they were opened. */
+  /** Returns the open connections, in the order in which they were opened. */
   Set<SimulatedChannel> channels() {
     return new LinkedHashSet<>(channels);
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedNetwork.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedNetwork.java
@@ -23,20 +23,22 @@
 import org.sageladder.forward.Transport;
 
 /**
- * Hosts in zones and regions, and what passes between them.
+ * A simulated network of hosts in zones and regions, with delays, loss and partitions.
  *
  * <pre>{@code
- * SimulatedNetwork network = SimulatedNetwork.on(loop, Ways.standard(), seed);
- * SimulatedHost vm = network.host("10.0.0.1", "north-a", "north");
- * Loop vmLoop = network.loopOf(vm);       // what the VM's code is started with
- * try (Cut cut = network.cut((from, to) -> from == vm)) { ... } // nothing gets out of it
+ * SimulatedNetwork network = SimulatedNetwork.on(loop, OneWayDelays.standard(), seed);
+ * SimulatedHost vm = network.addHost("10.0.0.1", "north-a", "north");
+ * Loop vmLoop = network.processLoop(vm); // runs the VM's code
+ * try (Partition partition = network.partition((from, to) -> from == vm)) {
+ *   // the VM cannot reach any other host
+ * }
  * }</pre>
  */
 public final class SimulatedNetwork {
-  /** Idle time and probes after which a kernel gives a dead connection up, as daemons set them. */
+  /** Idle time plus probes after which a kernel closes a dead connection, as daemons set them. */
   private static final long KEEP_ALIVE_TIMEOUT_MILLIS = 3_000;
 
-  /** How long a kernel waits before it sends a lost packet again. */
+  /** Retransmission timeout of a kernel for a lost packet. */
   private static final long RETRANSMIT_DELAY_MILLIS = 200;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -46,26 +48,26 @@
   /**
    * One-way delays, in microseconds.
    *
-   * @param sameZoneMicros inside a zone
+   * @param sameZoneMicros within a zone
    * @param crossZoneMicros between zones of a region
    * @param crossRegionMicros between regions
-   * @param callerMicros between a zone and its callers, on top of the others
+   * @param callerMicros between a zone and its callers, added to the others
    */
   public record OneWayDelays(
       long sameZoneMicros, long crossZoneMicros, long crossRegionMicros, long callerMicros) {
-    /** About what the users' regions have. */
+    /** Returns delays close to those of the users' regions. */
     public static OneWayDelays standard() {
       return new OneWayDelays(100, 1_400, 20_000, 1_000);
     }
   }
 
-  /** A cut between hosts, until it is closed. */
+  /** A network partition between hosts, which lasts until it is closed. */
   public interface Partition extends AutoCloseable {
     @Override
     void close();
   }
 
-  /** How an attempt to connect ends. */
+  /** Called with the result of a connect. */
   interface ConnectListener {
     void onEstablished();
 
@@ -88,17 +90,17 @@
     this.random = new Random(seed);
   }
 
-  /** A network without hosts. */
+  /** Creates a network without hosts. */
   public static SimulatedNetwork on(VirtualLoop loop, OneWayDelays delays, long seed) {
     return new SimulatedNetwork(loop, delays, seed);
   }
 
-  /** Adds a host with power and nothing running on it. */
+  /** Adds a host that is powered on and runs no process. */
   public SimulatedHost addHost(String ip, String zone, String region) {
     return register(new SimulatedHost(this, ip, zone, region, false));
   }
 
-  /** Adds a host of callers, which are farther from everything than the zone's own hosts. */
+  /** Adds a host for callers, which has a longer delay than the hosts of its zone. */
   public SimulatedHost addCallerHost(String ip, String zone, String region) {
     return register(new SimulatedHost(this, ip, zone, region, true));
   }
@@ -108,30 +110,30 @@
     return host;
   }
 
-  /** The loop of the process that runs on {@code host} from now on, until it ends. */
+  /** Returns a loop for the current process of {@code host}, which drops tasks once that ends. */
   public Loop processLoop(SimulatedHost host) {
     return Loop.on(loop, loop.timeSource(0), new HostTransport(host), host.processExecutor());
   }
 
-  /** Lets nothing pass from one host to another where {@code blocks} says so. */
+  /** Partitions the network: drops packets between two hosts if {@code blocks} accepts them. */
   public Partition partition(BiPredicate<SimulatedHost, SimulatedHost> blocks) {
     partitions.add(blocks);
     scheduleKeepAliveCheck();
     return () -> partitions.remove(blocks);
   }
 
-  /** Kernels notice that a host has lost its power by their keep-alive probes. */
+  /** Powers a host off; the kernels of its peers notice by keep-alive probes. */
   public void powerOff(SimulatedHost host) {
     host.powerOff();
     scheduleKeepAliveCheck();
   }
 
-  /** Loses that share of what is sent between zones; kernels send it again later. */
+  /** Loses {@code fraction} of the packets between zones; kernels retransmit them. */
   public void setLossFraction(double fraction) {
     lossFraction = fraction;
   }
 
-  /** Resets {@code share} of the host's connections, or makes them silent for good. */
+  /** Resets {@code fraction} of the host's connections, or blackholes what it sends on them. */
   public void disruptConnections(SimulatedHost host, double fraction, boolean blackholes) {
     for (SimulatedChannel channel : host.channels()) {
       if (random.nextDouble() >= fraction) {
@@ -149,7 +151,7 @@
     scheduleKeepAliveCheck();
   }
 
-  /** Kernels look at their connections once probes have had no answer for long enough. */
+  /** Schedules a check that closes connections whose keep-alive probes went unanswered. */
   void scheduleKeepAliveCheck() {
     var unused =
         loop.schedule(this::abortDeadConnections, KEEP_ALIVE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
@@ -166,7 +168,7 @@
     }
   }
 
-  /** True where packets pass between the hosts in both directions. */
+  /** Returns whether packets pass between the hosts in both directions. */
   public boolean isReachableBothWays(SimulatedHost one, SimulatedHost other) {
     return isReachable(one, other) && isReachable(other, one);
   }
@@ -189,9 +191,9 @@
     if (from.isCallerHost() || to.isCallerHost()) {
       micros += delays.callerMicros();
     }
-    long at = nowNanos() + micros * NANOS_PER_MICRO;
-    boolean lost = !from.zone().equals(to.zone()) && random.nextDouble() < lossFraction;
-    return lost ? at + RETRANSMIT_DELAY_MILLIS * NANOS_PER_MILLI : at;
+    long arrivalNanos = nowNanos() + micros * NANOS_PER_MICRO;
+    boolean isLost = !from.zone().equals(to.zone()) && random.nextDouble() < lossFraction;
+    return isLost ? arrivalNanos + RETRANSMIT_DELAY_MILLIS * NANOS_PER_MILLI : arrivalNanos;
   }
 
   void scheduleAt(long atNanos, Runnable task) {
@@ -217,60 +219,63 @@
     datagramReceivers.keySet().removeIf(address -> address.ip().equals(host.ip()));
   }
 
-  /** Opens a connection from {@code client}, as its handshake goes over the network. */
+  /** Opens a connection from {@code client}; its handshake takes the network's delays. */
   void connect(SimulatedChannel client, SimulatedAddress to, ConnectListener listener) {
     SimulatedHost from = client.host();
-    SimulatedHost target = hosts.get(to.ip());
-    long timeout = client.config().getConnectTimeoutMillis() * NANOS_PER_MILLI;
+    SimulatedHost remote = hosts.get(to.ip());
+    long timeoutNanos = client.config().getConnectTimeoutMillis() * NANOS_PER_MILLI;
     scheduleAt(
-        nowNanos() + timeout,
+        nowNanos() + timeoutNanos,
         () ->
             from.execute(
                 () -> listener.onFailed(new ConnectException("connection timed out: " + to))));
-    if (target == null) {
+    if (remote == null) {
       return;
     }
     scheduleAt(
-        arrivalNanos(from, target),
-        () -> target.execute(() -> handleConnect(client, target, to, listener)));
+        arrivalNanos(from, remote),
+        () -> remote.execute(() -> handleConnect(client, remote, to, listener)));
   }
 
   private void handleConnect(
-      SimulatedChannel client, SimulatedHost target, SimulatedAddress to, ConnectListener answer) {
+      SimulatedChannel client,
+      SimulatedHost remote,
+      SimulatedAddress to,
+      ConnectListener listener) {
     SimulatedHost from = client.host();
-    if (!isReachable(from, target) || !isReachable(target, from) || !client.isOpen()) {
+    if (!isReachable(from, remote) || !isReachable(remote, from) || !client.isOpen()) {
       return;
     }
     SimulatedPort port = ports.get(to);
     if (port == null) {
       scheduleAt(
-          arrivalNanos(target, from),
+          arrivalNanos(remote, from),
           () ->
               from.execute(
-                  () -> answer.onFailed(new ConnectException("Connection refused: " + to))));
+                  () -> listener.onFailed(new ConnectException("Connection refused: " + to))));
       return;
     }
-    SimulatedChannel server = new SimulatedChannel(port, this, target);
+    SimulatedChannel server = new SimulatedChannel(port, this, remote);
     SimulatedChannel.connectPair(client, server, to, allocateEphemeralPort());
     port.accept(server);
-    scheduleAt(arrivalNanos(target, from), () -> from.execute(answer::onEstablished));
+    scheduleAt(arrivalNanos(remote, from), () -> from.execute(listener::onEstablished));
   }
 
-  /** Datagrams are lost at a cut, at a host without power, and by the share that links lose. */
+  /** Datagrams are lost in a partition, at a powered-off host, and by the loss fraction. */
   private void sendDatagram(
       SimulatedHost from, SimulatedAddress own, SimulatedAddress to, byte[] bytes) {
-    SimulatedHost target = hosts.get(to.ip());
-    boolean lost =
-        target == null
-            || (!from.zone().equals(target.zone()) && random.nextDouble() < lossFraction);
-    if (lost) {
+    SimulatedHost remote = hosts.get(to.ip());
+    boolean isLost =
+        remote == null
+            || (!from.zone().equals(remote.zone()) && random.nextDouble() < lossFraction);
+    if (isLost) {
       return;
     }
     scheduleAt(
-        arrivalNanos(from, target),
+        arrivalNanos(from, remote),
         () -> {
           DatagramPort.Receiver receiver = datagramReceivers.get(to);
-          if (receiver != null && target.isPowered() && isReachable(from, target)) {
+          if (receiver != null && remote.isPowered() && isReachable(from, remote)) {
             receiver.onDatagram(own.ip(), own.port(), bytes);
           }
         });
@@ -290,14 +295,14 @@
 
     @Override
     public ChannelFuture connect(
-        Loop from, String to, int port, int connectMillis, ChannelHandler handler) {
+        Loop from, String to, int port, int connectTimeoutMillis, ChannelHandler handler) {
       return new Bootstrap()
           .group(from.eventLoop())
           .channelFactory(() -> new SimulatedChannel(null, SimulatedNetwork.this, host))
-          // Netty's table of resolvers is static and would keep each loop, and with it a whole day.
+          // Netty's resolver table is static and would retain each loop with all its objects.
           .disableResolver()
           .option(ChannelOption.ALLOCATOR, from.allocator())
-          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis)
+          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
           .handler(handler)
           .connect(new SimulatedAddress(to, port));
     }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedPort.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedPort.java
@@ -25,7 +25,7 @@
     return host;
   }
 
-  /** Takes a connection in; it can be used at this end at once. */
+  /** Accepts a connection, which is established at this end at once. */
   void accept(SimulatedChannel channel) {
     channel.onEstablished();
     pipeline().fireChannelRead(channel);
@@ -34,17 +34,17 @@
 
   @Override
   protected void doBind(SocketAddress to) throws IOException {
-    SimulatedAddress wanted = (SimulatedAddress) to;
-    network.bind(wanted, this);
-    address = wanted;
+    SimulatedAddress local = (SimulatedAddress) to;
+    network.bind(local, this);
+    address = local;
   }
 
   @Override
   protected void doClose() {
     isOpen = false;
-    SimulatedAddress known = address;
-    if (known != null) {
-      network.unbind(known, this);
+    SimulatedAddress bound = address;
+    if (bound != null) {
+      network.unbind(bound, this);
     }
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/VirtualLoop.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/VirtualLoop.java
@@ -8,7 +8,7 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * An event loop whose time passes only when it has nothing left to do.
+ * An event loop on virtual time, which advances only when no task is due.
  *
  * <pre>{@code
  * VirtualLoop loop = VirtualLoop.create();
@@ -16,10 +16,10 @@
  * loop.runFor(60_000); // returns at once
  * }</pre>
  *
- * <p>Belongs to the thread that made it.
+ * <p>Must be used on the thread that created it.
  */
 public final class VirtualLoop extends ManualIoEventLoop {
-  /** Start of the virtual time of day; any fixed moment will do. */
+  /** Wall-clock time at the start; any fixed value works. */
   private static final long START_WALL_MILLIS = 1_750_000_000_000L;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -31,17 +31,17 @@
     this.clock = clock;
   }
 
-  /** A loop of the calling thread; its clock stands at 0. */
+  /** Creates a loop for the calling thread, with its clock at 0. */
   public static VirtualLoop create() {
     return new VirtualLoop(Ticker.newMockTicker());
   }
 
-  /** Milliseconds since the loop was made. */
+  /** Returns the virtual time since the creation of the loop. */
   public long nowMillis() {
     return clock.nanoTime() / NANOS_PER_MILLI;
   }
 
-  /** The loop's time as clocks of a machine whose time of day is {@code aheadMillis} ahead. */
+  /** Returns the loop's time, with a wall clock that is {@code wallOffsetMillis} ahead. */
   public TimeSource timeSource(long wallOffsetMillis) {
     return new TimeSource() {
       @Override
@@ -56,7 +56,7 @@
     };
   }
 
-  /** Runs what is due, and lets {@code millis} pass. */
+  /** Advances the time by {@code millis} and runs all tasks that become due. */
   public void runFor(long millis) {
     long end = clock.nanoTime() + millis * NANOS_PER_MILLI;
     while (true) {
@@ -72,9 +72,9 @@
   }
 
   private void runAllDue() {
-    int ran = runNow();
-    while (ran > 0) {
-      ran = runNow();
+    int taskCount = runNow();
+    while (taskCount > 0) {
+      taskCount = runNow();
     }
   }
 }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/package-info.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/package-info.java
@@ -1,8 +1,8 @@
 /**
- * A network of simulated hosts on virtual time, for playing the real forwarding code.
+ * A network of simulated hosts on virtual time that runs the real forwarding code.
  *
- * <p>Everything runs on one thread, a {@link org.sageladder.standin.network.VirtualLoop}: the same
- * seed gives the same day, however fast or busy the machine is that plays it.
+ * <p>Everything runs on one thread, a {@link org.sageladder.standin.network.VirtualLoop}, so the
+ * same seed gives the same run, regardless of the speed and load of the machine.
  */
 @NullMarked
 package org.sageladder.standin.network;
--- a/sageladder-standin/src/main/java/org/sageladder/standin/package-info.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/package-info.java
@@ -1,4 +1,4 @@
-/** Small stand-ins that take the platform's and the targets' place in tests and trials. */
+/** Test doubles of the platform and the targets, for tests and experiments. */
 @NullMarked
 package org.sageladder.standin;
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallerConnection.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallerConnection.java
@@ -23,16 +23,16 @@
 import org.jspecify.annotations.Nullable;
 import org.sageladder.forward.Loop;
 
-/** A caller's connection; several requests may be sent before the first answer. */
+/** A caller's HTTP connection with support for pipelined requests. */
 final class CallerConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
   private static final int MAX_RESPONSE_BODY_BYTES = 4 << 20;
 
-  /** How a request ended on the connection. */
+  /** The outcome of a request on this connection. */
   sealed interface Reply {
-    /** A whole answer. */
+    /** A complete answer. */
     record Complete(int status, HttpHeaders headers, String body) implements Reply {}
 
-    /** The connection ended, or what came is no answer. */
+    /** The connection closed before a complete answer, or the answer was malformed. */
     record Failed(String cause) implements Reply {}
   }
 
@@ -62,11 +62,11 @@
         };
     loop.connect(host, port, connectTimeoutMillis, initializer)
         .addListener(
-            (ChannelFuture done) -> {
-              if (done.isSuccess()) {
+            (ChannelFuture result) -> {
+              if (result.isSuccess()) {
                 onOpen.accept(connection);
               } else {
-                onFailure.accept(String.valueOf(done.cause().getMessage()));
+                onFailure.accept(String.valueOf(result.cause().getMessage()));
               }
             });
   }
@@ -77,11 +77,11 @@
   }
 
   private ChannelHandlerContext requireContext() {
-    ChannelHandlerContext known = context;
-    if (known == null) {
-      throw new IllegalStateException("the connection is in no channel yet");
+    ChannelHandlerContext current = context;
+    if (current == null) {
+      throw new IllegalStateException("the connection has no channel yet");
     }
-    return known;
+    return current;
   }
 
   boolean isUsable() {
@@ -108,7 +108,7 @@
     var unused = requireContext().writeAndFlush(request);
   }
 
-  /** Ends the connection; nobody is told any more. */
+  /** Closes the connection without calling the callbacks of pending requests. */
   void abandon() {
     isClosing = true;
     pendingCallbacks.clear();
@@ -117,22 +117,22 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-    Consumer<Reply> first = pendingCallbacks.pollFirst();
+    Consumer<Reply> callback = pendingCallbacks.pollFirst();
     if (!HttpUtil.isKeepAlive(response)) {
       isClosing = true;
     }
-    if (first == null || response.decoderResult().isFailure()) {
+    if (callback == null || response.decoderResult().isFailure()) {
       isClosing = true;
       var unused = ctx.close();
     }
-    if (first == null) {
+    if (callback == null) {
       return;
     }
     if (response.decoderResult().isFailure()) {
-      first.accept(new Reply.Failed("no answer: " + response.decoderResult().cause()));
+      callback.accept(new Reply.Failed("malformed answer: " + response.decoderResult().cause()));
       return;
     }
-    first.accept(
+    callback.accept(
         new Reply.Complete(
             response.status().code(),
             response.headers().copy(),
@@ -143,7 +143,7 @@
   public void channelInactive(ChannelHandlerContext ctx) {
     isClosing = true;
     while (!pendingCallbacks.isEmpty()) {
-      pendingCallbacks.removeFirst().accept(new Reply.Failed("the connection ended"));
+      pendingCallbacks.removeFirst().accept(new Reply.Failed("connection closed"));
     }
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallersStandIn.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallersStandIn.java
@@ -22,10 +22,11 @@
 import org.sageladder.forward.Loop;
 
 /**
- * The callers of one zone: they look up, connect, wait, and come back as the platform's pages say.
+ * The callers of one zone: they resolve entry VMs, connect, wait and retry as the platform's
+ * documentation asks.
  *
- * <p>They send requests by chance with the means of their kinds; the same seed gives the same
- * requests at the same times, whatever the system answers.
+ * <p>Requests arrive as a Poisson process with the rate of each profile. The same seed gives the
+ * same requests at the same times, whatever the system answers.
  */
 public final class CallersStandIn {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -38,20 +39,20 @@
   private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
 
   /**
-   * Where callers are and whom they ask.
+   * The location of the callers and the entry VMs that they ask for addresses.
    *
    * @param lookUpAddresses addresses of entry VMs' look-up ports, nearest first
    */
   public record Location(String zone, String region, List<String> lookUpAddresses) {}
 
-  /** What became of one request of a caller, after all its attempts. */
+  /** The outcome of a caller's request after all its attempts; status 0 means no answer. */
   public record CompletedRequest(
       RequestProfile profile, long startedAtMillis, int status, long durationMillis, String zone) {}
 
-  /** Draws the key that a request bears; null where requests bear none. */
+  /** Draws the API key of a request. */
   @FunctionalInterface
   public interface CredentialSource {
-    /** The next request's key and who holds it. */
+    /** Draws the next request's API key and its workspace; null sends no key. */
     Ledger.@Nullable Credential drawCredential(Random random);
   }
 
@@ -118,9 +119,9 @@
   /**
    * Starts callers.
    *
-   * @param fraction part of each kind's requests that these callers send
-   * @param currentRoutes routes by name, as the newest configuration has them
-   * @param onCompletion told of each request's end
+   * @param fraction fraction of each profile's requests that these callers send
+   * @param currentRoutes looks up routes by name in the newest configuration
+   * @param onCompletion called with the outcome of each request
    */
   public static CallersStandIn start(
       Loop loop,
@@ -133,42 +134,42 @@
       Consumer<CompletedRequest> onCompletion) {
     CallersStandIn callers =
         new CallersStandIn(loop, location, ledger, currentRoutes, seed, onCompletion);
-    profiles.forEach(kind -> callers.scheduleNext(kind, fraction));
+    profiles.forEach(profile -> callers.scheduleNext(profile, fraction));
     return callers;
   }
 
-  /** Sends a further kind of request from now on; {@code share} is these callers' part of it. */
+  /** Also sends {@code fraction} of the requests of {@code profile}. */
   public void addProfile(RequestProfile profile, double fraction) {
     scheduleNext(profile, fraction);
   }
 
-  /** Sends requests with keys from now on. */
+  /** Sets the source of the API keys for new requests. */
   public void setCredentialSource(CredentialSource source) {
     credentialSource = source;
   }
 
-  /** Sends no further requests. */
+  /** Stops sending new requests; requests in flight and their retries continue. */
   public void stop() {
     isSending = false;
   }
 
-  /** Sends that many times as many requests from now on. */
+  /** Sets the factor that is applied to the request rate of each profile. */
   public void setRateFactor(double factor) {
     rateFactor = factor;
   }
 
-  /** That share of the callers leaves after {@code millis} without an answer. */
+  /** Lets {@code fraction} of the callers abandon a request after {@code afterMillis}. */
   public void setAbandonment(double fraction, long afterMillis) {
     abandonFraction = fraction;
     abandonAfterMillis = afterMillis;
   }
 
   private void scheduleNext(RequestProfile profile, double fraction) {
-    double mean = 1_000 / (profile.requestsPerSecond() * fraction * rateFactor);
-    long wait = Math.round(-Math.log(1 - random.nextDouble()) * mean);
+    double meanMillis = 1_000 / (profile.requestsPerSecond() * fraction * rateFactor);
+    long waitMillis = Math.round(-Math.log(1 - random.nextDouble()) * meanMillis);
     var unused =
         loop.schedule(
-            wait,
+            waitMillis,
             () -> {
               if (isSending) {
                 sendNext(profile);
@@ -219,51 +220,51 @@
       }
       return;
     }
-    String at = location.lookUpAddresses().get(attempts);
-    boolean[] done = {false};
-    Runnable next =
+    String address = location.lookUpAddresses().get(attempts);
+    boolean[] isDone = {false};
+    Runnable tryNext =
         () -> {
-          if (!done[0]) {
-            done[0] = true;
+          if (!isDone[0]) {
+            isDone[0] = true;
             lookUp(request, attempts + 1);
           }
         };
-    var unused = loop.schedule(LOOK_UP_TIMEOUT_MILLIS, next);
+    var unused = loop.schedule(LOOK_UP_TIMEOUT_MILLIS, tryNext);
     CallerConnection.open(
         loop,
-        host(at),
-        port(at),
+        host(address),
+        port(address),
         CONNECT_TIMEOUT_MILLIS,
         connection ->
             connection.send(
                 "GET",
                 "/resolve?name=any&region=" + location.region() + "&zone=" + location.zone(),
-                Map.of("Host", at, "Connection", "close"),
+                Map.of("Host", address, "Connection", "close"),
                 "",
                 reply -> {
-                  if (!done[0] && acceptAddresses(reply)) {
-                    done[0] = true;
+                  if (!isDone[0] && acceptAddresses(reply)) {
+                    isDone[0] = true;
                     connect(request);
                   } else {
-                    next.run();
+                    tryNext.run();
                   }
                 }),
-        cause -> next.run());
+        cause -> tryNext.run());
   }
 
   private boolean acceptAddresses(CallerConnection.Reply reply) {
-    if (!(reply instanceof CallerConnection.Reply.Complete whole) || whole.status() != 200) {
+    if (!(reply instanceof CallerConnection.Reply.Complete complete) || complete.status() != 200) {
       return false;
     }
     try {
-      JsonNode body = JSON.readTree(whole.body());
-      List<String> named = new ArrayList<>();
-      body.path("addresses").forEach(address -> named.add(address.asText()));
-      addresses = named;
+      JsonNode body = JSON.readTree(complete.body());
+      List<String> resolved = new ArrayList<>();
+      body.path("addresses").forEach(address -> resolved.add(address.asText()));
+      addresses = resolved;
       addressesExpireAtMillis =
           loop.nowMillis() + PlatformTexts.parseMillis(body.path("ttl").asText("1s"));
-      idleConnections.keySet().retainAll(named);
-      return !named.isEmpty();
+      idleConnections.keySet().retainAll(resolved);
+      return !resolved.isEmpty();
     } catch (JsonProcessingException e) {
       return false;
     }
@@ -273,15 +274,15 @@
     if (request.isFinished) {
       return;
     }
-    List<String> choice =
+    List<String> candidates =
         addresses.stream().filter(address -> !request.failedAddresses.contains(address)).toList();
-    if (choice.isEmpty()) {
-      choice = addresses;
+    if (candidates.isEmpty()) {
+      candidates = addresses;
     }
-    String address = choice.get(random.nextInt(choice.size()));
-    CallerConnection known = findIdleConnection(request.profile, address);
-    if (known != null) {
-      sendRequest(request, address, known);
+    String address = candidates.get(random.nextInt(candidates.size()));
+    CallerConnection idle = findIdleConnection(request.profile, address);
+    if (idle != null) {
+      sendRequest(request, address, idle);
       return;
     }
     CallerConnection.open(
@@ -297,9 +298,9 @@
   }
 
   private @Nullable CallerConnection findIdleConnection(RequestProfile profile, String address) {
-    Deque<CallerConnection> known = idleConnections.getOrDefault(address, new ArrayDeque<>());
-    while (profile.connectionUse() != RequestProfile.ConnectionUse.FRESH && !known.isEmpty()) {
-      CallerConnection last = known.removeLast();
+    Deque<CallerConnection> idle = idleConnections.getOrDefault(address, new ArrayDeque<>());
+    while (profile.connectionUse() != RequestProfile.ConnectionUse.FRESH && !idle.isEmpty()) {
+      CallerConnection last = idle.removeLast();
       if (last.isUsable()) {
         return last;
       }
@@ -324,10 +325,10 @@
     headers.put("Request-Id", id);
     headers.put("Cookie", "Affinity-Key=" + request.object);
     headers.put("Request-Deadline", Long.toString(request.remainingMillis()));
-    Ledger.Credential bearer = request.credential;
-    if (bearer != null) {
-      headers.put("Authorization", "Token " + bearer.key());
-      ledger.recordCredential(id, bearer);
+    Ledger.Credential credential = request.credential;
+    if (credential != null) {
+      headers.put("Authorization", "Token " + credential.key());
+      ledger.recordCredential(id, credential);
     }
     ledger.attempt(
         new Ledger.Attempt(
@@ -359,13 +360,13 @@
       retry(request, MIN_BACKOFF_MILLIS, 0);
       return;
     }
-    CallerConnection.Reply.Complete whole = (CallerConnection.Reply.Complete) reply;
-    HttpHeaders headers = whole.headers();
+    CallerConnection.Reply.Complete complete = (CallerConnection.Reply.Complete) reply;
+    HttpHeaders headers = complete.headers();
     ledger.recordAnswer(
         new Ledger.Answered(
             id,
-            whole.status(),
-            whole.body(),
+            complete.status(),
+            complete.body(),
             headers.contains("Server-Seal"),
             headers.get("Request-Id"),
             loop.nowMillis()));
@@ -375,24 +376,28 @@
     } else if (request.profile.connectionUse() == RequestProfile.ConnectionUse.FRESH) {
       connection.abandon();
     }
-    if (whole.status() < 400 || FINAL_STATUSES.contains(whole.status())) {
-      finish(request, whole.status());
+    if (complete.status() < 400 || FINAL_STATUSES.contains(complete.status())) {
+      finish(request, complete.status());
       return;
     }
-    long told = Math.round(1_000 * Double.parseDouble(headers.get("Retry-After", "0")));
-    retry(request, Math.max(MIN_BACKOFF_MILLIS, told), whole.status());
+    long retryAfterMillis = Math.round(1_000 * Double.parseDouble(headers.get("Retry-After", "0")));
+    retry(request, Math.max(MIN_BACKOFF_MILLIS, retryAfterMillis), complete.status());
   }
 
-  /** Comes back after a wait, if the kind of request and its time allow it. */
+  /**
+   * Retries after a wait if a retry remains and either the request is idempotent or the status says
+   * that it did not run; otherwise finishes the request.
+   */
   private void retry(Request request, long waitMillis, int status) {
-    boolean may = request.profile.idempotent() || NOT_EXECUTED_STATUSES.contains(status);
-    if (request.isFinished || !may || request.remainingRetries == 0) {
+    boolean mayRetry = request.profile.idempotent() || NOT_EXECUTED_STATUSES.contains(status);
+    if (request.isFinished || !mayRetry || request.remainingRetries == 0) {
       finish(request, status);
       return;
     }
     request.remainingRetries--;
-    long wait = Math.min(waitMillis, Math.round(request.remainingMillis() * MAX_BACKOFF_FRACTION));
-    var unused = loop.schedule(wait, () -> startAttempt(request));
+    long backoffMillis =
+        Math.min(waitMillis, Math.round(request.remainingMillis() * MAX_BACKOFF_FRACTION));
+    var unused = loop.schedule(backoffMillis, () -> startAttempt(request));
   }
 
   private void finish(Request request, int status) {
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/Ledger.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/Ledger.java
@@ -10,21 +10,22 @@
 import org.sageladder.core.routing.RouteRule;
 
 /**
- * What callers, targets and the operator saw, each at its own end; the rules are checked by it.
+ * Records what callers, targets and the operator observe, so that the platform's rules can be
+ * checked against it.
  *
- * <p>Times are milliseconds of the stand-ins' clock. Not safe for use by several threads.
+ * <p>Times are milliseconds of the stand-ins' clock. Not thread-safe.
  */
 public final class Ledger {
   /**
    * One attempt of a caller.
    *
-   * @param id its id
-   * @param route the route that it is for, as the newest configuration has it
-   * @param path its path
-   * @param body its body, maybe empty
+   * @param id id of the attempt, sent as {@code Request-Id}
+   * @param route its route in the newest configuration at the time of sending
+   * @param path request path
+   * @param body request body, possibly empty
    * @param region region of the caller
-   * @param entryVmIp IP number of the entry VM that it was sent to
-   * @param sentAtMillis when its last byte was sent
+   * @param entryVmIp IP address of the entry VM that it was sent to
+   * @param sentAtMillis when it was sent
    * @param deadlineMillis how long the caller waits
    */
   public record Attempt(
@@ -37,23 +38,24 @@
       long sentAtMillis,
       long deadlineMillis) {}
 
-  /** What became of a request at a target when it arrived. */
+  /** What a target did with a request on arrival. */
   public enum Fate {
-    /** It runs, or waits for a slot. */
+    /** Accepted: it runs or waits for a slot. */
     TAKEN,
-    /** The target was full, or its time was over. */
+    /** Refused, because the slots and the queue were full. */
     REFUSED,
-    /** Another target was meant. */
+    /** Refused, because the request was meant for another target. */
     OTHER_TARGET
   }
 
   /**
-   * A request reached a target.
+   * The arrival of a request at a target. Reports of broken rules print it, so the component names
+   * are part of their format.
    *
-   * @param from IP number of the entry VM that sent it
-   * @param wellFormed false where method, path or body are not those of its caller
-   * @param deadlineMillis time left that the target was told, or -1
-   * @param cold true where the target was cold and the store has known it for a while
+   * @param from IP address of the entry VM that sent it
+   * @param wellFormed false where path or body differ from what the caller sent
+   * @param deadlineMillis remaining time that the request stated, or -1
+   * @param cold true where the target was cold and entry VMs had time to learn it from the store
    */
   public record Arrival(
       String id,
@@ -68,7 +70,7 @@
       long deadlineMillis,
       boolean cold) {}
 
-  /** A target began to run a request. */
+  /** One run of a request at a target. */
   public static final class Run {
     private final String id;
     private final String target;
@@ -85,102 +87,104 @@
       this.startedAtMillis = startedAtMillis;
     }
 
-    /** It ended with that status and body; 0 and null where there was no answer. */
+    /** Records the end of the run; status 0 and a null body mean that there was no answer. */
     public void recordEnd(long atMillis, int responseStatus, @Nullable String body) {
       endedAtMillis = atMillis;
       status = responseStatus;
       responseBody = body;
     }
 
-    /** Id of the request. */
+    /** Returns the id of the request. */
     public String id() {
       return id;
     }
 
-    /** The target that ran it. */
+    /** Returns the target that ran it. */
     public String target() {
       return target;
     }
 
-    /** True where the target remembered its object. */
+    /** Returns whether the target had the object cached. */
     public boolean hadCached() {
       return hadCached;
     }
 
-    /** When it began. */
+    /** Returns when the run started. */
     public long startedAtMillis() {
       return startedAtMillis;
     }
 
-    /** When it ended, or -1 while it runs. */
+    /** Returns when the run ended, or -1 while it runs. */
     public long endedAtMillis() {
       return endedAtMillis;
     }
 
-    /** Body that the target answered, or null where there was none. */
+    /** Returns the body of the target's answer, or null where there was none. */
     public @Nullable String responseBody() {
       return responseBody;
     }
 
-    /** Status that the target answered, or 0. */
+    /** Returns the status of the target's answer, or 0 where there was none. */
     public int status() {
       return status;
     }
   }
 
   /**
-   * What a caller got.
+   * The answer that a caller received. Reports of broken rules print it, so the component names are
+   * part of their format.
    *
-   * @param status HTTP status, or 0 where the connection ended without a whole answer
-   * @param body what came
-   * @param sealed true where the answer bears a target's seal
-   * @param named id that the answer names, or null
+   * @param status HTTP status, or 0 where the connection closed before a complete answer
+   * @param body body of the answer
+   * @param sealed whether the answer has a target's {@code Server-Seal} header
+   * @param named request id that the answer states, or null
    */
   public record Answered(
       String id, int status, String body, boolean sealed, @Nullable String named, long at) {}
 
   /**
-   * A moment at which something was acknowledged or became so.
+   * A change of the platform's state, or the start or end of a fault.
    *
-   * @param subject what it is about, such as a target's id or a zone
+   * @param subject what the event is about, such as a target's id, a zone or a route
    */
   public record PlatformEvent(Kind kind, String subject, long atMillis) {
-    /** Kinds of moments. */
+    /** Kinds of events. */
     public enum Kind {
-      /** The store has a target's leaving. */
+      /** The store has recorded that a target is leaving or gone. */
       TARGET_LEAVES,
-      /** The store has the entry of a living target again that had lapsed. */
+      /** The store has the entry of a live target again after it had expired. */
       TARGET_BACK,
-      /** The store has a configuration; its version is in {@code what}. */
+      /** The store has a new configuration; one event for each of its routes. */
       CONFIGURATION,
-      /** The store has that a zone is to be emptied. */
+      /** The store has the order to evacuate a zone. */
       ZONE_EMPTIED,
-      /** The store has that a zone is taken back. */
+      /** The store has the order that ends the evacuation of a zone. */
       ZONE_TAKEN_BACK,
-      /** The store has a configuration without a key that callers still bear. */
+      /** The store has a configuration without a key that callers still send. */
       KEY_TAKEN_AWAY,
       /** The store has a configuration that lowers a workspace's quota. */
       QUOTA_LOWERED,
-      /** Something goes wrong from now on. */
+      /** A fault starts. */
       TROUBLE_BEGINS,
-      /** It is well again. */
+      /** The fault ends. */
       TROUBLE_ENDS
     }
   }
 
   /**
-   * Whose key an attempt of a caller bore.
+   * The API key of a caller's attempt.
    *
-   * @param workspace the workspace that held the key when it was sent, or empty where none did
-   * @param wasEverConfigured true where some configuration of the day had the key
+   * @param workspace workspace that the key was issued to, or empty for a forged key
+   * @param wasEverConfigured whether any configuration so far contained the key
    */
   public record Credential(String workspace, String key, boolean wasEverConfigured) {}
 
   /**
-   * What a target was shown of a request's caller.
+   * The caller's identity as stated in a request that reached a target. Reports of broken rules
+   * print it, so the component names are part of their format.
    *
-   * @param workspace the workspace that was named, or empty
-   * @param keyShown true where the key itself was passed on
+   * @param workspace workspace named in the request, or empty
+   * @param keyShown whether the API key itself was forwarded
    */
   public record Delivery(String id, String workspace, boolean keyShown, Fate fate, long at) {}
 
@@ -193,95 +197,95 @@
   private final Map<String, Long> callerLeftAtMillis = new HashMap<>();
   private final List<PlatformEvent> events = new ArrayList<>();
 
-  /** The attempt of that id bears a key. */
+  /** Records the API key of the attempt {@code id}. */
   public void recordCredential(String id, Credential credential) {
     credentials.put(id, credential);
   }
 
-  /** Whose key the attempt of that id bore; empty where it bore none. */
+  /** Returns the API key of the attempt {@code id}; empty where it had none. */
   public Optional<Credential> credential(String id) {
     return Optional.ofNullable(credentials.get(id));
   }
 
-  /** A request reached a target. */
+  /** Records the caller's identity as stated in a request that reached a target. */
   public void recordDelivery(Delivery delivery) {
     deliveries.add(delivery);
   }
 
-  /** What targets were shown of callers, in order. */
+  /** Returns all deliveries in order of arrival. */
   public List<Delivery> deliveries() {
     return deliveries;
   }
 
-  /** An attempt was sent. */
+  /** Records an attempt when it is sent. */
   public void attempt(Attempt attempt) {
     attempts.put(attempt.id(), attempt);
   }
 
-  /** A request reached a target. */
+  /** Records the arrival of a request at a target. */
   public void recordArrival(Arrival arrival) {
     arrivals.add(arrival);
   }
 
-  /** A target begins to run a request; {@code known} where it remembers the object. */
+  /** Records that a target starts a request; {@code hadCached} says whether it had the object. */
   public Run recordRunStart(String id, String target, boolean hadCached, long atMillis) {
     Run run = new Run(id, target, hadCached, atMillis);
     runs.computeIfAbsent(id, key -> new ArrayList<>()).add(run);
     return run;
   }
 
-  /** A caller got an answer, or the end of its connection. */
+  /** Records the answer to an attempt, or that its connection closed; the first one counts. */
   public void recordAnswer(Answered answer) {
     answers.putIfAbsent(answer.id(), answer);
   }
 
-  /** A caller closed its connection though it has no answer yet. */
+  /** Records that a caller closed its connection before the answer. */
   public void recordCallerLeft(String id, long atMillis) {
     callerLeftAtMillis.putIfAbsent(id, atMillis);
   }
 
-  /** Something was acknowledged. */
+  /** Records an event of the platform. */
   public void recordEvent(PlatformEvent.Kind kind, String subject, long atMillis) {
     events.add(new PlatformEvent(kind, subject, atMillis));
   }
 
-  /** All attempts by id, in the order in which they were sent. */
+  /** Returns all attempts by id, in the order of sending. */
   public Map<String, Attempt> attempts() {
     return attempts;
   }
 
-  /** The attempt of that id. */
+  /** Returns the attempt {@code id}. */
   public Optional<Attempt> attempt(String id) {
     return Optional.ofNullable(attempts.get(id));
   }
 
-  /** All arrivals at targets, in their order. */
+  /** Returns all arrivals at targets in order. */
   public List<Arrival> arrivals() {
     return arrivals;
   }
 
-  /** Runs of the request of that id. */
+  /** Returns the runs of the request {@code id}. */
   public List<Run> runs(String id) {
     return runs.getOrDefault(id, List.of());
   }
 
-  /** All requests that ran, by id. */
+  /** Returns the runs of all requests by id. */
   public Map<String, List<Run>> runs() {
     return runs;
   }
 
-  /** What the caller of that id got. */
+  /** Returns the answer to the attempt {@code id}. */
   public Optional<Answered> answer(String id) {
     return Optional.ofNullable(answers.get(id));
   }
 
-  /** When the caller of that id left without an answer. */
+  /** Returns when the caller of the attempt {@code id} left without an answer. */
   public Optional<Long> callerLeftAtMillis(String id) {
     return Optional.ofNullable(callerLeftAtMillis.get(id));
   }
 
-  /** Moments of that kind, in their order. */
+  /** Returns the events of that kind in order. */
   public List<PlatformEvent> events(PlatformEvent.Kind kind) {
-    return events.stream().filter(moment -> moment.kind() == kind).toList();
+    return events.stream().filter(event -> event.kind() == kind).toList();
   }
 }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/PlatformBounds.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/PlatformBounds.java
@@ -1,23 +1,24 @@
 package org.sageladder.standin.platform;
 
 /**
- * Bounds of the platform's rules, as the users' deployments have them.
+ * Limits and time bounds of the platform's rules, as used in the users' deployments.
  *
- * @param discoveryMillis calm time after which a machine counts as in touch
- * @param drainMillis time after which nothing new may reach a leaving target
+ * @param discoveryMillis time without faults after which a VM counts as in contact with the
+ *     platform
+ * @param drainMillis time after which a draining target may receive no new requests
  * @param graceMillis time from SIGTERM to SIGKILL
- * @param configurationApplyMillis time after which a configuration is in force everywhere
- * @param evacuateMillis time after which an emptied zone gets nothing more
- * @param coldRateFactor factor on a cold target's rate
- * @param coldExtraRequests requests beyond that in a second
- * @param retryRatio second sends for each request of a window
- * @param extraRetries second sends besides
- * @param retryWindowMillis length of the window
- * @param maxShiftFraction part of a region's requests that may change region from one span to the
- *     next
- * @param quotaWindowMillis window in which a workspace's requests are counted
- * @param quotaExcessFraction share by which a window may lie over a quota
- * @param quotaExcessRequests requests by which it may lie over it besides
+ * @param configurationApplyMillis time after which all VMs must apply a new configuration
+ * @param evacuateMillis time after which an evacuated zone may receive no requests
+ * @param coldRateFactor factor by which arrivals may exceed a cold target's rate
+ * @param coldExtraRequests requests a second allowed on top of that
+ * @param retryRatio retries allowed per request within a window
+ * @param extraRetries retries allowed on top of that
+ * @param retryWindowMillis length of the retry window
+ * @param maxShiftFraction fraction of a region's requests that may move to other regions from one
+ *     interval to the next
+ * @param quotaWindowMillis window over which a workspace's requests are counted
+ * @param quotaExcessFraction fraction by which a window may exceed the quota
+ * @param quotaExcessRequests requests by which a window may exceed the quota on top of that
  */
 public record PlatformBounds(
     long discoveryMillis,
@@ -34,7 +35,7 @@
     long quotaWindowMillis,
     double quotaExcessFraction,
     int quotaExcessRequests) {
-  /** The bounds of the smaller of the users' sites. */
+  /** Returns the bounds of the smaller of the users' sites. */
   public static PlatformBounds standard() {
     return new PlatformBounds(
         3_000, 2_500, 6_000, 2_500, 5_000, 1.5, 5, 0.2, 64, 10_000, 0.15, 5_000, 0.1, 20);
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/PlatformTexts.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/PlatformTexts.java
@@ -14,18 +14,21 @@
 import org.sageladder.core.routing.ServiceRule;
 import org.sageladder.core.routing.Workspace;
 
-/** Writes what operators, targets and the platform write: configurations, entries, settings. */
+/**
+ * Formats the documents of operators, targets and the platform: configurations, store entries and
+ * settings files.
+ */
 public final class PlatformTexts {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private PlatformTexts() {}
 
-  /** A value as the store keeps it. */
+  /** Encodes a value as the store's API carries it. */
   public static String base64(String text) {
     return Base64.getEncoder().encodeToString(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Milliseconds of a time such as {@code 1500ms} or {@code 2.5s}. */
+  /** Parses a duration such as {@code 1500ms} or {@code 2.5s}; returns milliseconds. */
   static long parseMillis(String text) {
     if (text.endsWith("ms")) {
       return Math.round(Double.parseDouble(text.substring(0, text.length() - 2)));
@@ -33,16 +36,16 @@
     return Math.round(1_000 * Double.parseDouble(text.substring(0, text.length() - 1)));
   }
 
-  /** The operator's configuration of that version, without workspaces. */
+  /** Formats a configuration of the given version without workspaces. */
   public static String configuration(
       long version, List<RouteRule> routes, List<ServiceRule> services) {
     return configuration(version, routes, services, Map.of());
   }
 
   /**
-   * The operator's configuration of that version.
+   * Formats a configuration of the given version.
    *
-   * @param workspaces the workspaces, each with its keys
+   * @param workspaces the workspaces, each with its API keys
    */
   public static String configuration(
       long version,
@@ -79,8 +82,8 @@
   }
 
   private static void writeWorkspace(ObjectNode spec, Workspace workspace, List<String> keys) {
-    ArrayNode held = spec.putArray("api_keys");
-    keys.forEach(held::add);
+    ArrayNode apiKeys = spec.putArray("api_keys");
+    keys.forEach(apiKeys::add);
     workspace.priority().ifPresent(priority -> spec.put("priority", priority));
     spec.put("rate_per_s", workspace.quota().ratePerSecond());
     spec.put("burst", workspace.quota().burst());
@@ -109,7 +112,7 @@
                 split.addObject().put("service", share.service()).put("weight", share.weight()));
   }
 
-  /** A target's entry in the store. */
+  /** Formats a target's entry in the store. */
   public static String targetEntry(TargetFacts facts, long sequence) {
     ObjectNode entry = JSON.createObjectNode();
     entry.put("service", facts.service());
@@ -124,11 +127,11 @@
   }
 
   /**
-   * An entry VM's settings file.
+   * Formats the settings file of an entry VM.
    *
-   * @param ip where its ports are
-   * @param ports callers', readiness', look-ups' and metrics' port, in this order
-   * @param store the store's address
+   * @param ip IP address that the VM listens on
+   * @param ports ports for callers, readiness, look-ups and metrics, in this order
+   * @param store address of the store
    */
   public static String settings(
       String name,
@@ -146,8 +149,8 @@
     appendLine(text, "internal_ports", "[" + ports.get(3) + "," + (ports.get(3) + 15) + "]");
     appendLine(text, "heartbeat", quoted("1500ms"));
     text.append("[zones]\n");
-    for (String known : Set.copyOf(regionOfZone.keySet()).stream().sorted().toList()) {
-      appendLine(text, known, quoted(regionOfZone.getOrDefault(known, "")));
+    for (String each : Set.copyOf(regionOfZone.keySet()).stream().sorted().toList()) {
+      appendLine(text, each, quoted(regionOfZone.getOrDefault(each, "")));
     }
     text.append("[listen]\n");
     appendLine(text, "front", quoted(ip + ':' + ports.get(0)));
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/RequestProfile.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/RequestProfile.java
@@ -1,19 +1,19 @@
 package org.sageladder.standin.platform;
 
 /**
- * One kind of request that callers send.
+ * The traffic of one kind of request that callers send.
  *
- * @param route name of its route
- * @param host host that is named
- * @param prefix beginning of its path
- * @param idempotent true where it may run more than once
- * @param requestsPerSecond requests a second of all callers together
- * @param meanServiceMillis mean work of an object that the target does not know
- * @param latencyGoalMillis time within which an answer earns its full worth
- * @param deadlineMillis time for which a caller waits, its own retries included
- * @param answerValue worth of an answer in time; a late one earns a fifth
- * @param objectCount how many objects there are
- * @param connectionUse how connections are used
+ * @param route name of the route
+ * @param host value of the Host header
+ * @param prefix prefix of the path
+ * @param idempotent whether the request may run more than once
+ * @param requestsPerSecond mean rate over all callers
+ * @param meanServiceMillis mean run time for an object that the target has not cached
+ * @param latencyGoalMillis latency up to which an answer has its full value
+ * @param deadlineMillis time that a caller waits, including its own retries
+ * @param answerValue value of an answer within the latency goal; a late one counts a fifth
+ * @param objectCount number of distinct objects requested
+ * @param connectionUse how callers use connections
  */
 public record RequestProfile(
     String route,
@@ -29,15 +29,15 @@
     ConnectionUse connectionUse) {
   /** How callers use connections. */
   public enum ConnectionUse {
-    /** A new one for each request. */
+    /** A new connection for each request. */
     FRESH,
-    /** Kept ones. */
+    /** Keep-alive connections that are reused. */
     KEPT,
-    /** Two requests behind one another before the first answer. */
+    /** Keep-alive connections; two requests are sent without waiting for the first answer. */
     PIPELINED
   }
 
-  /** The same kind with {@code factor} times as many requests. */
+  /** Returns a copy with {@code factor} times the request rate. */
   public RequestProfile withRateFactor(double factor) {
     return new RequestProfile(
         route,
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/ServerPort.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/ServerPort.java
@@ -22,25 +22,25 @@
 import org.sageladder.forward.Sockets;
 import org.sageladder.standin.network.SimulatedAddress;
 
-/** An HTTP port of a stand-in; requests come whole, answers are given when the stand-in likes. */
+/** An HTTP port of a stand-in that receives complete requests and answers them asynchronously. */
 public final class ServerPort {
   private static final int MAX_REQUEST_BODY_BYTES = 8 << 20;
 
-  /** Told how the opening of a port ended. */
+  /** Called when a port is open. */
   public interface OpenListener {
-    /** It is open, at that port. */
+    /** Called with the number of the open port. */
     void onOpen(int port);
 
-    /** Nothing is to be told. */
+    /** Returns a listener that does nothing. */
     static OpenListener ignored() {
       return port -> {};
     }
   }
 
-  /** Takes requests. */
+  /** Handles requests. */
   @FunctionalInterface
   interface Handler {
-    /** A request has come; it is given back after the call. */
+    /** Handles a complete request, which is released after the call. */
     void handle(FullHttpRequest request, Exchange exchange);
   }
 
@@ -61,17 +61,20 @@
         };
     loop.listen(host, port, initializer)
         .addListener(
-            (ChannelFuture done) -> {
-              if (!done.isSuccess()) {
-                throw new IllegalStateException("cannot open " + host + ':' + port, done.cause());
+            (ChannelFuture result) -> {
+              if (!result.isSuccess()) {
+                throw new IllegalStateException(
+                    "cannot listen on " + host + ':' + port, result.cause());
               }
-              boolean real = done.channel().localAddress() instanceof InetSocketAddress;
+              boolean isSocket = result.channel().localAddress() instanceof InetSocketAddress;
               onOpen.onOpen(
-                  real ? ((InetSocketAddress) done.channel().localAddress()).getPort() : port);
+                  isSocket
+                      ? ((InetSocketAddress) result.channel().localAddress()).getPort()
+                      : port);
             });
   }
 
-  /** One request and the connection that it came on. */
+  /** A request's connection, used to answer it. */
   static final class Exchange {
     private final ChannelHandlerContext context;
     private @Nullable Runnable onDisconnect;
@@ -80,7 +83,7 @@
       this.context = context;
     }
 
-    /** IP number of whoever called. */
+    /** Returns the IP address of the sender. */
     String callerIp() {
       if (context.channel().remoteAddress() instanceof SimulatedAddress simulated) {
         return simulated.ip();
@@ -92,36 +95,36 @@
       return context.channel().isActive();
     }
 
-    /** Told once if the connection ends before the answer. */
+    /** Sets an action that runs once if the connection closes before the answer. */
     void setOnDisconnect(Runnable callback) {
       onDisconnect = callback;
     }
 
     void notifyDisconnected() {
-      Runnable told = onDisconnect;
+      Runnable callback = onDisconnect;
       onDisconnect = null;
-      if (told != null) {
-        told.run();
+      if (callback != null) {
+        callback.run();
       }
     }
 
-    /** Answers with a length, and keeps the connection unless the headers say otherwise. */
+    /** Answers with a Content-Length and closes the connection only if the headers ask for it. */
     void answer(int status, Map<String, String> headers, byte[] body) {
       onDisconnect = null;
-      DefaultFullHttpResponse answer =
+      DefaultFullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
               HttpResponseStatus.valueOf(status),
               Unpooled.wrappedBuffer(body));
-      headers.forEach((name, value) -> answer.headers().set(name, value));
-      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-      var written = context.writeAndFlush(answer);
+      headers.forEach((name, value) -> response.headers().set(name, value));
+      response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
+      var written = context.writeAndFlush(response);
       if ("close".equals(headers.get("Connection"))) {
         var unused = written.addListener(done -> Sockets.close(context));
       }
     }
 
-    /** Writes bytes as they are, past the codec, as a faulty server does. */
+    /** Writes raw bytes past the codec, as a faulty server would send them. */
     void writeRaw(byte[] bytes, boolean closesAfterwards) {
       onDisconnect = null;
       ByteBuf buffer = Unpooled.wrappedBuffer(bytes);
@@ -131,7 +134,7 @@
       }
     }
 
-    /** Reads and answers nothing on this connection any more. */
+    /** Stops reading from this connection. */
     void stopReading() {
       context.channel().config().setAutoRead(false);
     }
@@ -163,9 +166,9 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      Exchange known = lastExchange;
-      if (known != null) {
-        known.notifyDisconnected();
+      Exchange current = lastExchange;
+      if (current != null) {
+        current.notifyDisconnected();
       }
     }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreFaultMode.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreFaultMode.java
@@ -1,21 +1,21 @@
 package org.sageladder.standin.platform;
 
-/** What the platform's store does with the calls that it gets. */
+/** Faults that the stand-in of the platform's store can inject into calls. */
 public enum StoreFaultMode {
-  /** All is well. */
+  /** No fault. */
   NONE,
-  /** Answers 503 and does nothing. */
+  /** Answers 503; the call has no effect. */
   BUSY,
-  /** Answers 429 and does nothing. */
+  /** Answers 429; the call has no effect. */
   TOO_MANY,
-  /** Closes the connection and does nothing. */
+  /** Resets the connection; the call has no effect. */
   RESETS,
-  /** Answers nothing, does nothing, and never answers what waited. */
+  /** Never answers, not even pending watches; calls have no effect. */
   SILENT,
-  /** Does what is asked, and closes the connection without an answer. */
+  /** Executes the call and resets the connection without an answer. */
   LOSES_ANSWERS,
-  /** Does writes some seconds later and does not answer them; reads are well. */
+  /** Executes writes three seconds later without an answer; reads work. */
   LATE_WRITES,
-  /** Answers fifty times as slowly. */
+  /** Answers fifty times more slowly. */
   SLOW
 }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreModel.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreModel.java
@@ -11,37 +11,38 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the platform's store keeps: items with revisions, its history, leases, waiting watches.
+ * In-memory model of the platform's store: items with revisions, change history, leases and pending
+ * watches.
  *
- * <p>No network and no timers: {@link StorePort} carries calls to it, and calls {@link #expireDue}
- * now and then. Values are the base64 texts of the wire.
+ * <p>It has no network and no timers: {@link StorePort} maps calls to it and calls {@link
+ * #expireDue} periodically. Values are base64 as on the wire.
  */
 public final class StoreModel {
-  /** Most items of a page, as the platform's store has it. */
+  /** Maximum number of items in a page of the platform's store. */
   public static final int MAX_PAGE_ITEMS = 500;
 
   /**
-   * One item.
+   * An item of the store.
    *
-   * @param value base64 text, or null for a key that was removed
-   * @param createdRevision revision of its creation
-   * @param leaseId lease that it hangs on, 0 for none
+   * @param value base64 value, or null for a removed key
+   * @param createdRevision revision in which it was created
+   * @param leaseId lease that it is attached to, 0 for none
    */
   public record Item(
       String key, @Nullable String value, long revision, long createdRevision, long leaseId) {}
 
-  /** A page of items, or the changes that a watch brings. */
+  /** A page of items, or the changes that a watch returns. */
   public record Page(List<Item> items, boolean hasMore, long asOfRevision) {}
 
-  /** How a watch ends. */
+  /** The result of a watch. */
   public sealed interface WatchResult {
-    /** Changes, or none where the wait is over. */
+    /** Changes, or an empty page after the maximum wait. */
     record Changes(Page page) implements WatchResult {}
 
-    /** The history that was asked for is forgotten. */
+    /** The requested part of the history has been compacted. */
     record Compacted() implements WatchResult {}
 
-    /** The store ends the wait without an answer. */
+    /** The store aborts the watch without an answer. */
     record Aborted() implements WatchResult {}
   }
 
@@ -62,38 +63,38 @@
   private boolean areWatchesStalled;
 
   /**
-   * A store without items.
+   * Creates an empty store.
    *
-   * @param clock its time, in milliseconds
-   * @param maxPageItems most items of a page
+   * @param clock current time in milliseconds
+   * @param maxPageItems maximum number of items in a page
    */
   public StoreModel(LongSupplier clock, int maxPageItems) {
     this.clock = clock;
     this.maxPageItems = maxPageItems;
   }
 
-  /** Its revision. */
+  /** Returns the current revision. */
   public long revision() {
     return revision;
   }
 
-  /** The item of that key, or null. */
+  /** Returns the item with that key, or null. */
   public @Nullable Item find(String key) {
     return items.get(key);
   }
 
-  /** Keys that begin with {@code prefix}. */
+  /** Returns the keys that start with {@code prefix}. */
   public List<String> keys(String prefix) {
     return items.tailMap(prefix, true).keySet().stream()
         .takeWhile(key -> key.startsWith(prefix))
         .toList();
   }
 
-  /** Items after {@code after} whose keys begin with {@code prefix}. */
-  public Page range(String prefix, @Nullable String after) {
+  /** Returns a page of items whose keys start with {@code prefix} and follow {@code afterKey}. */
+  public Page range(String prefix, @Nullable String afterKey) {
     List<Item> page = new ArrayList<>();
-    boolean inclusive = after == null;
-    for (Item item : items.tailMap(inclusive ? prefix : after, inclusive).values()) {
+    boolean inclusive = afterKey == null;
+    for (Item item : items.tailMap(inclusive ? prefix : afterKey, inclusive).values()) {
       if (!item.key().startsWith(prefix)) {
         break;
       }
@@ -105,7 +106,7 @@
     return new Page(page, false, revision);
   }
 
-  /** Answers as soon as there is a change after revision {@code after}, or the wait is over. */
+  /** Completes with the first changes after {@code afterRevision}, or empty after the wait. */
   public void watch(
       String prefix, long afterRevision, long waitMillis, Consumer<WatchResult> onResult) {
     Watch watch = new Watch(prefix, afterRevision, clock.getAsLong() + waitMillis, onResult);
@@ -134,10 +135,14 @@
   /** Writes an item and returns the new revision. */
   public long put(String key, String value, long leaseId) {
     revision++;
-    Item before = items.get(key);
+    Item previous = items.get(key);
     Item item =
         new Item(
-            key, value, revision, before == null ? revision : before.createdRevision(), leaseId);
+            key,
+            value,
+            revision,
+            previous == null ? revision : previous.createdRevision(),
+            leaseId);
     items.put(key, item);
     recordChange(item);
     return revision;
@@ -157,38 +162,38 @@
     if (areWatchesStalled) {
       return;
     }
-    List<Watch> waiting = List.copyOf(watches);
+    List<Watch> pending = List.copyOf(watches);
     watches.clear();
-    for (Watch watch : waiting) {
+    for (Watch watch : pending) {
       if (!tryComplete(watch)) {
         watches.add(watch);
       }
     }
   }
 
-  /** Begins a lease and returns its number. */
+  /** Grants a lease and returns its id. */
   public long grantLease(long ttlMillis) {
     lastLeaseId++;
     leases.put(lastLeaseId, new Lease(ttlMillis, clock.getAsLong() + ttlMillis));
     return lastLeaseId;
   }
 
-  /** True where the lease lives. */
+  /** Returns whether the lease has not expired. */
   public boolean isLeaseAlive(long leaseId) {
     return leases.containsKey(leaseId);
   }
 
-  /** Renews a lease; false where it has ended. */
+  /** Renews a lease; returns false if it has ended. */
   public boolean renewLease(long leaseId) {
-    Lease known = leases.get(leaseId);
-    if (known == null) {
+    Lease lease = leases.get(leaseId);
+    if (lease == null) {
       return false;
     }
-    leases.put(leaseId, new Lease(known.ttlMillis(), clock.getAsLong() + known.ttlMillis()));
+    leases.put(leaseId, new Lease(lease.ttlMillis(), clock.getAsLong() + lease.ttlMillis()));
     return true;
   }
 
-  /** Ends a lease and removes what hangs on it. */
+  /** Ends a lease and removes its items. */
   public void revokeLease(long leaseId) {
     if (leases.remove(leaseId) == null) {
       return;
@@ -205,37 +210,37 @@
     List.copyOf(leases.keySet()).forEach(this::revokeLease);
   }
 
-  /** Lets all leases run from now, as the others do. */
+  /** Renews all leases for their full duration, as other stores do after an outage. */
   public void renewAllLeases() {
     leases.replaceAll(
         (id, lease) -> new Lease(lease.ttlMillis(), clock.getAsLong() + lease.ttlMillis()));
   }
 
-  /** Forgets the history; watches from before now are told so. */
+  /** Compacts the history up to the current revision; watches from earlier revisions fail. */
   public void compactHistory() {
     history.clear();
     compactedRevision = revision;
   }
 
-  /** Lets waiting watches hear nothing of what changes, until they are cut. */
+  /** Stops notifying watches of changes until {@link #abortWatches} is called. */
   public void stallWatches() {
     areWatchesStalled = true;
   }
 
-  /** Ends all waiting watches; those that come later hear everything. */
+  /** Aborts all pending watches and resumes notifying later ones. */
   public void abortWatches() {
     areWatchesStalled = false;
-    List<Watch> waiting = List.copyOf(watches);
+    List<Watch> pending = List.copyOf(watches);
     watches.clear();
-    waiting.forEach(watch -> watch.onResult().accept(new WatchResult.Aborted()));
+    pending.forEach(watch -> watch.onResult().accept(new WatchResult.Aborted()));
   }
 
-  /** Drops all waiting watches without an answer. */
+  /** Drops all pending watches; they are never answered. */
   public void dropWatches() {
     watches.clear();
   }
 
-  /** Ends leases and waits whose time is over. */
+  /** Ends leases and watches whose time has run out. */
   public void expireDue() {
     long now = clock.getAsLong();
     leases.entrySet().stream()
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/StorePort.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/StorePort.java
@@ -15,14 +15,14 @@
 import java.util.function.Predicate;
 import org.sageladder.forward.Loop;
 
-/** The platform's store on a port: carries calls to a {@link StoreModel}, and goes wrong. */
+/** Serves a {@link StoreModel} over the platform's HTTP protocol, with fault injection. */
 public final class StorePort {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final long ANSWER_DELAY_MILLIS = 4;
   private static final long SLOW_ANSWER_DELAY_MILLIS = 200;
   private static final long TICK_MILLIS = 50;
 
-  /** A write whose answer was lost is done that much later. */
+  /** Delay after which an unanswered write takes effect in {@link StoreFaultMode#LATE_WRITES}. */
   private static final long LATE_WRITE_DELAY_MILLIS = 3_000;
 
   private static final String KEEP_ALIVE_PATH = "/kv-keep/";
@@ -45,16 +45,17 @@
     this.model = model;
   }
 
-  /** Opens the port; {@code model} is called on the loop's thread only. */
+  /** Opens the port; {@code model} is only called on the loop's thread. */
   public static StorePort open(
       Loop loop, String host, int port, StoreModel model, ServerPort.OpenListener onOpen) {
     StorePort store = new StorePort(loop, model);
-    ServerPort.open(loop, host, port, (request, answer) -> store.handle(request, answer), onOpen);
+    ServerPort.open(
+        loop, host, port, (request, exchange) -> store.handle(request, exchange), onOpen);
     loop.scheduleAtFixedRate(TICK_MILLIS, store::tick);
     return store;
   }
 
-  /** From now on calls of callers whose IP number {@code hits} go wrong in that way. */
+  /** Injects a fault into calls from IP addresses that {@code affects} accepts. */
   public void setFault(StoreFaultMode mode, Predicate<String> affects) {
     if (mode == StoreFaultMode.SILENT) {
       model.dropWatches();
@@ -63,19 +64,19 @@
     isAffected = affects;
   }
 
-  /** All is well again. */
+  /** Ends the fault. */
   public void clearFault() {
     faultMode = StoreFaultMode.NONE;
   }
 
-  /** True where a report of the target with that IP number would be accepted now. */
+  /** Returns whether a report from the target at that IP address would be accepted now. */
   public boolean acceptsReports(String ip) {
     return faultMode == StoreFaultMode.NONE
         || faultMode == StoreFaultMode.SLOW
         || !isAffected.test(ip);
   }
 
-  /** Calls so far whose path begins so, refused ones among them. */
+  /** Returns the number of calls so far with that path prefix, including refused ones. */
   public int callCount(String pathPrefix) {
     return callCounts.entrySet().stream()
         .filter(entry -> entry.getKey().startsWith(pathPrefix))
@@ -93,9 +94,9 @@
     QueryStringDecoder query = new QueryStringDecoder(request.uri());
     byte[] body = ByteBufUtil.getBytes(request.content());
     callCounts.merge(query.path(), 1, Integer::sum);
-    StoreFaultMode kind = isAffected.test(exchange.callerIp()) ? faultMode : StoreFaultMode.NONE;
-    boolean write = query.path().equals("/kv-txn") || query.path().equals("/kv-lease");
-    switch (kind) {
+    StoreFaultMode mode = isAffected.test(exchange.callerIp()) ? faultMode : StoreFaultMode.NONE;
+    boolean isWrite = query.path().equals("/kv-txn") || query.path().equals("/kv-lease");
+    switch (mode) {
       case BUSY -> answer(exchange, Reply.empty(503), ANSWER_DELAY_MILLIS);
       case TOO_MANY -> answer(exchange, Reply.empty(429), ANSWER_DELAY_MILLIS);
       case RESETS -> exchange.reset();
@@ -107,7 +108,7 @@
         exchange.reset();
       }
       case LATE_WRITES -> {
-        if (write) {
+        if (isWrite) {
           var unused = loop.schedule(LATE_WRITE_DELAY_MILLIS, () -> execute(query, body));
           exchange.stopReading();
         } else {
@@ -120,7 +121,7 @@
   }
 
   private void serve(
-      ServerPort.Exchange exchange, QueryStringDecoder query, byte[] body, long millis) {
+      ServerPort.Exchange exchange, QueryStringDecoder query, byte[] body, long delayMillis) {
     if (query.path().equals("/kv-watch")) {
       model.watch(
           parameter(query, "prefix", ""),
@@ -130,19 +131,19 @@
             if (watched instanceof StoreModel.WatchResult.Aborted) {
               exchange.reset();
             } else {
-              answer(exchange, watchReply(watched), millis);
+              answer(exchange, watchReply(watched), delayMillis);
             }
           });
       return;
     }
-    answer(exchange, execute(query, body), millis);
+    answer(exchange, execute(query, body), delayMillis);
   }
 
-  private void answer(ServerPort.Exchange exchange, Reply reply, long millis) {
+  private void answer(ServerPort.Exchange exchange, Reply reply, long delayMillis) {
     byte[] text = reply.body().toString().getBytes(StandardCharsets.UTF_8);
     var unused =
         loop.schedule(
-            millis,
+            delayMillis,
             () ->
                 exchange.answer(reply.status(), Map.of("Content-Type", "application/json"), text));
   }
@@ -151,16 +152,18 @@
     String path = query.path();
     try {
       if (path.equals("/kv-range")) {
-        String after = parameter(query, "after", "");
+        String afterKey = parameter(query, "after", "");
         return pageReply(
-            "items", model.range(parameter(query, "prefix", ""), after.isEmpty() ? null : after));
+            "items",
+            model.range(parameter(query, "prefix", ""), afterKey.isEmpty() ? null : afterKey));
       }
       if (path.equals("/kv-lease")) {
         return grantLease(JSON.readTree(body));
       }
       if (path.startsWith(KEEP_ALIVE_PATH)) {
-        boolean lives = model.renewLease(Long.parseLong(path.substring(KEEP_ALIVE_PATH.length())));
-        return Reply.empty(lives ? 200 : 404);
+        boolean isAlive =
+            model.renewLease(Long.parseLong(path.substring(KEEP_ALIVE_PATH.length())));
+        return Reply.empty(isAlive ? 200 : 404);
       }
       if (path.startsWith(LEASE_END_PATH)) {
         model.revokeLease(Long.parseLong(path.substring(LEASE_END_PATH.length())));
@@ -175,8 +178,8 @@
   }
 
   private Reply grantLease(JsonNode body) {
-    String wanted = body.path("ttl_time").asText();
-    long millis = PlatformTexts.parseMillis(wanted);
+    String ttl = body.path("ttl_time").asText();
+    long millis = PlatformTexts.parseMillis(ttl);
     Reply reply = Reply.empty(200);
     reply.body().put("lease", model.grantLease(millis)).put("ttl_time", millis + "ms");
     return reply;
@@ -185,8 +188,8 @@
   private Reply transaction(JsonNode body) {
     for (JsonNode row : body.path("expected_rev")) {
       StoreModel.Item item = model.find(row.path("key").asText());
-      long known = item == null ? 0 : item.revision();
-      if (known != row.path("revision").asLong()) {
+      long current = item == null ? 0 : item.revision();
+      if (current != row.path("revision").asLong()) {
         return Reply.empty(412);
       }
     }
@@ -237,8 +240,8 @@
         .put("lease", item.leaseId());
   }
 
-  private static String parameter(QueryStringDecoder query, String name, String otherwise) {
+  private static String parameter(QueryStringDecoder query, String name, String defaultValue) {
     List<String> values = query.parameters().get(name);
-    return values == null ? otherwise : values.get(0);
+    return values == null ? defaultValue : values.get(0);
   }
 }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreStandIn.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreStandIn.java
@@ -5,19 +5,19 @@
 import org.sageladder.forward.Loop;
 
 /**
- * The platform's store on a loopback port and a thread of its own, to be driven from any thread.
+ * The platform's store on a loopback port with its own thread. Safe for use by several threads.
  *
  * <pre>{@code
  * try (StoreStandIn store = StoreStandIn.open()) {
  *   store.put("op/config", text);
- *   store.trouble(StoreTrouble.BUSY);
+ *   store.setFault(StoreFaultMode.BUSY);
  * }
  * }</pre>
  */
 public final class StoreStandIn implements AutoCloseable {
   private static final String HOST = "127.0.0.1";
 
-  /** Few items a page, so that readers have to ask for further ones. */
+  /** Small, so that readers have to request further pages. */
   private static final int MAX_PAGE_ITEMS = 3;
 
   private final Loop loop = Loop.start();
@@ -29,27 +29,27 @@
     port = StorePort.open(loop, HOST, 0, model, opened::complete);
   }
 
-  /** Opens it on a free port. */
+  /** Opens a store on a free port. */
   public static StoreStandIn open() {
     return new StoreStandIn();
   }
 
-  /** Its address. */
+  /** Returns the address of the port. */
   public String address() {
     return HOST + ':' + opened.join();
   }
 
-  /** From now on all calls go wrong in that way, or well again. */
+  /** Injects a fault into all calls; {@link StoreFaultMode#NONE} ends it. */
   public void setFault(StoreFaultMode mode) {
     runOnLoop(() -> port.setFault(mode, caller -> true));
   }
 
-  /** Calls so far whose path begins so. */
+  /** Returns the number of calls so far with that path prefix. */
   public int callCount(String pathPrefix) {
     return callOnLoop(() -> port.callCount(pathPrefix));
   }
 
-  /** True where there is an item of that key. */
+  /** Returns whether there is an item with that key. */
   public boolean containsKey(String key) {
     return callOnLoop(() -> model.find(key) != null);
   }
@@ -64,12 +64,12 @@
     runOnLoop(() -> model.remove(key));
   }
 
-  /** Forgets its history, so that watches from before now are told so. */
+  /** Compacts the history, so that watches from earlier revisions fail. */
   public void compactHistory() {
     runOnLoop(model::compactHistory);
   }
 
-  /** Ends all leases and removes what depends on them. */
+  /** Ends all leases and removes their items. */
   public void revokeLeases() {
     runOnLoop(model::revokeAllLeases);
   }
@@ -84,9 +84,9 @@
   }
 
   private <T> T callOnLoop(Supplier<T> call) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    loop.execute(() -> answer.complete(call.get()));
-    return answer.join();
+    CompletableFuture<T> result = new CompletableFuture<>();
+    loop.execute(() -> result.complete(call.get()));
+    return result.join();
   }
 
   @Override
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/TargetStandIn.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/TargetStandIn.java
@@ -15,39 +15,39 @@
 import org.sageladder.forward.Loop;
 
 /**
- * One start of a target: slots, a queue, a memory of objects, a cold start, and faults.
+ * One incarnation of a target with slots, a queue, an object cache, a cold start and faults.
  *
- * <p>Requests name their mean work in milliseconds in the last part of their path, as in {@code
- * /lots/640}. A path that contains {@code poison} crashes the target that begins to run it.
+ * <p>The last segment of a request's path is its mean run time in milliseconds, as in {@code
+ * /lots/640}. A path that contains {@code poison} crashes the target that starts to run it.
  */
 public final class TargetStandIn {
-  /** Faults of its answers. */
+  /** Faults of a target's answers. */
   public enum Fault {
-    /** None. */
+    /** No fault. */
     NONE,
-    /** Runs the request and closes the connection without an answer. */
+    /** Runs the request and resets the connection without an answer. */
     LOSES_ANSWER,
-    /** Breaks the answer off in its middle. */
+    /** Closes the connection in the middle of the answer. */
     CUTS_ANSWER,
-    /** Sends bytes that are no answer. */
+    /** Sends bytes that are not an HTTP response. */
     SPOILS_ANSWER,
     /** Sends a second answer after the first. */
     ANSWERS_TWICE,
-    /** Answers without a length; the end of the connection ends the answer. */
+    /** Answers without a length; closing the connection ends the answer. */
     UNFRAMED,
-    /** Fails with a status of its own. */
+    /** Answers with status 500. */
     FAILS
   }
 
   private static final double COLD_SERVICE_TIME_FACTOR = 2;
   private static final double SERVICE_TIME_JITTER_FRACTION = 0.15;
 
-  /** A cold target crashes where it gets that many times what it bears. */
+  /** A cold target crashes when arrivals exceed its cold rate by this factor. */
   private static final double CRASH_RATE_FACTOR = 4;
 
   private static final long SECOND_MILLIS = 1_000;
 
-  /** Time in which news of the store reaches the entry VMs that are in touch with it. */
+  /** Time within which a change in the store reaches connected entry VMs. */
   private static final long PROPAGATION_MILLIS = 1_000;
 
   private static final int PADDING_LENGTH = 400;
@@ -109,8 +109,9 @@
   /**
    * Starts a target on its port.
    *
-   * @param facts what it says of itself; cold for as long as they say, and known to be so
-   * @param crashProcess ends its process
+   * @param facts facts that the target reports; entry VMs are taken to know from the start how long
+   *     it is cold
+   * @param crashProcess ends the target's process
    */
   public static TargetStandIn start(
       Loop loop,
@@ -130,43 +131,43 @@
     return target;
   }
 
-  /** What it says of itself now. */
+  /** Returns the facts that the target reports now. */
   public TargetFacts facts() {
-    TargetFacts now = isDraining ? facts.asDraining() : facts;
-    return now.coldFor(Math.max(0, coldUntilMillis - loop.nowMillis()));
+    TargetFacts current = isDraining ? facts.asDraining() : facts;
+    return current.coldFor(Math.max(0, coldUntilMillis - loop.nowMillis()));
   }
 
-  /** Runs take that many times as long from now on. */
+  /** Sets the factor that is applied to run times. */
   public void setServiceTimeFactor(double factor) {
     serviceTimeFactor = factor;
   }
 
-  /** That share of the answers goes wrong from now on. */
+  /** Injects a fault into {@code fraction} of the answers. */
   public void setFault(Fault newFault, double fraction) {
     fault = newFault;
     faultFraction = fraction;
   }
 
-  /** Forgets all objects and is slow for a while, as after a start. */
+  /** Clears the cache and starts a cold phase, as after a start. */
   public void becomeCold() {
     cachedObjects.clear();
     coldUntilMillis = loop.nowMillis() + traits.coldMillis();
     coldKnownAtMillis = -1;
   }
 
-  /** The store has what {@link #facts} says; entry VMs hear of it a while later. */
+  /** Called when the store has the current {@link #facts}; entry VMs learn them a while later. */
   public void onFactsStored() {
     if (isCold() && coldKnownAtMillis < 0) {
       coldKnownAtMillis = loop.nowMillis() + PROPAGATION_MILLIS;
     }
   }
 
-  /** True where it is cold and entry VMs in touch can know it. */
+  /** Returns whether the target is cold and connected entry VMs can know it. */
   private boolean isKnownCold() {
     return isCold() && coldKnownAtMillis >= 0 && loop.nowMillis() >= coldKnownAtMillis;
   }
 
-  /** Says that it leaves; it goes on serving. */
+  /** Reports the target as draining; it continues to serve. */
   public void startDraining() {
     isDraining = true;
   }
@@ -176,9 +177,11 @@
   }
 
   private static long parseServiceMillis(String path) {
-    String plain = path.contains("?") ? path.substring(0, path.indexOf('?')) : path;
-    String last = plain.substring(plain.lastIndexOf('/') + 1);
-    return last.chars().allMatch(Character::isDigit) && !last.isEmpty() ? Long.parseLong(last) : 10;
+    String pathOnly = path.contains("?") ? path.substring(0, path.indexOf('?')) : path;
+    String lastSegment = pathOnly.substring(pathOnly.lastIndexOf('/') + 1);
+    return lastSegment.chars().allMatch(Character::isDigit) && !lastSegment.isEmpty()
+        ? Long.parseLong(lastSegment)
+        : 10;
   }
 
   private void handle(FullHttpRequest request, ServerPort.Exchange exchange) {
@@ -188,20 +191,20 @@
       return;
     }
     String id = headers.get("Request-Id", "");
-    long deadline = Long.parseLong(headers.get("Request-Deadline", "-1"));
-    boolean other = !headers.get("Expected-Instance", facts.id()).equals(facts.id());
-    boolean full = running.size() >= traits.slots() && queue.size() >= traits.maxQueueLength();
-    Ledger.Fate fate = full ? Ledger.Fate.REFUSED : Ledger.Fate.TAKEN;
-    Ledger.Fate seen = other ? Ledger.Fate.OTHER_TARGET : fate;
-    recordArrival(request, id, deadline, exchange, seen);
+    long remainingMillis = Long.parseLong(headers.get("Request-Deadline", "-1"));
+    boolean isOther = !headers.get("Expected-Instance", facts.id()).equals(facts.id());
+    boolean isFull = running.size() >= traits.slots() && queue.size() >= traits.maxQueueLength();
+    Ledger.Fate ownFate = isFull ? Ledger.Fate.REFUSED : Ledger.Fate.TAKEN;
+    Ledger.Fate fate = isOther ? Ledger.Fate.OTHER_TARGET : ownFate;
+    recordArrival(request, id, remainingMillis, exchange, fate);
     boolean keyShown = headers.contains("Authorization");
     ledger.recordDelivery(
-        new Ledger.Delivery(id, headers.get("Tenant", ""), keyShown, seen, loop.nowMillis()));
-    if (other) {
+        new Ledger.Delivery(id, headers.get("Tenant", ""), keyShown, fate, loop.nowMillis()));
+    if (isOther) {
       answer(exchange, 421, Map.of("Instance-Id", facts.id()), "");
       return;
     }
-    if (id.isEmpty() || full) {
+    if (id.isEmpty() || isFull) {
       refuse(exchange, id.isEmpty() ? 400 : 503, id);
       return;
     }
@@ -209,8 +212,8 @@
       crashProcess.run();
       return;
     }
-    long endsAt = deadline < 0 ? Long.MAX_VALUE : loop.nowMillis() + deadline;
-    Job job = new Job(id, affinityKey(headers, id), request.uri(), endsAt, exchange);
+    long deadlineMillis = remainingMillis < 0 ? Long.MAX_VALUE : loop.nowMillis() + remainingMillis;
+    Job job = new Job(id, affinityKey(headers, id), request.uri(), deadlineMillis, exchange);
     exchange.setOnDisconnect(() -> onCallerGone(job));
     queue.addLast(job);
     startQueued();
@@ -219,14 +222,14 @@
   private void recordArrival(
       FullHttpRequest request,
       String id,
-      long deadline,
+      long remainingMillis,
       ServerPort.Exchange exchange,
       Ledger.Fate fate) {
     String body = request.content().toString(StandardCharsets.UTF_8);
     boolean wellFormed =
         ledger
             .attempt(id)
-            .filter(asked -> asked.path().equals(request.uri()) && asked.body().equals(body))
+            .filter(sent -> sent.path().equals(request.uri()) && sent.body().equals(body))
             .isPresent();
     ledger.recordArrival(
         new Ledger.Arrival(
@@ -239,7 +242,7 @@
             loop.nowMillis(),
             fate,
             wellFormed,
-            deadline,
+            remainingMillis,
             isKnownCold()));
   }
 
@@ -272,22 +275,23 @@
   }
 
   private void startRun(Job job) {
-    boolean known = traits.cacheCapacity() > 0 && cachedObjects.containsKey(job.object);
+    boolean hadCached = traits.cacheCapacity() > 0 && cachedObjects.containsKey(job.object);
     job.run =
-        ledger.recordRunStart(job.id, facts.incarnation().toString(), known, loop.nowMillis());
+        ledger.recordRunStart(job.id, facts.incarnation().toString(), hadCached, loop.nowMillis());
     if (job.path.contains("poison")) {
       crashProcess.run();
       return;
     }
     running.add(job);
-    double millis = (double) job.meanServiceMillis * (known ? traits.cachedTimeFraction() : 1);
+    double millis = (double) job.meanServiceMillis * (hadCached ? traits.cachedTimeFraction() : 1);
     millis *=
         1 - SERVICE_TIME_JITTER_FRACTION + 2 * SERVICE_TIME_JITTER_FRACTION * random.nextDouble();
     millis *= isCold() ? COLD_SERVICE_TIME_FACTOR * serviceTimeFactor : serviceTimeFactor;
-    long most = Math.max(0, job.deadlineMillis - loop.nowMillis());
-    boolean inTime = millis <= most;
+    long maxMillis = Math.max(0, job.deadlineMillis - loop.nowMillis());
+    boolean inTime = millis <= maxMillis;
     var unused =
-        loop.schedule(Math.round(Math.min(millis, (double) most)), () -> finishRun(job, inTime));
+        loop.schedule(
+            Math.round(Math.min(millis, (double) maxMillis)), () -> finishRun(job, inTime));
   }
 
   private void finishRun(Job job, boolean inTime) {
@@ -314,29 +318,29 @@
   }
 
   private void sendAnswer(Job job, int status) {
-    Fault now = random.nextDouble() < faultFraction ? fault : Fault.NONE;
-    int given = now == Fault.FAILS ? 500 : status;
+    Fault drawn = random.nextDouble() < faultFraction ? fault : Fault.NONE;
+    int sentStatus = drawn == Fault.FAILS ? 500 : status;
     String body = "work " + job.id + " of " + facts.id() + ' ' + ".".repeat(PADDING_LENGTH);
     Ledger.Run run = job.run;
     if (run != null) {
-      run.recordEnd(loop.nowMillis(), given, body);
+      run.recordEnd(loop.nowMillis(), sentStatus, body);
     }
-    byte[] whole = answerText(given, job.id, body).getBytes(StandardCharsets.ISO_8859_1);
-    switch (now) {
+    byte[] answer = answerText(sentStatus, job.id, body).getBytes(StandardCharsets.ISO_8859_1);
+    switch (drawn) {
       case LOSES_ANSWER -> job.exchange.reset();
       case CUTS_ANSWER ->
-          job.exchange.writeRaw(java.util.Arrays.copyOf(whole, whole.length / 2), true);
+          job.exchange.writeRaw(java.util.Arrays.copyOf(answer, answer.length / 2), true);
       case SPOILS_ANSWER ->
           job.exchange.writeRaw(
               "\u0001\u0002 no answer\r\n\r\n".getBytes(StandardCharsets.UTF_8), true);
       case ANSWERS_TWICE -> {
-        job.exchange.writeRaw(whole, false);
-        job.exchange.writeRaw(whole.clone(), false);
+        job.exchange.writeRaw(answer, false);
+        job.exchange.writeRaw(answer.clone(), false);
       }
       case UNFRAMED ->
           job.exchange.writeRaw(
-              unframedAnswerText(given, job.id, body).getBytes(StandardCharsets.UTF_8), true);
-      default -> job.exchange.writeRaw(whole, false);
+              unframedAnswerText(sentStatus, job.id, body).getBytes(StandardCharsets.UTF_8), true);
+      default -> job.exchange.writeRaw(answer, false);
     }
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/TargetTraits.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/TargetTraits.java
@@ -1,15 +1,15 @@
 package org.sageladder.standin.platform;
 
 /**
- * What a service's targets are like.
+ * Capacity and timing of a service's targets.
  *
- * @param slots requests that run at once
- * @param maxQueueLength requests that wait for a slot; further ones are refused
- * @param cacheCapacity objects that a target remembers, the latest ones
- * @param cachedTimeFraction part of the work that a run of a remembered object takes
- * @param coldMillis time for which a target that has started is slow
- * @param coldRequestsPerSecond requests a second that it bears meanwhile
- * @param idleTimeoutMillis idle connections are closed after this time
+ * @param slots number of requests that run at the same time
+ * @param maxQueueLength number of requests that may wait for a slot; further ones are refused
+ * @param cacheCapacity number of most recently used objects that a target caches
+ * @param cachedTimeFraction run time for a cached object as a fraction of the uncached one
+ * @param coldMillis time after its start during which a target is slow
+ * @param coldRequestsPerSecond request rate that a cold target can handle
+ * @param idleTimeoutMillis keep-alive timeout that targets announce for idle connections
  */
 public record TargetTraits(
     int slots,
@@ -19,7 +19,7 @@
     long coldMillis,
     double coldRequestsPerSecond,
     long idleTimeoutMillis) {
-  /** Targets as the users have them. */
+  /** Returns the traits of the users' targets. */
   public static TargetTraits standard() {
     return new TargetTraits(3, 9, 25, 0.3, 3_000, 3.1, 10_000);
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreCall.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreCall.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 import org.sageladder.platform.store.StoreMessages;
 
-/** Kinds of calls that the platform counts. */
+/** Kinds of calls that the store counts. */
 enum StoreCall {
   READ("read", StoreMessages.VALUE, false),
   LIST("list", StoreMessages.VALUES, false),
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreFaults.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreFaults.java
@@ -1,16 +1,17 @@
 package org.sageladder.standin.store;
 
 /**
- * What is wrong with the store; all zero is a healthy one.
+ * Faults injected into the store; {@link #none} is a healthy store.
  *
  * @param slowMillis delay before each call takes effect
- * @param down true: every call is refused with status 503 and has no effect
- * @param hang true: no call is answered and none has an effect
- * @param loseAnswers next so many writes take effect and their connection is cut without an answer
- * @param loseRequests next so many writes have no effect and their connection is cut
- * @param loseProbability share of writes that take effect and get no answer, 0 to 1
- * @param seed seed of the draw for {@code loseProbability}
- * @param vmListLagMillis how long after a change the list of VMs shows it
+ * @param down whether every call is refused with status 503 and has no effect
+ * @param hang whether every call stays unanswered and has no effect
+ * @param loseAnswers number of next writes that take effect and whose connection is closed without
+ *     an answer
+ * @param loseRequests number of next writes that have no effect and whose connection is closed
+ * @param loseProbability fraction of writes that take effect and get no answer, 0 to 1
+ * @param seed seed of the random generator for {@code loseProbability}
+ * @param vmListLagMillis delay after which the list of VMs shows a change
  */
 public record StoreFaults(
     long slowMillis,
@@ -22,10 +23,11 @@
     long seed,
     long vmListLagMillis) {
 
-  /** Rejects values out of range. */
+  /** Validates the ranges. */
   public StoreFaults {
     if (slowMillis < 0 || loseAnswers < 0 || loseRequests < 0 || vmListLagMillis < 0) {
-      throw new IllegalArgumentException("a fault is negative; expected 0 or more");
+      throw new IllegalArgumentException(
+          "slowMillis, loseAnswers, loseRequests and vmListLagMillis: expected 0 or more");
     }
     if (!(loseProbability >= 0 && loseProbability <= 1)) {
       throw new IllegalArgumentException(
@@ -33,18 +35,18 @@
     }
   }
 
-  /** A healthy store. */
+  /** Returns no faults. */
   public static StoreFaults none() {
     return new StoreFaults(0, false, false, 0, 0, 0, 0, 0);
   }
 
-  /** The same faults with every call delayed. */
+  /** Returns a copy with every call delayed by {@code millis}. */
   public StoreFaults withSlowMillis(long millis) {
     return new StoreFaults(
         millis, down, hang, loseAnswers, loseRequests, loseProbability, seed, vmListLagMillis);
   }
 
-  /** The same faults with every call refused, or not. */
+  /** Returns a copy in which every call is refused or not. */
   public StoreFaults withDown(boolean isDown) {
     return new StoreFaults(
         slowMillis,
@@ -57,7 +59,7 @@
         vmListLagMillis);
   }
 
-  /** The same faults with every call left unanswered, or not. */
+  /** Returns a copy in which every call is left unanswered or not. */
   public StoreFaults withHang(boolean isHanging) {
     return new StoreFaults(
         slowMillis,
@@ -70,25 +72,25 @@
         vmListLagMillis);
   }
 
-  /** The same faults with the answers of the next {@code writes} writes lost. */
+  /** Returns a copy that loses the answers of the next {@code writes} writes. */
   public StoreFaults withLoseAnswers(int writes) {
     return new StoreFaults(
         slowMillis, down, hang, writes, loseRequests, loseProbability, seed, vmListLagMillis);
   }
 
-  /** The same faults with the next {@code writes} writes lost before they take effect. */
+  /** Returns a copy that loses the next {@code writes} writes before they take effect. */
   public StoreFaults withLoseRequests(int writes) {
     return new StoreFaults(
         slowMillis, down, hang, loseAnswers, writes, loseProbability, seed, vmListLagMillis);
   }
 
-  /** The same faults with each write's answer lost with {@code probability}. */
+  /** Returns a copy that loses the answer of each write with {@code probability}. */
   public StoreFaults withLoseProbability(double probability, long drawSeed) {
     return new StoreFaults(
         slowMillis, down, hang, loseAnswers, loseRequests, probability, drawSeed, vmListLagMillis);
   }
 
-  /** The same faults with a list of VMs that lags. */
+  /** Returns a copy in which the list of VMs lags by {@code millis}. */
   public StoreFaults withVmListLagMillis(long millis) {
     return new StoreFaults(
         slowMillis, down, hang, loseAnswers, loseRequests, loseProbability, seed, millis);
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreMain.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreMain.java
@@ -10,19 +10,19 @@
 import org.apache.commons.cli.ParseException;
 import org.sageladder.standin.fault.FaultScript;
 
-/** Runs the store stand-in until it is ended; prints its address once it listens. */
+/** Runs the store stand-in until it is stopped; prints its address once it listens. */
 public final class StoreMain {
   private static final Options OPTIONS =
       new Options()
-          .addOption(null, "host", true, "IP number to listen on")
-          .addOption(null, "port", true, "TCP port, 0 for any free one")
-          .addOption(null, "script", true, "JSON file of faults and their times");
+          .addOption(null, "host", true, "IP address to listen on")
+          .addOption(null, "port", true, "TCP port, 0 for a free one")
+          .addOption(null, "script", true, "JSON file with timed faults");
 
   private StoreMain() {}
 
   /**
-   * Takes {@code --host IP} (default 127.0.0.1), {@code --port PORT} (default 0: any free) and
-   * {@code --script FILE} (default none).
+   * Accepts {@code --host IP} (default 127.0.0.1), {@code --port PORT} (default 0, a free port) and
+   * {@code --script FILE} (no default).
    */
   public static void main(String[] args) throws IOException, InterruptedException {
     CommandLine line;
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreServer.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreServer.java
@@ -26,18 +26,18 @@
 import org.sageladder.standin.http.JsonServer;
 
 /**
- * The platform's key-value service and list of VMs as one process on loopback.
+ * A server for the platform's key-value service and its list of VMs.
  *
  * <pre>{@code
  * try (StoreServer server = StoreServer.start("127.0.0.1", 0);
  *     HttpStore store = HttpStore.connect(server.address(), Duration.ofSeconds(2))) {
- *   server.faults(StoreFaults.none().loseAnswers(1));
- *   // the next write takes effect, and its caller sees StoreException.OutcomeUnknown
+ *   server.setFaults(StoreFaults.none().withLoseAnswers(1));
+ *   // the next write takes effect, and its caller gets StoreException.OutcomeUnknown
  * }
  * }</pre>
  *
- * <p>{@code /admin/faults}, {@code /admin/counts} and {@code /admin/vms/<id>} stay reachable during
- * every fault and are not counted.
+ * <p>{@code /admin/faults}, {@code /admin/counts} and {@code /admin/vms/<id>} are not affected by
+ * faults and not counted.
  */
 public final class StoreServer implements AutoCloseable {
   private static final long TICK_MILLIS = 20;
@@ -71,32 +71,32 @@
         timer.scheduleWithFixedDelay(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** An empty store that listens on {@code port} of {@code host}; 0 picks a free port. */
+  /** Starts an empty store on {@code port} of {@code host}; 0 picks a free port. */
   public static StoreServer start(String host, int port) throws IOException {
     return start(host, port, TimeSource.system());
   }
 
-  /** An empty store whose leases, watches and list of VMs go by {@code time}. */
+  /** Starts an empty store whose leases, watches and list of VMs use {@code time}. */
   public static StoreServer start(String host, int port, TimeSource time) throws IOException {
     return new StoreServer(host, port, time);
   }
 
-  /** The port that callers connect to. */
+  /** Returns the port that it listens on. */
   public int port() {
     return server.port();
   }
 
-  /** What callers pass to {@code HttpStore.connect}. */
+  /** Returns the address to pass to {@code HttpStore.connect}. */
   public URI address() {
     return URI.create("http://" + host + ":" + port());
   }
 
-  /** The state behind the server, for tests that look past the faults. */
+  /** Returns the state behind the server, for tests that bypass the faults. */
   public StoreState state() {
     return state;
   }
 
-  /** Replaces all faults; calls under way keep the old ones. */
+  /** Replaces all faults; calls in progress keep the previous ones. */
   public void setFaults(StoreFaults next) {
     synchronized (faultLock) {
       faults = next;
@@ -105,26 +105,26 @@
     vms.setLag(Duration.ofMillis(next.vmListLagMillis()));
   }
 
-  /** The faults in force, with what is left of the counted ones. */
+  /** Returns the current faults, with the remaining numbers of the counted ones. */
   public StoreFaults faults() {
     synchronized (faultLock) {
       return faults;
     }
   }
 
-  /** Calls received since the start by kind, refused and lost ones among them. */
+  /** Returns the number of calls since the start by kind, including refused and lost ones. */
   public Map<String, Long> counts() {
     Map<String, Long> result = new TreeMap<>();
     counts.forEach((kind, count) -> result.put(kind, count.sum()));
     return result;
   }
 
-  /** Adds a VM to the platform's list, or replaces the one with its id. */
+  /** Adds a VM to the list, or replaces the one with the same id. */
   public void putVm(ListedVm vm) {
     vms.put(vm);
   }
 
-  /** Takes a VM off the platform's list. */
+  /** Removes a VM from the list. */
   public void removeVm(String id) {
     vms.remove(id);
   }
@@ -149,18 +149,18 @@
       return completed(Reply.json(404, Map.of("error", "no such path: " + call.path())));
     }
     counts.computeIfAbsent(kind.label(), ignored -> new LongAdder()).increment();
-    CallFaults fate = drawFaults(kind);
-    if (fate.hangs) {
+    CallFaults callFaults = drawFaults(kind);
+    if (callFaults.hangs) {
       return new CompletableFuture<>();
     }
-    if (fate.slowMillis == 0) {
-      return execute(kind, call, fate);
+    if (callFaults.slowMillis == 0) {
+      return execute(kind, call, callFaults);
     }
     CompletableFuture<Reply> later = new CompletableFuture<>();
     ScheduledFuture<?> unused =
         timer.schedule(
-            () -> complete(later, execute(kind, call, fate)),
-            fate.slowMillis,
+            () -> complete(later, execute(kind, call, callFaults)),
+            callFaults.slowMillis,
             TimeUnit.MILLISECONDS);
     return later;
   }
@@ -174,26 +174,26 @@
 
   private CallFaults drawFaults(StoreCall kind) {
     synchronized (faultLock) {
-      boolean open = kind.isWrite() && !faults.down() && !faults.hang();
-      boolean loseRequest = open && faults.loseRequests() > 0;
-      boolean loseAnswer = open && !loseRequest && faults.loseAnswers() > 0;
+      boolean isEligible = kind.isWrite() && !faults.down() && !faults.hang();
+      boolean loseRequest = isEligible && faults.loseRequests() > 0;
+      boolean loseAnswer = isEligible && !loseRequest && faults.loseAnswers() > 0;
       if (loseRequest) {
         faults = faults.withLoseRequests(faults.loseRequests() - 1);
       }
       if (loseAnswer) {
         faults = faults.withLoseAnswers(faults.loseAnswers() - 1);
       }
-      boolean drawn = open && random.nextDouble() < faults.loseProbability();
+      boolean isDrawn = isEligible && random.nextDouble() < faults.loseProbability();
       return new CallFaults(
-          faults.slowMillis(), faults.down(), faults.hang(), loseRequest, loseAnswer || drawn);
+          faults.slowMillis(), faults.down(), faults.hang(), loseRequest, loseAnswer || isDrawn);
     }
   }
 
-  private CompletableFuture<Reply> execute(StoreCall kind, Call call, CallFaults fate) {
-    if (fate.isDown) {
+  private CompletableFuture<Reply> execute(StoreCall kind, Call call, CallFaults callFaults) {
+    if (callFaults.isDown) {
       return completed(Reply.json(503, Map.of("error", "the store is down")));
     }
-    if (fate.losesRequest) {
+    if (callFaults.losesRequest) {
       return completed(Reply.closeConnection());
     }
     CompletableFuture<Reply> reply;
@@ -205,7 +205,7 @@
     if (kind.isWrite()) {
       watches.deliver();
     }
-    return fate.losesAnswer ? completed(Reply.closeConnection()) : reply;
+    return callFaults.losesAnswer ? completed(Reply.closeConnection()) : reply;
   }
 
   private CompletableFuture<Reply> apply(StoreCall kind, Call call) throws IOException {
@@ -234,9 +234,9 @@
   }
 
   private CompletableFuture<Reply> watch(Call call) {
-    long after = Long.parseLong(call.query("after", "0"));
+    long afterRevision = Long.parseLong(call.query("after", "0"));
     Duration wait = Duration.ofMillis(Long.parseLong(call.query("waitMillis", "0")));
-    CompletableFuture<WatchBatch> batch = watches.await(prefix(call), after, wait);
+    CompletableFuture<WatchBatch> batch = watches.await(prefix(call), afterRevision, wait);
     return batch.thenApply(result -> Reply.json(200, result));
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreState.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreState.java
@@ -18,16 +18,16 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * The store's values and leases in memory, with no I/O.
+ * The store's values and leases in memory, without I/O.
  *
- * <p>One revision counts all writes, the deletes among them. Ended leases take effect at the next
- * call or {@link #expireLeases}. Safe for use by several threads; one lock guards everything.
+ * <p>A single revision counts all writes, including deletes. Expired leases take effect at the next
+ * call or at {@link #expireLeases}. Thread-safe: one lock guards all state.
  */
 public final class StoreState {
-  /** Largest value in bytes. */
+  /** Maximum size of a value. */
   public static final int MAX_VALUE_BYTES = 1 << 20;
 
-  /** Longest key in characters. */
+  /** Maximum length of a key. */
   public static final int MAX_KEY_CHARS = 512;
 
   private final TimeSource time;
@@ -42,7 +42,7 @@
     this.time = time;
   }
 
-  /** An empty store at revision 0. */
+  /** Creates an empty store at revision 0. */
   public static StoreState create(TimeSource time) {
     return new StoreState(time);
   }
@@ -60,13 +60,13 @@
     }
   }
 
-  /** The value under {@code key}. */
+  /** Returns the value of {@code key}. */
   public synchronized Optional<StoredValue> read(String key) {
     expireLeases();
     return Optional.ofNullable(entries.get(key)).map(Entry::value);
   }
 
-  /** All values whose key starts with {@code prefix}, ordered by key. */
+  /** Returns all values whose keys start with {@code prefix}, ordered by key. */
   public synchronized List<StoredValue> list(String prefix) {
     expireLeases();
     List<StoredValue> values = new ArrayList<>();
@@ -80,9 +80,9 @@
   }
 
   /**
-   * Writes if the key still has {@code expected}; 0 means that it must not exist.
+   * Writes the value if the key has the expected revision; 0 means that it must not exist.
    *
-   * @throws IllegalArgumentException for a key or value out of range and for an ended lease
+   * @throws IllegalArgumentException if the key or value is out of range, or the lease has ended
    */
   public synchronized WriteResult compareAndSet(
       String key, long expectedRevision, byte[] value, @Nullable Long lease) {
@@ -104,7 +104,7 @@
     return new WriteResult.Written(written.revision());
   }
 
-  /** Deletes if the key still has {@code expected}. */
+  /** Deletes the key if it has the expected revision. */
   public synchronized WriteResult compareAndDelete(String key, long expectedRevision) {
     expireLeases();
     Entry old = entries.get(key);
@@ -115,7 +115,7 @@
     return new WriteResult.Written(delete(key));
   }
 
-  /** Opens a lease and returns its id, at least 1. */
+  /** Grants a lease and returns its id, at least 1. */
   public synchronized long grantLease(Duration timeToLive) {
     if (timeToLive.isZero() || timeToLive.isNegative()) {
       throw new IllegalArgumentException("lease of " + timeToLive + ": expected above 0");
@@ -127,7 +127,7 @@
     return id;
   }
 
-  /** Renews a lease; false where it has ended. */
+  /** Renews a lease; returns false if it has ended. */
   public synchronized boolean keepAlive(long id) {
     expireLeases();
     Lease lease = leases.get(id);
@@ -138,7 +138,7 @@
     return true;
   }
 
-  /** Ends a lease and deletes its keys; false where it had ended before. */
+  /** Ends a lease and deletes its keys; returns false if it had already ended. */
   public synchronized boolean revokeLease(long id) {
     expireLeases();
     Lease lease = leases.remove(id);
@@ -149,7 +149,7 @@
     return true;
   }
 
-  /** Ends the leases whose time is over. */
+  /** Ends the leases that have expired and deletes their keys. */
   public synchronized void expireLeases() {
     long now = time.nanos();
     Iterator<Lease> all = leases.values().iterator();
@@ -162,7 +162,7 @@
     }
   }
 
-  /** The latest change of each key under {@code prefix} after {@code afterRevision}. */
+  /** Returns the latest change of each key under {@code prefix} after {@code afterRevision}. */
   public synchronized WatchBatch changes(String prefix, long afterRevision) {
     expireLeases();
     List<StoredValue> changed = new ArrayList<>();
@@ -181,7 +181,7 @@
     return new WatchBatch(changed, deleted, Math.max(afterRevision, revision));
   }
 
-  /** The revision of the latest write, 0 where there was none. */
+  /** Returns the revision of the latest write, 0 if there was none. */
   public synchronized long revision() {
     return revision;
   }
@@ -220,9 +220,9 @@
   }
 
   private long assignRevision(String key) {
-    Long before = revisionByKey.put(key, ++revision);
-    if (before != null) {
-      keyByRevision.remove(before);
+    Long previousRevision = revisionByKey.put(key, ++revision);
+    if (previousRevision != null) {
+      keyByRevision.remove(previousRevision);
     }
     keyByRevision.put(revision, key);
     return revision;
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/VmTable.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/VmTable.java
@@ -27,7 +27,7 @@
 
   private record Change(long changedAtNanos, String id, @Nullable ListedVm vm) {}
 
-  /** From now on a change shows {@code lag} after it was made. */
+  /** Sets the delay after which a change becomes visible. */
   synchronized void setLag(Duration lag) {
     lagNanos = lag.toNanos();
   }
@@ -40,7 +40,7 @@
     pending.add(new Change(time.nanos(), id, null));
   }
 
-  /** The list as callers see it now, ordered by id. */
+  /** Returns the list as callers see it now, ordered by id. */
   synchronized List<ListedVm> visibleVms() {
     long now = time.nanos();
     while (!pending.isEmpty() && pending.peek().changedAtNanos() + lagNanos - now <= 0) {
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/WatchTable.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/WatchTable.java
@@ -8,9 +8,7 @@
 import org.sageladder.core.store.WatchBatch;
 import org.sageladder.core.time.TimeSource;
 
-/**
- * Watches that wait for a change. Locks: this table's, then the state's; answers go out unlocked.
- */
+/** Pending watches. Lock order: this table, then the state; answers are sent without a lock. */
 final class WatchTable {
   private final StoreState state;
   private final TimeSource time;
@@ -33,7 +31,7 @@
 
   private record CompletedWatch(Watch watch, WatchBatch batch) {}
 
-  /** Completes with the first changes, or with an empty batch once {@code wait} is over. */
+  /** Returns a future of the first changes, or of an empty batch after {@code wait}. */
   CompletableFuture<WatchBatch> await(String prefix, long afterRevision, Duration wait) {
     Watch watch =
         new Watch(prefix, afterRevision, time.nanos() + wait.toNanos(), new CompletableFuture<>());
@@ -44,7 +42,7 @@
     return watch.result();
   }
 
-  /** Answers the watches that have something to tell or have waited long enough. */
+  /** Completes the watches that have changes or whose wait has run out. */
   void deliver() {
     List<CompletedWatch> due = new ArrayList<>();
     synchronized (this) {
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/AnswerPattern.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/AnswerPattern.java
@@ -3,8 +3,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * The bytes of an answer's body, worked out from a seed, so that a body of any size is made and
- * checked without being held.
+ * Generates the bytes of an answer's body from a seed, so that a body of any size can be produced
+ * and verified without being buffered.
  *
  * <pre>{@code
  * AnswerPattern.Checker checker = AnswerPattern.checker(checksumOfMyRequest);
@@ -17,20 +17,20 @@
 
   private AnswerPattern() {}
 
-  /** The byte at {@code position}, counted from 0, of the body with {@code seed}. */
+  /** Returns the byte at the zero-based {@code position} of the body for {@code seed}. */
   public static byte byteAt(long seed, long position) {
     return (byte) (splitMix64(seed, position >>> 3) >>> (8 * (position & 7)));
   }
 
-  /** Fills the space left in {@code target} with the bytes from {@code position} on. */
+  /** Fills the rest of {@code buffer} with the bytes from {@code position}. */
   public static void fill(long seed, long position, ByteBuffer buffer) {
-    long at = position;
+    long next = position;
     while (buffer.hasRemaining()) {
-      buffer.put(byteAt(seed, at++));
+      buffer.put(byteAt(seed, next++));
     }
   }
 
-  /** Checks a body piece by piece. */
+  /** Creates a checker that verifies a body piece by piece. */
   public static Checker checker(long seed) {
     return new Checker(seed);
   }
@@ -42,7 +42,7 @@
     return z ^ (z >>> 31);
   }
 
-  /** Compares pieces with the pattern as they come; for one thread. */
+  /** Compares the pieces of a body with the pattern. Not thread-safe. */
   public static final class Checker {
     private final long seed;
     private long position;
@@ -52,19 +52,19 @@
       this.seed = seed;
     }
 
-    /** Takes the next piece and empties it. */
+    /** Consumes the next piece. */
     public void add(ByteBuffer piece) {
       while (piece.hasRemaining()) {
         matches &= piece.get() == byteAt(seed, position++);
       }
     }
 
-    /** Bytes seen so far. */
+    /** Returns the number of bytes consumed so far. */
     public long length() {
       return position;
     }
 
-    /** True while every byte was the pattern's. */
+    /** Returns whether every byte so far matches the pattern. */
     public boolean matches() {
       return matches;
     }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/Executions.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/Executions.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * How often each request was started, so that tests can prove that none ran twice.
+ * Counts the starts of each request, so that tests can verify at-most-once execution.
  *
- * <p>Outlives a crash of the target: a repeat after a restart counts as the second run.
+ * <p>The counts survive a crash of the target: a repeat after a restart counts as a second run.
  */
 public final class Executions {
   private final Map<String, Integer> startsByKey = new ConcurrentHashMap<>();
@@ -23,24 +23,24 @@
     startsByKey.merge(key, 1, Integer::sum);
   }
 
-  /** Starts of the request with that key. */
+  /** Returns the number of starts of the request with that key. */
   public int count(String key) {
     return startsByKey.getOrDefault(key, 0);
   }
 
-  /** Keys of all requests that were started. */
+  /** Returns the keys of all requests that were started. */
   public Set<String> keys() {
     return Set.copyOf(startsByKey.keySet());
   }
 
-  /** Keys started more than once, with the number of starts. */
+  /** Returns the keys that were started more than once, with their number of starts. */
   public Map<String, Integer> repeated() {
     Map<String, Integer> repeated = new TreeMap<>(startsByKey);
     repeated.values().removeIf(count -> count < 2);
     return repeated;
   }
 
-  /** Starts of all requests together. */
+  /** Returns the total number of starts. */
   public long total() {
     return startsByKey.values().stream().mapToLong(Integer::longValue).sum();
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/ServiceTime.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/ServiceTime.java
@@ -2,32 +2,35 @@
 
 import java.util.SplittableRandom;
 
-/** How long a target works on one request, in nanoseconds, drawn from a seeded generator. */
+/** A distribution of the time that a target takes to run a request. */
 @FunctionalInterface
 public interface ServiceTime {
-  /** Draws one time, at least 0. */
+  /** Draws a service time in nanoseconds, at least 0. */
   long drawNanos(SplittableRandom random);
 
-  /** Always {@code millis}. */
+  /** Returns a constant service time. */
   static ServiceTime fixed(double millis) {
     long nanos = nanos(millis);
     return random -> nanos;
   }
 
-  /** Exponential with that mean. */
+  /** Returns an exponential distribution with the given mean. */
   static ServiceTime exponential(double meanMillis) {
     long mean = nanos(meanMillis);
     return random -> (long) (-Math.log(1 - random.nextDouble()) * mean);
   }
 
-  /** Log-normal with that mean; {@code sigma} is the deviation of the logarithm. */
+  /**
+   * Returns a log-normal distribution with the given mean; {@code sigma} is the standard deviation
+   * of the logarithm.
+   */
   static ServiceTime logNormal(double meanMillis, double sigma) {
     double mu = Math.log((double) nanos(meanMillis)) - sigma * sigma / 2;
     return random -> (long) Math.exp(mu + sigma * gaussian(random));
   }
 
   /**
-   * Reads {@code fixed:MILLIS}, {@code exponential:MEAN} or {@code lognormal:MEAN:SIGMA}.
+   * Parses {@code fixed:MILLIS}, {@code exponential:MEAN} or {@code lognormal:MEAN:SIGMA}.
    *
    * @throws IllegalArgumentException for any other text
    */
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/SlotTable.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/SlotTable.java
@@ -8,9 +8,9 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * Slots, the short queue before them and the reports about them, with no I/O.
+ * Slots of a target, the queue in front of them and the load reports, without I/O.
  *
- * <p>Safe for use by several threads; one lock guards everything, and no work is started under it.
+ * <p>Thread-safe: one lock guards all state, and no work is started while it is held.
  */
 final class SlotTable {
   private final TargetOptions options;
@@ -37,14 +37,14 @@
     return new SlotTable(options, time);
   }
 
-  /** What a target says of itself at {@code /load}. */
+  /** The load that a target reports at {@code /load}. */
   record Load(int slots, int busy, int queued, boolean draining, long incarnation) {}
 
   private record LoadSample(long atNanos, Load load) {}
 
   private record QueuedWork(Runnable start, long deadlineNanos) {}
 
-  /** What becomes of a request that has fully arrived. */
+  /** The decision on a request that has been received completely. */
   enum Decision {
     STARTED(""),
     QUEUED(""),
@@ -68,8 +68,9 @@
   }
 
   /**
-   * Takes a slot, a place in the queue, or neither. With {@link Decision#STARTED} the caller runs
-   * the work; with {@link Decision#QUEUED} {@code start} is returned by a later {@link #release}.
+   * Takes a slot or a place in the queue, or refuses the request. With {@link Decision#STARTED} the
+   * caller runs the work itself; with {@link Decision#QUEUED} a later {@link #release} returns
+   * {@code start}.
    */
   synchronized Decision offer(Runnable start, long deadlineNanos) {
     if (isDraining) {
@@ -94,16 +95,19 @@
     return Decision.QUEUED;
   }
 
-  /** Takes waiting work back; false where it has been started or was never queued. */
+  /** Removes queued work; returns false if it has been started or was never queued. */
   synchronized boolean removeQueued(Runnable start) {
-    boolean removed = queuedWork.removeIf(waiting -> waiting.start() == start);
+    boolean removed = queuedWork.removeIf(queued -> queued.start() == start);
     if (removed) {
       recordLoad();
     }
     return removed;
   }
 
-  /** Frees a slot of {@code ofIncarnation}; returns queued work that now has the slot. */
+  /**
+   * Releases a slot of {@code ofIncarnation}; returns queued work that now holds the slot, or null.
+   * A slot of an earlier incarnation is ignored.
+   */
   synchronized @Nullable Runnable release(long ofIncarnation) {
     if (ofIncarnation != incarnation) {
       return null;
@@ -116,15 +120,15 @@
     return next == null ? null : next.start();
   }
 
-  /** Draws the time that the next request holds its slot. */
+  /** Draws the time that the next request holds its slot, with faults and cold start applied. */
   synchronized long drawServiceNanos() {
     double factor = faults.slowFactor() * coldStartFactor();
-    long late = random.nextDouble() < faults.lateProbability() ? faults.lateMillis() : 0;
-    long usual = options.serviceTime().drawNanos(random);
-    return (long) (usual * factor) + Duration.ofMillis(late).toNanos();
+    long extraMillis = random.nextDouble() < faults.lateProbability() ? faults.lateMillis() : 0;
+    long baseNanos = options.serviceTime().drawNanos(random);
+    return (long) (baseNanos * factor) + Duration.ofMillis(extraMillis).toNanos();
   }
 
-  /** Draws whether the next answer is cut midway. */
+  /** Draws whether the next answer is truncated. */
   synchronized boolean drawTruncation() {
     return random.nextDouble() < faults.truncateProbability();
   }
@@ -134,7 +138,7 @@
     recordLoad();
   }
 
-  /** Forgets all work and starts as a new incarnation. */
+  /** Drops all work and starts a new incarnation. */
   synchronized void restart() {
     queuedWork.clear();
     busySlots = 0;
@@ -156,26 +160,27 @@
     return faults;
   }
 
-  /** The truth about this target now. */
+  /** Returns the actual load, regardless of faults. */
   synchronized Load load() {
     return new Load(options.slots(), busySlots, queuedWork.size(), isDraining, incarnation);
   }
 
-  /** The load as the faults let it be seen. */
+  /** Returns the load as reported, with the faults applied. */
   synchronized Load reportedLoad() {
     long cutoff = time.nanos() - Duration.ofMillis(faults.loadLagMillis()).toNanos();
-    Load seen = loadSamples.getFirst().load();
-    for (LoadSample reading : loadSamples) {
-      if (reading.atNanos() - cutoff > 0) {
+    Load visible = loadSamples.getFirst().load();
+    for (LoadSample sample : loadSamples) {
+      if (sample.atNanos() - cutoff > 0) {
         break;
       }
-      seen = reading.load();
+      visible = sample.load();
     }
-    int claimed = faults.reportBusy() < 0 ? seen.busy() : faults.reportBusy();
-    return new Load(seen.slots(), claimed, seen.queued(), seen.draining(), seen.incarnation());
+    int reportedBusy = faults.reportBusy() < 0 ? visible.busy() : faults.reportBusy();
+    return new Load(
+        visible.slots(), reportedBusy, visible.queued(), visible.draining(), visible.incarnation());
   }
 
-  /** True where {@code /health} answers 200. */
+  /** Returns whether {@code /health} answers 200. */
   synchronized boolean isReportedUp() {
     return switch (faults.health()) {
       case ALWAYS_UP -> true;
@@ -191,22 +196,24 @@
   private double coldStartFactor() {
     double coldNanos = Duration.ofMillis(options.coldMillis()).toNanos();
     long warmingSince = startedAtNanos + Duration.ofMillis(options.startMillis()).toNanos();
-    double passed = time.nanos() - warmingSince;
-    if (passed >= coldNanos) {
+    double elapsed = time.nanos() - warmingSince;
+    if (elapsed >= coldNanos) {
       return 1;
     }
-    return options.coldFactor() + (1 - options.coldFactor()) * Math.max(0, passed) / coldNanos;
+    return options.coldFactor() + (1 - options.coldFactor()) * Math.max(0, elapsed) / coldNanos;
   }
 
-  /** Keeps the readings that the present lag may still show, and the one before them. */
+  /**
+   * Adds a sample and drops those that are older than the report lag, except the latest of them.
+   */
   private void recordLoad() {
     long now = time.nanos();
     loadSamples.add(new LoadSample(now, load()));
     long cutoff = now - Duration.ofMillis(faults.loadLagMillis()).toNanos();
     while (loadSamples.size() > 1) {
-      LoadSample first = loadSamples.removeFirst();
+      LoadSample oldest = loadSamples.removeFirst();
       if (loadSamples.getFirst().atNanos() - cutoff > 0) {
-        loadSamples.addFirst(first);
+        loadSamples.addFirst(oldest);
         return;
       }
     }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetFaults.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetFaults.java
@@ -1,17 +1,17 @@
 package org.sageladder.standin.target;
 
 /**
- * What is wrong with a target; {@link #none} is a healthy one.
+ * Faults injected into a target; {@link #none} is a healthy target.
  *
- * @param loadLagMillis age of what {@code /load} reports
- * @param reportBusy busy slots that {@code /load} claims; negative: the truth
- * @param loadSilent true: {@code /load} and {@code /health} are never answered
- * @param health what {@code /health} says
- * @param shed true: every request is refused as {@code shedding}
- * @param slowFactor service time over the usual one, at least 0
- * @param truncateProbability share of answers whose connection is cut midway, 0 to 1
- * @param lateProbability share of answers that come late, 0 to 1
- * @param lateMillis how late those come
+ * @param loadLagMillis age of the load that {@code /load} reports
+ * @param reportBusy number of busy slots that {@code /load} reports; negative for the actual one
+ * @param loadSilent whether {@code /load} and {@code /health} are never answered
+ * @param health what {@code /health} answers
+ * @param shed whether every request is refused as {@code shedding}
+ * @param slowFactor factor applied to service times, at least 0
+ * @param truncateProbability fraction of answers truncated by closing the connection, 0 to 1
+ * @param lateProbability fraction of answers that are delayed, 0 to 1
+ * @param lateMillis delay of those answers
  */
 public record TargetFaults(
     long loadLagMillis,
@@ -24,9 +24,9 @@
     double lateProbability,
     long lateMillis) {
 
-  /** What {@code /health} says. */
+  /** The status of {@code /health}. */
   public enum Health {
-    /** 200 where the target takes new work, else 503. */
+    /** 200 if the target accepts new work, otherwise 503. */
     TRUE,
     /** Always 200. */
     ALWAYS_UP,
@@ -34,13 +34,15 @@
     ALWAYS_DOWN
   }
 
-  /** Rejects values out of range. */
+  /** Validates the ranges. */
   public TargetFaults {
     if (loadLagMillis < 0 || lateMillis < 0 || !(slowFactor >= 0)) {
-      throw new IllegalArgumentException("a lag or factor is negative; expected 0 or more");
+      throw new IllegalArgumentException(
+          "loadLagMillis, lateMillis and slowFactor: expected 0 or more");
     }
     if (!isProbability(truncateProbability) || !isProbability(lateProbability)) {
-      throw new IllegalArgumentException("a probability is out of range; expected 0 to 1");
+      throw new IllegalArgumentException(
+          "truncateProbability and lateProbability: expected 0 to 1");
     }
   }
 
@@ -48,12 +50,12 @@
     return probability >= 0 && probability <= 1;
   }
 
-  /** A healthy target. */
+  /** Returns no faults. */
   public static TargetFaults none() {
     return new TargetFaults(0, -1, false, Health.TRUE, false, 1, 0, 0, 0);
   }
 
-  /** The same faults with load reports of that age. */
+  /** Returns a copy with load reports of the given age. */
   public TargetFaults withLoadLagMillis(long millis) {
     return new TargetFaults(
         millis,
@@ -67,7 +69,7 @@
         lateMillis);
   }
 
-  /** The same faults with a load report that always claims {@code busy} slots. */
+  /** Returns a copy whose load reports state {@code busySlots} busy slots. */
   public TargetFaults withReportBusy(int busySlots) {
     return new TargetFaults(
         loadLagMillis,
@@ -81,7 +83,7 @@
         lateMillis);
   }
 
-  /** The same faults with load and health answered or not. */
+  /** Returns a copy in which {@code /load} and {@code /health} are answered or not. */
   public TargetFaults withLoadSilent(boolean isSilent) {
     return new TargetFaults(
         loadLagMillis,
@@ -95,7 +97,7 @@
         lateMillis);
   }
 
-  /** The same faults with that health. */
+  /** Returns a copy with the given health status. */
   public TargetFaults withHealth(Health reported) {
     return new TargetFaults(
         loadLagMillis,
@@ -109,7 +111,7 @@
         lateMillis);
   }
 
-  /** The same faults with all work shed, or not. */
+  /** Returns a copy in which all work is shed or not. */
   public TargetFaults withShed(boolean shedsAll) {
     return new TargetFaults(
         loadLagMillis,
@@ -123,7 +125,7 @@
         lateMillis);
   }
 
-  /** The same faults with service times multiplied by {@code factor}. */
+  /** Returns a copy with service times multiplied by {@code factor}. */
   public TargetFaults withSlowFactor(double factor) {
     return new TargetFaults(
         loadLagMillis,
@@ -137,7 +139,7 @@
         lateMillis);
   }
 
-  /** The same faults with a share of answers cut midway. */
+  /** Returns a copy with the given fraction of answers truncated. */
   public TargetFaults withTruncateProbability(double probability) {
     return new TargetFaults(
         loadLagMillis,
@@ -151,7 +153,7 @@
         lateMillis);
   }
 
-  /** The same faults with a share of answers late by {@code millis}. */
+  /** Returns a copy with the given fraction of answers delayed by {@code millis}. */
   public TargetFaults withLateAnswers(double probability, long millis) {
     return new TargetFaults(
         loadLagMillis,
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetMain.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetMain.java
@@ -10,28 +10,38 @@
 import org.apache.commons.cli.ParseException;
 import org.sageladder.standin.fault.FaultScript;
 
-/** Runs one target stand-in until it is ended or crashes; prints its address once it listens. */
+/** Runs a target stand-in until it is stopped or crashes; prints its address once it listens. */
 public final class TargetMain {
   private static final Options OPTIONS =
       new Options()
-          .addOption(null, "id", true, "name sent with each answer")
-          .addOption(null, "host", true, "IP number to listen on")
-          .addOption(null, "port", true, "TCP port, 0 for any free one")
-          .addOption(null, "slots", true, "requests that run at the same time")
-          .addOption(null, "queue", true, "requests that may wait for a slot")
+          .addOption(null, "id", true, "id sent with each answer")
+          .addOption(null, "host", true, "IP address to listen on")
+          .addOption(null, "port", true, "TCP port, 0 for a free one")
+          .addOption(null, "slots", true, "number of requests that run at the same time")
+          .addOption(null, "queue", true, "number of requests that may wait for a slot")
           .addOption(null, "service-time", true, "fixed:MS, exponential:MEAN, lognormal:MEAN:SIGMA")
-          .addOption(null, "seed", true, "seed of all draws")
-          .addOption(null, "answer-bytes", true, "usual size of an answer's body")
-          .addOption(null, "start-millis", true, "refuses as starting for so long")
-          .addOption(null, "cold-millis", true, "slower for so long after that")
-          .addOption(null, "cold-factor", true, "service time at first over the usual one")
-          .addOption(null, "crash-millis", true, "port closed after a crash; -1 ends the process")
-          .addOption(null, "incarnation", true, "number of this start")
-          .addOption(null, "script", true, "JSON file of faults and their times");
+          .addOption(null, "seed", true, "seed of the random generator")
+          .addOption(null, "answer-bytes", true, "default size of an answer's body")
+          .addOption(
+              null,
+              "start-millis",
+              true,
+              "time after a start during which all requests are refused")
+          .addOption(
+              null, "cold-millis", true, "time after that during which the target runs more slowly")
+          .addOption(
+              null, "cold-factor", true, "factor on service times at the start of the cold phase")
+          .addOption(
+              null,
+              "crash-millis",
+              true,
+              "time the port stays closed after a crash; -1 ends the process")
+          .addOption(null, "incarnation", true, "number of the first incarnation")
+          .addOption(null, "script", true, "JSON file with timed faults");
 
   private TargetMain() {}
 
-  /** Takes the options that {@link TargetOptions} describes, each with its usual value. */
+  /** Accepts the options described in {@link TargetOptions}; each has a default. */
   public static void main(String[] args) throws IOException, InterruptedException {
     TargetOptions options;
     FaultScript<TargetFaults> script = new FaultScript<>(List.of());
@@ -55,19 +65,20 @@
   }
 
   static TargetOptions options(CommandLine line) {
-    TargetOptions usual = TargetOptions.create(line.getOptionValue("id", "target"));
-    return usual
-        .listenAddress(line.getOptionValue("host", usual.host()), (int) longOption(line, "port", 0))
-        .slots((int) longOption(line, "slots", usual.slots()))
-        .queue((int) longOption(line, "queue", usual.queue()))
+    TargetOptions defaults = TargetOptions.create(line.getOptionValue("id", "target"));
+    return defaults
+        .listenAddress(
+            line.getOptionValue("host", defaults.host()), (int) longOption(line, "port", 0))
+        .slots((int) longOption(line, "slots", defaults.slots()))
+        .queue((int) longOption(line, "queue", defaults.queue()))
         .serviceTime(ServiceTime.parse(line.getOptionValue("service-time", "fixed:20")))
-        .seed(longOption(line, "seed", usual.seed()))
-        .answerBytes(longOption(line, "answer-bytes", usual.answerBytes()))
+        .seed(longOption(line, "seed", defaults.seed()))
+        .answerBytes(longOption(line, "answer-bytes", defaults.answerBytes()))
         .coldStart(
             longOption(line, "start-millis", 0),
             longOption(line, "cold-millis", 0),
             (double) longOption(line, "cold-factor", 1))
-        .crashMillis(longOption(line, "crash-millis", usual.crashMillis()))
+        .crashMillis(longOption(line, "crash-millis", defaults.crashMillis()))
         .incarnation(longOption(line, "incarnation", 1));
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetOptions.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetOptions.java
@@ -3,25 +3,27 @@
 import java.util.function.Consumer;
 
 /**
- * How a target stand-in is built; what goes wrong later is said with {@link TargetFaults}.
+ * Configuration of a target stand-in. Faults at run time are set with {@link TargetFaults}.
  *
  * <pre>{@code
  * TargetOptions options = TargetOptions.create("t-1").slots(3).serviceTime(ServiceTime.fixed(20));
  * }</pre>
  *
- * @param id name sent with each answer
- * @param host IP number to listen on
- * @param port TCP port, 0 for any free one
- * @param slots requests that run at the same time
- * @param queue requests that may wait for a slot; more are shed
- * @param serviceTime time a request holds its slot
- * @param seed seed of all draws
- * @param answerBytes size of an answer's body where the request names none
- * @param startMillis how long after a start every request is refused as {@code starting}
- * @param coldMillis how long after that the target is slower, falling evenly to its usual speed
- * @param coldFactor service time at the start of the cold phase over the usual one, at least 1
- * @param crashMillis how long a crash keeps the port closed; negative: a crash ends the process
- * @param incarnation number of the first start; each restart adds one
+ * @param id id sent with each answer
+ * @param host IP address to listen on
+ * @param port TCP port, 0 for a free one
+ * @param slots number of requests that run at the same time
+ * @param queue number of requests that may wait for a slot; further ones are shed
+ * @param serviceTime distribution of the time that a request holds its slot
+ * @param seed seed of the random generator
+ * @param answerBytes size of an answer's body if the request does not state one
+ * @param startMillis time after a start during which requests are refused as {@code starting}
+ * @param coldMillis duration of the cold phase after that, in which the service time falls linearly
+ *     to its normal value
+ * @param coldFactor factor on the service time at the start of the cold phase, at least 1
+ * @param crashMillis time that the port stays closed after a crash; if negative, a crash ends the
+ *     process
+ * @param incarnation number of the first incarnation; each restart adds one
  */
 public record TargetOptions(
     String id,
@@ -38,7 +40,7 @@
     long crashMillis,
     long incarnation) {
 
-  /** Rejects values out of range. */
+  /** Validates the ranges. */
   public TargetOptions {
     if (slots < 1 || queue < 0 || answerBytes < 0 || startMillis < 0 || coldMillis < 0) {
       throw new IllegalArgumentException(
@@ -50,13 +52,16 @@
     }
   }
 
-  /** Three slots, a queue of three, 20 ms fixed, 1 KiB answers, any free port on loopback. */
+  /**
+   * Returns the defaults: three slots, a queue of three, a fixed service time of 20 ms, answers of
+   * 1 KiB and a free port on loopback.
+   */
   public static TargetOptions create(String id) {
     return new TargetOptions(
         id, "127.0.0.1", 0, 3, 3, ServiceTime.fixed(20), 1, 1024, 0, 0, 1, 500, 1);
   }
 
-  /** The same options listening elsewhere. */
+  /** Returns a copy with another address to listen on. */
   public TargetOptions listenAddress(String newHost, int newPort) {
     return with(
         copy -> {
@@ -65,32 +70,32 @@
         });
   }
 
-  /** The same options with so many slots. */
+  /** Returns a copy with another number of slots. */
   public TargetOptions slots(int newSlots) {
     return with(copy -> copy.slots = newSlots);
   }
 
-  /** The same options with a queue of that length. */
+  /** Returns a copy with another maximum queue length. */
   public TargetOptions queue(int newQueue) {
     return with(copy -> copy.queue = newQueue);
   }
 
-  /** The same options with another service time. */
+  /** Returns a copy with another service time. */
   public TargetOptions serviceTime(ServiceTime newServiceTime) {
     return with(copy -> copy.serviceTime = newServiceTime);
   }
 
-  /** The same options with another seed. */
+  /** Returns a copy with another seed. */
   public TargetOptions seed(long newSeed) {
     return with(copy -> copy.seed = newSeed);
   }
 
-  /** The same options with answers of that size. */
+  /** Returns a copy with another size of answers. */
   public TargetOptions answerBytes(long newAnswerBytes) {
     return with(copy -> copy.answerBytes = newAnswerBytes);
   }
 
-  /** The same options with a start that refuses first and is slow next. */
+  /** Returns a copy with a starting phase that refuses requests and a cold phase after it. */
   public TargetOptions coldStart(long newStartMillis, long newColdMillis, double newColdFactor) {
     return with(
         copy -> {
@@ -100,12 +105,12 @@
         });
   }
 
-  /** The same options with that pause after a crash; negative: a crash ends the process. */
+  /** Returns a copy with another restart delay; if negative, a crash ends the process. */
   public TargetOptions crashMillis(long newCrashMillis) {
     return with(copy -> copy.crashMillis = newCrashMillis);
   }
 
-  /** The same options with that first incarnation. */
+  /** Returns a copy with another first incarnation. */
   public TargetOptions incarnation(long newIncarnation) {
     return with(copy -> copy.incarnation = newIncarnation);
   }
@@ -116,7 +121,7 @@
     return copy.options();
   }
 
-  /** The fields while some of them change, so that no method above has to list them all. */
+  /** Mutable copy, so that each method above only names the fields that it changes. */
   private static final class Copy {
     private final String id;
     private String host;
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetServer.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetServer.java
@@ -25,7 +25,7 @@
 import org.sageladder.standin.http.Listeners;
 
 /**
- * A target that runs requests in slots, reports its load and can fail in the ways that targets do.
+ * A target that runs requests in slots, reports its load and can inject faults.
  *
  * <pre>{@code
  * try (TargetServer target = TargetServer.start(TargetOptions.create("t-1").slots(3))) {
@@ -35,8 +35,8 @@
  * }
  * }</pre>
  *
- * <p>Every other path than {@code /load}, {@code /health} and {@code /admin/...} is work. All
- * targets of one process share two timer threads; each has one I/O thread of its own.
+ * <p>Requests to all paths except {@code /load}, {@code /health} and {@code /admin/...} are work.
+ * All targets of a process share two timer threads; each target has its own I/O thread.
  */
 public final class TargetServer implements AutoCloseable {
   private static final ScheduledExecutorService TIMER =
@@ -84,57 +84,57 @@
     return new TargetServer(options);
   }
 
-  /** The port that it listens on, also after a crash. */
+  /** Returns the port, which stays the same after a crash. */
   public int port() {
     return port;
   }
 
-  /** The address that work is sent to. */
+  /** Returns the base URI for requests. */
   public URI address() {
     return URI.create("http://" + options.host() + ":" + port);
   }
 
-  /** How it was built. */
+  /** Returns the options it was started with. */
   public TargetOptions options() {
     return options;
   }
 
-  /** How often each request was started. */
+  /** Returns the number of starts of each request. */
   public Executions executions() {
     return executions;
   }
 
-  /** Number of the present start; a crash or restart adds one. */
+  /** Returns the number of the current incarnation; a crash or restart adds one. */
   public long incarnation() {
     return slots.incarnation();
   }
 
-  /** Busy slots, in truth. */
+  /** Returns the actual number of busy slots, regardless of faults. */
   public int busySlotCount() {
     return slots.load().busy();
   }
 
-  /** Requests that wait for a slot, in truth. */
+  /** Returns the actual number of queued requests, regardless of faults. */
   public int queuedCount() {
     return slots.load().queued();
   }
 
-  /** Requests whose caller closed the connection before the answer began. */
+  /** Returns the number of requests whose connection closed before the answer started. */
   public long cancellationCount() {
     return cancellationCount.get();
   }
 
-  /** Requests refused before running. */
+  /** Returns the number of requests refused before running. */
   public long refusalCount() {
     return refusalCount.get();
   }
 
-  /** Whole answers handed to connections. */
+  /** Returns the number of answers written completely. */
   public long answerCount() {
     return answerCount.get();
   }
 
-  /** Open connections. */
+  /** Returns the number of open connections. */
   public int openConnectionCount() {
     return connections.size();
   }
@@ -144,17 +144,17 @@
     slots.setFaults(next);
   }
 
-  /** The faults in force. */
+  /** Returns the current faults. */
   public TargetFaults faults() {
     return slots.faults();
   }
 
-  /** From now on refuses new work; work under way goes on. Only a restart ends this. */
+  /** Refuses new work until the next restart; work in flight continues. */
   public void drain() {
     slots.startDraining();
   }
 
-  /** Ends the process, or cuts everything and keeps the port closed for a while. */
+  /** Crashes: ends the process, or closes all connections and the port until a delayed restart. */
   public void crash() {
     if (options.crashMillis() < 0) {
       Runtime.getRuntime().halt(CRASH_EXIT_CODE);
@@ -162,7 +162,7 @@
     schedule(this::closeAndScheduleRestart, 0);
   }
 
-  /** Cuts everything and starts as a new incarnation on the same port at once. */
+  /** Closes all connections and restarts at once on the same port as a new incarnation. */
   public void restart() {
     stopIncarnation();
     rebind();
@@ -246,8 +246,8 @@
   }
 
   private CompletableFuture<Reply> handleControlCall(Call call) throws IOException {
-    boolean probe = call.path().equals("/load") || call.path().equals("/health");
-    if (probe && slots.faults().loadSilent()) {
+    boolean isProbe = call.path().equals("/load") || call.path().equals("/health");
+    if (isProbe && slots.faults().loadSilent()) {
       return new CompletableFuture<>();
     }
     return CompletableFuture.completedFuture(reply(call));
@@ -267,14 +267,14 @@
     };
   }
 
-  /** After the answer to the call that asked for it. */
+  /** Restarts after a delay, so that the requesting call can be answered first. */
   private void scheduleRestart() {
     schedule(this::restart, REBIND_DELAY_MILLIS);
   }
 
   private Reply health() {
-    boolean up = slots.isReportedUp();
-    return Reply.json(up ? 200 : 503, Map.of("up", up));
+    boolean isUp = slots.isReportedUp();
+    return Reply.json(isUp ? 200 : 503, Map.of("up", isUp));
   }
 
   private Reply faultsReply(Call call) throws IOException {
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/WorkExchange.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/WorkExchange.java
@@ -22,10 +22,10 @@
 import org.sageladder.standin.http.ConnectionTable;
 
 /**
- * One request on a target: takes it in, waits for a slot, works, answers.
+ * One request on a target: receives it, waits for a slot, runs it and sends the answer.
  *
- * <p>Its own lock is taken before the slot table's; answers are sent without it. A connection that
- * ends at any point gives the slot or the place in the queue back.
+ * <p>Lock order: this exchange, then the slot table. Answers are sent without a lock. If the
+ * connection closes at any point, the slot or the place in the queue is released.
  */
 final class WorkExchange implements AsyncServerExchangeHandler {
   private static final int BUFFER_BYTES = 16 * 1024;
@@ -117,7 +117,7 @@
     }
   }
 
-  /** Runs with a slot in hand, on the thread that got it. */
+  /** Runs the work once it holds a slot, on the thread that obtained the slot. */
   private void startWork() {
     WorkRequest work = requireRequest();
     synchronized (this) {
@@ -134,14 +134,14 @@
       server.crash();
       return;
     }
-    long service = server.slots().drawServiceNanos();
-    long allowed = work.remainingNanos();
+    long serviceNanos = server.slots().drawServiceNanos();
+    long remainingNanos = work.remainingNanos();
     synchronized (this) {
       if (phase == Phase.RUNNING) {
         timer =
-            service <= allowed
-                ? server.scheduleAfter(service, this::answer)
-                : server.scheduleAfter(allowed, this::onDeadline);
+            serviceNanos <= remainingNanos
+                ? server.scheduleAfter(serviceNanos, this::answer)
+                : server.scheduleAfter(remainingNanos, this::onDeadline);
       }
     }
   }
@@ -168,9 +168,9 @@
     long from = work.answerFrom();
     long size = work.answerBytes();
     if (from > 0 && from >= size) {
-      HttpResponse beyond = responseHead(416);
-      beyond.addHeader("Content-Range", "bytes */" + size);
-      send(beyond, null);
+      HttpResponse unsatisfiable = responseHead(416);
+      unsatisfiable.addHeader("Content-Range", "bytes */" + size);
+      send(unsatisfiable, null);
       return;
     }
     HttpResponse response = responseHead(from > 0 ? 206 : 200);
@@ -239,8 +239,8 @@
       }
     }
     if (producedBytes == work.answerBytes()) {
-      // The slot is free before the last byte goes: a gate that has the whole answer may send the
-      // next request at once, which would otherwise be counted beyond the slots.
+      // Releases the slot before the end of the answer is sent: a gate that has received the
+      // complete answer may send the next request at once, which would otherwise exceed the slots.
       finish();
       out.endStream();
       server.recordAnswer();
@@ -270,7 +270,7 @@
     releaseResources();
   }
 
-  /** Called when the exchange is over, also where the caller closed its connection midway. */
+  /** Called when the exchange ends, including when the caller closes its connection early. */
   @Override
   public void releaseResources() {
     boolean cancelled;
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/WorkRequest.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/WorkRequest.java
@@ -11,16 +11,16 @@
 import org.apache.hc.core5.net.URIBuilder;
 
 /**
- * What a request asks of the stand-in, read from its head.
+ * The instructions of a request to the stand-in, read from its head.
  *
- * @param key what executions are counted by: query parameter {@code work}, else {@code Request-Id}
- * @param deadlineNanos monotonic time by which the caller wants the answer
+ * @param key key for counting executions: query parameter {@code work}, else {@code Request-Id}
+ * @param deadlineNanos deadline on the monotonic clock
  * @param answerBytes size of the answer's body
- * @param isChunked true: the answer states no length
- * @param crashesTarget true: running it crashes the target
- * @param rangeFrom first byte that is asked for, 0 where the whole answer is
- * @param ifRange entity tag under which the range holds, or empty
- * @param checksum grows as the body comes in
+ * @param isChunked whether the answer is chunked instead of stating its length
+ * @param crashesTarget whether running it crashes the target
+ * @param rangeFrom first requested byte, 0 for the complete answer
+ * @param ifRange entity tag for which the range is valid, or empty
+ * @param checksum checksum that is updated as the body arrives
  */
 record WorkRequest(
     String key,
@@ -49,18 +49,18 @@
         RequestChecksum.begin(head.getMethod(), head.getPath()));
   }
 
-  /** Only {@code bytes=N-} is understood; anything else asks for the whole answer. */
+  /** Parses {@code bytes=N-}; any other range yields 0, the complete answer. */
   private static long rangeFrom(String range) {
-    boolean open = range.startsWith("bytes=") && range.endsWith("-");
-    return open ? Math.max(0, parseLong(range.substring(6, range.length() - 1), 0)) : 0;
+    boolean isOpenEnded = range.startsWith("bytes=") && range.endsWith("-");
+    return isOpenEnded ? Math.max(0, parseLong(range.substring(6, range.length() - 1), 0)) : 0;
   }
 
-  /** Strong entity tag: the answer's bytes follow from the request alone. */
+  /** Returns a strong entity tag; the request alone determines the answer's bytes. */
   String entityTag() {
     return "\"" + checksum.value() + "\"";
   }
 
-  /** First byte to answer with. */
+  /** Returns the position of the first byte to send. */
   long answerFrom() {
     return ifRange.isEmpty() || ifRange.equals(entityTag()) ? rangeFrom : 0;
   }
--- a/sageladder-standin/src/test/java/org/sageladder/standin/fault/FaultScriptTest.java
+++ b/sageladder-standin/src/test/java/org/sageladder/standin/fault/FaultScriptTest.java
@@ -14,7 +14,7 @@
 import org.sageladder.standin.store.StoreFaults;
 import org.sageladder.standin.target.TargetFaults;
 
-/** Scripts of faults. */
+/** Parsing and playing of fault scripts. */
 class FaultScriptTest {
   private static FaultScript<TargetFaults> parse(String text) throws IOException {
     return FaultScript.parse("t.json", text, TargetFaults.none(), TargetFaults.class);
@@ -34,7 +34,7 @@
       value = {
         "{} | t.json: expected a list",
         "[{\"faults\":{}}] | step 0: atMillis",
-        "[{\"atMillis\":-1,\"faults\":{}}] | must grow from 0 on",
+        "[{\"atMillis\":-1,\"faults\":{}}] | step 0: atMillis -1: expected a whole number, at least 0",
         "[{\"atMillis\":5,\"faults\":{}},{\"atMillis\":5,\"faults\":{}}] | step 1: atMillis 5",
         "[{\"atMillis\":5,\"faults\":{\"sheds\":true}}] | fault \"sheds\" is unknown",
         "[{\"atMillis\":5,\"faults\":{\"slowFactor\":-2}}] | expected 0 or more",
--- a/sageladder-standin/src/test/java/org/sageladder/standin/network/SimulatedNetworkTest.java
+++ b/sageladder-standin/src/test/java/org/sageladder/standin/network/SimulatedNetworkTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.standin.network.SimulatedNetwork.Partition;
 
-/** What passes between simulated hosts, when, and what each end is told. */
+/** Delivery between simulated hosts: delays, loss, and the events at each end. */
 class SimulatedNetworkTest {
   private final VirtualLoop loop = VirtualLoop.create();
   private final SimulatedNetwork network =
@@ -34,8 +34,8 @@
       this.name = name;
     }
 
-    private void record(String what) {
-      events.add(loop.nowMillis() + " " + name + " " + what);
+    private void record(String event) {
+      events.add(loop.nowMillis() + " " + name + " " + event);
     }
 
     @Override
@@ -73,8 +73,10 @@
     loop.runFor(1);
   }
 
-  private ChannelFuture connect(int port, int millis) {
-    return network.processLoop(near).connect(far.ip(), port, millis, new RecordingHandler("near"));
+  private ChannelFuture connect(int port, int timeoutMillis) {
+    return network
+        .processLoop(near)
+        .connect(far.ip(), port, timeoutMillis, new RecordingHandler("near"));
   }
 
   private Channel openConnection() {
@@ -91,11 +93,11 @@
   @Test
   void bytesArriveInOrderAfterTheOneWayDelay() {
     Channel channel = openConnection();
-    long sent = loop.nowMillis();
+    long sentAtMillis = loop.nowMillis();
     write(channel, "a");
     write(channel, "b");
     loop.runFor(100);
-    assertEquals(List.of((sent + 20) + " far a", (sent + 20) + " far b"), events);
+    assertEquals(List.of((sentAtMillis + 20) + " far a", (sentAtMillis + 20) + " far b"), events);
   }
 
   @Test
@@ -117,19 +119,19 @@
     assertTrue(opened.cause().getMessage().contains("timed out"));
   }
 
-  /** Sent at 0, lost at 20, and again 200, 600 and 1,400 ms later. */
+  /** Sent at 0 and lost at 20; retransmitted 200, 600 and 1,400 ms after the loss. */
   @Test
   void bytesSentDuringAPartitionArriveWithTheNextRetransmission() {
     Channel channel = openConnection();
-    Partition cut = network.partition((from, to) -> true);
-    long sent = loop.nowMillis();
+    Partition partition = network.partition((from, to) -> true);
+    long sentAtMillis = loop.nowMillis();
     write(channel, "late");
     loop.runFor(1_000);
-    cut.close();
+    partition.close();
     loop.runFor(419);
     assertEquals(List.of(), events);
     loop.runFor(1);
-    assertEquals(List.of((sent + 1_420) + " far late"), events);
+    assertEquals(List.of((sentAtMillis + 1_420) + " far late"), events);
   }
 
   @Test
@@ -147,12 +149,12 @@
 
   private void closeDuringPartition(int lingerSeconds) {
     Channel channel = openConnection();
-    Partition cut = network.partition((from, to) -> from == near);
+    Partition partition = network.partition((from, to) -> from == near);
     write(channel, "late");
     loop.runFor(1_000);
     channel.config().setOption(ChannelOption.SO_LINGER, lingerSeconds);
     var unused = channel.close();
-    cut.close();
+    partition.close();
     loop.runFor(10_000);
     events.removeIf(line -> line.contains(" near "));
   }
@@ -161,11 +163,11 @@
   void keepAliveAbortsAConnectionDuringALongPartition() {
     Channel channel = openConnection();
     channel.config().setOption(ChannelOption.SO_KEEPALIVE, true);
-    Partition cut = network.partition((from, to) -> true);
+    Partition partition = network.partition((from, to) -> true);
     loop.runFor(3_000);
     assertTrue(!channel.isActive());
     assertTrue(events.toString().contains("near Connection timed out"), events.toString());
-    cut.close();
+    partition.close();
   }
 
   @Test
--- a/sageladder-standin/src/test/java/org/sageladder/standin/platform/StoreModelTest.java
+++ b/sageladder-standin/src/test/java/org/sageladder/standin/platform/StoreModelTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.standin.platform.StoreModel.WatchResult;
 
-/** The stand-in of the store keeps what the platform's pages say. */
+/** The store model behaves as the platform's documentation describes. */
 class StoreModelTest {
   private long now;
   private final StoreModel store = new StoreModel(() -> now, StoreModel.MAX_PAGE_ITEMS);
--- a/sageladder-standin/src/test/java/org/sageladder/standin/store/HttpStoreTest.java
+++ b/sageladder-standin/src/test/java/org/sageladder/standin/store/HttpStoreTest.java
@@ -29,7 +29,7 @@
 import org.sageladder.platform.store.HttpStore;
 import org.sageladder.platform.store.HttpVmList;
 
-/** The HTTP adapter and the stand-in against each other. */
+/** The HTTP adapter against the stand-in. */
 class HttpStoreTest {
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
   private final VirtualTime time = VirtualTime.startingAt(1_000_000);
@@ -70,8 +70,8 @@
   void failedCompareReturnsTheCurrentValue() throws StoreException {
     long first = write("k", 0, "one");
     long second = write("k", first, "two");
-    WriteResult lost = store.compareAndSet("k", first, bytes("three"), null);
-    StoredValue current = assertInstanceOf(WriteResult.Conflict.class, lost).current();
+    WriteResult result = store.compareAndSet("k", first, bytes("three"), null);
+    StoredValue current = assertInstanceOf(WriteResult.Conflict.class, result).current();
     assertEquals(second, current.revision());
     assertArrayEquals(bytes("two"), current.value());
   }
@@ -129,20 +129,20 @@
     assertEquals(1, server.counts().get("watch"));
   }
 
-  // A relay's watch waits for tens of seconds, its other calls for two at most. If the connection
-  // were cut after the shorter time, each watch would end as an outage and a change would wait for
-  // the next one.
+  // A relay's watch waits for tens of seconds, its other calls for at most two. If the timeout of
+  // the other calls applied to the watch, each watch would end as an outage and changes would be
+  // delayed until the next watch.
   @Test
   void watchMayWaitLongerThanTheTimeoutOfOtherCalls() throws Exception {
     long first = write("w/1", 0, "x");
     Duration shortTimeout = Duration.ofSeconds(1);
-    try (HttpStore hasty = HttpStore.connect(server.address(), shortTimeout)) {
-      hasty.read("w/1");
+    try (HttpStore impatient = HttpStore.connect(server.address(), shortTimeout)) {
+      impatient.read("w/1");
       CompletableFuture<WatchBatch> watch =
           CompletableFuture.supplyAsync(
               () -> {
                 try {
-                  return hasty.watch("w/", first, Duration.ofMinutes(1));
+                  return impatient.watch("w/", first, Duration.ofMinutes(1));
                 } catch (StoreException e) {
                   throw new CompletionException(e);
                 }
@@ -157,8 +157,8 @@
   void watchFromRevisionZeroReturnsLatestValuesAndDeletes() throws StoreException {
     long first = write("w/1", 0, "x");
     write("w/1", first, "y");
-    long gone = write("w/2", 0, "x");
-    store.compareAndDelete("w/2", gone);
+    long revision = write("w/2", 0, "x");
+    store.compareAndDelete("w/2", revision);
     WatchBatch batch = store.watch("w/", 0, Duration.ZERO);
     assertEquals(1, batch.changed().size());
     assertArrayEquals(bytes("y"), batch.changed().get(0).value());
@@ -178,9 +178,9 @@
     assertTrue(refused.getMessage().contains("expected at most 1048576"), refused.getMessage());
   }
 
-  // An operator's write reaches the store and takes effect, then the connection is cut before the
-  // answer. Reported as "not done", the operator would send it again and meet a conflict with
-  // their own write; so the adapter must say that the outcome is not known.
+  // An operator's write takes effect, but the connection is closed before the answer. If the
+  // adapter reported that it had not been executed, the operator would repeat it and get a conflict
+  // with their own write; so the adapter must report an unknown outcome.
   @Test
   void lostAnswerHasUnknownOutcomeAndTookEffect() throws StoreException {
     server.setFaults(StoreFaults.none().withLoseAnswers(1));
@@ -211,10 +211,11 @@
   @Test
   void hangingStoreMakesAWriteUnknownAndAReadUnavailable() {
     server.setFaults(StoreFaults.none().withHang(true));
-    try (HttpStore hasty = HttpStore.connect(server.address(), Duration.ofSeconds(1))) {
+    try (HttpStore impatient = HttpStore.connect(server.address(), Duration.ofSeconds(1))) {
       assertThrows(
-          StoreException.OutcomeUnknown.class, () -> hasty.compareAndSet("k", 0, bytes("x"), null));
-      assertThrows(StoreException.Unavailable.class, () -> hasty.read("k"));
+          StoreException.OutcomeUnknown.class,
+          () -> impatient.compareAndSet("k", 0, bytes("x"), null));
+      assertThrows(StoreException.Unavailable.class, () -> impatient.read("k"));
     }
   }
 
@@ -224,9 +225,11 @@
     try (ServerSocket socket = new ServerSocket(0)) {
       port = socket.getLocalPort();
     }
-    try (HttpStore nobody = HttpStore.connect(URI.create("http://127.0.0.1:" + port), TIMEOUT)) {
+    try (HttpStore unreachable =
+        HttpStore.connect(URI.create("http://127.0.0.1:" + port), TIMEOUT)) {
       assertThrows(
-          StoreException.Unavailable.class, () -> nobody.compareAndSet("k", 0, bytes("x"), null));
+          StoreException.Unavailable.class,
+          () -> unreachable.compareAndSet("k", 0, bytes("x"), null));
     }
   }
 
--- a/sageladder-standin/src/test/java/org/sageladder/standin/target/SlotTableTest.java
+++ b/sageladder-standin/src/test/java/org/sageladder/standin/target/SlotTableTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.time.VirtualTime;
 
-/** Slots, reports and the cold start on a virtual clock. */
+/** Slots, load reports and the cold start, on a virtual clock. */
 class SlotTableTest {
   private static void work() {}
 
@@ -66,8 +66,8 @@
     assertEquals(0, table.load().busy());
   }
 
-  // Work of a crashed incarnation ends late: giving back its slot would let the restarted target
-  // run one request more than it has slots.
+  // Work of a crashed incarnation ends after the restart. Releasing its slot would let the
+  // restarted target run one request more than it has slots.
   @Test
   void slotOfAnEndedIncarnationIsNotReleasedAgain() {
     SlotTable table = table(options());
@@ -82,12 +82,12 @@
   @Test
   void sameSeedDrawsTheSameServiceTimes() {
     TargetOptions random = options().serviceTime(ServiceTime.parse("lognormal:20:0.5")).seed(3);
-    SlotTable one = table(random);
-    SlotTable two = table(random);
+    SlotTable first = table(random);
+    SlotTable second = table(random);
     double sum = 0;
     for (int i = 0; i < 2000; i++) {
-      long nanos = one.drawServiceNanos();
-      assertEquals(nanos, two.drawServiceNanos());
+      long nanos = first.drawServiceNanos();
+      assertEquals(nanos, second.drawServiceNanos());
       sum += nanos / 1e6;
     }
     assertEquals(20, sum / 2000, 1);
--- a/sageladder-standin/src/test/java/org/sageladder/standin/target/TargetServerTest.java
+++ b/sageladder-standin/src/test/java/org/sageladder/standin/target/TargetServerTest.java
@@ -22,7 +22,7 @@
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
 
-/** The target stand-in over real connections, seen by a client that is not HttpCore's. */
+/** The target stand-in over real connections, called by a client other than HttpCore. */
 class TargetServerTest {
   private static final long NO_RESTART_MILLIS = 3_600_000;
   private static final ServiceTime HOUR_LONG_SERVICE = ServiceTime.fixed(3_600_000);
@@ -51,9 +51,9 @@
   }
 
   private static void await(BooleanSupplier condition) throws InterruptedException {
-    long giveUp = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < giveUp, "condition not met within 20 s");
+      assertTrue(System.nanoTime() < deadlineNanos, "condition not met within 20 s");
       Thread.sleep(2);
     }
   }
@@ -200,8 +200,9 @@
     }
   }
 
-  // A target dies in the middle of two requests: their callers must see cut connections, not short
-  // answers; new connections are refused until it is back as the next incarnation, on its port.
+  // A target crashes while it runs two requests: the callers must see closed connections, not
+  // truncated answers. New connections are refused until it restarts on the same port as the next
+  // incarnation.
   @Test
   void crashCutsAllConnectionsUntilTheRestart() throws Exception {
     try (TargetServer target =
