--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/EntryBuild.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/EntryBuild.java
@@ -18,12 +18,12 @@
       throws IOException, InterruptedException, SettingsException;
 
   /** The build that runs here. */
-  static EntryBuild present() {
-    return (name, yaml) -> new Present(EntryDaemon.start(EntrySettings.parse(name, yaml)));
+  static EntryBuild current() {
+    return (name, yaml) -> new CurrentBuildVm(EntryDaemon.start(EntrySettings.parse(name, yaml)));
   }
 
   /** A daemon of the build that runs here. */
-  record Present(EntryDaemon daemon) implements EntryVm {
+  record CurrentBuildVm(EntryDaemon daemon) implements EntryVm {
     @Override
     public int callersPort() {
       return daemon.callersPort();
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperiment.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperiment.java
@@ -36,11 +36,11 @@
 
   private final StoreServer store;
   private final LocalSystem system;
-  private final Map<String, ListedVm> listed = new TreeMap<>();
+  private final Map<String, ListedVm> listedVms = new TreeMap<>();
   private final Map<String, EntryVm> entries;
   private final List<TargetView> targets = new ArrayList<>();
   private final HttpCaller caller = HttpCaller.withTimeout(TIMEOUT);
-  private final ScheduledExecutorService timers =
+  private final ScheduledExecutorService scheduler =
       Executors.newScheduledThreadPool(2, task -> new Thread(task, "experiment"));
 
   private LocalExperiment(StoreServer store, LocalSystem system) {
@@ -53,12 +53,12 @@
     LocalExperiment experiment = new LocalExperiment(store, system);
     try (HttpVmList list = HttpVmList.connect(store.address(), TIMEOUT)) {
       for (ListedVm vm : list.fetch()) {
-        experiment.listed.put(vm.id(), vm);
+        experiment.listedVms.put(vm.id(), vm);
       }
     } catch (StoreException e) {
       throw new IOException("the list of VMs cannot be read: " + e.getMessage(), e);
     }
-    for (ListedVm vm : experiment.listed.values()) {
+    for (ListedVm vm : experiment.listedVms.values()) {
       TargetServer server = system.targets().get(vm.id());
       if (server != null) {
         experiment.targets.add(new LocalTarget(vm, server));
@@ -110,7 +110,7 @@
 
   @Override
   public List<String> callerAddresses() {
-    return system.addresses();
+    return system.callerAddresses();
   }
 
   @Override
@@ -128,21 +128,21 @@
   @Override
   public String inject(Fault fault) throws IOException {
     return switch (fault.kind()) {
-      case KILL_ENTRY -> killEntry(chosen(fault, VmRole.ENTRY));
-      case STOP_ENTRY -> stopEntry(chosen(fault, VmRole.ENTRY));
-      case DRAIN_TARGET -> announceEnd(chosen(fault, VmRole.TARGET));
-      case CRASH_TARGET -> crash(chosen(fault, VmRole.TARGET));
-      case SLOW_TARGET -> breakTarget(fault, faults -> faults.withSlowFactor(fault.factor()));
-      case SHED_TARGET -> breakTarget(fault, faults -> faults.withShed(true));
-      case MISLEADING_LOAD -> breakTarget(fault, faults -> faults.withReportBusy(0));
-      case STORE_DOWN -> storeDown(fault);
+      case KILL_ENTRY -> killEntry(selectVm(fault, VmRole.ENTRY));
+      case STOP_ENTRY -> stopEntry(selectVm(fault, VmRole.ENTRY));
+      case DRAIN_TARGET -> announceDrain(selectVm(fault, VmRole.TARGET));
+      case CRASH_TARGET -> crashTarget(selectVm(fault, VmRole.TARGET));
+      case SLOW_TARGET -> injectTargetFault(fault, faults -> faults.withSlowFactor(fault.factor()));
+      case SHED_TARGET -> injectTargetFault(fault, faults -> faults.withShed(true));
+      case MISLEADING_LOAD -> injectTargetFault(fault, faults -> faults.withReportBusy(0));
+      case STORE_DOWN -> stopStore(fault);
       case CHANGE_CONTRACT ->
           ContractChange.longerDrain(store.address(), system.contract().customer());
     };
   }
 
-  private ListedVm chosen(Fault fault, VmRole role) throws IOException {
-    for (ListedVm vm : listed.values()) {
+  private ListedVm selectVm(Fault fault, VmRole role) throws IOException {
+    for (ListedVm vm : listedVms.values()) {
       boolean matches =
           vm.role() == role
               && !vm.leaving()
@@ -163,9 +163,9 @@
 
   private String stopEntry(ListedVm vm) {
     EntryVm daemon = entries.remove(vm.id());
-    leaving(vm);
+    markLeaving(vm);
     if (daemon != null) {
-      timers.execute(
+      scheduler.execute(
           () -> {
             try {
               daemon.stop();
@@ -182,43 +182,44 @@
    * Only the list tells of the end: the target itself goes on taking work, so that what it gets
    * after the sign shows whether the gates heed the list.
    */
-  private String announceEnd(ListedVm vm) {
-    leaving(vm);
+  private String announceDrain(ListedVm vm) {
+    markLeaving(vm);
     return vm.id();
   }
 
-  private void leaving(ListedVm vm) {
+  private void markLeaving(ListedVm vm) {
     ListedVm marked = vm.asLeaving();
-    listed.put(vm.id(), marked);
+    listedVms.put(vm.id(), marked);
     store.putVm(marked);
   }
 
-  private String crash(ListedVm vm) throws IOException {
-    server(vm).crash();
+  private String crashTarget(ListedVm vm) throws IOException {
+    targetServer(vm).crash();
     return vm.id();
   }
 
-  private String breakTarget(Fault fault, UnaryOperator<TargetFaults> change) throws IOException {
-    ListedVm vm = chosen(fault, VmRole.TARGET);
-    TargetServer server = server(vm);
+  private String injectTargetFault(Fault fault, UnaryOperator<TargetFaults> change)
+      throws IOException {
+    ListedVm vm = selectVm(fault, VmRole.TARGET);
+    TargetServer server = targetServer(vm);
     server.setFaults(change.apply(server.faults()));
-    undoAfter(fault, () -> server.setFaults(TargetFaults.none()));
+    scheduleUndo(fault, () -> server.setFaults(TargetFaults.none()));
     return vm.id();
   }
 
-  private String storeDown(Fault fault) {
+  private String stopStore(Fault fault) {
     store.setFaults(StoreFaults.none().withDown(true));
-    undoAfter(fault, () -> store.setFaults(StoreFaults.none()));
+    scheduleUndo(fault, () -> store.setFaults(StoreFaults.none()));
     return "store";
   }
 
-  private void undoAfter(Fault fault, Runnable undo) {
+  private void scheduleUndo(Fault fault, Runnable undo) {
     if (!fault.length().isZero()) {
-      var unused = timers.schedule(undo, fault.length().toNanos(), TimeUnit.NANOSECONDS);
+      var unused = scheduler.schedule(undo, fault.length().toNanos(), TimeUnit.NANOSECONDS);
     }
   }
 
-  private TargetServer server(ListedVm vm) throws IOException {
+  private TargetServer targetServer(ListedVm vm) throws IOException {
     TargetServer server = system.targets().get(vm.id());
     if (server == null) {
       throw new IOException("no target '" + vm.id() + "' runs here");
@@ -240,7 +241,7 @@
 
   @Override
   public void close() {
-    timers.shutdownNow();
+    scheduler.shutdownNow();
     caller.close();
     system.close();
     store.close();
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperimentProvider.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperimentProvider.java
@@ -15,7 +15,7 @@
 
   /** Starts entry VMs of this build. */
   public LocalExperimentProvider() {
-    this(EntryBuild.present());
+    this(EntryBuild.current());
   }
 
   private LocalExperimentProvider(EntryBuild build) {
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalLoad.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalLoad.java
@@ -30,21 +30,21 @@
  * system shows as slow instead of as less load.
  */
 final class LocalLoad implements AutoCloseable {
-  private static final int CALLERS = 256;
-  private static final Duration LONGEST_DEADLINE = Duration.ofSeconds(4);
-  private static final long LONGEST_LATENCY_MICROS = 60_000_000L;
+  private static final int CALLER_THREADS = 256;
+  private static final Duration MAX_DEADLINE = Duration.ofSeconds(4);
+  private static final long MAX_LATENCY_MICROS = 60_000_000L;
 
   private final Contract contract;
   private final SageladderClient client;
-  private final ScheduledExecutorService clock =
+  private final ScheduledExecutorService scheduler =
       Executors.newSingleThreadScheduledExecutor(task -> new Thread(task, "load-clock"));
   private final ExecutorService callers =
-      Executors.newFixedThreadPool(CALLERS, task -> new Thread(task, "caller"));
-  private final Map<String, LongAdder> results = new ConcurrentHashMap<>();
-  private final Map<String, String> examples = new ConcurrentHashMap<>();
-  private final Histogram latency = new ConcurrentHistogram(LONGEST_LATENCY_MICROS, 3);
-  private final AtomicLong sent = new AtomicLong();
-  private final AtomicLong ended = new AtomicLong();
+      Executors.newFixedThreadPool(CALLER_THREADS, task -> new Thread(task, "caller"));
+  private final Map<String, LongAdder> resultCounts = new ConcurrentHashMap<>();
+  private final Map<String, String> firstDetails = new ConcurrentHashMap<>();
+  private final Histogram latency = new ConcurrentHistogram(MAX_LATENCY_MICROS, 3);
+  private final AtomicLong sentCount = new AtomicLong();
+  private final AtomicLong endedCount = new AtomicLong();
   private final Random random;
 
   private LocalLoad(Contract contract, SageladderClient client, long seed) {
@@ -65,38 +65,41 @@
       double rate = service.targetCapacity() * service.targets() * fractionOfCapacity;
       long gapNanos = (long) (TimeUnit.SECONDS.toNanos(1) / rate);
       streams.add(
-          clock.scheduleAtFixedRate(
-              () -> due(service), random.nextInt(1_000_000), gapNanos, TimeUnit.NANOSECONDS));
+          scheduler.scheduleAtFixedRate(
+              () -> sendScheduled(service),
+              random.nextInt(1_000_000),
+              gapNanos,
+              TimeUnit.NANOSECONDS));
     }
     Thread.sleep(duration.toMillis());
     streams.forEach(stream -> stream.cancel(false));
     callers.shutdown();
-    long grace = 2 * LONGEST_DEADLINE.toMillis();
+    long grace = 2 * MAX_DEADLINE.toMillis();
     if (!callers.awaitTermination(grace, TimeUnit.MILLISECONDS)) {
       callers.shutdownNow();
     }
   }
 
-  private void due(Contract.Service service) {
-    sent.incrementAndGet();
+  private void sendScheduled(Contract.Service service) {
+    sentCount.incrementAndGet();
     long dueNanos = System.nanoTime();
-    Request request = request(service);
+    Request request = createRequest(service);
     callers.execute(
         () -> {
-          count(service.name(), client.send(request));
+          countResult(service.name(), client.send(request));
           long micros = (System.nanoTime() - dueNanos) / 1000;
-          latency.recordValue(Math.min(LONGEST_LATENCY_MICROS - 1, micros));
-          ended.incrementAndGet();
+          latency.recordValue(Math.min(MAX_LATENCY_MICROS - 1, micros));
+          endedCount.incrementAndGet();
         });
   }
 
-  private Request request(Contract.Service service) {
+  private Request createRequest(Contract.Service service) {
     Contract.ClientBlocks range =
         contract.clientBlocks().get(random.nextInt(contract.clientBlocks().size()));
     int block = range.first() + random.nextInt(range.last() - range.first() + 1);
     Duration deadline =
-        LONGEST_DEADLINE.compareTo(service.longestDeadline()) < 0
-            ? LONGEST_DEADLINE
+        MAX_DEADLINE.compareTo(service.longestDeadline()) < 0
+            ? MAX_DEADLINE
             : service.longestDeadline();
     Request request =
         service.repeatable()
@@ -111,7 +114,7 @@
     return request.deadline(deadline);
   }
 
-  private void count(String service, Answer answer) {
+  private void countResult(String service, Answer answer) {
     String name;
     String detail = "";
     if (answer instanceof Answer.Complete whole) {
@@ -126,16 +129,16 @@
       name = "ran, answer not kept";
     }
     String key = service + ": " + name;
-    results.computeIfAbsent(key, unused -> new LongAdder()).increment();
-    examples.putIfAbsent(key, detail);
+    resultCounts.computeIfAbsent(key, unused -> new LongAdder()).increment();
+    firstDetails.putIfAbsent(key, detail);
   }
 
-  long sent() {
-    return sent.get();
+  long sentCount() {
+    return sentCount.get();
   }
 
-  long ended() {
-    return ended.get();
+  long endedCount() {
+    return endedCount.get();
   }
 
   Histogram latency() {
@@ -143,20 +146,20 @@
   }
 
   /** How requests ended, by name. */
-  Map<String, Long> results() {
+  Map<String, Long> resultCounts() {
     Map<String, Long> sums = new TreeMap<>();
-    results.forEach((name, count) -> sums.put(name, count.sum()));
+    resultCounts.forEach((name, count) -> sums.put(name, count.sum()));
     return sums;
   }
 
   /** What the first answer of that name said of its reason; empty for whole answers. */
-  String example(String name) {
-    return examples.getOrDefault(name, "");
+  String firstDetail(String name) {
+    return firstDetails.getOrDefault(name, "");
   }
 
   @Override
   public void close() {
-    clock.shutdownNow();
+    scheduler.shutdownNow();
     callers.shutdownNow();
     client.close();
   }
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalMain.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalMain.java
@@ -63,7 +63,7 @@
     try {
       line = new DefaultParser().parse(options, args);
       if (line.hasOption("help")) {
-        help(options, System.out);
+        printHelp(options, System.out);
         System.exit(ExitCode.OK.status());
       }
     } catch (ParseException e) {
@@ -78,17 +78,17 @@
     double load = Double.parseDouble(line.getOptionValue("load", "0.2"));
     List<Path> files = line.getArgList().stream().map(Path::of).toList();
     if (files.isEmpty()) {
-      files = contractsIn(Path.of(line.getOptionValue("contracts", "contracts")));
+      files = listContracts(Path.of(line.getOptionValue("contracts", "contracts")));
     }
-    boolean whole = !files.isEmpty();
+    boolean allAnswered = !files.isEmpty();
     for (Path file : files) {
-      whole &= run(file, duration, load, System.out);
+      allAnswered &= run(file, duration, load, System.out);
     }
-    whole &= PlatformDays.play(System.out);
-    System.exit((whole ? ExitCode.OK : ExitCode.VERDICT_FAILED).status());
+    allAnswered &= PlatformDays.run(System.out);
+    System.exit((allAnswered ? ExitCode.OK : ExitCode.VERDICT_FAILED).status());
   }
 
-  private static void help(Options options, PrintStream out) {
+  private static void printHelp(Options options, PrintStream out) {
     out.println("usage: sageladder-local [options] [CONTRACT...]");
     for (Option option : options.getOptions()) {
       String argument = option.hasArg() ? ' ' + option.getArgName() : "";
@@ -97,7 +97,7 @@
     out.println("for example: sageladder-local --seconds 10 contracts/kannelkoda.yaml");
   }
 
-  private static List<Path> contractsIn(Path directory) throws IOException {
+  private static List<Path> listContracts(Path directory) throws IOException {
     try (Stream<Path> files = Files.list(directory)) {
       return files.filter(file -> file.toString().endsWith(".yaml")).sorted().toList();
     }
@@ -110,7 +110,7 @@
         LocalSystem system = LocalSystem.start(store, contract, ENTRIES_PER_ZONE)) {
       system.awaitReady();
       warmUp(contract, system, load);
-      try (LocalLoad callers = LocalLoad.create(contract, system.addresses(), 1)) {
+      try (LocalLoad callers = LocalLoad.create(contract, system.callerAddresses(), 1)) {
         LoadEvents events = new LoadEvents(system);
         Thread faults = new Thread(() -> events.run(duration), "faults");
         faults.start();
@@ -124,7 +124,7 @@
   /** Lets the caps on shifts climb from a cold start, which is not what the run is to show. */
   private static void warmUp(Contract contract, LocalSystem system, double load)
       throws InterruptedException {
-    try (LocalLoad callers = LocalLoad.create(contract, system.addresses(), 2)) {
+    try (LocalLoad callers = LocalLoad.create(contract, system.callerAddresses(), 2)) {
       callers.run(load / 2, WARM_UP);
     }
   }
@@ -144,9 +144,9 @@
         contract.zones().size(),
         system.targets().size(),
         duration.toSeconds());
-    out.printf("  requests   %d sent, %d answered%n", callers.sent(), callers.ended());
-    for (Map.Entry<String, Long> result : callers.results().entrySet()) {
-      String example = callers.example(result.getKey());
+    out.printf("  requests   %d sent, %d answered%n", callers.sentCount(), callers.endedCount());
+    for (Map.Entry<String, Long> result : callers.resultCounts().entrySet()) {
+      String example = callers.firstDetail(result.getKey());
       out.printf(
           "  result     %-52s %d%s%n",
           result.getKey(), result.getValue(), example.isEmpty() ? "" : " (first: " + example + ")");
@@ -158,23 +158,24 @@
         latency.getValueAtPercentile(99) / 1000.0,
         latency.getMaxValue() / 1000.0);
     out.printf(
-        "  headroom   %.0f %% of slots free at the busiest sample%n", events.leastHeadroom() * 100);
-    out.printf("  entry VM   %s ended mid-run%n", events.killed());
+        "  headroom   %.0f %% of slots free at the busiest sample%n", events.minHeadroom() * 100);
+    out.printf("  entry VM   %s ended mid-run%n", events.killedEntry());
     out.printf(
-        "  drain      %s idle %d ms after its sign%n", events.drained(), events.drainMillis());
-    long missing = callers.sent() - callers.ended();
+        "  drain      %s idle %d ms after its sign%n",
+        events.drainedTarget(), events.drainMillis());
+    long missing = callers.sentCount() - callers.endedCount();
     if (missing > 0) {
       out.printf("  MISSING    %d requests without any answer%n", missing);
     }
-    return missing == 0 && callers.sent() > 0;
+    return missing == 0 && callers.sentCount() > 0;
   }
 
   /** What happens to the system while it carries load, and what is sampled of it. */
   private static final class LoadEvents {
     private final LocalSystem system;
-    private volatile double leastHeadroom = 1;
-    private volatile String killed = "none";
-    private volatile String drained = "none";
+    private volatile double minHeadroom = 1;
+    private volatile String killedEntry = "none";
+    private volatile String drainedTarget = "none";
     private volatile long drainMillis = -1;
 
     LoadEvents(LocalSystem system) {
@@ -183,12 +184,12 @@
 
     void run(Duration duration) {
       try {
-        sample(duration.dividedBy(3));
-        killed = new ArrayList<>(system.entries().keySet()).get(0);
-        system.killEntry(killed);
-        sample(duration.dividedBy(3));
+        sampleHeadroom(duration.dividedBy(3));
+        killedEntry = new ArrayList<>(system.entries().keySet()).get(0);
+        system.killEntry(killedEntry);
+        sampleHeadroom(duration.dividedBy(3));
         drain();
-        sample(duration.dividedBy(6));
+        sampleHeadroom(duration.dividedBy(6));
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -196,20 +197,20 @@
 
     private void drain() throws InterruptedException {
       List<String> ids = new ArrayList<>(system.targets().keySet());
-      drained = ids.get(ids.size() / 2);
-      TargetServer target = system.targets().get(drained);
+      drainedTarget = ids.get(ids.size() / 2);
+      TargetServer target = system.targets().get(drainedTarget);
       if (target == null) {
         return;
       }
       long start = System.nanoTime();
-      system.drainTarget(drained);
+      system.drainTarget(drainedTarget);
       while (target.busySlotCount() > 0) {
         Thread.sleep(1);
       }
       drainMillis = (System.nanoTime() - start) / 1_000_000;
     }
 
-    private void sample(Duration span) throws InterruptedException {
+    private void sampleHeadroom(Duration span) throws InterruptedException {
       long until = System.nanoTime() + span.toNanos();
       while (System.nanoTime() < until) {
         int busy = 0;
@@ -218,21 +219,21 @@
           busy += target.busySlotCount();
           slots += target.options().slots();
         }
-        leastHeadroom = Math.min(leastHeadroom, 1 - busy / (double) slots);
+        minHeadroom = Math.min(minHeadroom, 1 - busy / (double) slots);
         Thread.sleep(20);
       }
     }
 
-    double leastHeadroom() {
-      return leastHeadroom;
+    double minHeadroom() {
+      return minHeadroom;
     }
 
-    String killed() {
-      return killed;
+    String killedEntry() {
+      return killedEntry;
     }
 
-    String drained() {
-      return drained;
+    String drainedTarget() {
+      return drainedTarget;
     }
 
     long drainMillis() {
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalSystem.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalSystem.java
@@ -34,14 +34,14 @@
 public final class LocalSystem implements AutoCloseable {
   private static final String HOST = "127.0.0.1";
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
-  private static final long READY_MILLIS = 15_000;
+  private static final long READY_TIMEOUT_MILLIS = 15_000;
 
   private final StoreServer store;
   private final Contract contract;
   private final EntryBuild build;
   private final Map<String, EntryVm> entries = new LinkedHashMap<>();
   private final Map<String, TargetServer> targets = new LinkedHashMap<>();
-  private final Map<String, ListedVm> listed = new LinkedHashMap<>();
+  private final Map<String, ListedVm> listedVms = new LinkedHashMap<>();
 
   private LocalSystem(StoreServer store, Contract contract, EntryBuild build) {
     this.store = store;
@@ -54,7 +54,7 @@
    */
   public static LocalSystem start(StoreServer store, Contract contract, int entriesPerZone)
       throws IOException, InterruptedException, StoreException, SettingsException {
-    return start(store, contract, entriesPerZone, EntryBuild.present());
+    return start(store, contract, entriesPerZone, EntryBuild.current());
   }
 
   /** As above, with the entry daemons of {@code build}. */
@@ -62,7 +62,7 @@
       StoreServer store, Contract contract, int entriesPerZone, EntryBuild build)
       throws IOException, InterruptedException, StoreException, SettingsException {
     LocalSystem system = new LocalSystem(store, contract, build);
-    system.apply();
+    system.applyContract();
     system.startTargets();
     for (String zone : contract.zones()) {
       for (int i = 1; i <= entriesPerZone; i++) {
@@ -72,7 +72,7 @@
     return system;
   }
 
-  private void apply() throws StoreException {
+  private void applyContract() throws StoreException {
     String key = StoredContract.keyOf(contract.customer());
     try (Store client = HttpStore.connect(store.address(), CALL_TIMEOUT)) {
       WriteResult result =
@@ -90,9 +90,9 @@
       for (int i = 0; i < service.targets(); i++) {
         String zone = zones.get(i % zones.size());
         String id = contract.customer() + "-" + service.name() + "-" + (i + 1);
-        TargetServer target = TargetServer.start(options(id, service));
+        TargetServer target = TargetServer.start(targetOptions(id, service));
         targets.put(id, target);
-        list(
+        publishVm(
             new ListedVm(
                 VmRole.TARGET,
                 id,
@@ -108,7 +108,7 @@
     }
   }
 
-  private static TargetOptions options(String id, Contract.Service service) {
+  private static TargetOptions targetOptions(String id, Contract.Service service) {
     return TargetOptions.create(id)
         .slots(service.slotsPerTarget())
         .serviceTime(ServiceTime.fixed(service.meanServiceMillis()));
@@ -118,9 +118,9 @@
   public String startEntry(String zone, int number)
       throws IOException, InterruptedException, SettingsException {
     String vm = contract.customer() + "-entry-" + zone + "-" + number;
-    EntryVm daemon = build.start(vm + ".yaml", settings(vm, zone));
+    EntryVm daemon = build.start(vm + ".yaml", settingsYaml(vm, zone));
     entries.put(vm, daemon);
-    list(
+    publishVm(
         new ListedVm(
             VmRole.ENTRY,
             vm,
@@ -135,7 +135,7 @@
     return vm;
   }
 
-  private String settings(String vm, String zone) {
+  private String settingsYaml(String vm, String zone) {
     URI uri = store.address();
     return String.join(
         "\n",
@@ -151,19 +151,19 @@
         "");
   }
 
-  private void list(ListedVm vm) {
-    listed.put(vm.id(), vm);
+  private void publishVm(ListedVm vm) {
+    listedVms.put(vm.id(), vm);
     store.putVm(vm);
   }
 
   /** Waits until every entry VM has the contract in force and sees all entry VMs. */
   public void awaitReady() throws InterruptedException, IOException {
-    long until = System.currentTimeMillis() + READY_MILLIS;
+    long until = System.currentTimeMillis() + READY_TIMEOUT_MILLIS;
     List<String> waiting = new ArrayList<>(entries.keySet());
     while (!waiting.isEmpty()) {
       waiting.removeIf(vm -> entries.get(vm).isServing(entries.size()));
       if (System.currentTimeMillis() > until) {
-        throw new IOException("not ready after " + READY_MILLIS + " ms: " + waiting);
+        throw new IOException("not ready after " + READY_TIMEOUT_MILLIS + " ms: " + waiting);
       }
       Thread.sleep(20);
     }
@@ -185,7 +185,7 @@
   }
 
   /** Callers' addresses of the entry VMs that run. */
-  public List<String> addresses() {
+  public List<String> callerAddresses() {
     return entries.values().stream().map(daemon -> HOST + ":" + daemon.callersPort()).toList();
   }
 
@@ -200,13 +200,13 @@
 
   /** Announces the end of a target in the list and tells the target to drain. */
   public void drainTarget(String id) {
-    ListedVm vm = listed.get(id);
+    ListedVm vm = listedVms.get(id);
     TargetServer target = targets.get(id);
     if (vm == null || target == null) {
       throw new IllegalArgumentException("no target '" + id + "'; there are " + targets.keySet());
     }
     target.drain();
-    list(vm.asLeaving());
+    publishVm(vm.asLeaving());
   }
 
   @Override
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/OtherBuild.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/OtherBuild.java
@@ -20,8 +20,8 @@
  * start another. Only the few methods below are called, by name.
  */
 final class OtherBuild implements EntryBuild {
-  private static final String DAEMON = "org.sageladder.entry.EntryDaemon";
-  private static final String SETTINGS = "org.sageladder.entry.settings.EntrySettings";
+  private static final String DAEMON_CLASS = "org.sageladder.entry.EntryDaemon";
+  private static final String SETTINGS_CLASS = "org.sageladder.entry.settings.EntrySettings";
 
   private final Path directory;
   private final Class<?> daemon;
@@ -51,7 +51,8 @@
         new URLClassLoader(
             "other-build", jars.toArray(new URL[0]), ClassLoader.getPlatformClassLoader());
     try {
-      return new OtherBuild(directory, loader.loadClass(DAEMON), loader.loadClass(SETTINGS));
+      return new OtherBuild(
+          directory, loader.loadClass(DAEMON_CLASS), loader.loadClass(SETTINGS_CLASS));
     } catch (ClassNotFoundException e) {
       throw new IOException(
           "'"
@@ -65,11 +66,12 @@
 
   @Override
   public EntryVm start(String name, String yaml) throws IOException {
-    Object parsed = call(null, method(settings, "parse", String.class, String.class), name, yaml);
-    return new Daemon(call(null, method(daemon, "start", settings), parsed));
+    Object parsed =
+        call(null, findMethod(settings, "parse", String.class, String.class), name, yaml);
+    return new OtherBuildVm(call(null, findMethod(daemon, "start", settings), parsed));
   }
 
-  private Method method(Class<?> type, String name, Class<?>... parameters) throws IOException {
+  private Method findMethod(Class<?> type, String name, Class<?>... parameters) throws IOException {
     try {
       return type.getMethod(name, parameters);
     } catch (NoSuchMethodException e) {
@@ -89,32 +91,32 @@
   }
 
   /** A daemon whose class this build does not know. */
-  private final class Daemon implements EntryVm {
+  private final class OtherBuildVm implements EntryVm {
     private final Object vm;
 
-    Daemon(Object vm) {
+    OtherBuildVm(Object vm) {
       this.vm = vm;
     }
 
     @Override
     public int callersPort() {
-      return (int) ask("callersPort");
+      return (int) invoke("callersPort");
     }
 
     @Override
     public int innerPort() {
-      return (int) ask("innerPort");
+      return (int) invoke("innerPort");
     }
 
     @Override
     public int operatorsPort() {
-      return (int) ask("operatorsPort");
+      return (int) invoke("operatorsPort");
     }
 
     @Override
     public boolean isServing(int members) {
       try {
-        return (boolean) call(vm, method(daemon, "isServing", int.class), members);
+        return (boolean) call(vm, findMethod(daemon, "isServing", int.class), members);
       } catch (IOException e) {
         throw new IllegalStateException(e);
       }
@@ -122,17 +124,17 @@
 
     @Override
     public void stop() {
-      ask("stop");
+      invoke("stop");
     }
 
     @Override
     public void close() {
-      ask("close");
+      invoke("close");
     }
 
-    private Object ask(String name) {
+    private Object invoke(String name) {
       try {
-        return call(vm, method(daemon, name));
+        return call(vm, findMethod(daemon, name));
       } catch (IOException e) {
         throw new IllegalStateException(e);
       }
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/PlatformDays.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/PlatformDays.java
@@ -9,7 +9,7 @@
 import org.sageladder.scenario.Fleet.LogSource;
 import org.sageladder.scenario.Scenario;
 import org.sageladder.scenario.Scenario.Outcome;
-import org.sageladder.scenario.Scenario.Strike;
+import org.sageladder.scenario.Scenario.ScheduledTrouble;
 
 /**
  * The way of a request on the users' platform, from the store and a look-up to a target and back:
@@ -19,32 +19,32 @@
 final class PlatformDays {
   private static final long SEED = 1;
 
-  private static final List<Strike> STRIKES =
+  private static final List<ScheduledTrouble> TROUBLES =
       List.of(
-          new Strike(8_000, "entry-killed"),
-          new Strike(14_000, "targets-released"),
-          new Strike(20_000, "store-silent"));
+          new ScheduledTrouble(8_000, "entry-killed"),
+          new ScheduledTrouble(14_000, "targets-released"),
+          new ScheduledTrouble(20_000, "store-silent"));
 
   private PlatformDays() {}
 
   /** Plays them; true where no rule of the platform broke. */
-  static boolean play(PrintStream out) {
+  static boolean run(PrintStream out) {
     Map<String, Deployment> users = new LinkedHashMap<>();
     users.put("kalnins-dauge", Deployment.stamps());
     users.put("kannelkoda", Deployment.archive());
     boolean kept = true;
     for (Map.Entry<String, Deployment> user : users.entrySet()) {
-      Outcome outcome = new Scenario(SEED, STRIKES).play(user.getValue(), LogSource.none());
+      Outcome outcome = new Scenario(SEED, TROUBLES).run(user.getValue(), LogSource.none());
       out.printf(
           Locale.ROOT,
           "%n%s on the platform: %d requests, %.1f %% served, %.1f %% of the worth, %s%n",
           user.getKey(),
           outcome.day().requests().size(),
-          100 * outcome.day().served(0),
-          100 * outcome.day().worth(),
-          outcome.broken().isEmpty() ? "no rule broken" : "RULES BROKEN");
-      outcome.broken().forEach(line -> out.println("  " + line));
-      kept &= outcome.broken().isEmpty();
+          100 * outcome.day().successFraction(0),
+          100 * outcome.day().creditFraction(),
+          outcome.violations().isEmpty() ? "no rule broken" : "RULES BROKEN");
+      outcome.violations().forEach(line -> out.println("  " + line));
+      kept &= outcome.violations().isEmpty();
     }
     return kept;
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ExchangeSlopes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ExchangeSlopes.java
@@ -45,7 +45,7 @@
       URI uri =
           URI.create(
               "http://"
-                  + system.addresses().get(0)
+                  + system.callerAddresses().get(0)
                   + "/v1/look-up?contract="
                   + contract.customer()
                   + "&service="
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
@@ -30,23 +30,23 @@
  */
 public final class Fleet {
   /** Time between the start of the machines and that of the traffic. */
-  private static final long LEAD_MILLIS = 3_000;
+  private static final long START_UP_MILLIS = 3_000;
 
-  private static final long TARGETS_AFTER_MILLIS = 500;
+  private static final long TARGET_START_DELAY_MILLIS = 500;
 
-  private final FleetParts parts;
+  private final FleetContext context;
   private final List<FleetEntry> entries = new ArrayList<>();
   private final List<CallersStandIn> callers = new ArrayList<>();
   private final Map<String, RouteRule> routes = new HashMap<>();
-  private final Customers customers;
-  private long version = 4;
-  private int targetHosts;
+  private final Tenants tenants;
+  private long configurationVersion = 4;
+  private int targetHostCount;
 
   /** Where the lines of an entry VM go. */
   @FunctionalInterface
   public interface LogSource {
     /** The sink of the VM of that name; {@code fleetMillis} is the fleet's clock. */
-    EventSink of(String vm, java.util.function.LongSupplier fleetMillis);
+    EventSink sinkOf(String vm, java.util.function.LongSupplier clockMillis);
 
     /** Lines are forgotten. */
     static LogSource none() {
@@ -54,28 +54,28 @@
     }
   }
 
-  private Fleet(FleetParts parts) {
-    this.parts = parts;
-    this.customers = new Customers(parts.deployment().customers());
+  private Fleet(FleetContext context) {
+    this.context = context;
+    this.tenants = new Tenants(context.deployment().tenants());
   }
 
   /** Starts all machines, lets them find each other, and starts the traffic. */
   public static Fleet start(Deployment deployment, long seed, LogSource logs) {
-    Fleet fleet = new Fleet(new FleetParts(deployment, seed, logs));
+    Fleet fleet = new Fleet(new FleetContext(deployment, seed, logs));
     fleet.startEntries();
-    fleet.configure(deployment.routes());
+    fleet.writeConfiguration(deployment.routes());
     // Targets start with the entry VMs and register a moment after these have read the store.
-    fleet.runFor(TARGETS_AFTER_MILLIS);
+    fleet.runFor(TARGET_START_DELAY_MILLIS);
     fleet.startTargets();
-    fleet.runFor(LEAD_MILLIS - TARGETS_AFTER_MILLIS);
+    fleet.runFor(START_UP_MILLIS - TARGET_START_DELAY_MILLIS);
     fleet.startCallers();
     return fleet;
   }
 
   private void startTargets() {
-    for (Service service : parts.deployment().services()) {
+    for (Service service : context.deployment().services()) {
       service
-          .targets()
+          .targetsByZone()
           .forEach(
               (zone, count) -> {
                 for (int i = 0; i < count; i++) {
@@ -87,15 +87,15 @@
 
   private void startEntries() {
     int number = 0;
-    for (String zone : parts.deployment().regionOfZone().keySet()) {
-      for (int i = 0; i < parts.deployment().entries().getOrDefault(zone, 0); i++) {
+    for (String zone : context.deployment().regionByZone().keySet()) {
+      for (int i = 0; i < context.deployment().entryVmsByZone().getOrDefault(zone, 0); i++) {
         number++;
-        String region = parts.deployment().regionOfZone().getOrDefault(zone, "");
+        String region = context.deployment().regionByZone().getOrDefault(zone, "");
         FleetEntry entry =
             new FleetEntry(
-                parts,
+                context,
                 "entry-" + zone + "-" + (i + 1),
-                parts.network().addHost("10.1.0." + number, zone, region));
+                context.network().addHost("10.1.0." + number, zone, region));
         entries.add(entry);
         entry.start();
       }
@@ -103,30 +103,31 @@
   }
 
   private void startCallers() {
-    double share = 1.0 / parts.deployment().regionOfZone().size();
+    double share = 1.0 / context.deployment().regionByZone().size();
     int number = 0;
-    for (Map.Entry<String, String> zone : parts.deployment().regionOfZone().entrySet()) {
+    for (Map.Entry<String, String> zone : context.deployment().regionByZone().entrySet()) {
       number++;
       SimulatedHost host =
-          parts.network().addCallerHost("10.9.0." + number, zone.getKey(), zone.getValue());
+          context.network().addCallerHost("10.9.0." + number, zone.getKey(), zone.getValue());
       callers.add(
           CallersStandIn.start(
-              parts.network().processLoop(host),
-              new CallersStandIn.Location(zone.getKey(), zone.getValue(), lookUps(zone.getKey())),
-              parts.deployment().kinds(),
+              context.network().processLoop(host),
+              new CallersStandIn.Location(
+                  zone.getKey(), zone.getValue(), lookUpAddresses(zone.getKey())),
+              context.deployment().callerKinds(),
               share,
-              parts.day().ledger(),
+              context.day().ledger(),
               name -> Optional.ofNullable(routes.get(name)),
-              parts.seed(),
-              ended -> parts.day().requests().add(ended)));
+              context.seed(),
+              ended -> context.day().requests().add(ended)));
     }
-    callers.forEach(each -> each.setCredentialSource(customers::draw));
-    customers.all().forEach(each -> parts.day().hold(each.workspace()));
+    callers.forEach(each -> each.setCredentialSource(tenants::drawBearer));
+    tenants.all().forEach(each -> context.day().putWorkspace(each.workspace()));
   }
 
   /** Look-up ports, those of the zone first, then those of its region. */
-  private List<String> lookUps(String zone) {
-    String region = parts.deployment().regionOfZone().getOrDefault(zone, "");
+  private List<String> lookUpAddresses(String zone) {
+    String region = context.deployment().regionByZone().getOrDefault(zone, "");
     return entries.stream()
         .sorted(
             java.util.Comparator.comparingInt(
@@ -136,41 +137,41 @@
                   }
                   return entry.host().region().equals(region) ? 1 : 2;
                 }))
-        .map(FleetEntry::lookUps)
+        .map(FleetEntry::lookUpAddress)
         .toList();
   }
 
   /** Lets time pass. */
   public void runFor(long millis) {
-    parts.loop().runFor(millis);
+    context.loop().runFor(millis);
   }
 
   /** Milliseconds since the start of the machines. */
-  public long now() {
-    return parts.loop().nowMillis();
+  public long nowMillis() {
+    return context.loop().nowMillis();
   }
 
   /** Calls {@code task} after {@code millis}. */
-  public void after(long millis, Runnable task) {
-    parts.after(millis, task);
+  public void runAfter(long millis, Runnable task) {
+    context.runAfter(millis, task);
   }
 
   /** Stops the traffic, lets what is under way end, and completes the parts.day(). */
-  public Day end() {
+  public SimulatedDay finish() {
     callers.forEach(CallersStandIn::stop);
-    parts.day().endsAt(now());
+    context.day().endMillis(nowMillis());
     long longest =
-        parts.deployment().kinds().stream()
+        context.deployment().callerKinds().stream()
             .mapToLong(kind -> kind.deadlineMillis())
             .max()
             .orElse(0);
     runFor(longest + 1_000);
-    return parts.day();
+    return context.day();
   }
 
   /** The day so far. */
-  public Day day() {
-    return parts.day();
+  public SimulatedDay day() {
+    return context.day();
   }
 
   /** The entry VMs, by zone. */
@@ -179,8 +180,8 @@
   }
 
   /** The targets that live, by their hosts. */
-  public List<FleetTarget> targets() {
-    return parts.targets().values().stream().filter(FleetTarget::isRunning).toList();
+  public List<FleetTarget> runningTargets() {
+    return context.targets().values().stream().filter(FleetTarget::isRunning).toList();
   }
 
   /** The callers, by zone. */
@@ -190,27 +191,27 @@
 
   /** The network between all of them. */
   public SimulatedNetwork network() {
-    return parts.network();
+    return context.network();
   }
 
   /** The store's port, which can go wrong. */
   public StorePort storePort() {
-    return parts.storePort();
+    return context.storePort();
   }
 
   /** What the store keeps. */
   public StoreModel store() {
-    return parts.store();
+    return context.store();
   }
 
   /** The store's host. */
   public SimulatedHost storeHost() {
-    return parts.storeHost();
+    return context.storeHost();
   }
 
   /** The deployment as it was at the start. */
   public Deployment deployment() {
-    return parts.deployment();
+    return context.deployment();
   }
 
   /** The routes in force. */
@@ -218,24 +219,33 @@
     return List.copyOf(routes.values());
   }
 
-  /** The workspaces as they are now; a change is in the configuration with {@link #configure}. */
-  public Customers customers() {
-    return customers;
+  /**
+   * The workspaces as they are now; a change is in the configuration with {@link
+   * #writeConfiguration}.
+   */
+  public Tenants tenants() {
+    return tenants;
   }
 
   /** Writes a newer configuration with these routes. */
-  public void configure(List<RouteRule> newer) {
-    version += 3;
+  public void writeConfiguration(List<RouteRule> newRoutes) {
+    configurationVersion += 3;
     String text =
         PlatformTexts.configuration(
-            version, newer, parts.deployment().serviceRules(), customers.configured());
-    var unused = parts.store().put("op/config", PlatformTexts.base64(text), 0);
+            configurationVersion,
+            newRoutes,
+            context.deployment().serviceRules(),
+            tenants.keysByWorkspace());
+    var unused = context.store().put("op/config", PlatformTexts.base64(text), 0);
     routes.clear();
-    newer.forEach(
+    newRoutes.forEach(
         route -> {
           routes.put(route.name(), route);
-          parts.day().allow(route);
-          parts.day().ledger().recordEvent(PlatformEvent.Kind.CONFIGURATION, route.name(), now());
+          context.day().allowRoute(route);
+          context
+              .day()
+              .ledger()
+              .recordEvent(PlatformEvent.Kind.CONFIGURATION, route.name(), nowMillis());
         });
   }
 
@@ -244,23 +254,23 @@
     List<RouteRule> all = new ArrayList<>(routes());
     all.removeIf(route -> route.name().equals(added.name()));
     all.add(added);
-    configure(all);
+    writeConfiguration(all);
     callers.forEach(each -> each.addProfile(kind, 1.0 / callers.size()));
   }
 
   /** Empties a zone. */
-  public void empty(String zone) {
-    var unused = parts.store().put("op/evacuate/" + zone, PlatformTexts.base64("{}"), 0);
-    parts.day().ledger().recordEvent(PlatformEvent.Kind.ZONE_EMPTIED, zone, now());
+  public void evacuate(String zone) {
+    var unused = context.store().put("op/evacuate/" + zone, PlatformTexts.base64("{}"), 0);
+    context.day().ledger().recordEvent(PlatformEvent.Kind.ZONE_EMPTIED, zone, nowMillis());
   }
 
   /** Takes an emptied zone back; its targets are cold. */
-  public void takeBack(String zone) {
-    targets().stream()
+  public void endEvacuation(String zone) {
+    runningTargets().stream()
         .filter(target -> target.host().zone().equals(zone))
         .forEach(target -> target.process().becomeCold());
-    parts.store().remove("op/evacuate/" + zone);
-    parts.day().ledger().recordEvent(PlatformEvent.Kind.ZONE_TAKEN_BACK, zone, now());
+    context.store().remove("op/evacuate/" + zone);
+    context.day().ledger().recordEvent(PlatformEvent.Kind.ZONE_TAKEN_BACK, zone, nowMillis());
   }
 
   /** Adds a target on a host of its own, cold as after any start during traffic. */
@@ -269,11 +279,12 @@
   }
 
   private void addTarget(Service service, String zone, long coldMillis) {
-    targetHosts++;
-    String ip = "10.5." + targetHosts / 200 + '.' + (1 + targetHosts % 200);
-    String region = parts.deployment().regionOfZone().getOrDefault(zone, "");
-    FleetTarget target = new FleetTarget(parts, service, parts.network().addHost(ip, zone, region));
-    parts.targets().put(ip, target);
+    targetHostCount++;
+    String ip = "10.5." + targetHostCount / 200 + '.' + (1 + targetHostCount % 200);
+    String region = context.deployment().regionByZone().getOrDefault(zone, "");
+    FleetTarget target =
+        new FleetTarget(context, service, context.network().addHost(ip, zone, region));
+    context.targets().put(ip, target);
     target.start(coldMillis);
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetParts.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetContext.java
@@ -12,7 +12,7 @@
 import org.sageladder.standin.platform.StorePort;
 
 /** What the machines of a fleet share: the clock, the network, the store, the day. */
-final class FleetParts {
+final class FleetContext {
   static final int STORE_PORT = 8384;
 
   private final Deployment deployment;
@@ -20,22 +20,22 @@
   private final Fleet.LogSource logs;
   private final VirtualLoop loop = VirtualLoop.create();
   private final SimulatedNetwork network;
-  private final Day day = new Day();
+  private final SimulatedDay day = new SimulatedDay();
   private final SimulatedHost storeHost;
   private final StoreModel store;
   private final StorePort storePort;
   private final Map<String, FleetTarget> targets = new LinkedHashMap<>();
   private long lastTargetId;
 
-  FleetParts(Deployment deployment, long seed, Fleet.LogSource logs) {
+  FleetContext(Deployment deployment, long seed, Fleet.LogSource logs) {
     this.deployment = deployment;
     this.seed = seed;
     this.logs = logs;
-    this.network = SimulatedNetwork.on(loop, deployment.ways(), seed);
-    String firstZone = deployment.regionOfZone().keySet().iterator().next();
+    this.network = SimulatedNetwork.on(loop, deployment.networkDelays(), seed);
+    String firstZone = deployment.regionByZone().keySet().iterator().next();
     this.storeHost =
         network.addHost(
-            "10.200.1.7", "store", deployment.regionOfZone().getOrDefault(firstZone, ""));
+            "10.200.1.7", "store", deployment.regionByZone().getOrDefault(firstZone, ""));
     Loop storeLoop = network.processLoop(storeHost);
     this.store = new StoreModel(storeLoop::nowMillis, StoreModel.MAX_PAGE_ITEMS);
     this.storePort =
@@ -63,7 +63,7 @@
     return network;
   }
 
-  Day day() {
+  SimulatedDay day() {
     return day;
   }
 
@@ -90,11 +90,11 @@
     return "t-" + lastTargetId;
   }
 
-  long now() {
+  long nowMillis() {
     return loop.nowMillis();
   }
 
-  void after(long millis, Runnable task) {
+  void runAfter(long millis, Runnable task) {
     var unused = loop.schedule(task, millis, TimeUnit.MILLISECONDS);
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetEntry.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetEntry.java
@@ -12,16 +12,16 @@
   private static final List<Integer> PORTS = List.of(8381, 8388, 8383, 7200);
 
   /** The platform starts an ended process again after this time. */
-  private static final long RESTART_MILLIS = 500;
+  private static final long RESTART_DELAY_MILLIS = 500;
 
-  private final FleetParts parts;
+  private final FleetContext context;
   private final String name;
   private final SimulatedHost host;
   private PlatformEntry process;
   private boolean running;
 
-  FleetEntry(FleetParts parts, String name, SimulatedHost host) {
-    this.parts = parts;
+  FleetEntry(FleetContext context, String name, SimulatedHost host) {
+    this.context = context;
     this.name = name;
     this.host = host;
   }
@@ -43,14 +43,14 @@
             name,
             host.ip(),
             host.zone(),
-            parts.deployment().regionOfZone(),
+            context.deployment().regionByZone(),
             PORTS,
-            parts.storeHost().ip() + ':' + FleetParts.STORE_PORT);
+            context.storeHost().ip() + ':' + FleetContext.STORE_PORT);
     process =
         PlatformEntry.start(
             PlatformSettings.parse(settings),
-            parts.network().processLoop(host),
-            parts.logs().of(name, parts.loop()::nowMillis),
+            context.network().processLoop(host),
+            context.logs().sinkOf(name, context.loop()::nowMillis),
             () -> 0);
   }
 
@@ -58,21 +58,21 @@
   public void kill() {
     host.kill();
     running = false;
-    startAfter(RESTART_MILLIS);
+    scheduleStart(RESTART_DELAY_MILLIS);
   }
 
   /** Takes its power for {@code millis}. */
   public void powerOff(long millis) {
-    parts.network().powerOff(host);
+    context.network().powerOff(host);
     running = false;
-    parts.after(millis, host::powerOn);
-    startAfter(millis);
+    context.runAfter(millis, host::powerOn);
+    scheduleStart(millis);
   }
 
   /** Lets it stand still for {@code millis}. */
   public void suspend(long millis) {
     host.suspend();
-    parts.after(millis, host::resume);
+    context.runAfter(millis, host::resume);
   }
 
   /** Stops it as planned, and starts it again. */
@@ -85,16 +85,16 @@
           }
         };
     stopping.beginShutdown(end);
-    parts.after(parts.day().bounds().graceMillis(), end);
+    context.runAfter(context.day().bounds().graceMillis(), end);
   }
 
   /** Address of its look-ups. */
-  String lookUps() {
+  String lookUpAddress() {
     return host.ip() + ':' + PORTS.get(2);
   }
 
-  private void startAfter(long millis) {
-    parts.after(
+  private void scheduleStart(long millis) {
+    context.runAfter(
         millis,
         () -> {
           if (!running && host.isPowered()) {
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetTarget.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetTarget.java
@@ -16,26 +16,26 @@
   private static final long HEARTBEAT_MILLIS = 1_500;
 
   /** Missed heartbeats after which the platform removes a target's entry. */
-  private static final int MISSED_HEARTBEATS = 3;
+  private static final int MAX_MISSED_HEARTBEATS = 3;
 
   /** A crashed target is back, cold, after this time and its cold time. */
-  private static final long RESTART_MILLIS = 500;
+  private static final long RESTART_DELAY_MILLIS = 500;
 
   /** A target that leaves goes on serving for this long beyond the drain time. */
-  private static final long SERVES_ON_MILLIS = 1_500;
+  private static final long SERVING_AFTER_DRAIN_MILLIS = 1_500;
 
-  private final FleetParts parts;
+  private final FleetContext context;
   private final Service service;
   private final SimulatedHost host;
   private String id = "";
   private TargetStandIn process;
   private boolean running;
   private boolean registered;
-  private String written = "";
-  private long heardAt;
+  private String lastWrittenEntry = "";
+  private long lastHeartbeatMillis;
 
-  FleetTarget(FleetParts parts, Service service, SimulatedHost host) {
-    this.parts = parts;
+  FleetTarget(FleetContext context, Service service, SimulatedHost host) {
+    this.context = context;
     this.service = service;
     this.host = host;
   }
@@ -56,20 +56,20 @@
   }
 
   /** Ledgers tell starts of a target apart, also those under the same id. */
-  private String ledgerName() {
+  private String incarnationName() {
     return process.facts().incarnation().toString();
   }
 
   void start(long coldMillis) {
-    start(parts.nextTargetId(), coldMillis);
+    start(context.nextTargetId(), coldMillis);
   }
 
-  private void start(String underId, long coldMillis) {
-    id = underId;
-    Loop own = parts.network().processLoop(host);
+  private void start(String targetId, long coldMillis) {
+    id = targetId;
+    Loop own = context.network().processLoop(host);
     TargetFacts facts =
         new TargetFacts(
-            new TargetIncarnation(id, parts.now()),
+            new TargetIncarnation(id, context.nowMillis()),
             0,
             service.name(),
             host.ip(),
@@ -84,78 +84,85 @@
             own,
             facts,
             service.traits(),
-            parts.day().ledger(),
-            parts.seed(),
-            () -> crash(RESTART_MILLIS + service.traits().coldMillis()),
+            context.day().ledger(),
+            context.seed(),
+            () -> crash(RESTART_DELAY_MILLIS + service.traits().coldMillis()),
             ServerPort.OpenListener.ignored());
     running = true;
     registered = true;
-    written = "";
-    heardAt = parts.now();
-    own.execute(this::report);
-    own.scheduleAtFixedRate(HEARTBEAT_MILLIS, this::report);
-    watchOver(id);
+    lastWrittenEntry = "";
+    lastHeartbeatMillis = context.nowMillis();
+    own.execute(this::sendHeartbeat);
+    own.scheduleAtFixedRate(HEARTBEAT_MILLIS, this::sendHeartbeat);
+    scheduleExpiryCheck(id);
   }
 
   /** A heartbeat, where it reaches the parts.store(). */
-  private void report() {
-    boolean reaches =
-        parts.storePort().acceptsReports(host.ip())
-            && parts.network().isReachableBothWays(host, parts.storeHost());
-    if (!reaches || !registered) {
+  private void sendHeartbeat() {
+    boolean isDelivered =
+        context.storePort().acceptsReports(host.ip())
+            && context.network().isReachableBothWays(host, context.storeHost());
+    if (!isDelivered || !registered) {
       return;
     }
-    heardAt = parts.now();
+    lastHeartbeatMillis = context.nowMillis();
     process.onFactsStored();
     String entry = PlatformTexts.targetEntry(process.facts(), 0);
     String key = "servers/" + id;
-    if (entry.equals(written) && parts.store().find(key) != null) {
+    if (entry.equals(lastWrittenEntry) && context.store().find(key) != null) {
       return;
     }
-    if (!written.isEmpty() && parts.store().find(key) == null) {
-      parts.day().ledger().recordEvent(PlatformEvent.Kind.TARGET_BACK, ledgerName(), parts.now());
+    if (!lastWrittenEntry.isEmpty() && context.store().find(key) == null) {
+      context
+          .day()
+          .ledger()
+          .recordEvent(PlatformEvent.Kind.TARGET_BACK, incarnationName(), context.nowMillis());
     }
-    written = entry;
-    var unused = parts.store().put(key, PlatformTexts.base64(entry), 0);
+    lastWrittenEntry = entry;
+    var unused = context.store().put(key, PlatformTexts.base64(entry), 0);
   }
 
   /** The platform removes the entry of a target that is silent. */
-  private void watchOver(String incarnation) {
-    parts.after(
+  private void scheduleExpiryCheck(String targetId) {
+    context.runAfter(
         HEARTBEAT_MILLIS,
         () -> {
-          if (!id.equals(incarnation)) {
+          if (!id.equals(targetId)) {
             return;
           }
-          boolean silent = parts.now() - heardAt > MISSED_HEARTBEATS * HEARTBEAT_MILLIS;
+          boolean silent =
+              context.nowMillis() - lastHeartbeatMillis > MAX_MISSED_HEARTBEATS * HEARTBEAT_MILLIS;
           if (silent) {
-            forget();
+            removeEntry();
           }
           if (running || !silent) {
-            watchOver(incarnation);
+            scheduleExpiryCheck(targetId);
           }
         });
   }
 
-  private void forget() {
+  private void removeEntry() {
     String key = "servers/" + id;
-    if (parts.store().find(key) != null) {
-      parts.store().remove(key);
-      parts.day().ledger().recordEvent(PlatformEvent.Kind.TARGET_LEAVES, ledgerName(), parts.now());
+    if (context.store().find(key) != null) {
+      context.store().remove(key);
+      context
+          .day()
+          .ledger()
+          .recordEvent(PlatformEvent.Kind.TARGET_LEAVES, incarnationName(), context.nowMillis());
     }
   }
 
   /** Crashes; it is back, cold, as a new incarnation after {@code millis}. */
-  public void crash(long millis) {
-    end();
-    parts.after(millis, () -> start(service.traits().coldMillis()));
+  public void crash(long downMillis) {
+    killProcess();
+    context.runAfter(downMillis, () -> start(service.traits().coldMillis()));
   }
 
   /** Crashes; it is back, cold, under the id that it had, and knows nothing of before. */
-  public void crashAndStartAgain(long millis) {
+  public void crashAndRestartWithSameId(long downMillis) {
     String former = id;
-    end();
-    parts.after(millis, () -> start(former, service.traits().coldMillis()));
+    killProcess();
+    context.runAfter(downMillis, () -> start(former, service.traits().coldMillis()));
   }
 
   /** True while its process runs. */
@@ -163,7 +170,7 @@
     return running;
   }
 
-  private void end() {
+  private void killProcess() {
     running = false;
     host.kill();
   }
@@ -171,24 +178,27 @@
   /**
    * Leaves as planned and ends later.
    *
-   * @param told false where it never says so: its entry is just removed
+   * @param isAnnounced false where it never says so: its entry is just removed
    */
-  public void leave(boolean told) {
-    if (told) {
+  public void leave(boolean isAnnounced) {
+    if (isAnnounced) {
       process.startDraining();
-      report();
-      parts.day().ledger().recordEvent(PlatformEvent.Kind.TARGET_LEAVES, ledgerName(), parts.now());
+      sendHeartbeat();
+      context
+          .day()
+          .ledger()
+          .recordEvent(PlatformEvent.Kind.TARGET_LEAVES, incarnationName(), context.nowMillis());
     } else {
       registered = false;
-      forget();
+      removeEntry();
     }
-    parts.after(
-        parts.day().bounds().drainMillis() + SERVES_ON_MILLIS,
+    context.runAfter(
+        context.day().bounds().drainMillis() + SERVING_AFTER_DRAIN_MILLIS,
         () -> {
           registered = false;
-          forget();
-          end();
-          parts.targets().remove(host.ip());
+          removeEntry();
+          killProcess();
+          context.targets().remove(host.ip());
         });
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/LogLines.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/LogLines.java
@@ -10,7 +10,7 @@
   private LogLines() {}
 
   /** Adds what reached targets, and puts all lines in order. */
-  static void addArrivals(Day day, List<String> lines) {
+  static void addArrivals(SimulatedDay day, List<String> lines) {
     for (Ledger.Arrival arrival : day.ledger().arrivals()) {
       lines.add(
           String.format(
@@ -28,7 +28,7 @@
     lines.sort(String::compareTo);
   }
 
-  static LogSource into(List<String> lines) {
+  static LogSource appendTo(List<String> lines) {
     return (vm, clock) ->
         (kind, request, contract, subject, revision, detail) ->
             lines.add(
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Scenario.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Scenario.java
@@ -19,68 +19,68 @@
  * }</pre>
  *
  * @param seed what requests, and whom the troubles hit, follow from
- * @param strikes the troubles, by their times
+ * @param troubles the troubles, by their times
  */
-public record Scenario(long seed, List<Strike> strikes) {
+public record Scenario(long seed, List<ScheduledTrouble> troubles) {
   /** How long the traffic of a day lasts, in milliseconds. */
-  static final long LENGTH_MILLIS = 30_000;
+  static final long TRAFFIC_MILLIS = 30_000;
 
-  private static final long FIRST_MILLIS = 5_000;
-  private static final int LAST_STRIKE_MILLIS = 12_000;
-  private static final int FEWEST = 1;
-  private static final int MORE = 4;
+  private static final long EARLIEST_TROUBLE_MILLIS = 5_000;
+  private static final int TROUBLE_START_RANGE_MILLIS = 12_000;
+  private static final int MIN_TROUBLES = 1;
+  private static final int TROUBLE_COUNT_RANGE = 4;
 
   /** One trouble by name, at so many milliseconds after the start of the traffic. */
-  public record Strike(long atMillis, String trouble) {}
+  public record ScheduledTrouble(long atMillis, String trouble) {}
 
   /** What came of a day: its figures and the rules that it broke, a line each. */
-  public record Outcome(Scenario scenario, Day day, List<String> broken) {}
+  public record Outcome(Scenario scenario, SimulatedDay day, List<String> violations) {}
 
   /** A day with one to four troubles drawn from {@code seed}; some strike at the same moment. */
-  public static Scenario drawn(long seed) {
+  public static Scenario random(long seed) {
     Random random = new Random(seed);
-    int count = FEWEST + random.nextInt(MORE);
+    int count = MIN_TROUBLES + random.nextInt(TROUBLE_COUNT_RANGE);
     List<String> names = List.copyOf(Troubles.all().keySet());
-    List<Strike> strikes = new ArrayList<>();
-    long at = FIRST_MILLIS + random.nextInt(LAST_STRIKE_MILLIS);
+    List<ScheduledTrouble> strikes = new ArrayList<>();
+    long at = EARLIEST_TROUBLE_MILLIS + random.nextInt(TROUBLE_START_RANGE_MILLIS);
     for (int i = 0; i < count; i++) {
-      strikes.add(new Strike(at, names.get(random.nextInt(names.size()))));
+      strikes.add(new ScheduledTrouble(at, names.get(random.nextInt(names.size()))));
       if (random.nextBoolean()) {
-        at = FIRST_MILLIS + random.nextInt(LAST_STRIKE_MILLIS);
+        at = EARLIEST_TROUBLE_MILLIS + random.nextInt(TROUBLE_START_RANGE_MILLIS);
       }
     }
-    strikes.sort(Comparator.comparingLong(Strike::atMillis));
+    strikes.sort(Comparator.comparingLong(ScheduledTrouble::atMillis));
     return new Scenario(seed, strikes);
   }
 
   /** A day without troubles. */
-  public static Scenario calm(long seed) {
+  public static Scenario withoutTroubles(long seed) {
     return new Scenario(seed, List.of());
   }
 
   /** A day with one trouble, by its name in {@link Troubles#all}. */
   public static Scenario of(long seed, String trouble) {
-    return new Scenario(seed, List.of(new Strike(FIRST_MILLIS, trouble)));
+    return new Scenario(seed, List.of(new ScheduledTrouble(EARLIEST_TROUBLE_MILLIS, trouble)));
   }
 
   /** Plays it. */
-  public Outcome play(Deployment deployment, Fleet.LogSource logs) {
-    return playFor(LENGTH_MILLIS, deployment, logs);
+  public Outcome run(Deployment deployment, Fleet.LogSource logs) {
+    return runFor(TRAFFIC_MILLIS, deployment, logs);
   }
 
   /** Plays its first {@code millis}. */
-  Outcome playFor(long millis, Deployment deployment, Fleet.LogSource logs) {
+  Outcome runFor(long trafficMillis, Deployment deployment, Fleet.LogSource logs) {
     Random random = new Random(seed);
     Fleet fleet = Fleet.start(deployment, seed, logs);
-    for (Strike strike : strikes) {
-      Trouble trouble = Objects.requireNonNull(Troubles.named(strike.trouble()));
-      fleet.after(strike.atMillis(), () -> trouble.strike(fleet, random));
+    for (ScheduledTrouble strike : troubles) {
+      Trouble trouble = Objects.requireNonNull(Troubles.find(strike.trouble()));
+      fleet.runAfter(strike.atMillis(), () -> trouble.inject(fleet, random));
     }
-    fleet.runFor(millis);
-    Day day = fleet.end();
+    fleet.runFor(trafficMillis);
+    SimulatedDay day = fleet.finish();
     List<String> broken = new ArrayList<>();
     for (Rule rule : Rules.all()) {
-      rule.broken(day).forEach(line -> broken.add(rule.name() + ": " + line));
+      rule.violations(day).forEach(line -> broken.add(rule.name() + ": " + line));
     }
     return new Outcome(this, day, broken);
   }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/ScenarioMain.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/ScenarioMain.java
@@ -31,18 +31,18 @@
  * <p>Exit codes: 0 where no rule broke, 1 where one did, 2 where the command line cannot be used.
  */
 public final class ScenarioMain {
-  private static final int BROKEN = 1;
-  private static final int USAGE = 2;
-  private static final int LINES_SHOWN = 5;
+  private static final int EXIT_RULE_VIOLATED = 1;
+  private static final int EXIT_USAGE = 2;
+  private static final int MAX_VIOLATIONS_SHOWN = 5;
   private static final String NO_TROUBLE = "none";
 
-  private record Seeds(long first, long last) {
-    static Seeds parse(String text) throws ParseException {
+  private record SeedRange(long first, long last) {
+    static SeedRange parse(String text) throws ParseException {
       try {
         int dots = text.indexOf("..");
         long first = Long.parseLong(dots < 0 ? text : text.substring(0, dots));
         long last = dots < 0 ? first : Long.parseLong(text.substring(dots + 2));
-        return new Seeds(first, last);
+        return new SeedRange(first, last);
       } catch (NumberFormatException e) {
         throw new ParseException("--seeds is '" + text + "'; accepted is N or FIRST..LAST");
       }
@@ -50,55 +50,55 @@
   }
 
   /** What is played for each seed, and what is told of it. */
-  private record Plan(
+  private record RunOptions(
       @Nullable Deployment deployment,
       @Nullable String trouble,
-      @Nullable String log,
-      double pace,
-      long lengthMillis,
-      boolean windows) {}
+      @Nullable String logFile,
+      double rateFactor,
+      long trafficMillis,
+      boolean printsWindows) {}
 
   private ScenarioMain() {}
 
   /** Plays what the command line says. */
   public static void main(String[] arguments) throws IOException {
     Options options = new Options();
-    option(options, "seeds", "N|FIRST..LAST", "days to play (default 1..20)");
-    option(options, "trouble", "NAME", "this trouble alone, or none, in place of drawn ones");
-    option(
+    addOption(options, "seeds", "N|FIRST..LAST", "days to play (default 1..20)");
+    addOption(options, "trouble", "NAME", "this trouble alone, or none, in place of drawn ones");
+    addOption(
         options,
         "deployment",
         "NAME",
         "auction, listing, stamps, archive, bookings or grown (default by seed)");
     options.addOption(
         Option.builder().longOpt("windows").desc("what callers got in each two seconds").get());
-    option(options, "length", "MILLIS", "how long the traffic lasts (default 30000)");
-    option(options, "pace", "FACTOR", "that many times as many requests (default 1)");
-    option(options, "log", "FILE", "where all entry VMs' lines go, by time");
+    addOption(options, "length", "MILLIS", "how long the traffic lasts (default 30000)");
+    addOption(options, "pace", "FACTOR", "that many times as many requests (default 1)");
+    addOption(options, "log", "FILE", "where all entry VMs' lines go, by time");
     options.addOption(Option.builder().longOpt("help").desc("print this and exit").get());
     try {
       CommandLine line = new DefaultParser().parse(options, arguments);
       if (line.hasOption("help")) {
-        help(options, System.out);
+        printHelp(options, System.out);
         System.exit(0);
       }
-      Seeds seeds = Seeds.parse(line.getOptionValue("seeds", "1..20"));
-      Plan plan =
-          new Plan(
-              deployment(line.getOptionValue("deployment")),
-              trouble(line.getOptionValue("trouble")),
+      SeedRange seeds = SeedRange.parse(line.getOptionValue("seeds", "1..20"));
+      RunOptions plan =
+          new RunOptions(
+              parseDeployment(line.getOptionValue("deployment")),
+              parseTrouble(line.getOptionValue("trouble")),
               line.getOptionValue("log"),
-              pace(line.getOptionValue("pace", "1")),
-              length(line.getOptionValue("length")),
+              parseRateFactor(line.getOptionValue("pace", "1")),
+              parseTrafficMillis(line.getOptionValue("length")),
               line.hasOption("windows"));
-      System.exit(play(seeds, plan) ? 0 : BROKEN);
+      System.exit(runSeeds(seeds, plan) ? 0 : EXIT_RULE_VIOLATED);
     } catch (ParseException e) {
       System.err.println("sageladder-days: " + e.getMessage());
-      System.exit(USAGE);
+      System.exit(EXIT_USAGE);
     }
   }
 
-  private static void help(Options options, PrintStream out) {
+  private static void printHelp(Options options, PrintStream out) {
     out.println("usage: sageladder-days [options]");
     for (Option option : options.getOptions()) {
       String argument = option.hasArg() ? ' ' + option.getArgName() : "";
@@ -107,12 +107,12 @@
     out.println("for example: sageladder-days --deployment stamps --trouble one-way --seeds 1..5");
   }
 
-  private static void option(Options options, String name, String argument, String text) {
+  private static void addOption(Options options, String name, String argument, String text) {
     options.addOption(Option.builder().longOpt(name).hasArg().argName(argument).desc(text).get());
   }
 
-  private static @Nullable String trouble(@Nullable String name) throws ParseException {
-    if (name == null || name.equals(NO_TROUBLE) || Troubles.named(name) != null) {
+  private static @Nullable String parseTrouble(@Nullable String name) throws ParseException {
+    if (name == null || name.equals(NO_TROUBLE) || Troubles.find(name) != null) {
       return name;
     }
     throw new ParseException(
@@ -124,7 +124,7 @@
             + Troubles.all().keySet());
   }
 
-  private static @Nullable Deployment deployment(@Nullable String name) throws ParseException {
+  private static @Nullable Deployment parseDeployment(@Nullable String name) throws ParseException {
     if (name == null) {
       return null;
     }
@@ -137,7 +137,7 @@
                         + "'; accepted are auction, listing, stamps, archive, bookings, grown"));
   }
 
-  private static double pace(String text) throws ParseException {
+  private static double parseRateFactor(String text) throws ParseException {
     try {
       return Double.parseDouble(text);
     } catch (NumberFormatException e) {
@@ -145,9 +145,9 @@
     }
   }
 
-  private static long length(@Nullable String text) throws ParseException {
+  private static long parseTrafficMillis(@Nullable String text) throws ParseException {
     if (text == null) {
-      return Scenario.LENGTH_MILLIS;
+      return Scenario.TRAFFIC_MILLIS;
     }
     if (text.matches("[1-9][0-9]{2,6}")) {
       return Long.parseLong(text);
@@ -155,53 +155,56 @@
     throw new ParseException("--length is '" + text + "'; accepted is 100 to 9999999, in ms");
   }
 
-  private static boolean play(Seeds seeds, Plan plan) throws IOException {
+  private static boolean runSeeds(SeedRange seeds, RunOptions plan) throws IOException {
     int broken = 0;
     List<String> lines = new ArrayList<>();
-    Fleet.LogSource logs = plan.log() == null ? Fleet.LogSource.none() : LogLines.into(lines);
+    Fleet.LogSource logs =
+        plan.logFile() == null ? Fleet.LogSource.none() : LogLines.appendTo(lines);
     for (long seed = seeds.first(); seed <= seeds.last(); seed++) {
       Deployment known = plan.deployment();
-      Deployment deployment = known == null ? Deployment.ofDay(seed) : known;
+      Deployment deployment = known == null ? Deployment.forSeed(seed) : known;
       Outcome outcome =
-          scenario(seed, plan.trouble())
-              .playFor(plan.lengthMillis(), deployment.atPace(plan.pace()), logs);
-      tell(outcome, System.out);
-      if (plan.windows()) {
-        Windows.of(outcome.day(), deployment).print(System.out);
+          createScenario(seed, plan.trouble())
+              .runFor(plan.trafficMillis(), deployment.withRateFactor(plan.rateFactor()), logs);
+      printOutcome(outcome, System.out);
+      if (plan.printsWindows()) {
+        TrafficReport.of(outcome.day(), deployment).print(System.out);
       }
-      if (plan.log() != null) {
+      if (plan.logFile() != null) {
         LogLines.addArrivals(outcome.day(), lines);
       }
-      broken += outcome.broken().isEmpty() ? 0 : 1;
+      broken += outcome.violations().isEmpty() ? 0 : 1;
     }
-    if (plan.log() != null) {
-      Files.write(Path.of(plan.log()), lines, StandardCharsets.UTF_8);
+    if (plan.logFile() != null) {
+      Files.write(Path.of(plan.logFile()), lines, StandardCharsets.UTF_8);
     }
     System.out.println("days with a broken rule: " + broken);
     return broken == 0;
   }
 
-  private static Scenario scenario(long seed, @Nullable String trouble) {
+  private static Scenario createScenario(long seed, @Nullable String trouble) {
     if (trouble == null) {
-      return Scenario.drawn(seed);
+      return Scenario.random(seed);
     }
-    return trouble.equals(NO_TROUBLE) ? Scenario.calm(seed) : Scenario.of(seed, trouble);
+    return trouble.equals(NO_TROUBLE) ? Scenario.withoutTroubles(seed) : Scenario.of(seed, trouble);
   }
 
-  private static void tell(Outcome outcome, PrintStream out) {
+  private static void printOutcome(Outcome outcome, PrintStream out) {
     Scenario scenario = outcome.scenario();
     out.printf(
         Locale.ROOT,
         "seed %d: %d requests, worth %.3f, served %.3f, %s %s%n",
         scenario.seed(),
         outcome.day().requests().size(),
-        outcome.day().worth(),
-        outcome.day().served(0),
-        outcome.broken().isEmpty() ? "kept" : "BROKEN",
-        scenario.strikes());
-    outcome.broken().stream().limit(LINES_SHOWN).forEach(line -> out.println("  " + line));
-    if (outcome.broken().size() > LINES_SHOWN) {
-      out.println("  and " + (outcome.broken().size() - LINES_SHOWN) + " more");
+        outcome.day().creditFraction(),
+        outcome.day().successFraction(0),
+        outcome.violations().isEmpty() ? "kept" : "BROKEN",
+        scenario.troubles());
+    outcome.violations().stream()
+        .limit(MAX_VIOLATIONS_SHOWN)
+        .forEach(line -> out.println("  " + line));
+    if (outcome.violations().size() > MAX_VIOLATIONS_SHOWN) {
+      out.println("  and " + (outcome.violations().size() - MAX_VIOLATIONS_SHOWN) + " more");
     }
   }
 }
--- /dev/null
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/TrafficReport.java
@@ -0,0 +1,139 @@
+package org.sageladder.scenario;
+
+import java.io.PrintStream;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import org.sageladder.standin.platform.CallersStandIn.CompletedRequest;
+import org.sageladder.standin.platform.Ledger;
+import org.sageladder.standin.platform.RequestProfile;
+
+/** What callers got in each two seconds of a day, and of each kind of request. */
+final class TrafficReport {
+  private static final long WINDOW_MILLIS = 2_000;
+
+  /** Counts of requests. */
+  private static final class RequestCounts {
+    int sentCount;
+    int inTimeCount;
+    int successCount;
+
+    void add(CompletedRequest request) {
+      boolean good = request.status() >= 200 && request.status() < 300;
+      sentCount++;
+      successCount += good ? 1 : 0;
+      inTimeCount +=
+          good && request.durationMillis() <= request.profile().latencyGoalMillis() ? 1 : 0;
+    }
+
+    @Override
+    public String toString() {
+      return String.format(
+          Locale.ROOT,
+          "%6d %7.3f %7.3f",
+          sentCount,
+          (double) inTimeCount / sentCount,
+          (double) successCount / sentCount);
+    }
+  }
+
+  private final Map<Long, RequestCounts> byTime = new TreeMap<>();
+  private final Map<String, RequestCounts> byKind = new TreeMap<>();
+  private final Map<String, RequestCounts> byZone = new TreeMap<>();
+
+  private final Map<String, RunCounts> runsByRoute = new TreeMap<>();
+
+  /** A wait at a target that counts as a cause of lateness, in milliseconds. */
+  private static final long MIN_LATE_WAIT_MILLIS = 50;
+
+  /** Runs at targets, and why their answers were late. */
+  private static final class RunCounts {
+    private final Set<String> objectTargetPairs = new HashSet<>();
+    private final Set<String> objects = new HashSet<>();
+    private int runCount;
+    private int uncachedCount;
+    private int lateCount;
+    private int lateUncachedCount;
+    private int lateWaitedCount;
+
+    /** Notes the request's last run, where its answer took {@code millis}. */
+    void recordResponse(
+        Ledger.Attempt asked, Ledger.Run run, long arrivedMillis, long latencyMillis) {
+      if (latencyMillis <= asked.route().latencyGoalMillis()) {
+        return;
+      }
+      lateCount++;
+      if (!run.hadCached()) {
+        lateUncachedCount++;
+      } else if (run.startedAtMillis() - arrivedMillis > MIN_LATE_WAIT_MILLIS) {
+        lateWaitedCount++;
+      }
+    }
+
+    void addRun(Ledger.Attempt asked, Ledger.Run run) {
+      runCount++;
+      uncachedCount += run.hadCached() ? 0 : 1;
+      objects.add(asked.path());
+      objectTargetPairs.add(asked.path() + ' ' + run.target());
+    }
+
+    @Override
+    public String toString() {
+      return String.format(
+          Locale.ROOT,
+          "%6d runs, %5d of unknown objects, %.1f targets an object; %d late: %d unknown, %d waited",
+          runCount,
+          uncachedCount,
+          (double) objectTargetPairs.size() / objects.size(),
+          lateCount,
+          lateUncachedCount,
+          lateWaitedCount);
+    }
+  }
+
+  private TrafficReport() {}
+
+  static TrafficReport of(SimulatedDay day, Deployment deployment) {
+    TrafficReport windows = new TrafficReport();
+    List<String> kinds = deployment.callerKinds().stream().map(RequestProfile::route).toList();
+    for (CompletedRequest request : day.requests()) {
+      if (kinds.contains(request.profile().route())) {
+        long from = request.startedAtMillis() / WINDOW_MILLIS * WINDOW_MILLIS;
+        windows.byTime.computeIfAbsent(from, at -> new RequestCounts()).add(request);
+        windows
+            .byKind
+            .computeIfAbsent(request.profile().route(), key -> new RequestCounts())
+            .add(request);
+        windows.byZone.computeIfAbsent(request.zone(), key -> new RequestCounts()).add(request);
+      }
+    }
+    Map<String, Long> arrivals = new HashMap<>();
+    day.ledger().arrivals().forEach(arrival -> arrivals.put(arrival.id(), arrival.at()));
+    for (Ledger.Attempt asked : day.ledger().attempts().values()) {
+      RunCounts ofRoute =
+          windows.runsByRoute.computeIfAbsent(asked.route().name(), key -> new RunCounts());
+      List<Ledger.Run> ofRequest = day.ledger().runs(asked.id());
+      ofRequest.forEach(run -> ofRoute.addRun(asked, run));
+      Long arrivedAt = arrivals.get(asked.id());
+      Optional<Ledger.Answered> answer = day.ledger().answer(asked.id());
+      if (!ofRequest.isEmpty() && arrivedAt != null && answer.isPresent()) {
+        Ledger.Run last = ofRequest.get(ofRequest.size() - 1);
+        ofRoute.recordResponse(asked, last, arrivedAt, answer.get().at() - asked.sentAtMillis());
+      }
+    }
+    return windows;
+  }
+
+  void print(PrintStream out) {
+    out.println("  from ms       asked in time  served");
+    byTime.forEach((from, counts) -> out.printf(Locale.ROOT, "  %-12d %s%n", from, counts));
+    byKind.forEach((kind, counts) -> out.printf(Locale.ROOT, "  %-12s %s%n", kind, counts));
+    runsByRoute.forEach((kind, counts) -> out.printf(Locale.ROOT, "  %-12s %s%n", kind, counts));
+    byZone.forEach((zone, counts) -> out.printf(Locale.ROOT, "  %-12s %s%n", zone, counts));
+  }
+}
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/AddedRoutes.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/AddedRouteRule.java
@@ -4,65 +4,66 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.sageladder.scenario.Day;
+import org.sageladder.scenario.SimulatedDay;
 import org.sageladder.standin.platform.CallersStandIn.CompletedRequest;
 import org.sageladder.standin.platform.Ledger.PlatformEvent;
 
 /** Routes that operators add are served as the first ones are, in calm times. */
-final class AddedRoutes {
+final class AddedRouteRule {
   /** Fewest requests on added routes that a share is taken of. */
-  private static final int FEWEST = 20;
+  private static final int MIN_REQUESTS = 20;
 
   /** An added route may be served this part as often as the first ones, at the least. */
-  private static final double LEAST_PART = 0.25;
+  private static final double MIN_RELATIVE_SUCCESS = 0.25;
 
-  private static final class Share {
+  private static final class SuccessCount {
     int requests;
-    int served;
+    int successes;
 
-    void count(CompletedRequest request) {
+    void add(CompletedRequest request) {
       requests++;
-      served += request.status() >= 200 && request.status() < 300 ? 1 : 0;
+      successes += request.status() >= 200 && request.status() < 300 ? 1 : 0;
     }
 
-    double value() {
-      return requests == 0 ? 0 : (double) served / requests;
+    double fraction() {
+      return requests == 0 ? 0 : (double) successes / requests;
     }
 
     @Override
     public String toString() {
-      return served + " of " + requests;
+      return successes + " of " + requests;
     }
   }
 
-  private AddedRoutes() {}
+  private AddedRouteRule() {}
 
-  static List<String> notServed(Day day) {
-    Map<String, Long> since = inForceSince(day);
+  static List<String> underserved(SimulatedDay day) {
+    Map<String, Long> since = firstConfiguredMillis(day);
     long first = since.values().stream().mapToLong(Long::longValue).min().orElse(0);
-    Share added = new Share();
-    Share others = new Share();
+    SuccessCount added = new SuccessCount();
+    SuccessCount others = new SuccessCount();
     for (CompletedRequest request : day.requests()) {
       Long addedAt = since.get(request.profile().route());
       if (addedAt == null
-          || !day.calm(
+          || !day.isUndisturbed(
               request.startedAtMillis(), request.startedAtMillis() + request.durationMillis())) {
         continue;
       }
       if (addedAt == first) {
-        others.count(request);
+        others.add(request);
       } else if (request.startedAtMillis() > addedAt + day.bounds().configurationApplyMillis()) {
-        added.count(request);
+        added.add(request);
       }
     }
     List<String> broken = new ArrayList<>();
-    if (added.requests >= FEWEST && added.value() < LEAST_PART * others.value()) {
+    if (added.requests >= MIN_REQUESTS
+        && added.fraction() < MIN_RELATIVE_SUCCESS * others.fraction()) {
       broken.add("of added routes " + added + " are served, of the first ones " + others);
     }
     return broken;
   }
 
-  private static Map<String, Long> inForceSince(Day day) {
+  private static Map<String, Long> firstConfiguredMillis(SimulatedDay day) {
     Map<String, Long> since = new HashMap<>();
     day.ledger()
         .events(PlatformEvent.Kind.CONFIGURATION)
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/BudgetRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/BudgetRules.java
@@ -10,25 +10,25 @@
 import java.util.NavigableMap;
 import java.util.Set;
 import java.util.TreeMap;
-import org.sageladder.scenario.Day;
+import org.sageladder.scenario.SimulatedDay;
 import org.sageladder.standin.platform.Ledger;
 import org.sageladder.standin.platform.Ledger.Arrival;
 import org.sageladder.standin.platform.Ledger.Attempt;
 
 /** Rules on how much reaches targets. */
 final class BudgetRules {
-  private static final long SECOND_MILLIS = 1_000;
-  private static final long LATE_MILLIS = 500;
-  private static final int FEW_OVER_TARGETS = 3;
-  private static final int FEW_OVER_TIME = 20;
+  private static final long COLD_WINDOW_MILLIS = 1_000;
+  private static final long DEADLINE_TOLERANCE_MILLIS = 500;
+  private static final int MAX_REQUESTS_OVER_TARGET_LIMIT = 3;
+  private static final int MAX_REQUESTS_OVER_DEADLINE = 20;
 
   /** Targets that a request may crash before it reaches no further one. */
-  private static final int MOST_CRASHED = 3;
+  private static final int MAX_CRASHED_TARGETS = 3;
 
   private BudgetRules() {}
 
   /** More than a cold target bears, in any second, over all entry VMs. */
-  static List<String> coldRate(Day day) {
+  static List<String> coldOverload(SimulatedDay day) {
     List<String> broken = new ArrayList<>();
     Map<String, Deque<Long>> recent = new HashMap<>();
     for (Arrival arrival : day.ledger().arrivals()) {
@@ -37,11 +37,12 @@
       }
       Deque<Long> times = recent.computeIfAbsent(arrival.target(), id -> new ArrayDeque<>());
       times.addLast(arrival.at());
-      while (times.peekFirst() <= arrival.at() - SECOND_MILLIS) {
+      while (times.peekFirst() <= arrival.at() - COLD_WINDOW_MILLIS) {
         times.removeFirst();
       }
       double most =
-          day.coldPerSecond() * day.bounds().coldRateFactor() + day.bounds().coldExtraRequests();
+          day.coldCapacityPerSecond() * day.bounds().coldRateFactor()
+              + day.bounds().coldExtraRequests();
       if (times.size() > most) {
         broken.add(arrival.target() + " got " + times.size() + " in a second at " + arrival.at());
       }
@@ -50,7 +51,7 @@
   }
 
   /** More second sends in a window than the shared budget has. */
-  static List<String> secondSends(Day day) {
+  static List<String> excessRetries(SimulatedDay day) {
     Map<String, NavigableMap<Long, Integer>> second = new HashMap<>();
     Set<String> seen = new HashSet<>();
     for (Arrival arrival : day.ledger().arrivals()) {
@@ -58,7 +59,7 @@
         add(second, arrival.service(), arrival.at());
       }
     }
-    Map<String, NavigableMap<Long, Integer>> first = requests(day);
+    Map<String, NavigableMap<Long, Integer>> first = requestTimesByService(day);
     List<String> broken = new ArrayList<>();
     second.forEach(
         (service, times) -> {
@@ -79,7 +80,7 @@
   }
 
   /** Requests on routes to each service, by when they were sent, whether they arrived or not. */
-  private static Map<String, NavigableMap<Long, Integer>> requests(Day day) {
+  private static Map<String, NavigableMap<Long, Integer>> requestTimesByService(SimulatedDay day) {
     Map<String, NavigableMap<Long, Integer>> requests = new HashMap<>();
     for (Attempt asked : day.ledger().attempts().values()) {
       asked
@@ -95,11 +96,11 @@
     counts.computeIfAbsent(service, name -> new TreeMap<>()).merge(at, 1, Integer::sum);
   }
 
-  private static int count(NavigableMap<Long, Integer> times, long from, long to) {
-    return times.subMap(from, false, to, true).values().stream().mapToInt(n -> n).sum();
+  private static int count(NavigableMap<Long, Integer> times, long fromMillis, long toMillis) {
+    return times.subMap(fromMillis, false, toMillis, true).values().stream().mapToInt(n -> n).sum();
   }
 
-  static List<String> mostTargets(Day day) {
+  static List<String> tooManyTargets(SimulatedDay day) {
     List<String> broken = new ArrayList<>();
     day.ledger()
         .runs()
@@ -112,30 +113,30 @@
                 broken.add(id + " ran at " + targets + " targets");
               }
             });
-    return broken.size() > FEW_OVER_TARGETS ? broken : List.of();
+    return broken.size() > MAX_REQUESTS_OVER_TARGET_LIMIT ? broken : List.of();
   }
 
   /** More time handed to targets than the caller has. */
-  static List<String> deadlines(Day day) {
+  static List<String> extendedDeadlines(SimulatedDay day) {
     List<String> broken = new ArrayList<>();
     for (Arrival arrival : day.ledger().arrivals()) {
       day.ledger()
           .attempt(arrival.id())
-          .filter(asked -> isLonger(arrival, asked))
-          .filter(asked -> day.inTouch(arrival.from(), asked.sentAtMillis(), arrival.at()))
+          .filter(asked -> exceedsDeadline(arrival, asked))
+          .filter(asked -> day.isInContact(arrival.from(), asked.sentAtMillis(), arrival.at()))
           .ifPresent(asked -> broken.add(arrival.toString()));
     }
-    return broken.size() > FEW_OVER_TIME ? broken : List.of();
+    return broken.size() > MAX_REQUESTS_OVER_DEADLINE ? broken : List.of();
   }
 
-  private static boolean isLonger(Arrival arrival, Attempt asked) {
+  private static boolean exceedsDeadline(Arrival arrival, Attempt asked) {
     long ends = arrival.at() + arrival.deadlineMillis();
     return arrival.deadlineMillis() < 0
-        || ends > asked.sentAtMillis() + asked.deadlineMillis() + LATE_MILLIS;
+        || ends > asked.sentAtMillis() + asked.deadlineMillis() + DEADLINE_TOLERANCE_MILLIS;
   }
 
   /** A request that crashes its targets goes on reaching others. */
-  static List<String> crashingRequests(Day day) {
+  static List<String> repeatedCrashes(SimulatedDay day) {
     Map<String, List<Arrival>> byPath = new HashMap<>();
     for (Arrival arrival : day.ledger().arrivals()) {
       day.ledger()
@@ -148,16 +149,16 @@
     List<String> broken = new ArrayList<>();
     byPath.forEach(
         (path, arrivals) -> {
-          if (arrivals.size() <= MOST_CRASHED) {
+          if (arrivals.size() <= MAX_CRASHED_TARGETS) {
             return;
           }
-          long third = arrivals.get(MOST_CRASHED - 1).at() + day.bounds().discoveryMillis();
+          long third = arrivals.get(MAX_CRASHED_TARGETS - 1).at() + day.bounds().discoveryMillis();
           long after =
               arrivals.stream()
                   .filter(arrival -> arrival.at() > third)
-                  .filter(arrival -> day.inTouch(arrival.from(), arrival.at(), arrival.at()))
+                  .filter(arrival -> day.isInContact(arrival.from(), arrival.at(), arrival.at()))
                   .count();
-          if (after > MOST_CRASHED) {
+          if (after > MAX_CRASHED_TARGETS) {
             broken.add(path + " reached " + after + " targets after it had crashed three");
           }
         });
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/KeyRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/KeyRules.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import org.sageladder.core.routing.Quota;
 import org.sageladder.core.routing.Workspace;
-import org.sageladder.scenario.Day;
+import org.sageladder.scenario.SimulatedDay;
 import org.sageladder.standin.platform.Ledger;
 import org.sageladder.standin.platform.Ledger.Delivery;
 import org.sageladder.standin.platform.Ledger.PlatformEvent;
@@ -17,15 +17,15 @@
   private static final double MILLIS_PER_SECOND = 1_000;
 
   /** A workspace is starved where it is served that much less often than all. */
-  private static final double STARVED = 0.25;
+  private static final double STARVATION_FRACTION = 0.25;
 
   /** Requests below which a workspace's share served is chance. */
-  private static final int FEW = 20;
+  private static final int MIN_REQUESTS = 20;
 
   private KeyRules() {}
 
   /** Targets that were shown a key, or were named another workspace than the key's. */
-  static List<String> wrongWorkspace(Day day) {
+  static List<String> wrongWorkspace(SimulatedDay day) {
     List<String> broken = new ArrayList<>();
     for (Delivery delivery : day.ledger().deliveries()) {
       day.ledger()
@@ -37,7 +37,7 @@
   }
 
   /** Requests that ran though no configuration ever held their key. */
-  static List<String> forgedKeys(Day day) {
+  static List<String> forgedKeys(SimulatedDay day) {
     List<String> broken = new ArrayList<>();
     for (Delivery delivery : day.ledger().deliveries()) {
       boolean forged =
@@ -53,7 +53,7 @@
   }
 
   /** Requests sent by machines in touch after their key's end was in force that reach a target. */
-  static List<String> keysTakenAway(Day day) {
+  static List<String> revokedKeys(SimulatedDay day) {
     List<String> broken = new ArrayList<>();
     for (PlatformEvent moment : day.ledger().events(PlatformEvent.Kind.KEY_TAKEN_AWAY)) {
       long inForce = moment.atMillis() + day.bounds().configurationApplyMillis();
@@ -65,7 +65,7 @@
                 .isPresent();
         if (bears
             && delivery.fate() == Ledger.Fate.TAKEN
-            && isSentInTouch(day, delivery.id(), inForce)) {
+            && isSentInContact(day, delivery.id(), inForce)) {
           broken.add(delivery.id() + " ran after its key was taken away at " + moment.atMillis());
         }
       }
@@ -74,7 +74,7 @@
   }
 
   /** True where the request bears no key, or one that all configurations so far have held. */
-  static boolean isHeld(Day day, String id) {
+  static boolean isKeyValid(SimulatedDay day, String id) {
     Ledger.Credential bearer = day.ledger().credential(id).orElse(null);
     if (bearer == null) {
       return true;
@@ -85,16 +85,17 @@
     return bearer.wasEverConfigured() && !taken;
   }
 
-  private static boolean isSentInTouch(Day day, String id, long after) {
+  private static boolean isSentInContact(SimulatedDay day, String id, long afterMillis) {
     return day.ledger()
         .attempt(id)
-        .filter(asked -> asked.sentAtMillis() > after)
-        .filter(asked -> day.inTouch(asked.entryVmIp(), asked.sentAtMillis(), asked.sentAtMillis()))
+        .filter(asked -> asked.sentAtMillis() > afterMillis)
+        .filter(
+            asked -> day.isInContact(asked.entryVmIp(), asked.sentAtMillis(), asked.sentAtMillis()))
         .isPresent();
   }
 
   /** More requests of a workspace in some window than its quota allows, over all machines. */
-  static List<String> quotas(Day day) {
+  static List<String> exceededQuotas(SimulatedDay day) {
     List<String> broken = new ArrayList<>();
     Map<String, TreeMap<Long, Integer>> ran = new HashMap<>();
     for (Delivery delivery : day.ledger().deliveries()) {
@@ -103,14 +104,14 @@
             .merge(delivery.at(), 1, Integer::sum);
       }
     }
-    long settled = settledAt(day);
+    long settled = quotaSettledMillis(day);
     ran.forEach(
         (name, times) -> {
           Workspace workspace = day.workspaces().get(name);
           if (workspace == null || !workspace.quota().isLimited()) {
             return;
           }
-          double most = most(day, workspace.quota());
+          double most = maxRequests(day, workspace.quota());
           for (long from : times.tailMap(settled).keySet()) {
             long end = from + day.bounds().quotaWindowMillis();
             int count = times.subMap(from, end).values().stream().mapToInt(n -> n).sum();
@@ -124,7 +125,7 @@
   }
 
   /** A lower quota binds one window after it is in force. */
-  private static long settledAt(Day day) {
+  private static long quotaSettledMillis(SimulatedDay day) {
     return day.ledger().events(PlatformEvent.Kind.QUOTA_LOWERED).stream()
         .mapToLong(
             m ->
@@ -135,14 +136,14 @@
         .orElse(0);
   }
 
-  private static double most(Day day, Quota quota) {
+  private static double maxRequests(SimulatedDay day, Quota quota) {
     double seconds = day.bounds().quotaWindowMillis() / MILLIS_PER_SECOND;
     double allowed = quota.ratePerSecond() * seconds + quota.burst();
     return allowed * (1 + day.bounds().quotaExcessFraction()) + day.bounds().quotaExcessRequests();
   }
 
   /** Workspaces within their quotas whose requests are served far less often than all. */
-  static List<String> starved(Day day) {
+  static List<String> starvedWorkspaces(SimulatedDay day) {
     Map<String, int[]> counts = new HashMap<>();
     int[] all = new int[2];
     for (String id : day.ledger().attempts().keySet()) {
@@ -164,7 +165,7 @@
     counts.forEach(
         (name, own) -> {
           double share = (double) own[1] / own[0];
-          if (own[0] >= FEW && share < STARVED * all[1] / all[0]) {
+          if (own[0] >= MIN_REQUESTS && share < STARVATION_FRACTION * all[1] / all[0]) {
             broken.add(name + " was served " + own[1] + " of " + own[0]);
           }
         });
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/Rule.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/Rule.java
@@ -1,7 +1,7 @@
 package org.sageladder.scenario.rule;
 
 import java.util.List;
-import org.sageladder.scenario.Day;
+import org.sageladder.scenario.SimulatedDay;
 
 /**
  * One promise of the system.
@@ -17,5 +17,5 @@
   String name();
 
   /** What broke it, a line each; empty where it was kept. */
-  List<String> broken(Day day);
+  List<String> violations(SimulatedDay day);
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/Rules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/Rules.java
@@ -2,14 +2,15 @@
 
 import java.util.List;
 import java.util.function.Function;
-import org.sageladder.scenario.Day;
+import org.sageladder.scenario.SimulatedDay;
 
 /** All rules that are judged. */
 public final class Rules {
-  private record Named(String name, Function<Day, List<String>> judge) implements Rule {
+  private record NamedRule(String name, Function<SimulatedDay, List<String>> check)
+      implements Rule {
     @Override
-    public List<String> broken(Day day) {
-      return judge.apply(day);
+    public List<String> violations(SimulatedDay day) {
+      return check.apply(day);
     }
   }
 
@@ -18,30 +19,30 @@
   /** Every rule, the heaviest first. */
   public static List<Rule> all() {
     return List.of(
-        new Named("TWICE", AnswerRules::ranTwice),
-        new Named("REFUSED", AnswerRules::refusedThoughRun),
-        new Named("MIXED", AnswerRules::wrongAnswers),
-        new Named("DENIED", AnswerRules::denied),
-        new Named("LOST", AnswerRules::cutByPlannedWork),
-        new Named("UNASKED", ArrivalRules::unasked),
-        new Named("UNASKED workspace", KeyRules::wrongWorkspace),
-        new Named("ROUTE key", KeyRules::forgedKeys),
-        new Named("CONFIG key", KeyRules::keysTakenAway),
-        new Named("QUOTA", KeyRules::quotas),
-        new Named("STARVED", KeyRules::starved),
-        new Named("ROUTE", ArrivalRules::wrongService),
-        new Named("HOME", ArrivalRules::wrongRegion),
-        new Named("DRAIN", ArrivalRules::afterLeaving),
-        new Named("EVAC", ArrivalRules::afterEmptying),
-        new Named("CONFIG", ArrivalRules::olderConfiguration),
-        new Named("CONFIG added", AddedRoutes::notServed),
-        new Named("GONE", ArrivalRules::afterTheCallerLeft),
-        new Named("SHIFT", Shifts::tooFast),
-        new Named("FAILBACK", BudgetRules::coldRate),
-        new Named("BUDGET retries", BudgetRules::secondSends),
-        new Named("BUDGET targets", BudgetRules::mostTargets),
-        new Named("BUDGET time", BudgetRules::deadlines),
-        new Named("BUDGET crashes", BudgetRules::crashingRequests),
-        new Named("RECOVER", AnswerRules::notBack));
+        new NamedRule("TWICE", ResponseRules::ranTwice),
+        new NamedRule("REFUSED", ResponseRules::refusedButRan),
+        new NamedRule("MIXED", ResponseRules::wrongResponses),
+        new NamedRule("DENIED", ResponseRules::deniedRequests),
+        new NamedRule("LOST", ResponseRules::cutByPlannedStop),
+        new NamedRule("UNASKED", ArrivalRules::alteredRequests),
+        new NamedRule("UNASKED workspace", KeyRules::wrongWorkspace),
+        new NamedRule("ROUTE key", KeyRules::forgedKeys),
+        new NamedRule("CONFIG key", KeyRules::revokedKeys),
+        new NamedRule("QUOTA", KeyRules::exceededQuotas),
+        new NamedRule("STARVED", KeyRules::starvedWorkspaces),
+        new NamedRule("ROUTE", ArrivalRules::wrongService),
+        new NamedRule("HOME", ArrivalRules::wrongRegion),
+        new NamedRule("DRAIN", ArrivalRules::afterDrain),
+        new NamedRule("EVAC", ArrivalRules::afterEvacuation),
+        new NamedRule("CONFIG", ArrivalRules::staleConfiguration),
+        new NamedRule("CONFIG added", AddedRouteRule::underserved),
+        new NamedRule("GONE", ArrivalRules::afterCallerLeft),
+        new NamedRule("SHIFT", ShiftRule::tooFast),
+        new NamedRule("FAILBACK", BudgetRules::coldOverload),
+        new NamedRule("BUDGET retries", BudgetRules::excessRetries),
+        new NamedRule("BUDGET targets", BudgetRules::tooManyTargets),
+        new NamedRule("BUDGET time", BudgetRules::extendedDeadlines),
+        new NamedRule("BUDGET crashes", BudgetRules::repeatedCrashes),
+        new NamedRule("RECOVER", ResponseRules::notRecovered));
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/CallerTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/CallerTroubles.java
@@ -6,9 +6,9 @@
 
 /** What callers do in a day. */
 final class CallerTroubles {
-  private static final double BURST = 3;
+  private static final double BURST_RATE_FACTOR = 3;
   private static final long BURST_MILLIS = 4_000;
-  private static final double LEAVING_SHARE = 0.33;
+  private static final double LEAVING_FRACTION = 0.33;
   private static final long LEAVE_AFTER_MILLIS = 150;
   private static final long LEAVING_MILLIS = 5_000;
 
@@ -16,18 +16,21 @@
 
   static void addTo(Map<String, Trouble> all) {
     all.put("burst", CallerTroubles::burst);
-    all.put("callers-leave", CallerTroubles::leave);
+    all.put("callers-leave", CallerTroubles::disconnectEarly);
   }
 
   private static void burst(Fleet fleet, Random random) {
-    fleet.callers().forEach(callers -> callers.setRateFactor(BURST));
-    fleet.after(BURST_MILLIS, () -> fleet.callers().forEach(callers -> callers.setRateFactor(1)));
+    fleet.callers().forEach(callers -> callers.setRateFactor(BURST_RATE_FACTOR));
+    fleet.runAfter(
+        BURST_MILLIS, () -> fleet.callers().forEach(callers -> callers.setRateFactor(1)));
   }
 
   /** Callers leave before they have an answer. */
-  private static void leave(Fleet fleet, Random random) {
-    fleet.callers().forEach(callers -> callers.setAbandonment(LEAVING_SHARE, LEAVE_AFTER_MILLIS));
-    fleet.after(
+  private static void disconnectEarly(Fleet fleet, Random random) {
+    fleet
+        .callers()
+        .forEach(callers -> callers.setAbandonment(LEAVING_FRACTION, LEAVE_AFTER_MILLIS));
+    fleet.runAfter(
         LEAVING_MILLIS, () -> fleet.callers().forEach(callers -> callers.setAbandonment(0, 0)));
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/TargetTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/TargetTroubles.java
@@ -15,17 +15,17 @@
 
 /** What happens to targets. */
 final class TargetTroubles {
-  private static final double CRASH_SHARE = 0.1;
-  private static final double SLOW_SHARE = 0.15;
-  private static final double COLD_SHARE = 0.2;
-  private static final double RELEASE_SHARE = 0.3;
-  private static final double ADDED_SHARE = 0.1;
-  private static final double FAULTY_SHARE = 0.5;
-  private static final double FAULTY_ANSWERS = 0.05;
-  private static final double SLOWER = 4;
-  private static final long SPAN_MILLIS = 6_000;
-  private static final long RELEASE_GAP_MILLIS = 700;
-  private static final int REMOVED = 3;
+  private static final double CRASH_FRACTION = 0.1;
+  private static final double SLOW_FRACTION = 0.15;
+  private static final double COLD_FRACTION = 0.2;
+  private static final double REPLACED_FRACTION = 0.3;
+  private static final double ADDED_FRACTION = 0.1;
+  private static final double FAULTY_FRACTION = 0.5;
+  private static final double FAULTY_RESPONSE_FRACTION = 0.05;
+  private static final double SLOWDOWN_FACTOR = 4;
+  private static final long TROUBLE_MILLIS = 6_000;
+  private static final long REPLACEMENT_GAP_MILLIS = 700;
+  private static final int REMOVED_COUNT = 3;
 
   private TargetTroubles() {}
 
@@ -33,82 +33,84 @@
     all.put("targets-crash", TargetTroubles::crash);
     all.put("targets-slow", TargetTroubles::slow);
     all.put("targets-cold", TargetTroubles::turnCold);
-    all.put("targets-released", TargetTroubles::release);
-    all.put("targets-removed", (fleet, random) -> leave(fleet, random, REMOVED, false));
-    all.put("targets-added", TargetTroubles::add);
-    all.put("answers-lost", (fleet, random) -> faulty(fleet, random, Fault.LOSES_ANSWER));
-    all.put("answers-cut", (fleet, random) -> faulty(fleet, random, Fault.CUTS_ANSWER));
-    all.put("answers-spoilt", (fleet, random) -> faulty(fleet, random, Fault.SPOILS_ANSWER));
-    all.put("answers-twice", (fleet, random) -> faulty(fleet, random, Fault.ANSWERS_TWICE));
-    all.put("answers-unframed", (fleet, random) -> faulty(fleet, random, Fault.UNFRAMED));
-    all.put("answers-fail", (fleet, random) -> faulty(fleet, random, Fault.FAILS));
-    all.put("targets-start-again", TargetTroubles::startAgainBehindACut);
+    all.put("targets-released", TargetTroubles::replaceTargets);
+    all.put("targets-removed", (fleet, random) -> leave(fleet, random, REMOVED_COUNT, false));
+    all.put("targets-added", TargetTroubles::addTargets);
+    all.put("answers-lost", (fleet, random) -> injectFault(fleet, random, Fault.LOSES_ANSWER));
+    all.put("answers-cut", (fleet, random) -> injectFault(fleet, random, Fault.CUTS_ANSWER));
+    all.put("answers-spoilt", (fleet, random) -> injectFault(fleet, random, Fault.SPOILS_ANSWER));
+    all.put("answers-twice", (fleet, random) -> injectFault(fleet, random, Fault.ANSWERS_TWICE));
+    all.put("answers-unframed", (fleet, random) -> injectFault(fleet, random, Fault.UNFRAMED));
+    all.put("answers-fail", (fleet, random) -> injectFault(fleet, random, Fault.FAILS));
+    all.put("targets-start-again", TargetTroubles::restartBehindCut);
   }
 
-  private static List<FleetTarget> pick(Fleet fleet, Random random, double share) {
-    List<FleetTarget> all = new ArrayList<>(fleet.targets());
+  private static List<FleetTarget> pick(Fleet fleet, Random random, double fraction) {
+    List<FleetTarget> all = new ArrayList<>(fleet.runningTargets());
     Collections.shuffle(all, random);
-    return all.subList(0, (int) Math.ceil(share * all.size()));
+    return all.subList(0, (int) Math.ceil(fraction * all.size()));
   }
 
   private static void crash(Fleet fleet, Random random) {
-    for (FleetTarget target : pick(fleet, random, CRASH_SHARE)) {
-      target.crash(Troubles.between(random, 1_000, 6_000));
+    for (FleetTarget target : pick(fleet, random, CRASH_FRACTION)) {
+      target.crash(Troubles.randomMillis(random, 1_000, 6_000));
     }
   }
 
   /** Targets are cut off, crash meanwhile, and are back under their ids as the cut heals. */
-  private static void startAgainBehindACut(Fleet fleet, Random random) {
-    List<FleetTarget> hit = pick(fleet, random, CRASH_SHARE);
-    Set<SimulatedHost> hosts = hit.stream().map(FleetTarget::host).collect(Collectors.toSet());
-    long millis = Troubles.between(random, 1_500, 6_000);
+  private static void restartBehindCut(Fleet fleet, Random random) {
+    List<FleetTarget> affected = pick(fleet, random, CRASH_FRACTION);
+    Set<SimulatedHost> hosts = affected.stream().map(FleetTarget::host).collect(Collectors.toSet());
+    long millis = Troubles.randomMillis(random, 1_500, 6_000);
     Partition cut =
         fleet.network().partition((from, to) -> hosts.contains(from) || hosts.contains(to));
-    fleet.after(millis / 2, () -> hit.forEach(target -> target.crashAndStartAgain(millis / 4)));
-    fleet.after(millis, cut::close);
+    fleet.runAfter(
+        millis / 2, () -> affected.forEach(target -> target.crashAndRestartWithSameId(millis / 4)));
+    fleet.runAfter(millis, cut::close);
   }
 
   private static void slow(Fleet fleet, Random random) {
-    List<FleetTarget> slow = pick(fleet, random, SLOW_SHARE);
-    slow.forEach(target -> target.process().setServiceTimeFactor(SLOWER));
-    fleet.after(
-        SPAN_MILLIS, () -> slow.forEach(target -> target.process().setServiceTimeFactor(1)));
+    List<FleetTarget> slow = pick(fleet, random, SLOW_FRACTION);
+    slow.forEach(target -> target.process().setServiceTimeFactor(SLOWDOWN_FACTOR));
+    fleet.runAfter(
+        TROUBLE_MILLIS, () -> slow.forEach(target -> target.process().setServiceTimeFactor(1)));
   }
 
   private static void turnCold(Fleet fleet, Random random) {
-    pick(fleet, random, COLD_SHARE).forEach(target -> target.process().becomeCold());
+    pick(fleet, random, COLD_FRACTION).forEach(target -> target.process().becomeCold());
   }
 
   /** Targets leave one after the other, each with a successor before. */
-  private static void release(Fleet fleet, Random random) {
+  private static void replaceTargets(Fleet fleet, Random random) {
     long at = 0;
-    for (FleetTarget target : pick(fleet, random, RELEASE_SHARE)) {
-      fleet.after(
+    for (FleetTarget target : pick(fleet, random, REPLACED_FRACTION)) {
+      fleet.runAfter(
           at,
           () -> {
             fleet.addColdTarget(target.service(), target.host().zone());
             target.leave(true);
           });
-      at += RELEASE_GAP_MILLIS;
+      at += REPLACEMENT_GAP_MILLIS;
     }
   }
 
   /** Targets leave; where {@code told} is false their entries are just removed. */
-  static void leave(Fleet fleet, Random random, int count, boolean told) {
+  static void leave(Fleet fleet, Random random, int count, boolean isAnnounced) {
     List<FleetTarget> all = pick(fleet, random, 1);
-    all.subList(0, Math.min(count, all.size())).forEach(target -> target.leave(told));
+    all.subList(0, Math.min(count, all.size())).forEach(target -> target.leave(isAnnounced));
   }
 
-  private static void add(Fleet fleet, Random random) {
-    for (FleetTarget beside : pick(fleet, random, ADDED_SHARE)) {
+  private static void addTargets(Fleet fleet, Random random) {
+    for (FleetTarget beside : pick(fleet, random, ADDED_FRACTION)) {
       fleet.addColdTarget(beside.service(), beside.host().zone());
     }
   }
 
-  private static void faulty(Fleet fleet, Random random, Fault kind) {
-    List<FleetTarget> hit = pick(fleet, random, FAULTY_SHARE);
-    Troubles.noteEverywhere(fleet, SPAN_MILLIS);
-    hit.forEach(target -> target.process().setFault(kind, FAULTY_ANSWERS));
-    fleet.after(SPAN_MILLIS, () -> hit.forEach(target -> target.process().setFault(Fault.NONE, 0)));
+  private static void injectFault(Fleet fleet, Random random, Fault kind) {
+    List<FleetTarget> affected = pick(fleet, random, FAULTY_FRACTION);
+    Troubles.recordAtAll(fleet, TROUBLE_MILLIS);
+    affected.forEach(target -> target.process().setFault(kind, FAULTY_RESPONSE_FRACTION));
+    fleet.runAfter(
+        TROUBLE_MILLIS, () -> affected.forEach(target -> target.process().setFault(Fault.NONE, 0)));
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/Trouble.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/Trouble.java
@@ -7,5 +7,5 @@
 @FunctionalInterface
 public interface Trouble {
   /** Does it now; whom it hits and for how long follows from {@code random}. */
-  void strike(Fleet fleet, Random random);
+  void inject(Fleet fleet, Random random);
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/Troubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/Troubles.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Random;
 import org.jspecify.annotations.Nullable;
-import org.sageladder.scenario.Day;
 import org.sageladder.scenario.Fleet;
 import org.sageladder.scenario.FleetEntry;
+import org.sageladder.scenario.SimulatedDay;
 
 /** All troubles by name, and what they share. */
 public final class Troubles {
@@ -28,53 +28,57 @@
   }
 
   /** Troubles of workspaces, by name; seeds draw them on no deployment. */
-  public static Map<String, Trouble> ofWorkspaces() {
+  public static Map<String, Trouble> workspaceTroubles() {
     Map<String, Trouble> all = new LinkedHashMap<>();
     WorkspaceTroubles.addTo(all);
     return all;
   }
 
   /** The trouble of that name, or null. */
-  public static @Nullable Trouble named(String name) {
+  public static @Nullable Trouble find(String name) {
     Trouble known = all().get(name);
-    return known == null ? ofWorkspaces().get(name) : known;
+    return known == null ? workspaceTroubles().get(name) : known;
   }
 
-  static List<FleetEntry> pick(Fleet fleet, Random random, int count) {
+  static List<FleetEntry> pickEntries(Fleet fleet, Random random, int count) {
     List<FleetEntry> all = new ArrayList<>(fleet.entries());
     Collections.shuffle(all, random);
     return all.subList(0, Math.min(count, all.size()));
   }
 
-  static FleetEntry pickOne(Fleet fleet, Random random) {
-    return pick(fleet, random, 1).get(0);
+  static FleetEntry pickEntry(Fleet fleet, Random random) {
+    return pickEntries(fleet, random, 1).get(0);
   }
 
-  static long between(Random random, int least, int most) {
-    return (long) least + random.nextInt(most - least);
+  static long randomMillis(Random random, int minMillis, int maxMillis) {
+    return (long) minMillis + random.nextInt(maxMillis - minMillis);
   }
 
   /** Notes unplanned trouble of one entry VM. */
-  static void noteAt(Fleet fleet, FleetEntry entry, long millis) {
-    note(fleet, entry.host().ip(), false, millis);
+  static void recordAt(Fleet fleet, FleetEntry entry, long millis) {
+    record(fleet, entry.host().ip(), false, millis);
   }
 
   /** Notes unplanned trouble that touches all entry VMs. */
-  static void noteEverywhere(Fleet fleet, long millis) {
-    note(fleet, Day.EVERYWHERE, false, millis);
+  static void recordAtAll(Fleet fleet, long millis) {
+    record(fleet, SimulatedDay.ALL_ENTRY_VMS, false, millis);
   }
 
   /** Notes unplanned trouble of the links to a zone. */
-  static void noteLinksTo(Fleet fleet, String zone, long millis) {
-    note(fleet, zone, false, millis);
+  static void recordLinksTo(Fleet fleet, String zone, long millis) {
+    record(fleet, zone, false, millis);
   }
 
   /** Notes planned work at one entry VM. */
-  static void notePlanned(Fleet fleet, FleetEntry entry, long millis) {
-    note(fleet, entry.host().ip(), true, millis);
+  static void recordPlanned(Fleet fleet, FleetEntry entry, long millis) {
+    record(fleet, entry.host().ip(), true, millis);
   }
 
-  private static void note(Fleet fleet, String scope, boolean planned, long millis) {
-    fleet.day().trouble(new Day.Span(scope, planned, fleet.now(), fleet.now() + millis));
+  private static void record(Fleet fleet, String scope, boolean planned, long millis) {
+    fleet
+        .day()
+        .recordTrouble(
+            new SimulatedDay.TroubleInterval(
+                scope, planned, fleet.nowMillis(), fleet.nowMillis() + millis));
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/AddedRouteInLongQueuesTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/AddedRouteInLongQueuesTest.java
@@ -22,7 +22,7 @@
     assertEquals(
         List.of(),
         Scenario.of(1, "route-added")
-            .play(Deployment.stamps().atPace(PACE), LogSource.none())
-            .broken());
+            .run(Deployment.stamps().withRateFactor(PACE), LogSource.none())
+            .violations());
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/AddedRouteDayTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/AddedRouteUnderLoadTest.java
@@ -11,11 +11,11 @@
  * refused it at once, since it took the queues for as long as if they held requests with the
  * guessed run of the new route. Nothing was sent, so the guess stayed.
  */
-class AddedRouteDayTest {
+class AddedRouteUnderLoadTest {
   private static final int SEEDS = 3;
 
   @TestFactory
   Collection<DynamicTest> aRouteAddedInABusyHourIsServed() {
-    return SeededDays.keepTheRules("route-added", Deployment.bookings(), SEEDS);
+    return SeededTroubleTests.assertRulesHold("route-added", Deployment.bookings(), SEEDS);
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/EmptiedBehindACutTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/EvacuationBehindCutTest.java
@@ -12,11 +12,12 @@
  * zone and were run: the kernels of the entry VMs had gone on sending what an ordinary close left
  * with them.
  */
-class EmptiedBehindACutTest {
+class EvacuationBehindCutTest {
   private static final int SEEDS = 3;
 
   @TestFactory
-  Collection<DynamicTest> nothingThatWasWithdrawnArrivesLater() {
-    return SeededDays.keepTheRules("zone-emptied-behind-a-cut", Deployment.stamps(), SEEDS);
+  Collection<DynamicTest> abandonedRequestsDoNotArriveLater() {
+    return SeededTroubleTests.assertRulesHold(
+        "zone-emptied-behind-a-cut", Deployment.stamps(), SEEDS);
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/FewSlotsNearCallersTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/FewSlotsNearCallersTest.java
@@ -13,12 +13,12 @@
 
   /** Without a share for each region these days earned 0.548 and 0.537 of their worth. */
   @Test
-  void callersOfARegionWithFewSlotsAreServedInTimeElsewhere() {
+  void callersOfRegionWithFewSlotsAreServedCrossRegion() {
     for (long seed = 1; seed <= 2; seed++) {
       Scenario.Outcome outcome =
-          Scenario.calm(seed).playFor(MILLIS, Deployment.bookings(), LogSource.none());
-      assertEquals(List.of(), outcome.broken());
-      assertTrue(outcome.day().worth() > 0.57, "worth " + outcome.day().worth());
+          Scenario.withoutTroubles(seed).runFor(MILLIS, Deployment.bookings(), LogSource.none());
+      assertEquals(List.of(), outcome.violations());
+      assertTrue(outcome.day().creditFraction() > 0.57, "worth " + outcome.day().creditFraction());
     }
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/HostileFramingProperties.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/HostileFramingProperties.java
@@ -31,14 +31,14 @@
  * What callers may write on a connection, byte by byte: 600 inputs a run, the same ones each time.
  */
 class HostileFramingProperties {
-  private static final int TRIES = 200;
-  private static final long ANSWER_MILLIS = 2_500;
+  private static final int RUNS_PER_PROPERTY = 200;
+  private static final long RESPONSE_WAIT_MILLIS = 2_500;
   private static final String SMUGGLED = "hidden";
 
   private final Fleet fleet = Fleet.start(Deployment.listing(), 1, LogSource.none());
   private final SimulatedHost host = fleet.network().addCallerHost("10.8.0.1", "north-a", "north");
   private final Loop loop = fleet.network().processLoop(host);
-  private int last;
+  private int lastId;
 
   HostileFramingProperties() {
     fleet.callers().forEach(callers -> callers.stop());
@@ -46,7 +46,7 @@
   }
 
   /** A caller's end that keeps what came. */
-  private static final class Heard extends ChannelInboundHandlerAdapter {
+  private static final class ReceivedText extends ChannelInboundHandlerAdapter {
     final StringBuilder text = new StringBuilder();
 
     @Override
@@ -61,14 +61,14 @@
       text.append("");
     }
 
-    long answers() {
+    long responseCount() {
       return text.toString().lines().filter(line -> line.contains("HTTP/1.1 ")).count();
     }
   }
 
   private String nextId() {
-    last++;
-    return "q-" + last;
+    lastId++;
+    return "q-" + lastId;
   }
 
   private static String get(String id) {
@@ -78,10 +78,10 @@
   }
 
   /** Writes {@code text} in pieces that end at {@code cuts}, and returns what came back. */
-  private Heard write(String text, Iterable<Integer> cuts) {
-    Heard heard = new Heard();
+  private ReceivedText write(String text, Iterable<Integer> cuts) {
+    ReceivedText received = new ReceivedText();
     FleetEntry entry = fleet.entries().get(0);
-    ChannelFuture opened = loop.connect(entry.host().ip(), entry.callersPort(), 1_000, heard);
+    ChannelFuture opened = loop.connect(entry.host().ip(), entry.callersPort(), 1_000, received);
     fleet.runFor(100);
     assertTrue(opened.isSuccess(), "the port is open");
     Channel channel = opened.channel();
@@ -90,10 +90,10 @@
       from = send(channel, text, from, Math.max(from, Math.min(cut, text.length())));
     }
     send(channel, text, from, text.length());
-    fleet.runFor(ANSWER_MILLIS);
+    fleet.runFor(RESPONSE_WAIT_MILLIS);
     Sockets.close(channel);
     fleet.runFor(10);
-    return heard;
+    return received;
   }
 
   private int send(Channel channel, String text, int from, int to) {
@@ -109,20 +109,20 @@
     return fleet.day().ledger().runs(id).size();
   }
 
-  private void assertServesAsBefore() {
+  private void assertNextRequestIsServed() {
     String id = nextId();
-    Heard heard = write(get(id), List.of());
+    ReceivedText heard = write(get(id), List.of());
     assertTrue(heard.text.toString().startsWith("HTTP/1.1 200"), heard.text.toString());
     assertEquals(1, runs(id));
   }
 
   /** Bytes come as the network likes: a request in seven packets is the same request. */
-  @Property(tries = TRIES, seed = "4711")
-  void aRequestMayComeInAnyPieces(@ForAll("cuts") SortedSet<Integer> cuts) {
+  @Property(tries = RUNS_PER_PROPERTY, seed = "4711")
+  void requestMayArriveInAnyPieces(@ForAll("cuts") SortedSet<Integer> cuts) {
     String first = nextId();
     String second = nextId();
-    Heard heard = write(get(first) + get(second), cuts);
-    assertEquals(2, heard.answers(), heard.text.toString());
+    ReceivedText heard = write(get(first) + get(second), cuts);
+    assertEquals(2, heard.responseCount(), heard.text.toString());
     assertTrue(heard.text.indexOf(first) < heard.text.indexOf(second), "answers in their order");
     assertEquals(1, runs(first));
     assertEquals(1, runs(second));
@@ -132,25 +132,25 @@
    * One byte of a head is lost, doubled or changed on its way: the caller gets one answer or none,
    * at most one request runs, and the next caller is served.
    */
-  @Property(tries = TRIES, seed = "4711")
-  void aSpoiltHeadRunsOnceAtMostAndHarmsNobody(@ForAll("mutations") Mutation mutation) {
+  @Property(tries = RUNS_PER_PROPERTY, seed = "4711")
+  void malformedHeadRunsAtMostOnceAndAffectsNoOtherCaller(@ForAll("mutations") Mutation mutation) {
     String id = nextId();
     int before = fleet.day().ledger().arrivals().size();
-    Heard heard = write(mutation.of(get(id)), List.of());
+    ReceivedText heard = write(mutation.of(get(id)), List.of());
     assertTrue(fleet.day().ledger().arrivals().size() <= before + 1);
-    assertTrue(heard.answers() <= 1, heard.text.toString());
+    assertTrue(heard.responseCount() <= 1, heard.text.toString());
     if (heard.text.length() > 0) {
       assertTrue(heard.text.toString().startsWith("HTTP/1.1 "), heard.text.toString());
     }
-    assertServesAsBefore();
+    assertNextRequestIsServed();
   }
 
   /**
    * A second request hides in a body whose length two readers may take differently: it must not run
    * at any target, whatever becomes of the first.
    */
-  @Property(tries = TRIES, seed = "4711")
-  void noRequestIsSmuggledInABody(@ForAll("framings") String framing) {
+  @Property(tries = RUNS_PER_PROPERTY, seed = "4711")
+  void noRequestIsSmuggledInBody(@ForAll("framings") String framing) {
     String id = nextId();
     String inside = nextId() + SMUGGLED;
     String hidden = get(inside);
@@ -166,7 +166,7 @@
     } else if (framing.lines().count() == 1) {
       assertEquals(1, runs(inside), framing);
     }
-    assertServesAsBefore();
+    assertNextRequestIsServed();
   }
 
   /**
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/ScenarioTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/ScenarioTest.java
@@ -18,43 +18,43 @@
   /** Days drawn from seeds; more of them are played by hand with the command. */
   private static final int SEEDS = 30;
 
-  private static Outcome play(Scenario scenario) {
-    return scenario.play(Deployment.ofDay(scenario.seed()), LogSource.none());
+  private static Outcome run(Scenario scenario) {
+    return scenario.run(Deployment.forSeed(scenario.seed()), LogSource.none());
   }
 
-  private static DynamicTest keepsTheRules(String name, Scenario scenario) {
+  private static DynamicTest assertRulesHold(String name, Scenario scenario) {
     return DynamicTest.dynamicTest(
-        name, () -> assertEquals(List.of(), play(scenario).broken(), scenario.toString()));
+        name, () -> assertEquals(List.of(), run(scenario).violations(), scenario.toString()));
   }
 
   @TestFactory
   Collection<DynamicTest> eachTroubleAlone() {
     return Troubles.all().keySet().stream()
-        .map(name -> keepsTheRules(name, Scenario.of(1, name)))
+        .map(name -> assertRulesHold(name, Scenario.of(1, name)))
         .toList();
   }
 
   @TestFactory
-  Collection<DynamicTest> eachTroubleAloneOnABusyListing() {
+  Collection<DynamicTest> eachTroubleAloneOnListing() {
     return Troubles.all().keySet().stream()
-        .map(name -> keepsTheRules(name, Scenario.of(4, name)))
+        .map(name -> assertRulesHold(name, Scenario.of(4, name)))
         .toList();
   }
 
   @TestFactory
-  Collection<DynamicTest> drawnDays() {
+  Collection<DynamicTest> randomTroubles() {
     return java.util.stream.LongStream.rangeClosed(1, SEEDS)
-        .mapToObj(seed -> keepsTheRules("seed " + seed, Scenario.drawn(seed)))
+        .mapToObj(seed -> assertRulesHold("seed " + seed, Scenario.random(seed)))
         .toList();
   }
 
   /** Without troubles everybody is served, and most in time once objects are remembered. */
   @Test
-  void aCalmDayServesEverybody() {
-    Outcome outcome = play(Scenario.calm(3));
-    assertEquals(List.of(), outcome.broken());
-    assertEquals(1, outcome.day().served(0));
-    assertTrue(outcome.day().worth() > 0.85, "worth " + outcome.day().worth());
+  void allRequestsSucceedWithoutTroubles() {
+    Outcome outcome = run(Scenario.withoutTroubles(3));
+    assertEquals(List.of(), outcome.violations());
+    assertEquals(1, outcome.day().successFraction(0));
+    assertTrue(outcome.day().creditFraction() > 0.85, "worth " + outcome.day().creditFraction());
   }
 
   /** The Guild's deployment has little room near Cairo: its requests move, and no rule breaks. */
@@ -67,8 +67,8 @@
                     name,
                     () -> {
                       Scenario scenario = Scenario.of(2, name);
-                      Outcome outcome = scenario.play(Deployment.bookings(), LogSource.none());
-                      assertEquals(List.of(), outcome.broken());
+                      Outcome outcome = scenario.run(Deployment.bookings(), LogSource.none());
+                      assertEquals(List.of(), outcome.violations());
                     }))
         .toList();
   }
@@ -78,22 +78,22 @@
    * added one was gone while its callers went on, and the system seemed to serve none of them.
    */
   @Test
-  void aRouteThatIsAddedStaysWhileAnotherMovesBack() {
-    List<Scenario.Strike> strikes =
+  void addedRouteStaysWhenAnotherMovesBack() {
+    List<Scenario.ScheduledTrouble> strikes =
         List.of(
-            new Scenario.Strike(5_000, "route-moved"),
-            new Scenario.Strike(6_000, "route-added"),
-            new Scenario.Strike(7_000, "route-added"));
-    assertEquals(List.of(), play(new Scenario(1, strikes)).broken());
+            new Scenario.ScheduledTrouble(5_000, "route-moved"),
+            new Scenario.ScheduledTrouble(6_000, "route-added"),
+            new Scenario.ScheduledTrouble(7_000, "route-added"));
+    assertEquals(List.of(), run(new Scenario(1, strikes)).violations());
   }
 
   /** A seed is worth keeping only if it plays the same day each time, on any machine. */
   @Test
-  void theSameSeedPlaysTheSameDay() {
-    Outcome first = play(Scenario.drawn(12));
-    Outcome second = play(Scenario.drawn(12));
+  void sameSeedReproducesTheSameDay() {
+    Outcome first = run(Scenario.random(12));
+    Outcome second = run(Scenario.random(12));
     assertEquals(first.day().requests(), second.day().requests());
     assertEquals(first.day().ledger().arrivals(), second.day().ledger().arrivals());
-    assertNotEquals(first.day().requests(), play(Scenario.drawn(13)).day().requests());
+    assertNotEquals(first.day().requests(), run(Scenario.random(13)).day().requests());
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/SeededDays.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/SeededTroubleTests.java
@@ -9,19 +9,21 @@
 import org.sageladder.scenario.Fleet.LogSource;
 
 /** Days with one trouble, on which no rule may break. */
-final class SeededDays {
-  private SeededDays() {}
+final class SeededTroubleTests {
+  private SeededTroubleTests() {}
 
   /** The days of seeds 1 to {@code seeds}, a test each. */
-  static Collection<DynamicTest> keepTheRules(String trouble, Deployment deployment, int seeds) {
+  static Collection<DynamicTest> assertRulesHold(String trouble, Deployment deployment, int seeds) {
     return LongStream.rangeClosed(1, seeds)
         .mapToObj(
-            seed -> DynamicTest.dynamicTest("seed " + seed, () -> keeps(seed, trouble, deployment)))
+            seed ->
+                DynamicTest.dynamicTest(
+                    "seed " + seed, () -> assertRulesHoldFor(seed, trouble, deployment)))
         .toList();
   }
 
-  private static void keeps(long seed, String trouble, Deployment deployment) {
+  private static void assertRulesHoldFor(long seed, String trouble, Deployment deployment) {
     Scenario scenario = Scenario.of(seed, trouble);
-    assertEquals(List.of(), scenario.play(deployment, LogSource.none()).broken());
+    assertEquals(List.of(), scenario.run(deployment, LogSource.none()).violations());
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/ShiftAtTheStartTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/ShiftAtTheStartTest.java
@@ -13,7 +13,7 @@
   @Test
   void requestsOfACrowdedRegionMoveSlowlyFromTheFirstSecondsOn() {
     Scenario.Outcome outcome =
-        Scenario.calm(1).playFor(MILLIS, Deployment.grown(), LogSource.none());
-    assertEquals(List.of(), outcome.broken());
+        Scenario.withoutTroubles(1).runFor(MILLIS, Deployment.grown(), LogSource.none());
+    assertEquals(List.of(), outcome.violations());
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/StoreReaderDayTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/StoreReaderTest.java
@@ -16,28 +16,30 @@
 import org.sageladder.scenario.trouble.Troubles;
 
 /** Zones in which one VM reads the store for the others: every rule holds, with far fewer calls. */
-class StoreReaderDayTest {
+class StoreReaderTest {
   private static final int VMS = 24;
   private static final int ZONES = 6;
 
   @TestFactory
   Collection<DynamicTest> eachTroubleAlone() {
     return Troubles.all().keySet().stream()
-        .map(name -> DynamicTest.dynamicTest(name, () -> keeps(Scenario.of(2, name))))
+        .map(name -> DynamicTest.dynamicTest(name, () -> assertRulesHold(Scenario.of(2, name))))
         .toList();
   }
 
   @TestFactory
-  Collection<DynamicTest> drawnDays() {
+  Collection<DynamicTest> randomTroubles() {
     return java.util.stream.LongStream.rangeClosed(101, 110)
         .mapToObj(
-            seed -> DynamicTest.dynamicTest("seed " + seed, () -> keeps(Scenario.drawn(seed))))
+            seed ->
+                DynamicTest.dynamicTest(
+                    "seed " + seed, () -> assertRulesHold(Scenario.random(seed))))
         .toList();
   }
 
   /** Guards against followers of a reader that has read all anew, and passes none of it on. */
   @Test
-  void changeInAForgottenHistoryIsInForceAtAllVms() {
+  void changeInLostHistoryIsInForceAtAllVms() {
     Map<String, Long> inForce = new HashMap<>();
     LogSource logs =
         (vm, clock) ->
@@ -49,7 +51,7 @@
     Fleet fleet = Fleet.start(Deployment.relayed(), 1, logs);
     fleet.runFor(2_000);
     fleet.store().stallWatches();
-    fleet.configure(fleet.routes());
+    fleet.writeConfiguration(fleet.routes());
     fleet.runFor(300);
     fleet.store().compactHistory();
     fleet.store().abortWatches();
@@ -58,18 +60,18 @@
     assertEquals(1, Set.copyOf(inForce.values()).size(), inForce.toString());
   }
 
-  private static void keeps(Scenario scenario) {
-    Scenario.Outcome outcome = scenario.play(Deployment.relayed(), LogSource.none());
-    assertEquals(List.of(), outcome.broken(), scenario.toString());
+  private static void assertRulesHold(Scenario scenario) {
+    Scenario.Outcome outcome = scenario.run(Deployment.relayed(), LogSource.none());
+    assertEquals(List.of(), outcome.violations(), scenario.toString());
   }
 
   /** Guards against calls that grow with the VMs of a zone. */
   @Test
-  void watchesAreThoseOfTheReaders() {
+  void onlyReadersWatchTheStore() {
     Fleet fleet = Fleet.start(Deployment.relayed(), 1, LogSource.none());
     int before = fleet.storePort().callCount("/kv-watch");
     for (int i = 0; i < 10; i++) {
-      fleet.configure(fleet.routes());
+      fleet.writeConfiguration(fleet.routes());
       fleet.runFor(3_000);
     }
     int watches = fleet.storePort().callCount("/kv-watch") - before;
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/WeightsAtTheStartTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/WeightsAtTheStartTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.sageladder.scenario.Fleet.LogSource;
-import org.sageladder.scenario.Scenario.Strike;
+import org.sageladder.scenario.Scenario.ScheduledTrouble;
 
 /** Guards against a crowded region's requests moving at once while weights change at the start. */
 class WeightsAtTheStartTest {
@@ -17,9 +17,8 @@
   @ValueSource(longs = {1, 2, 3})
   void requestsOfACrowdedRegionMoveSlowlyWhileWeightsChange(long seed) {
     Scenario scenario =
-        new Scenario(seed, List.of(new Strike(CHANGED_AT_MILLIS, "weights-changed")));
-    Scenario.Outcome outcome =
-        scenario.playFor(LENGTH_MILLIS, Deployment.grown(), LogSource.none());
-    assertEquals(List.of(), outcome.broken());
+        new Scenario(seed, List.of(new ScheduledTrouble(CHANGED_AT_MILLIS, "weights-changed")));
+    Scenario.Outcome outcome = scenario.runFor(LENGTH_MILLIS, Deployment.grown(), LogSource.none());
+    assertEquals(List.of(), outcome.violations());
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/WorkspaceDaysTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/WorkspaceTroublesTest.java
@@ -10,21 +10,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 import org.sageladder.scenario.Fleet.LogSource;
-import org.sageladder.scenario.Scenario.Strike;
+import org.sageladder.scenario.Scenario.ScheduledTrouble;
 import org.sageladder.scenario.trouble.Troubles;
 
 /** Days with workspaces: keys stay here and are taken away in time, quotas hold, nobody starves. */
-class WorkspaceDaysTest {
-  private static void keeps(Scenario scenario) {
-    Scenario.Outcome outcome = scenario.play(Deployment.workspaces(), LogSource.none());
-    assertEquals(List.of(), outcome.broken(), scenario.toString());
+class WorkspaceTroublesTest {
+  private static void assertRulesHold(Scenario scenario) {
+    Scenario.Outcome outcome = scenario.run(Deployment.workspaces(), LogSource.none());
+    assertEquals(List.of(), outcome.violations(), scenario.toString());
   }
 
   @TestFactory
   Collection<DynamicTest> workspaceTroublesAlone() {
-    return Troubles.ofWorkspaces().keySet().stream()
+    return Troubles.workspaceTroubles().keySet().stream()
         .flatMap(name -> Stream.of(1L, 2L, 3L, 4L).map(seed -> Scenario.of(seed, name)))
-        .map(day -> DynamicTest.dynamicTest(day.toString(), () -> keeps(day)))
+        .map(day -> DynamicTest.dynamicTest(day.toString(), () -> assertRulesHold(day)))
         .toList();
   }
 
@@ -37,19 +37,22 @@
                 DynamicTest.dynamicTest(
                     name,
                     () ->
-                        keeps(
+                        assertRulesHold(
                             new Scenario(
                                 5,
                                 List.of(
-                                    new Strike(5_000, "workspace-hot"), new Strike(7_000, name))))))
+                                    new ScheduledTrouble(5_000, "workspace-hot"),
+                                    new ScheduledTrouble(7_000, name))))))
         .toList();
   }
 
   /** Guards against quotas that refuse what lies within them. */
   @Test
   void usualRequestsOfAllWorkspacesAreServed() {
-    Scenario.Outcome outcome = Scenario.calm(1).play(Deployment.workspaces(), LogSource.none());
-    assertEquals(List.of(), outcome.broken());
-    assertTrue(outcome.day().served(0) > 0.98, "served " + outcome.day().served(0));
+    Scenario.Outcome outcome =
+        Scenario.withoutTroubles(1).run(Deployment.workspaces(), LogSource.none());
+    assertEquals(List.of(), outcome.violations());
+    assertTrue(
+        outcome.day().successFraction(0) > 0.98, "served " + outcome.day().successFraction(0));
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/RulesTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/RulesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.core.routing.RouteRule;
 import org.sageladder.core.routing.ServiceShare;
-import org.sageladder.scenario.Day;
+import org.sageladder.scenario.SimulatedDay;
 import org.sageladder.standin.platform.CallersStandIn.CompletedRequest;
 import org.sageladder.standin.platform.Ledger;
 import org.sageladder.standin.platform.Ledger.Answered;
@@ -22,9 +22,9 @@
 /** Each rule finds a day that breaks it: a check that cannot fail would prove nothing. */
 class RulesTest {
   private static final String VM = "10.1.0.1";
-  private static final long LATE = 100_000;
+  private static final long BASE_MILLIS = 100_000;
 
-  private final Day day = new Day();
+  private final SimulatedDay day = new SimulatedDay();
   private final Ledger ledger = day.ledger();
 
   private static RouteRule route(boolean idempotent) {
@@ -43,7 +43,7 @@
         false);
   }
 
-  private void asked(String id, boolean idempotent, long at) {
+  private void recordSent(String id, boolean idempotent, long at) {
     RouteRule route = route(idempotent);
     ledger.attempt(new Attempt(id, route, "/a/" + id, "", "north", VM, at, 3_000));
   }
@@ -52,7 +52,7 @@
     return new Arrival(id, "t-1", "s", "north-a", "north", VM, at, Fate.TAKEN, true, 900, false);
   }
 
-  private static Arrival in(Arrival from, String service, String region) {
+  private static Arrival withServiceAndRegion(Arrival from, String service, String region) {
     return new Arrival(
         from.id(),
         from.target(),
@@ -67,218 +67,222 @@
         false);
   }
 
-  private void ran(String id, int status, String body) {
+  private void recordRun(String id, int status, String body) {
     ledger.recordRunStart(id, "t-1", true, 10).recordEnd(20, status, body);
   }
 
-  private List<String> broken(String name) {
+  private List<String> violations(String name) {
     Rule rule =
         Rules.all().stream().filter(each -> each.name().equals(name)).findFirst().orElseThrow();
-    return rule.broken(day);
+    return rule.violations(day);
   }
 
-  private void assertBroken(String name) {
-    assertFalse(broken(name).isEmpty(), name + " should be broken");
+  private void assertViolated(String name) {
+    assertFalse(violations(name).isEmpty(), name + " should be broken");
   }
 
   private void assertKept(String name) {
-    assertEquals(List.of(), broken(name));
+    assertEquals(List.of(), violations(name));
   }
 
   @Test
-  void twice() {
-    asked("q", false, 0);
-    ran("q", 200, "x");
+  void ranTwice() {
+    recordSent("q", false, 0);
+    recordRun("q", 200, "x");
     assertKept("TWICE");
-    ran("q", 200, "x");
-    assertBroken("TWICE");
+    recordRun("q", 200, "x");
+    assertViolated("TWICE");
   }
 
   @Test
-  void refused() {
-    asked("q", false, 0);
+  void refusedButRan() {
+    recordSent("q", false, 0);
     ledger.recordAnswer(new Answered("q", 503, "", false, "q", 5));
     assertKept("REFUSED");
-    ran("q", 200, "x");
-    assertBroken("REFUSED");
+    recordRun("q", 200, "x");
+    assertViolated("REFUSED");
   }
 
   @Test
-  void mixed() {
-    asked("q", true, 0);
-    ran("q", 200, "mine");
+  void wrongBody() {
+    recordSent("q", true, 0);
+    recordRun("q", 200, "mine");
     ledger.recordAnswer(new Answered("q", 200, "other", true, "q", 5));
-    assertBroken("MIXED");
+    assertViolated("MIXED");
   }
 
   @Test
-  void mixedWithoutTheSeal() {
-    asked("q", true, 0);
-    ran("q", 200, "mine");
+  void responseWithoutSeal() {
+    recordSent("q", true, 0);
+    recordRun("q", 200, "mine");
     ledger.recordAnswer(new Answered("q", 200, "mine", false, "q", 5));
-    assertBroken("MIXED");
+    assertViolated("MIXED");
   }
 
   @Test
-  void denied() {
+  void deniedRequests() {
     for (int i = 0; i < 6; i++) {
-      asked("q" + i, true, 0);
+      recordSent("q" + i, true, 0);
       ledger.recordAnswer(new Answered("q" + i, 404, "", false, null, 5));
     }
-    assertBroken("DENIED");
+    assertViolated("DENIED");
   }
 
   @Test
-  void lostInCalm() {
-    asked("q", true, 0);
-    ran("q", 200, "x");
+  void lostWhileUndisturbed() {
+    recordSent("q", true, 0);
+    recordRun("q", 200, "x");
     ledger.recordAnswer(new Answered("q", 0, "", false, null, 500));
-    assertBroken("LOST");
+    assertViolated("LOST");
   }
 
   @Test
-  void lostWhileAMachineIsInTroubleDoesNotCount() {
-    asked("q", true, 0);
-    ran("q", 200, "x");
+  void lostWhileVmIsInTroubleDoesNotCount() {
+    recordSent("q", true, 0);
+    recordRun("q", 200, "x");
     ledger.recordAnswer(new Answered("q", 0, "", false, null, 500));
-    day.trouble(new Day.Span(VM, false, 400, 450));
+    day.recordTrouble(new SimulatedDay.TroubleInterval(VM, false, 400, 450));
     assertKept("LOST");
   }
 
   /** A run longer than the grace time cannot be waited for; a shorter one must be. */
   @Test
-  void lostInAPlannedStopThatTheRunOutlasts() {
-    asked("q", true, 1_000);
+  void lostInPlannedStopThatTheRunOutlasts() {
+    recordSent("q", true, 1_000);
     ledger.recordRunStart("q", "t-1", true, 1_100).recordEnd(6_000, 200, "x");
     ledger.recordAnswer(new Answered("q", 0, "", false, null, 2_900));
-    day.trouble(new Day.Span(VM, true, 1_000, 8_000));
+    day.recordTrouble(new SimulatedDay.TroubleInterval(VM, true, 1_000, 8_000));
     assertKept("LOST");
-    asked("r", true, 1_000);
+    recordSent("r", true, 1_000);
     ledger.recordRunStart("r", "t-1", true, 1_100).recordEnd(5_900, 200, "x");
     ledger.recordAnswer(new Answered("r", 0, "", false, null, 2_900));
-    assertBroken("LOST");
+    assertViolated("LOST");
   }
 
   @Test
-  void unasked() {
+  void alteredRequest() {
     Arrival changed =
         new Arrival("q", "t-1", "s", "north-a", "north", VM, 5, Fate.TAKEN, false, 900, false);
     ledger.recordArrival(changed);
-    assertBroken("UNASKED");
+    assertViolated("UNASKED");
   }
 
   @Test
   void wrongService() {
-    day.allow(route(true));
-    asked("q", true, 0);
-    ledger.recordArrival(in(arrival("q", 5), "other", "north"));
-    assertBroken("ROUTE");
+    day.allowRoute(route(true));
+    recordSent("q", true, 0);
+    ledger.recordArrival(withServiceAndRegion(arrival("q", 5), "other", "north"));
+    assertViolated("ROUTE");
   }
 
   @Test
   void wrongRegion() {
-    asked("q", true, 0);
-    ledger.recordArrival(in(arrival("q", 5), "s", "south"));
-    assertBroken("HOME");
+    recordSent("q", true, 0);
+    ledger.recordArrival(withServiceAndRegion(arrival("q", 5), "s", "south"));
+    assertViolated("HOME");
   }
 
   @Test
-  void leaving() {
+  void sentAfterDrain() {
     long bound = day.bounds().drainMillis();
-    asked("q", true, LATE);
-    ledger.recordEvent(PlatformEvent.Kind.TARGET_LEAVES, "t-1", LATE);
-    ledger.recordArrival(arrival("q", LATE + bound));
+    recordSent("q", true, BASE_MILLIS);
+    ledger.recordEvent(PlatformEvent.Kind.TARGET_LEAVES, "t-1", BASE_MILLIS);
+    ledger.recordArrival(arrival("q", BASE_MILLIS + bound));
     assertKept("DRAIN");
-    ledger.recordArrival(arrival("q", LATE + bound + 1));
-    assertBroken("DRAIN");
-    day.trouble(new Day.Span(VM, false, LATE, LATE));
+    ledger.recordArrival(arrival("q", BASE_MILLIS + bound + 1));
+    assertViolated("DRAIN");
+    day.recordTrouble(new SimulatedDay.TroubleInterval(VM, false, BASE_MILLIS, BASE_MILLIS));
     assertKept("DRAIN");
   }
 
   @Test
-  void emptied() {
+  void sentAfterEvacuation() {
     long bound = day.bounds().evacuateMillis();
-    asked("q", true, LATE);
-    ledger.recordEvent(PlatformEvent.Kind.ZONE_EMPTIED, "north-a", LATE);
-    ledger.recordArrival(arrival("q", LATE + bound + 1));
-    assertBroken("EVAC");
-    ledger.recordEvent(PlatformEvent.Kind.ZONE_TAKEN_BACK, "north-a", LATE + bound);
+    recordSent("q", true, BASE_MILLIS);
+    ledger.recordEvent(PlatformEvent.Kind.ZONE_EMPTIED, "north-a", BASE_MILLIS);
+    ledger.recordArrival(arrival("q", BASE_MILLIS + bound + 1));
+    assertViolated("EVAC");
+    ledger.recordEvent(PlatformEvent.Kind.ZONE_TAKEN_BACK, "north-a", BASE_MILLIS + bound);
     assertKept("EVAC");
   }
 
   @Test
-  void olderConfiguration() {
-    ledger.recordEvent(PlatformEvent.Kind.CONFIGURATION, "safe", LATE);
-    asked("q", true, LATE + day.bounds().configurationApplyMillis() + 1);
-    ledger.recordArrival(in(arrival("q", LATE + 4_000), "before", "north"));
-    assertBroken("CONFIG");
+  void staleConfiguration() {
+    ledger.recordEvent(PlatformEvent.Kind.CONFIGURATION, "safe", BASE_MILLIS);
+    recordSent("q", true, BASE_MILLIS + day.bounds().configurationApplyMillis() + 1);
+    ledger.recordArrival(
+        withServiceAndRegion(arrival("q", BASE_MILLIS + 4_000), "before", "north"));
+    assertViolated("CONFIG");
   }
 
   @Test
-  void gone() {
+  void sentAfterCallerLeft() {
     for (int i = 0; i < 5; i++) {
-      asked("q" + i, true, LATE);
-      ledger.recordCallerLeft("q" + i, LATE + 100);
-      ledger.recordArrival(arrival("q" + i, LATE + 700));
+      recordSent("q" + i, true, BASE_MILLIS);
+      ledger.recordCallerLeft("q" + i, BASE_MILLIS + 100);
+      ledger.recordArrival(arrival("q" + i, BASE_MILLIS + 700));
     }
-    assertBroken("GONE");
+    assertViolated("GONE");
   }
 
   @Test
-  void goneThoughItsRunGoesOn() {
+  void runContinuesAfterCallerLeft() {
     for (int i = 0; i < 5; i++) {
-      asked("q" + i, true, LATE);
-      ledger.recordCallerLeft("q" + i, LATE + 100);
-      ledger.recordRunStart("q" + i, "t-1", true, LATE + 50).recordEnd(LATE + 700, 200, "x");
+      recordSent("q" + i, true, BASE_MILLIS);
+      ledger.recordCallerLeft("q" + i, BASE_MILLIS + 100);
+      ledger
+          .recordRunStart("q" + i, "t-1", true, BASE_MILLIS + 50)
+          .recordEnd(BASE_MILLIS + 700, 200, "x");
     }
-    assertBroken("GONE");
+    assertViolated("GONE");
   }
 
   /** A fifth of a region's requests run elsewhere from one span of two seconds to the next. */
   @Test
   void shiftedTooFast() {
-    sentTo(0, 400, 0);
-    sentTo(2_000, 400, 56);
+    sendToRegions(0, 400, 0);
+    sendToRegions(2_000, 400, 56);
     assertKept("SHIFT");
-    sentTo(4_000, 400, 56 + 80);
-    assertBroken("SHIFT");
-    day.trouble(new Day.Span(Day.EVERYWHERE, false, 4_000, 4_100));
+    sendToRegions(4_000, 400, 56 + 80);
+    assertViolated("SHIFT");
+    day.recordTrouble(
+        new SimulatedDay.TroubleInterval(SimulatedDay.ALL_ENTRY_VMS, false, 4_000, 4_100));
     assertKept("SHIFT");
   }
 
   @Test
   void shiftedTooFastInTheMiddleOfASpan() {
-    sentTo(0, 400, 0);
-    sentTo(1_000, 400, 0);
-    sentTo(2_000, 400, 0);
+    sendToRegions(0, 400, 0);
+    sendToRegions(1_000, 400, 0);
+    sendToRegions(2_000, 400, 0);
     assertKept("SHIFT");
-    sentTo(3_000, 400, 80);
-    sentTo(4_000, 400, 80);
-    assertBroken("SHIFT");
+    sendToRegions(3_000, 400, 80);
+    sendToRegions(4_000, 400, 80);
+    assertViolated("SHIFT");
   }
 
-  private void sentTo(long from, int count, int south) {
+  private void sendToRegions(long from, int count, int south) {
     for (int i = 0; i < count; i++) {
       String id = from + "/" + i;
-      asked(id, true, from + i);
+      recordSent(id, true, from + i);
       Arrival arrival = arrival(id, from + i);
       boolean isSouth = (i + 1) * south / count > i * south / count;
-      ledger.recordArrival(in(arrival, "s", isSouth ? "south" : "north"));
+      ledger.recordArrival(withServiceAndRegion(arrival, "s", isSouth ? "south" : "north"));
     }
   }
 
   @Test
-  void coldRate() {
+  void coldOverload() {
     int most =
         (int)
-            (day.coldPerSecond() * day.bounds().coldRateFactor()
+            (day.coldCapacityPerSecond() * day.bounds().coldRateFactor()
                 + day.bounds().coldExtraRequests());
     for (int i = 0; i < most; i++) {
-      ledger.recordArrival(cold("q" + i, LATE));
+      ledger.recordArrival(cold("q" + i, BASE_MILLIS));
     }
     assertKept("FAILBACK");
-    ledger.recordArrival(cold("q", LATE + 900));
-    assertBroken("FAILBACK");
+    ledger.recordArrival(cold("q", BASE_MILLIS + 900));
+    assertViolated("FAILBACK");
   }
 
   private static Arrival cold(String id, long at) {
@@ -286,84 +290,86 @@
   }
 
   @Test
-  void secondSends() {
+  void excessRetries() {
     for (int i = 0; i < day.bounds().extraRetries(); i++) {
-      ledger.recordArrival(arrival("q", LATE + i));
+      ledger.recordArrival(arrival("q", BASE_MILLIS + i));
     }
     assertKept("BUDGET retries");
-    ledger.recordArrival(arrival("q", LATE + 900));
-    ledger.recordArrival(arrival("q", LATE + 901));
-    assertBroken("BUDGET retries");
+    ledger.recordArrival(arrival("q", BASE_MILLIS + 900));
+    ledger.recordArrival(arrival("q", BASE_MILLIS + 901));
+    assertViolated("BUDGET retries");
   }
 
   @Test
-  void secondSendsAreMeasuredByAllRequestsAlsoThoseThatWereRefused() {
+  void retryBudgetCountsRefusedRequestsToo() {
     for (int i = 0; i < 100; i++) {
-      asked("refused" + i, true, LATE);
+      recordSent("refused" + i, true, BASE_MILLIS);
     }
     for (int i = 0; i < day.bounds().extraRetries() + 20; i++) {
-      ledger.recordArrival(arrival("q", LATE + i));
+      ledger.recordArrival(arrival("q", BASE_MILLIS + i));
     }
     assertKept("BUDGET retries");
-    ledger.recordArrival(arrival("q", LATE + 900));
-    ledger.recordArrival(arrival("q", LATE + 901));
-    assertBroken("BUDGET retries");
+    ledger.recordArrival(arrival("q", BASE_MILLIS + 900));
+    ledger.recordArrival(arrival("q", BASE_MILLIS + 901));
+    assertViolated("BUDGET retries");
   }
 
   @Test
-  void mostTargets() {
+  void tooManyTargets() {
     for (int i = 0; i < 4; i++) {
-      asked("q" + i, true, LATE);
+      recordSent("q" + i, true, BASE_MILLIS);
       for (String target : List.of("t-1", "t-2", "t-3")) {
-        ledger.recordRunStart("q" + i, target, true, LATE).recordEnd(LATE + 1, 500, "x");
+        ledger
+            .recordRunStart("q" + i, target, true, BASE_MILLIS)
+            .recordEnd(BASE_MILLIS + 1, 500, "x");
       }
     }
-    assertBroken("BUDGET targets");
+    assertViolated("BUDGET targets");
   }
 
   @Test
-  void deadlines() {
+  void extendedDeadlines() {
     for (int i = 0; i < 21; i++) {
-      asked("q" + i, true, LATE);
-      ledger.recordArrival(arrival("q" + i, LATE + 3_000));
+      recordSent("q" + i, true, BASE_MILLIS);
+      ledger.recordArrival(arrival("q" + i, BASE_MILLIS + 3_000));
     }
-    assertBroken("BUDGET time");
+    assertViolated("BUDGET time");
   }
 
   @Test
-  void crashingRequests() {
+  void repeatedCrashes() {
     for (int i = 0; i < 8; i++) {
       String id = "q" + i;
       RouteRule route = route(true);
-      long at = LATE + i * 4_000L;
+      long at = BASE_MILLIS + i * 4_000L;
       ledger.attempt(new Attempt(id, route, "/a/poison", "", "north", VM, at, 3_000));
       ledger.recordArrival(arrival(id, at));
     }
-    assertBroken("BUDGET crashes");
+    assertViolated("BUDGET crashes");
   }
 
-  private void ended(String route, int status, int times) {
+  private void recordEnded(String route, int status, int times) {
     RequestProfile kind =
         new RequestProfile(
             route, "h", "/a/", true, 1, 5, 400, 1_000, 1, 1, RequestProfile.ConnectionUse.FRESH);
     for (int i = 0; i < times; i++) {
-      day.requests().add(new CompletedRequest(kind, LATE, status, 10, "north-a"));
+      day.requests().add(new CompletedRequest(kind, BASE_MILLIS, status, 10, "north-a"));
     }
   }
 
   @Test
-  void addedRoutesNotServed() {
+  void addedRoutesUnderserved() {
     ledger.recordEvent(PlatformEvent.Kind.CONFIGURATION, "first", 0);
-    ledger.recordEvent(PlatformEvent.Kind.CONFIGURATION, "first", LATE / 2);
-    ledger.recordEvent(PlatformEvent.Kind.CONFIGURATION, "added", LATE / 2);
-    ended("first", 200, 80);
-    ended("first", 503, 20);
-    ended("added", 200, 4);
-    ended("added", 503, 15);
+    ledger.recordEvent(PlatformEvent.Kind.CONFIGURATION, "first", BASE_MILLIS / 2);
+    ledger.recordEvent(PlatformEvent.Kind.CONFIGURATION, "added", BASE_MILLIS / 2);
+    recordEnded("first", 200, 80);
+    recordEnded("first", 503, 20);
+    recordEnded("added", 200, 4);
+    recordEnded("added", 503, 15);
     assertKept("CONFIG added");
-    ended("added", 503, 2);
-    assertBroken("CONFIG added");
-    ended("added", 200, 1);
+    recordEnded("added", 503, 2);
+    assertViolated("CONFIG added");
+    recordEnded("added", 200, 1);
     assertKept("CONFIG added");
   }
 
