--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/EntryBuild.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/EntryBuild.java
@@ -12,9 +12,9 @@
    * Starts a daemon.
    *
    * @param name names the settings in errors
-   * @param yaml its settings
+   * @param settingsYaml its settings
    */
-  EntryVm start(String name, String yaml)
+  EntryVm start(String name, String settingsYaml)
       throws IOException, InterruptedException, SettingsException;
 
   /** The build that runs here. */
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalLoad.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalLoad.java
@@ -94,9 +94,9 @@
   }
 
   private Request createRequest(Contract.Service service) {
-    Contract.ClientBlocks range =
+    Contract.ClientBlocks blocks =
         contract.clientBlocks().get(random.nextInt(contract.clientBlocks().size()));
-    int block = range.first() + random.nextInt(range.last() - range.first() + 1);
+    int block = blocks.first() + random.nextInt(blocks.last() - blocks.first() + 1);
     Duration deadline =
         MAX_DEADLINE.compareTo(service.longestDeadline()) < 0
             ? MAX_DEADLINE
--- a/sageladder-assembly/src/test/java/org/sageladder/assembly/OtherBuildTest.java
+++ b/sageladder-assembly/src/test/java/org/sageladder/assembly/OtherBuildTest.java
@@ -12,7 +12,7 @@
   // Story: a comparison with the commit before shows no difference at all. Cause: the class loader
   // fell back to this build's classes where the other one's were not found.
   @Test
-  void directoryWithoutABuildIsRefusedAndNeverReplacedByThisOne(@TempDir Path empty) {
+  void directoryWithoutBuildIsRefusedAndNotReplacedByThisBuild(@TempDir Path empty) {
     IOException refused = assertThrows(IOException.class, () -> OtherBuild.of(empty));
 
     assertTrue(refused.getMessage().contains(empty.toString()), refused.getMessage());
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
@@ -103,7 +103,7 @@
   }
 
   private void startCallers() {
-    double share = 1.0 / context.deployment().regionByZone().size();
+    double trafficFraction = 1.0 / context.deployment().regionByZone().size();
     int number = 0;
     for (Map.Entry<String, String> zone : context.deployment().regionByZone().entrySet()) {
       number++;
@@ -115,7 +115,7 @@
               new CallersStandIn.Location(
                   zone.getKey(), zone.getValue(), lookUpAddresses(zone.getKey())),
               context.deployment().callerKinds(),
-              share,
+              trafficFraction,
               context.day().ledger(),
               name -> Optional.ofNullable(routes.get(name)),
               context.seed(),
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/SimulatedDay.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/SimulatedDay.java
@@ -58,8 +58,8 @@
     return endMillis;
   }
 
-  void endMillis(long at) {
-    endMillis = at;
+  void endMillis(long millis) {
+    endMillis = millis;
   }
 
   /** Notes a workspace as the newest configuration has it. */
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/CallerTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/CallerTroubles.java
@@ -8,9 +8,9 @@
 final class CallerTroubles {
   private static final double BURST_RATE_FACTOR = 3;
   private static final long BURST_MILLIS = 4_000;
-  private static final double LEAVING_FRACTION = 0.33;
-  private static final long LEAVE_AFTER_MILLIS = 150;
-  private static final long LEAVING_MILLIS = 5_000;
+  private static final double DISCONNECTING_FRACTION = 0.33;
+  private static final long DISCONNECT_AFTER_MILLIS = 150;
+  private static final long DISCONNECTING_MILLIS = 5_000;
 
   private CallerTroubles() {}
 
@@ -29,8 +29,10 @@
   private static void disconnectEarly(Fleet fleet, Random random) {
     fleet
         .callers()
-        .forEach(callers -> callers.setAbandonment(LEAVING_FRACTION, LEAVE_AFTER_MILLIS));
+        .forEach(
+            callers -> callers.setAbandonment(DISCONNECTING_FRACTION, DISCONNECT_AFTER_MILLIS));
     fleet.runAfter(
-        LEAVING_MILLIS, () -> fleet.callers().forEach(callers -> callers.setAbandonment(0, 0)));
+        DISCONNECTING_MILLIS,
+        () -> fleet.callers().forEach(callers -> callers.setAbandonment(0, 0)));
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/AddedRouteInLongQueuesTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/AddedRouteInLongQueuesTest.java
@@ -15,14 +15,14 @@
  * can wait long.
  */
 class AddedRouteInLongQueuesTest {
-  private static final double PACE = 1.6;
+  private static final double RATE_FACTOR = 1.6;
 
   @Test
   void aRouteWithLittleTimeIsServedThoughTheQueuesAreLong() {
     assertEquals(
         List.of(),
         Scenario.of(1, "route-added")
-            .run(Deployment.stamps().withRateFactor(PACE), LogSource.none())
+            .run(Deployment.stamps().withRateFactor(RATE_FACTOR), LogSource.none())
             .violations());
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/AddedRouteUnderLoadTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/AddedRouteUnderLoadTest.java
@@ -12,10 +12,10 @@
  * guessed run of the new route. Nothing was sent, so the guess stayed.
  */
 class AddedRouteUnderLoadTest {
-  private static final int SEEDS = 3;
+  private static final int SEED_COUNT = 3;
 
   @TestFactory
-  Collection<DynamicTest> aRouteAddedInABusyHourIsServed() {
-    return SeededTroubleTests.assertRulesHold("route-added", Deployment.bookings(), SEEDS);
+  Collection<DynamicTest> routeAddedUnderLoadIsServed() {
+    return SeededTroubles.testsForSeeds("route-added", Deployment.bookings(), SEED_COUNT);
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/EvacuationBehindCutTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/EvacuationBehindCutTest.java
@@ -13,11 +13,11 @@
  * with them.
  */
 class EvacuationBehindCutTest {
-  private static final int SEEDS = 3;
+  private static final int SEED_COUNT = 3;
 
   @TestFactory
   Collection<DynamicTest> abandonedRequestsDoNotArriveLater() {
-    return SeededTroubleTests.assertRulesHold(
-        "zone-emptied-behind-a-cut", Deployment.stamps(), SEEDS);
+    return SeededTroubles.testsForSeeds(
+        "zone-emptied-behind-a-cut", Deployment.stamps(), SEED_COUNT);
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/ScenarioTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/ScenarioTest.java
@@ -16,7 +16,7 @@
 /** Days of a whole deployment with troubles; no rule of the platform may break. */
 class ScenarioTest {
   /** Days drawn from seeds; more of them are played by hand with the command. */
-  private static final int SEEDS = 30;
+  private static final int SEED_COUNT = 30;
 
   private static Outcome run(Scenario scenario) {
     return scenario.run(Deployment.forSeed(scenario.seed()), LogSource.none());
@@ -43,7 +43,7 @@
 
   @TestFactory
   Collection<DynamicTest> randomTroubles() {
-    return java.util.stream.LongStream.rangeClosed(1, SEEDS)
+    return java.util.stream.LongStream.rangeClosed(1, SEED_COUNT)
         .mapToObj(seed -> assertRulesHold("seed " + seed, Scenario.random(seed)))
         .toList();
   }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/SeededTroubleTests.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/SeededTroubles.java
@@ -9,20 +9,20 @@
 import org.sageladder.scenario.Fleet.LogSource;
 
 /** Days with one trouble, on which no rule may break. */
-final class SeededTroubleTests {
-  private SeededTroubleTests() {}
+final class SeededTroubles {
+  private SeededTroubles() {}
 
   /** The days of seeds 1 to {@code seeds}, a test each. */
-  static Collection<DynamicTest> assertRulesHold(String trouble, Deployment deployment, int seeds) {
+  static Collection<DynamicTest> testsForSeeds(String trouble, Deployment deployment, int seeds) {
     return LongStream.rangeClosed(1, seeds)
         .mapToObj(
             seed ->
                 DynamicTest.dynamicTest(
-                    "seed " + seed, () -> assertRulesHoldFor(seed, trouble, deployment)))
+                    "seed " + seed, () -> assertRulesHold(seed, trouble, deployment)))
         .toList();
   }
 
-  private static void assertRulesHoldFor(long seed, String trouble, Deployment deployment) {
+  private static void assertRulesHold(long seed, String trouble, Deployment deployment) {
     Scenario scenario = Scenario.of(seed, trouble);
     assertEquals(List.of(), scenario.run(deployment, LogSource.none()).violations());
   }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/ShiftAtTheStartTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/ShiftAtTheStartTest.java
@@ -8,12 +8,12 @@
 
 /** Guards against a crowded region's requests moving at once in the first seconds of traffic. */
 class ShiftAtTheStartTest {
-  private static final long MILLIS = 8_000;
+  private static final long TRAFFIC_MILLIS = 8_000;
 
   @Test
-  void requestsOfACrowdedRegionMoveSlowlyFromTheFirstSecondsOn() {
+  void overloadedRegionShiftsSlowlyFromTheStart() {
     Scenario.Outcome outcome =
-        Scenario.withoutTroubles(1).runFor(MILLIS, Deployment.grown(), LogSource.none());
+        Scenario.withoutTroubles(1).runFor(TRAFFIC_MILLIS, Deployment.grown(), LogSource.none());
     assertEquals(List.of(), outcome.violations());
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/StoreReaderTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/StoreReaderTest.java
@@ -17,8 +17,8 @@
 
 /** Zones in which one VM reads the store for the others: every rule holds, with far fewer calls. */
 class StoreReaderTest {
-  private static final int VMS = 24;
-  private static final int ZONES = 6;
+  private static final int VM_COUNT = 24;
+  private static final int ZONE_COUNT = 6;
 
   @TestFactory
   Collection<DynamicTest> eachTroubleAlone() {
@@ -56,7 +56,7 @@
     fleet.store().compactHistory();
     fleet.store().abortWatches();
     fleet.runFor(fleet.day().bounds().configurationApplyMillis());
-    assertEquals(VMS, inForce.size());
+    assertEquals(VM_COUNT, inForce.size());
     assertEquals(1, Set.copyOf(inForce.values()).size(), inForce.toString());
   }
 
@@ -75,6 +75,6 @@
       fleet.runFor(3_000);
     }
     int watches = fleet.storePort().callCount("/kv-watch") - before;
-    assertTrue(watches <= 30 * ZONES, watches + " watches, " + VMS + " VMs");
+    assertTrue(watches <= 30 * ZONE_COUNT, watches + " watches, " + VM_COUNT + " VMs");
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/WeightsAtTheStartTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/WeightsAtTheStartTest.java
@@ -10,15 +10,16 @@
 
 /** Guards against a crowded region's requests moving at once while weights change at the start. */
 class WeightsAtTheStartTest {
-  private static final long LENGTH_MILLIS = 8_000;
+  private static final long TRAFFIC_MILLIS = 8_000;
   private static final long CHANGED_AT_MILLIS = 400;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void requestsOfACrowdedRegionMoveSlowlyWhileWeightsChange(long seed) {
+  void overloadedRegionShiftsSlowlyWhileWeightsChange(long seed) {
     Scenario scenario =
         new Scenario(seed, List.of(new ScheduledTrouble(CHANGED_AT_MILLIS, "weights-changed")));
-    Scenario.Outcome outcome = scenario.runFor(LENGTH_MILLIS, Deployment.grown(), LogSource.none());
+    Scenario.Outcome outcome =
+        scenario.runFor(TRAFFIC_MILLIS, Deployment.grown(), LogSource.none());
     assertEquals(List.of(), outcome.violations());
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/RulesTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/RulesTest.java
@@ -81,7 +81,7 @@
     assertFalse(violations(name).isEmpty(), name + " should be broken");
   }
 
-  private void assertKept(String name) {
+  private void assertNotViolated(String name) {
     assertEquals(List.of(), violations(name));
   }
 
@@ -89,7 +89,7 @@
   void ranTwice() {
     recordSent("q", false, 0);
     recordRun("q", 200, "x");
-    assertKept("TWICE");
+    assertNotViolated("TWICE");
     recordRun("q", 200, "x");
     assertViolated("TWICE");
   }
@@ -98,7 +98,7 @@
   void refusedButRan() {
     recordSent("q", false, 0);
     ledger.recordAnswer(new Answered("q", 503, "", false, "q", 5));
-    assertKept("REFUSED");
+    assertNotViolated("REFUSED");
     recordRun("q", 200, "x");
     assertViolated("REFUSED");
   }
@@ -142,7 +142,7 @@
     recordRun("q", 200, "x");
     ledger.recordAnswer(new Answered("q", 0, "", false, null, 500));
     day.recordTrouble(new SimulatedDay.TroubleInterval(VM, false, 400, 450));
-    assertKept("LOST");
+    assertNotViolated("LOST");
   }
 
   /** A run longer than the grace time cannot be waited for; a shorter one must be. */
@@ -152,7 +152,7 @@
     ledger.recordRunStart("q", "t-1", true, 1_100).recordEnd(6_000, 200, "x");
     ledger.recordAnswer(new Answered("q", 0, "", false, null, 2_900));
     day.recordTrouble(new SimulatedDay.TroubleInterval(VM, true, 1_000, 8_000));
-    assertKept("LOST");
+    assertNotViolated("LOST");
     recordSent("r", true, 1_000);
     ledger.recordRunStart("r", "t-1", true, 1_100).recordEnd(5_900, 200, "x");
     ledger.recordAnswer(new Answered("r", 0, "", false, null, 2_900));
@@ -188,11 +188,11 @@
     recordSent("q", true, BASE_MILLIS);
     ledger.recordEvent(PlatformEvent.Kind.TARGET_LEAVES, "t-1", BASE_MILLIS);
     ledger.recordArrival(arrival("q", BASE_MILLIS + bound));
-    assertKept("DRAIN");
+    assertNotViolated("DRAIN");
     ledger.recordArrival(arrival("q", BASE_MILLIS + bound + 1));
     assertViolated("DRAIN");
     day.recordTrouble(new SimulatedDay.TroubleInterval(VM, false, BASE_MILLIS, BASE_MILLIS));
-    assertKept("DRAIN");
+    assertNotViolated("DRAIN");
   }
 
   @Test
@@ -203,7 +203,7 @@
     ledger.recordArrival(arrival("q", BASE_MILLIS + bound + 1));
     assertViolated("EVAC");
     ledger.recordEvent(PlatformEvent.Kind.ZONE_TAKEN_BACK, "north-a", BASE_MILLIS + bound);
-    assertKept("EVAC");
+    assertNotViolated("EVAC");
   }
 
   @Test
@@ -242,20 +242,20 @@
   void shiftedTooFast() {
     sendToRegions(0, 400, 0);
     sendToRegions(2_000, 400, 56);
-    assertKept("SHIFT");
+    assertNotViolated("SHIFT");
     sendToRegions(4_000, 400, 56 + 80);
     assertViolated("SHIFT");
     day.recordTrouble(
         new SimulatedDay.TroubleInterval(SimulatedDay.ALL_ENTRY_VMS, false, 4_000, 4_100));
-    assertKept("SHIFT");
+    assertNotViolated("SHIFT");
   }
 
   @Test
-  void shiftedTooFastInTheMiddleOfASpan() {
+  void shiftedTooFastMidWindow() {
     sendToRegions(0, 400, 0);
     sendToRegions(1_000, 400, 0);
     sendToRegions(2_000, 400, 0);
-    assertKept("SHIFT");
+    assertNotViolated("SHIFT");
     sendToRegions(3_000, 400, 80);
     sendToRegions(4_000, 400, 80);
     assertViolated("SHIFT");
@@ -280,7 +280,7 @@
     for (int i = 0; i < most; i++) {
       ledger.recordArrival(cold("q" + i, BASE_MILLIS));
     }
-    assertKept("FAILBACK");
+    assertNotViolated("FAILBACK");
     ledger.recordArrival(cold("q", BASE_MILLIS + 900));
     assertViolated("FAILBACK");
   }
@@ -294,7 +294,7 @@
     for (int i = 0; i < day.bounds().extraRetries(); i++) {
       ledger.recordArrival(arrival("q", BASE_MILLIS + i));
     }
-    assertKept("BUDGET retries");
+    assertNotViolated("BUDGET retries");
     ledger.recordArrival(arrival("q", BASE_MILLIS + 900));
     ledger.recordArrival(arrival("q", BASE_MILLIS + 901));
     assertViolated("BUDGET retries");
@@ -308,7 +308,7 @@
     for (int i = 0; i < day.bounds().extraRetries() + 20; i++) {
       ledger.recordArrival(arrival("q", BASE_MILLIS + i));
     }
-    assertKept("BUDGET retries");
+    assertNotViolated("BUDGET retries");
     ledger.recordArrival(arrival("q", BASE_MILLIS + 900));
     ledger.recordArrival(arrival("q", BASE_MILLIS + 901));
     assertViolated("BUDGET retries");
@@ -366,11 +366,11 @@
     recordEnded("first", 503, 20);
     recordEnded("added", 200, 4);
     recordEnded("added", 503, 15);
-    assertKept("CONFIG added");
+    assertNotViolated("CONFIG added");
     recordEnded("added", 503, 2);
     assertViolated("CONFIG added");
     recordEnded("added", 200, 1);
-    assertKept("CONFIG added");
+    assertNotViolated("CONFIG added");
   }
 
   @Test
