--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperiment.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperiment.java
@@ -23,7 +23,7 @@
 import org.sageladder.standin.store.StoreServer;
 import org.sageladder.standin.target.TargetFaults;
 import org.sageladder.standin.target.TargetServer;
-import org.sageladder.tools.http.HttpCaller;
+import org.sageladder.tools.http.BlockingHttpClient;
 import org.sageladder.tools.load.ContractChange;
 import org.sageladder.tools.load.Experiment.Fault;
 import org.sageladder.tools.load.SystemUnderTest;
@@ -39,7 +39,7 @@
   private final Map<String, ListedVm> listedVms = new TreeMap<>();
   private final Map<String, EntryVm> entries;
   private final List<TargetView> targets = new ArrayList<>();
-  private final HttpCaller caller = HttpCaller.withTimeout(TIMEOUT);
+  private final BlockingHttpClient caller = BlockingHttpClient.withTimeout(TIMEOUT);
   private final ScheduledExecutorService scheduler =
       Executors.newScheduledThreadPool(2, task -> new Thread(task, "experiment"));
 
@@ -114,7 +114,7 @@
   }
 
   @Override
-  public List<URI> operators() {
+  public List<URI> operatorAddresses() {
     return entries.values().stream()
         .map(daemon -> URI.create("http://127.0.0.1:" + daemon.operatorsPort()))
         .toList();
@@ -137,7 +137,7 @@
       case MISLEADING_LOAD -> injectTargetFault(fault, faults -> faults.withReportBusy(0));
       case STORE_DOWN -> stopStore(fault);
       case CHANGE_CONTRACT ->
-          ContractChange.longerDrain(store.address(), system.contract().customer());
+          ContractChange.extendDrainLimit(store.address(), system.contract().customer());
     };
   }
 
@@ -214,8 +214,8 @@
   }
 
   private void scheduleUndo(Fault fault, Runnable undo) {
-    if (!fault.length().isZero()) {
-      var unused = scheduler.schedule(undo, fault.length().toNanos(), TimeUnit.NANOSECONDS);
+    if (!fault.duration().isZero()) {
+      var unused = scheduler.schedule(undo, fault.duration().toNanos(), TimeUnit.NANOSECONDS);
     }
   }
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ControlSlopes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ControlSlopes.java
@@ -21,7 +21,7 @@
 import org.sageladder.platform.contract.StoredContract;
 import org.sageladder.platform.store.HttpStore;
 import org.sageladder.standin.store.StoreServer;
-import org.sageladder.tools.http.HttpCaller;
+import org.sageladder.tools.http.BlockingHttpClient;
 
 /**
  * What control costs each entry VM and the store while nothing but control happens.
@@ -119,7 +119,7 @@
     Contract contract = fleetContract(zones, perZone);
     try (StoreServer store = StoreServer.start("127.0.0.1", 0);
         LocalSystem system = LocalSystem.start(store, contract, perZone);
-        HttpCaller caller = HttpCaller.withTimeout(TIMEOUT);
+        BlockingHttpClient caller = BlockingHttpClient.withTimeout(TIMEOUT);
         Store client = HttpStore.connect(store.address(), TIMEOUT)) {
       system.awaitReady();
       Thread.sleep(SETTLE.toMillis());
@@ -182,7 +182,8 @@
     return store.counts().values().stream().mapToLong(Long::longValue).sum();
   }
 
-  private static double controlBytes(LocalSystem system, HttpCaller caller) throws IOException {
+  private static double controlBytes(LocalSystem system, BlockingHttpClient caller)
+      throws IOException {
     double sum = 0;
     for (EntryVm vm : system.entries().values()) {
       sum += controlBytes(vm, caller);
@@ -191,7 +192,7 @@
   }
 
   /** Bytes of the inner protocol's control part that one entry VM sent and received. */
-  static double controlBytes(EntryVm vm, HttpCaller caller) throws IOException {
+  static double controlBytes(EntryVm vm, BlockingHttpClient caller) throws IOException {
     double sum = 0;
     URI metrics = URI.create("http://127.0.0.1:" + vm.operatorsPort() + "/v1/metrics");
     for (String line : caller.get(metrics).text().split("\n")) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ExchangeSlopes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ExchangeSlopes.java
@@ -16,7 +16,7 @@
 import org.sageladder.assembly.LocalSystem;
 import org.sageladder.core.contract.Contract;
 import org.sageladder.standin.store.StoreServer;
-import org.sageladder.tools.http.HttpCaller;
+import org.sageladder.tools.http.BlockingHttpClient;
 
 /**
  * Processor time that a look-up costs an entry VM with its HTTP exchange, over kept connections.
@@ -52,7 +52,7 @@
                   + TargetSize.SERVICE
                   + "&block=1");
       List<Slope.Point> points = new ArrayList<>();
-      try (HttpCaller caller = HttpCaller.withTimeout(TIMEOUT)) {
+      try (BlockingHttpClient caller = BlockingHttpClient.withTimeout(TIMEOUT)) {
         lookUps(caller, uri, WARM_UP);
         for (int count : COUNTS) {
           double before = cpuMicros(servers);
@@ -75,7 +75,7 @@
     return threads.stream().mapToLong(THREADS::getThreadCpuTime).filter(t -> t > 0).sum() / 1e3;
   }
 
-  private static void lookUps(HttpCaller caller, URI uri, int count) throws Exception {
+  private static void lookUps(BlockingHttpClient caller, URI uri, int count) throws Exception {
     ExecutorService callers = Executors.newFixedThreadPool(CALLERS);
     try {
       List<Future<?>> done = new ArrayList<>();
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/FailureCosts.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/FailureCosts.java
@@ -14,7 +14,7 @@
 import org.sageladder.assembly.LocalSystem;
 import org.sageladder.core.contract.Contract;
 import org.sageladder.standin.store.StoreServer;
-import org.sageladder.tools.http.HttpCaller;
+import org.sageladder.tools.http.BlockingHttpClient;
 
 /**
  * What the failures of an ordinary day cost: an entry VM lost, one started, a zone lost.
@@ -34,11 +34,11 @@
 
   private final StoreServer store;
   private final LocalSystem system;
-  private final HttpCaller caller;
+  private final BlockingHttpClient caller;
   private final Contract contract;
 
   private FailureCosts(
-      StoreServer store, LocalSystem system, HttpCaller caller, Contract contract) {
+      StoreServer store, LocalSystem system, BlockingHttpClient caller, Contract contract) {
     this.store = store;
     this.system = system;
     this.caller = caller;
@@ -103,7 +103,7 @@
     Contract contract = ControlSlopes.fleetContract(zones, PER_ZONE);
     try (StoreServer store = StoreServer.start("127.0.0.1", 0);
         LocalSystem system = LocalSystem.start(store, contract, PER_ZONE);
-        HttpCaller caller = HttpCaller.withTimeout(TIMEOUT)) {
+        BlockingHttpClient caller = BlockingHttpClient.withTimeout(TIMEOUT)) {
       system.awaitReady();
       Thread.sleep(SETTLE.toMillis());
       return new FailureCosts(store, system, caller, contract).measureFleet();
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Fleet.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Fleet.java
@@ -30,7 +30,7 @@
 import org.sageladder.standin.target.ServiceTime;
 import org.sageladder.standin.target.TargetOptions;
 import org.sageladder.standin.target.TargetServer;
-import org.sageladder.tools.http.HttpCaller;
+import org.sageladder.tools.http.BlockingHttpClient;
 
 /**
  * Entry VMs as processes of their own, with a store stand-in in this one.
@@ -60,7 +60,7 @@
   private final RunFolder folder;
   private final StandIns standIns;
   private final HttpStore client;
-  private final HttpCaller caller;
+  private final BlockingHttpClient caller;
   private final Map<String, FleetVm> vms = new LinkedHashMap<>();
   private final Map<String, TreeMap<Long, Long>> inForce = new LinkedHashMap<>();
   private final List<String> reverts = new ArrayList<>();
@@ -71,7 +71,7 @@
     this.folder = RunFolder.create("sageladder-fleet");
     this.standIns = StandIns.start(options.contract().customer());
     this.client = HttpStore.connect(store().address(), CALL_TIMEOUT);
-    this.caller = HttpCaller.withTimeout(CALL_TIMEOUT);
+    this.caller = BlockingHttpClient.withTimeout(CALL_TIMEOUT);
   }
 
   /** Stores the contract, starts all entry VMs and waits until it is in force at each. */
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/FleetVm.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/FleetVm.java
@@ -12,22 +12,22 @@
 import org.sageladder.bench.process.StandIns;
 import org.sageladder.core.event.Event;
 import org.sageladder.platform.event.EventPage;
-import org.sageladder.tools.http.HttpCaller;
+import org.sageladder.tools.http.BlockingHttpClient;
 
 /** One entry VM's process with what it tells its operators. */
 public final class FleetVm {
   private static final int MOST_PAGES = 50;
 
   private final EntryProcess process;
-  private final HttpCaller caller;
+  private final BlockingHttpClient caller;
   private long eventCursor;
 
-  private FleetVm(EntryProcess process, HttpCaller caller) {
+  private FleetVm(EntryProcess process, BlockingHttpClient caller) {
     this.process = process;
     this.caller = caller;
   }
 
-  static FleetVm of(EntryProcess process, HttpCaller caller) {
+  static FleetVm of(EntryProcess process, BlockingHttpClient caller) {
     return new FleetVm(process, caller);
   }
 
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Command.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Command.java
@@ -7,15 +7,15 @@
  * One command of {@code sageladderctl}.
  *
  * @param operands what follows the command, as help shows it
- * @param leastOperands fewest operands it takes
- * @param mostOperands most operands it takes
+ * @param minOperands fewest operands it takes
+ * @param maxOperands most operands it takes
  */
 record Command(
     String name,
     Group group,
     String operands,
-    int leastOperands,
-    int mostOperands,
+    int minOperands,
+    int maxOperands,
     String summary,
     Options options,
     Body body) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/ContractCommands.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/ContractCommands.java
@@ -31,11 +31,11 @@
   static ExitCode check(Invocation invocation) throws CtlException {
     boolean good = true;
     for (String file : invocation.operands()) {
-      List<ContractCheck.Problem> problems = ContractCheck.problems(contract(file));
+      List<ContractCheck.Problem> problems = ContractCheck.problems(readContract(file));
       if (problems.isEmpty()) {
         invocation.out().println(file + ": good");
       } else {
-        print(file, problems, invocation.err());
+        printProblems(file, problems, invocation.err());
         good = false;
       }
     }
@@ -43,7 +43,7 @@
   }
 
   static ExitCode show(Invocation invocation) throws CtlException {
-    StoredContract stored = required(invocation, invocation.operand(0));
+    StoredContract stored = readRequired(invocation, invocation.operand(0));
     PrintStream out = invocation.out();
     out.println("# revision " + stored.contract().revision() + " by " + stored.author());
     out.print(ContractYaml.format(stored.contract()));
@@ -51,8 +51,8 @@
   }
 
   static ExitCode diff(Invocation invocation) throws CtlException {
-    Contract wanted = contract(invocation.operand(0));
-    StoredContract stored = required(invocation, wanted.customer());
+    Contract wanted = readContract(invocation.operand(0));
+    StoredContract stored = readRequired(invocation, wanted.customer());
     List<Difference> differences = ContractDiff.between(stored.contract(), wanted);
     invocation.out().println("store: revision " + stored.contract().revision());
     differences.forEach(difference -> invocation.out().println("  " + difference));
@@ -60,10 +60,10 @@
   }
 
   static ExitCode history(Invocation invocation) throws CtlException {
-    StoredContract stored = required(invocation, invocation.operand(0));
+    StoredContract stored = readRequired(invocation, invocation.operand(0));
     String changeId = invocation.option(CHANGE);
     if (changeId != null) {
-      return resolve(stored, changeId, invocation);
+      return resolveChange(stored, changeId, invocation);
     }
     if (stored.history().isEmpty()) {
       invocation.out().println("no changes are recorded");
@@ -90,7 +90,8 @@
    * while its base revision stands, since the store may carry a write out late; once another
    * revision stands, compare-and-swap refuses it for good, and the answer given here is final.
    */
-  private static ExitCode resolve(StoredContract stored, String changeId, Invocation invocation) {
+  private static ExitCode resolveChange(
+      StoredContract stored, String changeId, Invocation invocation) {
     for (StoredContract.Change change : stored.history()) {
       if (change.changeId().equals(changeId)) {
         invocation.out().println("accepted at revision " + change.revision());
@@ -113,11 +114,11 @@
 
   static ExitCode apply(Invocation invocation) throws CtlException {
     String file = invocation.operand(0);
-    Contract wanted = contract(file);
+    Contract wanted = readContract(file);
     try (Store store = invocation.store()) {
       ContractWriter writer = ContractWriter.of(store, TimeSource.system(), invocation.author());
-      long base = base(invocation, writer, wanted.customer());
-      return report(writer.apply(wanted, base), file, wanted.customer(), invocation);
+      long base = baseRevision(invocation, writer, wanted.customer());
+      return reportResult(writer.apply(wanted, base), file, wanted.customer(), invocation);
     }
   }
 
@@ -126,7 +127,7 @@
    * stated: reading it here would make every change start from the latest one, and an edit of an
    * older copy would silently undo what another operator changed since.
    */
-  private static long base(Invocation invocation, ContractWriter writer, String customer)
+  private static long baseRevision(Invocation invocation, ContractWriter writer, String customer)
       throws CtlException {
     String text = invocation.option(BASE);
     if (text != null && !text.equals(LATEST)) {
@@ -137,11 +138,11 @@
             "--base '" + text + "' is not allowed; give a revision or '" + LATEST + "'");
       }
     }
-    StoredContract standing = read(writer, customer);
-    if (standing == null) {
+    StoredContract current = read(writer, customer);
+    if (current == null) {
       return 0;
     }
-    long revision = standing.contract().revision();
+    long revision = current.contract().revision();
     if (text == null) {
       throw new CtlException(
           ExitCode.USAGE,
@@ -150,14 +151,14 @@
               + " stands at revision "
               + revision
               + " (by "
-              + standing.author()
+              + current.author()
               + "); look at 'sageladderctl diff FILE', then give --base "
               + revision);
     }
     return revision;
   }
 
-  private static ExitCode report(
+  private static ExitCode reportResult(
       ApplyResult result, String file, String customer, Invocation invocation) {
     PrintStream out = invocation.out();
     PrintStream err = invocation.err();
@@ -171,7 +172,7 @@
       return ExitCode.OK;
     }
     if (result instanceof ApplyResult.Rejected rejected) {
-      print(file, rejected.problems(), err);
+      printProblems(file, rejected.problems(), err);
       return ExitCode.BAD_CONTRACT;
     }
     if (result instanceof ApplyResult.Conflict conflict) {
@@ -220,7 +221,7 @@
     err.println("to write yours all the same, give --base " + current.contract().revision());
   }
 
-  private static StoredContract required(Invocation invocation, String customer)
+  private static StoredContract readRequired(Invocation invocation, String customer)
       throws CtlException {
     try (Store store = invocation.store()) {
       StoredContract stored =
@@ -242,7 +243,7 @@
     }
   }
 
-  private static Contract contract(String file) throws CtlException {
+  private static Contract readContract(String file) throws CtlException {
     try {
       return ContractYaml.read(Path.of(file));
     } catch (SettingsException e) {
@@ -250,7 +251,8 @@
     }
   }
 
-  private static void print(String file, List<ContractCheck.Problem> problems, PrintStream stream) {
+  private static void printProblems(
+      String file, List<ContractCheck.Problem> problems, PrintStream stream) {
     problems.forEach(problem -> stream.println(file + ": " + problem));
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Ctl.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Ctl.java
@@ -64,7 +64,7 @@
         return ExitCode.OK;
       }
       int operands = line.getArgList().size();
-      if (operands < command.leastOperands() || operands > command.mostOperands()) {
+      if (operands < command.minOperands() || operands > command.maxOperands()) {
         throw Invocation.usage(
             "expected: " + synopsis(command) + ", not " + operands + " operands");
       }
@@ -201,7 +201,8 @@
             option(
                 Invocation.STORE,
                 "URI",
-                "the platform's key-value service; else from " + Invocation.STORE_VARIABLE));
+                "the platform's key-value service; else from "
+                    + Invocation.STORE_ENVIRONMENT_VARIABLE));
   }
 
   private static Option operators() {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Invocation.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Invocation.java
@@ -20,7 +20,7 @@
   static final String TIMEOUT = "timeout";
   static final String AUTHOR = "author";
   static final String OPERATORS = "operators";
-  static final String STORE_VARIABLE = "SAGELADDER_STORE";
+  static final String STORE_ENVIRONMENT_VARIABLE = "SAGELADDER_STORE";
 
   private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(5);
 
@@ -36,10 +36,10 @@
     return line.getOptionValue(name);
   }
 
-  Duration duration(String name, Duration otherwise) throws CtlException {
+  Duration duration(String name, Duration defaultValue) throws CtlException {
     String text = option(name);
     if (text == null) {
-      return otherwise;
+      return defaultValue;
     }
     Optional<Duration> duration = DurationText.parse(text);
     if (duration.isEmpty() || duration.get().isZero()) {
@@ -64,10 +64,10 @@
   Store store() throws CtlException {
     String uri = option(STORE);
     if (uri == null) {
-      uri = System.getenv(STORE_VARIABLE);
+      uri = System.getenv(STORE_ENVIRONMENT_VARIABLE);
     }
     if (uri == null) {
-      throw usage("no store; give --store URI or set " + STORE_VARIABLE);
+      throw usage("no store; give --store URI or set " + STORE_ENVIRONMENT_VARIABLE);
     }
     if (!SettingPatterns.HTTP_URI.matcher(uri).matches()) {
       throw usage("--store '" + uri + "' is not allowed; give " + SettingPatterns.HTTP_URI_ALLOWED);
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/StatusCommand.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/StatusCommand.java
@@ -16,8 +16,8 @@
 import org.sageladder.core.store.StoredValue;
 import org.sageladder.platform.contract.StoredContract;
 import org.sageladder.platform.settings.ExitCode;
-import org.sageladder.tools.http.HttpAnswer;
-import org.sageladder.tools.http.HttpCaller;
+import org.sageladder.tools.http.BlockingHttpClient;
+import org.sageladder.tools.http.BufferedHttpResponse;
 
 /**
  * {@code status}: which revision is in force at the entry VMs asked and, as their relays report it,
@@ -30,23 +30,26 @@
   private static final String LATEST = "latest";
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final Duration DEFAULT_WITHIN = Duration.ofSeconds(10);
-  private static final Duration POLL = Duration.ofMillis(200);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(200);
 
   private final Invocation invocation;
-  private final HttpCaller caller;
-  private final Map<String, Long> accepted;
-  private final @Nullable Long wanted;
+  private final BlockingHttpClient client;
+  private final Map<String, Long> acceptedRevisions;
+  private final @Nullable Long wantedRevision;
 
   private StatusCommand(
-      Invocation invocation, HttpCaller caller, Map<String, Long> accepted, @Nullable Long wanted) {
+      Invocation invocation,
+      BlockingHttpClient client,
+      Map<String, Long> acceptedRevisions,
+      @Nullable Long wantedRevision) {
     this.invocation = invocation;
-    this.caller = caller;
-    this.accepted = accepted;
-    this.wanted = wanted;
+    this.client = client;
+    this.acceptedRevisions = acceptedRevisions;
+    this.wantedRevision = wantedRevision;
   }
 
   /** What one entry VM answered; {@code state} is null where it did not. */
-  private record Answer(URI uri, @Nullable JsonNode state, String fault) {}
+  private record StateResponse(URI uri, @Nullable JsonNode state, String error) {}
 
   static ExitCode run(Invocation invocation) throws CtlException {
     Long wanted = wantedRevision(invocation);
@@ -58,9 +61,9 @@
     accepted.forEach(
         (customer, revision) ->
             invocation.out().println("store: " + customer + " at revision " + revision));
-    try (HttpCaller caller = HttpCaller.withTimeout(invocation.timeout())) {
+    try (BlockingHttpClient caller = BlockingHttpClient.withTimeout(invocation.timeout())) {
       StatusCommand status = new StatusCommand(invocation, caller, accepted, wanted);
-      return invocation.option(WAIT) == null ? status.once() : status.await(within);
+      return invocation.option(WAIT) == null ? status.printOnce() : status.awaitInForce(within);
     }
   }
 
@@ -78,20 +81,20 @@
     }
   }
 
-  private ExitCode once() throws CtlException {
-    List<Answer> answers = ask(invocation.operators());
-    List<String> lagging = lagging(answers);
+  private ExitCode printOnce() throws CtlException {
+    List<StateResponse> answers = fetchStates(invocation.operators());
+    List<String> lagging = findLagging(answers);
     answers.forEach(this::print);
     printZones(answers, invocation.out());
     return lagging.isEmpty() ? ExitCode.OK : ExitCode.VERDICT_FAILED;
   }
 
-  private ExitCode await(Duration within) throws CtlException {
+  private ExitCode awaitInForce(Duration within) throws CtlException {
     List<URI> operators = invocation.requiredOperators();
     long start = System.nanoTime();
     while (true) {
-      List<Answer> answers = ask(operators);
-      List<String> lagging = lagging(answers);
+      List<StateResponse> answers = fetchStates(operators);
+      List<String> lagging = findLagging(answers);
       if (lagging.isEmpty()) {
         printZones(answers, invocation.out());
         long millis = (System.nanoTime() - start) / 1_000_000;
@@ -101,46 +104,46 @@
       if (System.nanoTime() - start >= within.toNanos()) {
         printZones(answers, invocation.out());
         lagging.forEach(line -> invocation.err().println("lags: " + line));
-        boolean nobody = answers.stream().allMatch(answer -> answer.state() == null);
-        return nobody ? ExitCode.UNAVAILABLE : ExitCode.VERDICT_FAILED;
+        boolean noneAnswered = answers.stream().allMatch(answer -> answer.state() == null);
+        return noneAnswered ? ExitCode.UNAVAILABLE : ExitCode.VERDICT_FAILED;
       }
-      pause();
+      sleepPollInterval();
     }
   }
 
-  private List<Answer> ask(List<URI> operators) {
-    List<Answer> answers = new ArrayList<>();
+  private List<StateResponse> fetchStates(List<URI> operators) {
+    List<StateResponse> answers = new ArrayList<>();
     for (URI uri : operators) {
       try {
-        answers.add(new Answer(uri, json(caller.get(uri.resolve("/v1/state"))), ""));
+        answers.add(new StateResponse(uri, json(client.get(uri.resolve("/v1/state"))), ""));
       } catch (IOException e) {
-        answers.add(new Answer(uri, null, String.valueOf(e.getMessage())));
+        answers.add(new StateResponse(uri, null, String.valueOf(e.getMessage())));
       }
     }
     return answers;
   }
 
   /** A line for each entry VM asked and each zone that is behind, silent or of no known state. */
-  private List<String> lagging(List<Answer> answers) {
+  private List<String> findLagging(List<StateResponse> answers) {
     List<String> lagging = new ArrayList<>();
-    for (Answer answer : answers) {
+    for (StateResponse answer : answers) {
       JsonNode state = answer.state();
       if (state == null) {
-        lagging.add(answer.uri().getAuthority() + ": no answer (" + answer.fault() + ")");
+        lagging.add(answer.uri().getAuthority() + ": no answer (" + answer.error() + ")");
         continue;
       }
       if (state.path("revisions").isEmpty()) {
-        lagging.add(name(answer, state) + ": no contract in force");
+        lagging.add(vmName(answer, state) + ": no contract in force");
       }
       for (Map.Entry<String, JsonNode> revision : state.path("revisions").properties()) {
         long inForce = revision.getValue().asLong();
-        long needed = needed(revision.getKey(), inForce);
+        long needed = requiredRevision(revision.getKey(), inForce);
         if (inForce < needed) {
-          lagging.add(name(answer, state) + ": at " + inForce + ", not " + needed);
+          lagging.add(vmName(answer, state) + ": at " + inForce + ", not " + needed);
         }
       }
     }
-    zones(answers).forEach((zone, report) -> addIfLagging(zone, report, lagging));
+    latestReportsByZone(answers).forEach((zone, report) -> addIfLagging(zone, report, lagging));
     return lagging;
   }
 
@@ -150,21 +153,23 @@
       return;
     }
     long lowest = report.path("lowestRevision").asLong();
-    long needed = needed(report.path("customer").asText(), lowest);
+    long needed = requiredRevision(report.path("customer").asText(), lowest);
     if (lowest < needed) {
-      lagging.add(zoneLine(zone, report) + ", not " + needed);
+      lagging.add(formatZone(zone, report) + ", not " + needed);
     }
   }
 
   /** The revision that must be in force; {@code inForce} where nothing says so. */
-  private long needed(String customer, long inForce) {
-    return wanted != null ? wanted : accepted.getOrDefault(customer, inForce);
+  private long requiredRevision(String customer, long inForce) {
+    return wantedRevision != null
+        ? wantedRevision
+        : acceptedRevisions.getOrDefault(customer, inForce);
   }
 
   /** The latest report of each zone that any of the entry VMs asked knows of. */
-  private static Map<String, JsonNode> zones(List<Answer> answers) {
+  private static Map<String, JsonNode> latestReportsByZone(List<StateResponse> answers) {
     Map<String, JsonNode> zones = new TreeMap<>();
-    for (Answer answer : answers) {
+    for (StateResponse answer : answers) {
       JsonNode state = answer.state();
       if (state == null) {
         continue;
@@ -174,39 +179,39 @@
           .properties()
           .forEach(view -> zones.putIfAbsent(view.getKey(), JSON.createObjectNode()));
       for (Map.Entry<String, JsonNode> zone : state.path("zones").properties()) {
-        zones.merge(zone.getKey(), zone.getValue(), StatusCommand::later);
+        zones.merge(zone.getKey(), zone.getValue(), StatusCommand::newerReport);
       }
     }
     return zones;
   }
 
-  private static JsonNode later(JsonNode left, JsonNode right) {
+  private static JsonNode newerReport(JsonNode left, JsonNode right) {
     boolean rightLater = right.path("takenAtMillis").asLong() > left.path("takenAtMillis").asLong();
     return rightLater ? right : left;
   }
 
-  private static void printZones(List<Answer> answers, PrintStream out) {
-    Map<String, JsonNode> zones = zones(answers);
+  private static void printZones(List<StateResponse> answers, PrintStream out) {
+    Map<String, JsonNode> zones = latestReportsByZone(answers);
     zones.values().removeIf(report -> !report.has("lowestRevision"));
-    zones.forEach((zone, report) -> out.println(zoneLine(zone, report)));
+    zones.forEach((zone, report) -> out.println(formatZone(zone, report)));
     zones.entrySet().stream()
-        .min((a, b) -> Long.compare(lowest(a.getValue()), lowest(b.getValue())))
+        .min((a, b) -> Long.compare(lowestRevision(a.getValue()), lowestRevision(b.getValue())))
         .ifPresent(
             entry ->
                 out.println(
                     "lowest revision in force: "
-                        + lowest(entry.getValue())
+                        + lowestRevision(entry.getValue())
                         + ", in "
                         + entry.getKey()));
   }
 
-  private static long lowest(JsonNode report) {
+  private static long lowestRevision(JsonNode report) {
     return report.path("lowestRevision").asLong();
   }
 
-  private static String zoneLine(String zone, JsonNode report) {
+  private static String formatZone(String zone, JsonNode report) {
     StringBuilder line = new StringBuilder("zone ").append(zone);
-    line.append(": lowest revision ").append(lowest(report));
+    line.append(": lowest revision ").append(lowestRevision(report));
     line.append(" at ").append(report.path("members").asInt()).append(" entry VMs");
     line.append(", reported ").append(report.path("ageMillis").asLong()).append(" ms ago");
     List<String> lagging = new ArrayList<>();
@@ -217,19 +222,19 @@
     return line.toString();
   }
 
-  private void print(Answer answer) {
+  private void print(StateResponse answer) {
     PrintStream out = invocation.out();
     JsonNode state = answer.state();
     if (state == null) {
-      out.println(answer.uri().getAuthority() + ": no answer (" + answer.fault() + ")");
+      out.println(answer.uri().getAuthority() + ": no answer (" + answer.error() + ")");
       return;
     }
-    StringBuilder line = new StringBuilder(name(answer, state));
+    StringBuilder line = new StringBuilder(vmName(answer, state));
     line.append(": ").append(state.path("readiness").asText("?"));
     for (Map.Entry<String, JsonNode> revision : state.path("revisions").properties()) {
       long inForce = revision.getValue().asLong();
       line.append(", ").append(revision.getKey()).append(" at ").append(inForce);
-      long needed = needed(revision.getKey(), inForce);
+      long needed = requiredRevision(revision.getKey(), inForce);
       if (needed != inForce) {
         line.append(" (store has ").append(needed).append(")");
       }
@@ -240,10 +245,10 @@
       line.append(" of ").append(zone.path("members").size());
     }
     out.println(line);
-    state.path("gates").properties().forEach(gate -> out.println(gateLine(gate)));
+    state.path("gates").properties().forEach(gate -> out.println(formatGate(gate)));
   }
 
-  private static String gateLine(Map.Entry<String, JsonNode> gate) {
+  private static String formatGate(Map.Entry<String, JsonNode> gate) {
     JsonNode numbers = gate.getValue();
     return "  "
         + gate.getKey()
@@ -256,14 +261,14 @@
         + " waiting";
   }
 
-  private static String name(Answer answer, JsonNode state) {
+  private static String vmName(StateResponse answer, JsonNode state) {
     return state.path("vm").asText(answer.uri().getAuthority());
   }
 
   private static Map<String, Long> acceptedRevisions(Invocation invocation) throws CtlException {
     Map<String, Long> revisions = new TreeMap<>();
     if (invocation.option(Invocation.STORE) == null
-        && System.getenv(Invocation.STORE_VARIABLE) == null) {
+        && System.getenv(Invocation.STORE_ENVIRONMENT_VARIABLE) == null) {
       return revisions;
     }
     try (Store store = invocation.store()) {
@@ -276,16 +281,16 @@
     }
   }
 
-  private static void pause() throws CtlException {
+  private static void sleepPollInterval() throws CtlException {
     try {
-      Thread.sleep(POLL.toMillis());
+      Thread.sleep(POLL_INTERVAL.toMillis());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new CtlException(ExitCode.INTERNAL, "interrupted while waiting");
     }
   }
 
-  private static JsonNode json(HttpAnswer answer) throws IOException {
+  private static JsonNode json(BufferedHttpResponse answer) throws IOException {
     if (answer.status() != 200) {
       throw new IOException("status " + answer.status());
     }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/SystemCommands.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/SystemCommands.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import org.apache.hc.core5.http.ContentType;
 import org.sageladder.platform.settings.ExitCode;
-import org.sageladder.tools.http.HttpAnswer;
-import org.sageladder.tools.http.HttpCaller;
+import org.sageladder.tools.http.BlockingHttpClient;
+import org.sageladder.tools.http.BufferedHttpResponse;
 import org.sageladder.tools.timeline.EventFilter;
 import org.sageladder.tools.timeline.ProcessEvents;
 import org.sageladder.tools.timeline.TimeLine;
@@ -25,14 +25,14 @@
   static final String BLOCK = "block";
 
   private static final Duration DEFAULT_DRAIN_WAIT = Duration.ofMinutes(2);
-  private static final Duration DRAIN_POLL = Duration.ofMillis(200);
+  private static final Duration DRAIN_POLL_INTERVAL = Duration.ofMillis(200);
 
   private SystemCommands() {}
 
   /** Begins a planned stop of each named entry VM, one after the other, and waits for its end. */
   static ExitCode drain(Invocation invocation) throws CtlException {
     Duration wait = invocation.duration(WAIT, DEFAULT_DRAIN_WAIT);
-    try (HttpCaller caller = HttpCaller.withTimeout(invocation.timeout())) {
+    try (BlockingHttpClient caller = BlockingHttpClient.withTimeout(invocation.timeout())) {
       for (URI uri : invocation.requiredOperators()) {
         drain(uri, caller, wait, invocation.out());
       }
@@ -40,11 +40,11 @@
     return ExitCode.OK;
   }
 
-  private static void drain(URI uri, HttpCaller caller, Duration wait, PrintStream out)
+  private static void drain(URI uri, BlockingHttpClient caller, Duration wait, PrintStream out)
       throws CtlException {
     long started = System.nanoTime();
     try {
-      HttpAnswer answer =
+      BufferedHttpResponse answer =
           caller.post(uri.resolve("/v1/drain"), new byte[0], ContentType.APPLICATION_JSON);
       if (answer.status() / 100 != 2) {
         throw new CtlException(
@@ -60,7 +60,7 @@
         out.println(uri.getAuthority() + ": drained and stopped after " + millis + " ms");
         return;
       }
-      pause();
+      sleepPollInterval();
     }
     throw new CtlException(
         ExitCode.VERDICT_FAILED,
@@ -68,7 +68,7 @@
   }
 
   /** A process that has ended refuses connections; that it was there is known from the drain. */
-  private static boolean hasEnded(URI uri, HttpCaller caller) {
+  private static boolean hasEnded(URI uri, BlockingHttpClient caller) {
     try {
       caller.get(uri.resolve("/v1/state"));
       return false;
@@ -77,9 +77,9 @@
     }
   }
 
-  private static void pause() throws CtlException {
+  private static void sleepPollInterval() throws CtlException {
     try {
-      Thread.sleep(DRAIN_POLL.toMillis());
+      Thread.sleep(DRAIN_POLL_INTERVAL.toMillis());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new CtlException(ExitCode.INTERNAL, "interrupted while waiting");
@@ -93,7 +93,7 @@
     }
     String request = invocation.operand(0);
     List<ProcessEvents> fetched =
-        TimeLineMain.fetch(invocation.requiredOperators(), invocation.err());
+        TimeLineMain.fetchAll(invocation.requiredOperators(), invocation.err());
     if (fetched.isEmpty()) {
       throw new CtlException(ExitCode.UNAVAILABLE, "no entry VM answered");
     }
@@ -104,7 +104,7 @@
           "no event about request '"
               + request
               + "' ("
-              + line.lost()
+              + line.lostCount()
               + " events were lost in these processes)");
     }
     invocation.out().print(TimeLineFormat.text().write(line, EventFilter.request(request)));
@@ -125,8 +125,8 @@
             + encoded(invocation, SERVICE)
             + "&block="
             + encoded(invocation, BLOCK);
-    try (HttpCaller caller = HttpCaller.withTimeout(invocation.timeout())) {
-      HttpAnswer answer = caller.get(uri.resolve(query));
+    try (BlockingHttpClient caller = BlockingHttpClient.withTimeout(invocation.timeout())) {
+      BufferedHttpResponse answer = caller.get(uri.resolve(query));
       invocation.out().println(answer.text().strip());
       return answer.status() == 200 ? ExitCode.OK : ExitCode.NOT_FOUND;
     } catch (IOException e) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/TraceCommand.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/TraceCommand.java
@@ -26,24 +26,30 @@
   /**
    * Time about a request in which a line may tell its cause; a lost target is noticed within it.
    */
-  private static final long ABOUT_MILLIS = 2_000;
+  private static final long CONTEXT_MILLIS = 2_000;
 
   private static final JsonMapper JSON = new JsonMapper();
 
-  private record Line(
-      long at, String vm, String kind, String request, String subject, String detail) {
-    boolean isOf(String id) {
+  private record LogLine(
+      long atMillis, String vm, String kind, String request, String subject, String detail) {
+    boolean isAboutRequest(String id) {
       return request.equals(id);
     }
 
     /** True where the line speaks of a VM's state or of a target, not of another request. */
-    boolean isState() {
+    boolean isAboutState() {
       return request.isEmpty();
     }
 
-    String text(long from) {
+    String format(long startMillis) {
       return String.format(
-          Locale.ROOT, "%+6d ms  %-24s %-18s %s %s", at - from, vm, kind, subject, detail);
+          Locale.ROOT,
+          "%+6d ms  %-24s %-18s %s %s",
+          atMillis - startMillis,
+          vm,
+          kind,
+          subject,
+          detail);
     }
   }
 
@@ -51,11 +57,11 @@
 
   static ExitCode run(Invocation invocation) throws CtlException {
     String id = invocation.operand(0);
-    List<Line> lines = new ArrayList<>();
+    List<LogLine> lines = new ArrayList<>();
     for (String file : invocation.operands().subList(1, invocation.operands().size())) {
-      lines.addAll(read(Path.of(file), invocation.err()));
+      lines.addAll(readLogLines(Path.of(file), invocation.err()));
     }
-    List<Line> own = lines.stream().filter(line -> line.isOf(id)).toList();
+    List<LogLine> own = lines.stream().filter(line -> line.isAboutRequest(id)).toList();
     if (own.isEmpty()) {
       invocation
           .out()
@@ -67,55 +73,57 @@
                   + "; no entry VM of these files has read it, or its lines were left out");
       return ExitCode.NOT_FOUND;
     }
-    long from = own.stream().mapToLong(Line::at).min().orElseThrow();
-    related(lines, own, id).forEach(line -> invocation.out().println(line.text(from)));
+    long from = own.stream().mapToLong(LogLine::atMillis).min().orElseThrow();
+    relatedLines(lines, own, id).forEach(line -> invocation.out().println(line.format(from)));
     return ExitCode.OK;
   }
 
-  private static List<Line> related(List<Line> lines, List<Line> own, String id) {
-    long from = own.stream().mapToLong(Line::at).min().orElseThrow() - ABOUT_MILLIS;
-    long to = own.stream().mapToLong(Line::at).max().orElseThrow() + ABOUT_MILLIS;
+  private static List<LogLine> relatedLines(List<LogLine> lines, List<LogLine> own, String id) {
+    long from = own.stream().mapToLong(LogLine::atMillis).min().orElseThrow() - CONTEXT_MILLIS;
+    long to = own.stream().mapToLong(LogLine::atMillis).max().orElseThrow() + CONTEXT_MILLIS;
     Set<String> vms = new HashSet<>();
     Set<String> targets = new HashSet<>();
-    for (Line line : own) {
+    for (LogLine line : own) {
       vms.add(line.vm());
       targets.add(line.subject());
     }
     targets.remove("");
     return lines.stream()
-        .filter(line -> line.at() >= from && line.at() <= to)
-        .filter(line -> line.isOf(id) || (line.isState() && vms.contains(line.vm())))
-        .filter(line -> line.isOf(id) || !isTargetLine(line) || targets.contains(line.subject()))
-        .sorted(Comparator.comparingLong(Line::at))
+        .filter(line -> line.atMillis() >= from && line.atMillis() <= to)
+        .filter(line -> line.isAboutRequest(id) || (line.isAboutState() && vms.contains(line.vm())))
+        .filter(
+            line ->
+                line.isAboutRequest(id) || !isTargetLine(line) || targets.contains(line.subject()))
+        .sorted(Comparator.comparingLong(LogLine::atMillis))
         .toList();
   }
 
-  private static boolean isTargetLine(Line line) {
+  private static boolean isTargetLine(LogLine line) {
     return line.kind().startsWith("TARGET_");
   }
 
   /** The log lines of a file; those that were cut off by the end of their process are counted. */
-  private static List<Line> read(Path file, PrintStream err) throws CtlException {
-    List<Line> lines = new ArrayList<>();
-    int notRead = 0;
-    for (String text : texts(file)) {
+  private static List<LogLine> readLogLines(Path file, PrintStream err) throws CtlException {
+    List<LogLine> lines = new ArrayList<>();
+    int truncatedCount = 0;
+    for (String text : readTextLines(file)) {
       int begin = text.indexOf("{\"at\":");
       if (begin < 0) {
         continue;
       }
       try {
-        lines.add(line(JSON.readTree(text.substring(begin))));
+        lines.add(parseLine(JSON.readTree(text.substring(begin))));
       } catch (JsonProcessingException e) {
-        notRead++;
+        truncatedCount++;
       }
     }
-    if (notRead > 0) {
-      err.println(file + ": " + notRead + " lines not read, since they are cut off");
+    if (truncatedCount > 0) {
+      err.println(file + ": " + truncatedCount + " lines not read, since they are cut off");
     }
     return lines;
   }
 
-  private static List<String> texts(Path file) throws CtlException {
+  private static List<String> readTextLines(Path file) throws CtlException {
     try {
       return Files.readAllLines(file, StandardCharsets.UTF_8);
     } catch (IOException e) {
@@ -123,8 +131,8 @@
     }
   }
 
-  private static Line line(JsonNode json) {
-    return new Line(
+  private static LogLine parseLine(JsonNode json) {
+    return new LogLine(
         json.path("at").asLong(),
         json.path("vm").asText(""),
         json.path("kind").asText(""),
--- a/sageladder-tools/src/main/java/org/sageladder/tools/http/HttpCaller.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/http/BlockingHttpClient.java
@@ -31,17 +31,17 @@
  * }
  * }</pre>
  */
-public final class HttpCaller implements AutoCloseable {
+public final class BlockingHttpClient implements AutoCloseable {
   private final HttpAsyncRequester requester;
   private final Duration timeout;
 
-  private HttpCaller(HttpAsyncRequester requester, Duration timeout) {
+  private BlockingHttpClient(HttpAsyncRequester requester, Duration timeout) {
     this.requester = requester;
     this.timeout = timeout;
   }
 
   /** A caller whose calls fail when no whole answer came within {@code timeout}. */
-  public static HttpCaller withTimeout(Duration timeout) {
+  public static BlockingHttpClient withTimeout(Duration timeout) {
     HttpAsyncRequester requester =
         AsyncRequesterBootstrap.bootstrap()
             .setIOReactorConfig(
@@ -50,7 +50,7 @@
             .setMaxTotal(1_000)
             .create();
     requester.start();
-    return new HttpCaller(requester, timeout);
+    return new BlockingHttpClient(requester, timeout);
   }
 
   /**
@@ -58,21 +58,21 @@
    *
    * @throws IOException where no whole answer came
    */
-  public HttpAnswer get(URI uri) throws IOException {
-    return call(uri, AsyncRequestBuilder.get(uri).build());
+  public BufferedHttpResponse get(URI uri) throws IOException {
+    return execute(uri, AsyncRequestBuilder.get(uri).build());
   }
 
   /** The answer to POST of {@code body} with that type, whatever its status. */
-  public HttpAnswer post(URI uri, byte[] body, ContentType type) throws IOException {
-    return call(uri, AsyncRequestBuilder.post(uri).setEntity(body, type).build());
+  public BufferedHttpResponse post(URI uri, byte[] body, ContentType type) throws IOException {
+    return execute(uri, AsyncRequestBuilder.post(uri).setEntity(body, type).build());
   }
 
   /** The answer to PUT of {@code body} with that type, whatever its status. */
-  public HttpAnswer put(URI uri, byte[] body, ContentType type) throws IOException {
-    return call(uri, AsyncRequestBuilder.put(uri).setEntity(body, type).build());
+  public BufferedHttpResponse put(URI uri, byte[] body, ContentType type) throws IOException {
+    return execute(uri, AsyncRequestBuilder.put(uri).setEntity(body, type).build());
   }
 
-  private HttpAnswer call(URI uri, AsyncRequestProducer request) throws IOException {
+  private BufferedHttpResponse execute(URI uri, AsyncRequestProducer request) throws IOException {
     Future<Message<HttpResponse, byte[]>> future =
         requester.execute(
             request,
@@ -82,7 +82,8 @@
     try {
       Message<HttpResponse, byte[]> message = future.get(timeout.toNanos(), TimeUnit.NANOSECONDS);
       byte[] body = message.getBody();
-      return new HttpAnswer(message.getHead().getCode(), body == null ? new byte[0] : body);
+      return new BufferedHttpResponse(
+          message.getHead().getCode(), body == null ? new byte[0] : body);
     } catch (ExecutionException e) {
       throw new IOException(uri + ": " + reason(e.getCause()), e);
     } catch (TimeoutException e) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Arrivals.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Arrivals.java
@@ -6,51 +6,51 @@
 import java.util.SplittableRandom;
 import org.sageladder.core.contract.Contract;
 import org.sageladder.tools.load.Experiment.Load;
-import org.sageladder.tools.load.Experiment.Step;
-import org.sageladder.tools.load.Experiment.Weight;
+import org.sageladder.tools.load.Experiment.RateStep;
+import org.sageladder.tools.load.Experiment.RegionWeight;
 
 /** Draws an experiment's arrivals beforehand, so that every variant meets the same ones. */
 final class Arrivals {
   private Arrivals() {}
 
   /** All arrivals ordered by time; {@code prefix} starts each key. */
-  static List<Arrival> of(Experiment experiment, String prefix) {
+  static List<Arrival> of(Experiment experiment, String idPrefix) {
     List<Arrival> arrivals = new ArrayList<>();
     SplittableRandom random = new SplittableRandom(experiment.seed());
     for (Load load : experiment.loads()) {
-      add(experiment.contract(), load, prefix, random.split(), arrivals);
+      addArrivals(experiment.contract(), load, idPrefix, random.split(), arrivals);
     }
     arrivals.sort(Comparator.comparingLong(Arrival::dueNanos));
     return arrivals;
   }
 
-  private static void add(
+  private static void addArrivals(
       Contract contract,
       Load load,
-      String prefix,
+      String idPrefix,
       SplittableRandom random,
       List<Arrival> arrivals) {
     boolean repeatable = contract.service(load.service()).orElseThrow().repeatable();
-    List<Weight> weights = weights(contract, load);
+    List<RegionWeight> weights = weightsOrUniform(contract, load);
     double start = 0;
     int number = 0;
-    for (Step step : load.steps()) {
-      double end = start + step.length().toNanos();
+    for (RateStep step : load.steps()) {
+      double end = start + step.duration().toNanos();
       double due = start;
       while (step.rate() > 0) {
         due += -Math.log(1 - random.nextDouble()) * 1e9 / step.rate();
         if (due >= end) {
           break;
         }
-        String region = draw(weights, random);
+        String region = drawRegion(weights, random);
         arrivals.add(
             new Arrival(
                 (long) due,
-                prefix + "-" + load.service() + "-" + ++number,
+                idPrefix + "-" + load.service() + "-" + ++number,
                 load.service(),
                 repeatable,
                 region,
-                block(contract, region, random),
+                drawBlock(contract, region, random),
                 load.deadline(),
                 load.answerBytes()));
       }
@@ -58,26 +58,26 @@
     }
   }
 
-  private static List<Weight> weights(Contract contract, Load load) {
+  private static List<RegionWeight> weightsOrUniform(Contract contract, Load load) {
     if (!load.weights().isEmpty()) {
       return load.weights();
     }
-    return contract.regions().stream().map(region -> new Weight(region.name(), 1)).toList();
+    return contract.regions().stream().map(region -> new RegionWeight(region.name(), 1)).toList();
   }
 
-  private static String draw(List<Weight> weights, SplittableRandom random) {
-    double sum = weights.stream().mapToDouble(Weight::weight).sum();
-    double left = random.nextDouble() * sum;
-    for (Weight weight : weights) {
-      left -= weight.weight();
-      if (left < 0) {
+  private static String drawRegion(List<RegionWeight> weights, SplittableRandom random) {
+    double sum = weights.stream().mapToDouble(RegionWeight::weight).sum();
+    double remaining = random.nextDouble() * sum;
+    for (RegionWeight weight : weights) {
+      remaining -= weight.weight();
+      if (remaining < 0) {
         return weight.region();
       }
     }
     return weights.get(weights.size() - 1).region();
   }
 
-  private static int block(Contract contract, String region, SplittableRandom random) {
+  private static int drawBlock(Contract contract, String region, SplittableRandom random) {
     List<Contract.ClientBlocks> ranges =
         contract.clientBlocks().stream().filter(range -> range.region().equals(region)).toList();
     if (ranges.isEmpty()) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Checks.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Checks.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import org.sageladder.tools.load.Ending.What;
 import org.sageladder.tools.load.Experiment.FaultKind;
 import org.sageladder.tools.load.Experiment.Limits;
 import org.sageladder.tools.load.Experiment.ServiceLimit;
+import org.sageladder.tools.load.RequestResult.Outcome;
 
 /** Checks a variant against what must always hold and what its experiment demands. */
 final class Checks {
@@ -23,25 +23,25 @@
 
   static List<CheckResult> of(VariantResult result) {
     Checks checks = new Checks(result);
-    checks.faultsInjected();
-    checks.wholeAnswers();
-    checks.unknownShare();
+    checks.checkFaultsInjected();
+    checks.checkWholeAnswers();
+    checks.checkUnknownOutcomes();
     if (!result.samples().targets().isEmpty()) {
-      checks.atMostOnce();
-      checks.trueRefusals();
-      checks.slots();
-      checks.caps();
-      checks.drains();
+      checks.checkAtMostOnce();
+      checks.checkNotRunOutcomes();
+      checks.checkSlots();
+      checks.checkShiftCaps();
+      checks.checkDrains();
     }
-    checks.inForce();
+    checks.checkContractInForce();
     for (ServiceLimit limit : checks.limits.services()) {
-      checks.service(limit);
+      checks.checkService(limit);
     }
     return List.copyOf(checks.checks);
   }
 
-  private void faultsInjected() {
-    long failed = result.injected().stream().filter(fault -> !fault.done()).count();
+  private void checkFaultsInjected() {
+    long failed = result.injected().stream().filter(fault -> !fault.succeeded()).count();
     int missing = result.experiment().faults().size() - result.injected().size();
     add(
         "faults were injected",
@@ -50,29 +50,29 @@
         "all");
   }
 
-  private void wholeAnswers() {
-    long wrong = result.endings().stream().filter(e -> e.what() == What.WRONG).count();
+  private void checkWholeAnswers() {
+    long wrong = result.results().stream().filter(e -> e.outcome() == Outcome.WRONG).count();
     add("each caller gets the whole answer to its own request", wrong == 0, wrong + " wrong", "0");
   }
 
-  private void unknownShare() {
-    long unknown = result.endings().stream().filter(e -> e.what() == What.UNKNOWN).count();
-    double share = result.endings().isEmpty() ? 0 : unknown / (double) result.endings().size();
+  private void checkUnknownOutcomes() {
+    long unknown = result.results().stream().filter(e -> e.outcome() == Outcome.UNKNOWN).count();
+    double share = result.results().isEmpty() ? 0 : unknown / (double) result.results().size();
     add(
         "requests whose run is not known",
         share <= limits.unknownAtMost(),
-        unknown + " (" + percent(share) + ")",
-        "at most " + percent(limits.unknownAtMost()));
+        unknown + " (" + formatPercent(share) + ")",
+        "at most " + formatPercent(limits.unknownAtMost()));
   }
 
-  private void atMostOnce() {
+  private void checkAtMostOnce() {
     int repeated = 0;
     String example = "";
-    for (Ending ending : result.endings()) {
-      int runs = result.executions().getOrDefault(ending.arrival().key(), 0);
+    for (RequestResult ending : result.results()) {
+      int runs = result.executions().getOrDefault(ending.arrival().requestId(), 0);
       if (!ending.arrival().repeatable() && runs > 1) {
         repeated++;
-        example = ", such as " + ending.arrival().key() + " (" + runs + " runs)";
+        example = ", such as " + ending.arrival().requestId() + " (" + runs + " runs)";
       }
     }
     add(
@@ -82,153 +82,159 @@
         "0");
   }
 
-  private void trueRefusals() {
-    int untrue = 0;
-    int refused = 0;
+  private void checkNotRunOutcomes() {
+    int ranAnyway = 0;
+    int notRunCount = 0;
     String example = "";
-    for (Ending ending : result.endings()) {
-      if (ending.what() != What.NOT_RUN) {
+    for (RequestResult ending : result.results()) {
+      if (ending.outcome() != Outcome.NOT_RUN) {
         continue;
       }
-      refused++;
-      if (result.executions().getOrDefault(ending.arrival().key(), 0) > 0) {
-        untrue++;
-        example = ", such as " + ending.arrival().key() + " (" + ending.code() + ")";
+      notRunCount++;
+      if (result.executions().getOrDefault(ending.arrival().requestId(), 0) > 0) {
+        ranAnyway++;
+        example = ", such as " + ending.arrival().requestId() + " (" + ending.code() + ")";
       }
     }
     add(
         "what callers are told was not run was not run",
-        untrue == 0,
-        untrue + " of " + refused + " had run" + example,
+        ranAnyway == 0,
+        ranAnyway + " of " + notRunCount + " had run" + example,
         "0");
   }
 
-  private void slots() {
-    int most = 0;
-    int looks = 0;
+  private void checkSlots() {
+    int maxExcess = 0;
+    int readingsOverLimit = 0;
     String where = "";
     Samples samples = result.samples();
-    for (int step = 0; step < samples.steps(); step++) {
+    for (int step = 0; step < samples.sampleCount(); step++) {
       for (int target = 0; target < samples.targets().size(); target++) {
         TargetView.Reading reading = samples.readings().get(step).get(target);
         TargetView view = samples.targets().get(target);
-        int beyond = reading.busy() + reading.queued() - view.slots();
-        looks += beyond > 0 ? 1 : 0;
-        if (beyond > most) {
-          most = beyond;
-          where = ", first at " + view.id() + " after " + millis(samples.atNanos().get(step));
+        int excess = reading.busy() + reading.queued() - view.slots();
+        readingsOverLimit += excess > 0 ? 1 : 0;
+        if (excess > maxExcess) {
+          maxExcess = excess;
+          where = ", first at " + view.id() + " after " + formatMillis(samples.atNanos().get(step));
         }
       }
     }
     add(
         "no target holds more than its slots",
-        most == 0,
-        "at most " + most + " beyond its slots, in " + looks + " looks" + where,
+        maxExcess == 0,
+        "at most " + maxExcess + " beyond its slots, in " + readingsOverLimit + " looks" + where,
         "0");
   }
 
-  private void caps() {
-    CapCheck check = CapCheck.of(result);
-    checks.add(check.targets());
-    checks.add(check.regions());
+  private void checkShiftCaps() {
+    ShiftCapCheck check = ShiftCapCheck.of(result);
+    checks.add(check.checkTargets());
+    checks.add(check.checkRegions());
   }
 
-  private void drains() {
-    for (FaultSchedule.Injected fault : result.injected()) {
-      if (fault.fault().kind() == FaultKind.DRAIN_TARGET && fault.done()) {
-        drain(fault);
+  private void checkDrains() {
+    for (FaultSchedule.InjectedFault fault : result.injected()) {
+      if (fault.fault().kind() == FaultKind.DRAIN_TARGET && fault.succeeded()) {
+        checkDrain(fault);
       }
     }
   }
 
-  private void drain(FaultSchedule.Injected fault) {
+  private void checkDrain(FaultSchedule.InjectedFault fault) {
     Samples samples = result.samples();
-    List<Integer> chosen = samples.choose(target -> target.id().equals(fault.hit()));
+    List<Integer> chosen = samples.targetIndexes(target -> target.id().equals(fault.affected()));
     if (chosen.isEmpty()) {
-      add("drain of " + fault.hit(), false, "no such target", "a target of the experiment");
+      add("drain of " + fault.affected(), false, "no such target", "a target of the experiment");
       return;
     }
-    long[] started = samples.started(chosen);
-    long signed = fault.atNanos();
-    long lastStart = signed;
-    long before = 0;
-    long idle = -1;
-    for (int step = 1; step < samples.steps(); step++) {
-      long at = samples.atNanos().get(step);
+    long[] started = samples.startedCounts(chosen);
+    long announcedNanos = fault.atNanos();
+    long lastStart = announcedNanos;
+    long startedBefore = 0;
+    long idleNanos = -1;
+    for (int step = 1; step < samples.sampleCount(); step++) {
+      long sampledNanos = samples.atNanos().get(step);
       TargetView.Reading reading = samples.readings().get(step).get(chosen.get(0));
-      if (at > signed && started[step] > started[step - 1]) {
-        lastStart = at;
+      if (sampledNanos > announcedNanos && started[step] > started[step - 1]) {
+        lastStart = sampledNanos;
       }
       boolean isIdle = reading.busy() + reading.queued() == 0;
-      if (at <= signed) {
-        before = started[step];
+      if (sampledNanos <= announcedNanos) {
+        startedBefore = started[step];
       } else {
-        idle = isIdle ? (idle < 0 ? at : idle) : -1;
+        idleNanos = isIdle ? (idleNanos < 0 ? sampledNanos : idleNanos) : -1;
       }
     }
-    long late = lastStart - signed;
+    long lateNanos = lastStart - announcedNanos;
     add(
-        "leaving target " + fault.hit() + " gets no new work",
-        before > 0 && late <= limits.noNewWorkAfter().toNanos(),
-        before + " starts before the sign, the last " + millis(late) + " after it",
-        "some before, at most " + millis(limits.noNewWorkAfter().toNanos()) + " after");
+        "leaving target " + fault.affected() + " gets no new work",
+        startedBefore > 0 && lateNanos <= limits.noNewWorkAfter().toNanos(),
+        startedBefore
+            + " starts before the sign, the last "
+            + formatMillis(lateNanos)
+            + " after it",
+        "some before, at most " + formatMillis(limits.noNewWorkAfter().toNanos()) + " after");
     add(
-        "drain time of " + fault.hit(),
-        idle >= 0 && idle - signed <= limits.drainWithin().toNanos(),
-        idle < 0 ? "not idle at the end" : "idle " + millis(idle - signed) + " after the sign",
-        "at most " + millis(limits.drainWithin().toNanos()));
-    cutOff(fault);
+        "drain time of " + fault.affected(),
+        idleNanos >= 0 && idleNanos - announcedNanos <= limits.drainWithin().toNanos(),
+        idleNanos < 0
+            ? "not idle at the end"
+            : "idle " + formatMillis(idleNanos - announcedNanos) + " after the sign",
+        "at most " + formatMillis(limits.drainWithin().toNanos()));
+    checkNothingCutOff(fault);
   }
 
-  private void cutOff(FaultSchedule.Injected fault) {
+  private void checkNothingCutOff(FaultSchedule.InjectedFault fault) {
     long cut =
-        result.endings().stream()
-            .filter(ending -> ending.target().equals(fault.hit()))
-            .filter(ending -> ending.what() != What.WHOLE && ending.what() != What.NOT_RUN)
+        result.results().stream()
+            .filter(ending -> ending.target().equals(fault.affected()))
+            .filter(
+                ending -> ending.outcome() != Outcome.WHOLE && ending.outcome() != Outcome.NOT_RUN)
             .count();
-    add("drain of " + fault.hit() + " cuts nothing off", cut == 0, cut + " cut off", "0");
+    add("drain of " + fault.affected() + " cuts nothing off", cut == 0, cut + " cut off", "0");
   }
 
-  private void inForce() {
+  private void checkContractInForce() {
     Duration limit = limits.inForceWithin();
-    for (FaultSchedule.Injected fault : result.injected()) {
-      if (fault.fault().kind() != FaultKind.CHANGE_CONTRACT || !fault.done()) {
+    for (FaultSchedule.InjectedFault fault : result.injected()) {
+      if (fault.fault().kind() != FaultKind.CHANGE_CONTRACT || !fault.succeeded()) {
         continue;
       }
-      long nanos = fault.inForceNanos();
+      long nanos = fault.inForceDelayNanos();
       add(
           "changed contract is in force everywhere",
           nanos >= 0 && nanos <= limit.toNanos(),
-          nanos < 0 ? "not within 30 s" : "after " + millis(nanos),
-          "within " + millis(limit.toNanos()));
+          nanos < 0 ? "not within 30 s" : "after " + formatMillis(nanos),
+          "within " + formatMillis(limit.toNanos()));
     }
   }
 
-  private void service(ServiceLimit limit) {
+  private void checkService(ServiceLimit limit) {
     String service = limit.service();
     double latency = result.latency(service).getValueAtPercentile(limit.percentile()) / 1e3;
     add(
         service + ": latency at percentile " + limit.percentile(),
         latency <= limit.latencyAtMost().toNanos() / 1e6,
         String.format(Locale.ROOT, "%.1f ms", latency),
-        "at most " + millis(limit.latencyAtMost().toNanos()));
-    double whole = result.wholeShare(service);
+        "at most " + formatMillis(limit.latencyAtMost().toNanos()));
+    double whole = result.wholeFraction(service);
     add(
         service + ": whole answers",
         whole >= limit.wholeAtLeast(),
-        percent(whole) + " " + describe(result.counts(service)),
-        "at least " + percent(limit.wholeAtLeast()));
+        formatPercent(whole) + " " + describe(result.countsByOutcome(service)),
+        "at least " + formatPercent(limit.wholeAtLeast()));
     if (!result.samples().targets().isEmpty()) {
-      double headroom = result.leastHeadroom(service);
+      double headroom = result.minHeadroom(service);
       add(
           service + ": headroom at the busiest moment",
           headroom >= limit.headroomAtLeast(),
-          percent(headroom),
-          "at least " + percent(limit.headroomAtLeast()));
+          formatPercent(headroom),
+          "at least " + formatPercent(limit.headroomAtLeast()));
     }
   }
 
-  private static String describe(Map<What, Integer> counts) {
+  private static String describe(Map<Outcome, Integer> counts) {
     return counts.toString();
   }
 
@@ -236,11 +242,11 @@
     checks.add(new CheckResult(name, holds, measured, required));
   }
 
-  static String percent(double share) {
+  static String formatPercent(double share) {
     return String.format(Locale.ROOT, "%.2f %%", 100 * share);
   }
 
-  static String millis(long nanos) {
+  static String formatMillis(long nanos) {
     return String.format(Locale.ROOT, "%.0f ms", nanos / 1e6);
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/ContractChange.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/ContractChange.java
@@ -14,7 +14,7 @@
 
 /** Changes a contract while an experiment runs, as an operator would. */
 public final class ContractChange {
-  private static final Duration TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
 
   private ContractChange() {}
 
@@ -24,19 +24,19 @@
    * @return the revision that was accepted, for people
    * @throws IOException where it was not accepted
    */
-  public static String longerDrain(URI store, String customer) throws IOException {
-    try (Store client = HttpStore.connect(store, TIMEOUT)) {
+  public static String extendDrainLimit(URI store, String customer) throws IOException {
+    try (Store client = HttpStore.connect(store, CALL_TIMEOUT)) {
       ContractWriter writer = ContractWriter.of(client, TimeSource.system(), "sageladder-load");
-      StoredContract standing = writer.read(customer);
-      if (standing == null) {
+      StoredContract current = writer.read(customer);
+      if (current == null) {
         throw new IOException("the store has no contract of " + customer);
       }
       Contract changed =
-          standing
+          current
               .contract()
               .atRevision(0)
               .withServices(service -> service.withDrainLimit(service.drainLimit().plusSeconds(1)));
-      ApplyResult result = writer.apply(changed, standing.contract().revision());
+      ApplyResult result = writer.apply(changed, current.contract().revision());
       if (result instanceof ApplyResult.Accepted accepted) {
         return "revision " + accepted.revision();
       }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/DirectSender.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/DirectSender.java
@@ -24,7 +24,7 @@
 import org.apache.hc.core5.reactor.IOReactorConfig;
 import org.apache.hc.core5.util.Timeout;
 import org.sageladder.core.contract.Contract;
-import org.sageladder.tools.load.Ending.What;
+import org.sageladder.tools.load.RequestResult.Outcome;
 
 /**
  * A baseline without sageladder: callers pick a target themselves, evenly at random.
@@ -33,9 +33,9 @@
  * must not repeat is not sent again once it may have run.
  */
 final class DirectSender implements Sender {
-  private static final int MOST_TRIES = 3;
+  private static final int MAX_ATTEMPTS = 3;
 
-  private final Map<String, List<TargetView>> choices;
+  private final Map<String, List<TargetView>> targetsByRoute;
   private final Contract contract;
   private final boolean localOnly;
   private final HttpAsyncRequester requester;
@@ -43,9 +43,9 @@
   private DirectSender(Contract contract, List<TargetView> targets, boolean localOnly) {
     this.contract = contract;
     this.localOnly = localOnly;
-    this.choices = new HashMap<>();
+    this.targetsByRoute = new HashMap<>();
     for (TargetView target : targets) {
-      choices.computeIfAbsent(keyOf(target), key -> new ArrayList<>()).add(target);
+      targetsByRoute.computeIfAbsent(routeOf(target), key -> new ArrayList<>()).add(target);
     }
     this.requester =
         AsyncRequesterBootstrap.bootstrap()
@@ -67,40 +67,44 @@
     return new DirectSender(contract, targets, true);
   }
 
-  private String keyOf(TargetView target) {
+  private String routeOf(TargetView target) {
     String region =
         contract.regionOfZone(target.zone()).map(Contract.Region::name).orElse(target.zone());
     return localOnly ? target.service() + " " + region : target.service();
   }
 
   @Override
-  public Outcome send(Arrival arrival) {
+  public SendResult send(Arrival arrival) {
     long deadline = System.nanoTime() + arrival.deadline().toNanos();
-    String key = localOnly ? arrival.service() + " " + arrival.region() : arrival.service();
-    List<TargetView> targets = choices.getOrDefault(key, List.of());
+    String route = localOnly ? arrival.service() + " " + arrival.region() : arrival.service();
+    List<TargetView> targets = targetsByRoute.getOrDefault(route, List.of());
     if (targets.isEmpty()) {
-      return new Outcome(What.NOT_RUN, "NO_TARGET", "", 0);
+      return new SendResult(Outcome.NOT_RUN, "NO_TARGET", "", 0);
     }
-    Outcome last = new Outcome(What.NOT_RUN, "NOT_SENT", "", 0);
+    SendResult lastResult = new SendResult(Outcome.NOT_RUN, "NOT_SENT", "", 0);
     boolean mayHaveRun = false;
-    for (int tries = 1; tries <= MOST_TRIES; tries++) {
+    for (int attempts = 1; attempts <= MAX_ATTEMPTS; attempts++) {
       TargetView target = targets.get(ThreadLocalRandom.current().nextInt(targets.size()));
-      long left = deadline - System.nanoTime();
-      if (left <= 0) {
+      long remainingNanos = deadline - System.nanoTime();
+      if (remainingNanos <= 0) {
         break;
       }
-      last = once(arrival, target, Duration.ofNanos(left), tries);
-      mayHaveRun |= last.what() == What.UNKNOWN;
-      boolean again =
-          last.what() == What.NOT_RUN || (last.what() == What.UNKNOWN && arrival.repeatable());
-      if (!again) {
-        return last;
+      lastResult = sendOnce(arrival, target, Duration.ofNanos(remainingNanos), attempts);
+      mayHaveRun |= lastResult.outcome() == Outcome.UNKNOWN;
+      boolean canRetry =
+          lastResult.outcome() == Outcome.NOT_RUN
+              || (lastResult.outcome() == Outcome.UNKNOWN && arrival.repeatable());
+      if (!canRetry) {
+        return lastResult;
       }
     }
-    return mayHaveRun ? new Outcome(What.UNKNOWN, last.code(), "", last.tries()) : last;
+    return mayHaveRun
+        ? new SendResult(Outcome.UNKNOWN, lastResult.code(), "", lastResult.attempts())
+        : lastResult;
   }
 
-  private Outcome once(Arrival arrival, TargetView target, Duration left, int tries) {
+  private SendResult sendOnce(
+      Arrival arrival, TargetView target, Duration remaining, int attempts) {
     TargetRequest request = TargetRequest.of(arrival);
     URI uri = target.address().resolve(request.path());
     AsyncRequestBuilder builder =
@@ -108,44 +112,48 @@
             ? AsyncRequestBuilder.get(uri)
             : AsyncRequestBuilder.post(uri)
                 .setEntity(request.body(), ContentType.APPLICATION_OCTET_STREAM);
-    builder.addHeader("Request-Id", arrival.key());
-    builder.addHeader("Deadline-Millis", String.valueOf(Math.max(1, left.toMillis())));
+    builder.addHeader("Request-Id", arrival.requestId());
+    builder.addHeader("Deadline-Millis", String.valueOf(Math.max(1, remaining.toMillis())));
     Future<Message<HttpResponse, byte[]>> future =
         requester.execute(
             builder.build(),
             new BasicResponseConsumer<>(new BasicAsyncEntityConsumer()),
-            Timeout.of(left),
+            Timeout.of(remaining),
             null);
     try {
-      Message<HttpResponse, byte[]> message = future.get(left.toNanos(), TimeUnit.NANOSECONDS);
-      return judge(message, request, target, tries);
+      Message<HttpResponse, byte[]> message = future.get(remaining.toNanos(), TimeUnit.NANOSECONDS);
+      return classify(message, request, target, attempts);
     } catch (ExecutionException e) {
       boolean refused = e.getCause() instanceof java.net.ConnectException;
       String code = e.getCause().getClass().getSimpleName();
-      return new Outcome(refused ? What.NOT_RUN : What.UNKNOWN, code, target.id(), tries);
+      return new SendResult(
+          refused ? Outcome.NOT_RUN : Outcome.UNKNOWN, code, target.id(), attempts);
     } catch (TimeoutException e) {
       future.cancel(true);
-      return new Outcome(What.UNKNOWN, "DEADLINE", target.id(), tries);
+      return new SendResult(Outcome.UNKNOWN, "DEADLINE", target.id(), attempts);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return new Outcome(What.UNKNOWN, "INTERRUPTED", target.id(), tries);
+      return new SendResult(Outcome.UNKNOWN, "INTERRUPTED", target.id(), attempts);
     }
   }
 
-  private static Outcome judge(
-      Message<HttpResponse, byte[]> message, TargetRequest request, TargetView target, int tries) {
+  private static SendResult classify(
+      Message<HttpResponse, byte[]> message,
+      TargetRequest request,
+      TargetView target,
+      int attempts) {
     HttpResponse head = message.getHead();
     Header refused = head.getFirstHeader("Target-Refused");
     if (refused != null) {
-      return new Outcome(What.NOT_RUN, "TARGET_REFUSED", target.id(), tries);
+      return new SendResult(Outcome.NOT_RUN, "TARGET_REFUSED", target.id(), attempts);
     }
     if (head.getCode() != 200) {
-      return new Outcome(What.UNKNOWN, "STATUS_" + head.getCode(), target.id(), tries);
+      return new SendResult(Outcome.UNKNOWN, "STATUS_" + head.getCode(), target.id(), attempts);
     }
-    Header checksum = head.getFirstHeader(TargetRequest.CHECKSUM);
+    Header checksum = head.getFirstHeader(TargetRequest.CHECKSUM_HEADER);
     byte[] body = message.getBody() == null ? new byte[0] : message.getBody();
     boolean right = checksum != null && request.isAnsweredBy(checksum.getValue(), body);
-    return new Outcome(right ? What.WHOLE : What.WRONG, "OK", target.id(), tries);
+    return new SendResult(right ? Outcome.WHOLE : Outcome.WRONG, "OK", target.id(), attempts);
   }
 
   @Override
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/EventWatch.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/EventCollector.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
-import org.sageladder.tools.http.HttpCaller;
+import org.sageladder.tools.http.BlockingHttpClient;
 import org.sageladder.tools.timeline.EventFetcher;
 import org.sageladder.tools.timeline.ProcessEvents;
 
@@ -20,19 +20,19 @@
  * Fetches the events of the system's processes again and again while an experiment runs, so that
  * those of a process that ends on the way, and those that give way to newer ones, are kept.
  */
-final class EventWatch implements AutoCloseable {
+final class EventCollector implements AutoCloseable {
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-  private static final Duration TIMEOUT = Duration.ofSeconds(2);
-  private static final long EVERY_MILLIS = 1_000;
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
+  private static final long FETCH_INTERVAL_MILLIS = 1_000;
 
-  private final HttpCaller caller = HttpCaller.withTimeout(TIMEOUT);
+  private final BlockingHttpClient client = BlockingHttpClient.withTimeout(CALL_TIMEOUT);
   private final Map<URI, Source> sources = new LinkedHashMap<>();
   private final ScheduledExecutorService timer =
       Executors.newSingleThreadScheduledExecutor(task -> new Thread(task, "events"));
 
-  private EventWatch(List<URI> operators) {
-    for (URI uri : operators) {
-      sources.put(uri, new Source(EventFetcher.of(uri, caller)));
+  private EventCollector(List<URI> operatorAddresses) {
+    for (URI uri : operatorAddresses) {
+      sources.put(uri, new Source(EventFetcher.of(uri, client)));
     }
   }
 
@@ -55,12 +55,12 @@
   }
 
   /** Watches the processes whose operators' ports are given; there may be none. */
-  static EventWatch start(List<URI> operators) {
-    EventWatch watch = new EventWatch(operators);
+  static EventCollector start(List<URI> operatorAddresses) {
+    EventCollector collector = new EventCollector(operatorAddresses);
     var unused =
-        watch.timer.scheduleWithFixedDelay(
-            watch::fetch, EVERY_MILLIS, EVERY_MILLIS, TimeUnit.MILLISECONDS);
-    return watch;
+        collector.timer.scheduleWithFixedDelay(
+            collector::fetch, FETCH_INTERVAL_MILLIS, FETCH_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+    return collector;
   }
 
   private synchronized void fetch() {
@@ -70,7 +70,7 @@
   }
 
   /** All that was told until now. */
-  synchronized List<ProcessEvents> events() {
+  synchronized List<ProcessEvents> fetchEvents() {
     fetch();
     List<ProcessEvents> events = new ArrayList<>();
     for (Source source : sources.values()) {
@@ -84,6 +84,6 @@
   @Override
   public void close() {
     timer.shutdownNow();
-    caller.close();
+    client.close();
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Experiment.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Experiment.java
@@ -44,7 +44,11 @@
    * @param steps rates that follow one another
    */
   public record Load(
-      String service, List<Weight> weights, Duration deadline, int answerBytes, List<Step> steps) {
+      String service,
+      List<RegionWeight> weights,
+      Duration deadline,
+      int answerBytes,
+      List<RateStep> steps) {
     /** Copies the lists, so that the load cannot change. */
     public Load {
       weights = List.copyOf(weights);
@@ -53,10 +57,10 @@
   }
 
   /** How many of the callers are in a region, relative to the other weights. */
-  public record Weight(String region, double weight) {}
+  public record RegionWeight(String region, double weight) {}
 
   /** Poisson arrivals at {@code rate} requests a second for a while. */
-  public record Step(Duration length, double rate) {}
+  public record RateStep(Duration duration, double rate) {}
 
   /** What an injected fault does. */
   public enum FaultKind {
@@ -86,11 +90,11 @@
    * @param at time after the first arrival
    * @param zone zone of what is hit; any where empty
    * @param service service of the target that is hit; any where empty
-   * @param length time after which it is undone, where it can be; zero means never
+   * @param duration time after which it is undone, where it can be; zero means never
    * @param factor how much slower, for {@link FaultKind#SLOW_TARGET}
    */
   public record Fault(
-      Duration at, FaultKind kind, String zone, String service, Duration length, double factor) {}
+      Duration at, FaultKind kind, String zone, String service, Duration duration, double factor) {}
 
   /** What must hold of one service. */
   public record ServiceLimit(
@@ -122,11 +126,11 @@
   }
 
   /** Time from the first arrival to the last. */
-  public Duration length() {
+  public Duration duration() {
     Duration longest = Duration.ZERO;
     for (Load load : loads) {
       Duration length =
-          load.steps().stream().map(Step::length).reduce(Duration.ZERO, Duration::plus);
+          load.steps().stream().map(RateStep::duration).reduce(Duration.ZERO, Duration::plus);
       longest = length.compareTo(longest) > 0 ? length : longest;
     }
     return longest;
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/ExperimentRun.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/ExperimentRun.java
@@ -14,41 +14,41 @@
 
 /** Runs the variants of one experiment, one after the other. */
 final class ExperimentRun {
-  private static final Duration READY = Duration.ofSeconds(30);
-  private static final Duration LEAD = Duration.ofMillis(300);
-  private static final long PROGRESS_MILLIS = 2_000;
+  private static final Duration READY_TIMEOUT = Duration.ofSeconds(30);
+  private static final Duration START_DELAY = Duration.ofMillis(300);
+  private static final long PROGRESS_INTERVAL_MILLIS = 2_000;
 
   private final Experiment experiment;
   private final SystemUnderTest.Provider provider;
-  private final String tag;
+  private final String requestIdTag;
   private final Consumer<String> progress;
 
   private ExperimentRun(
       Experiment experiment,
       SystemUnderTest.Provider provider,
-      String tag,
+      String requestIdTag,
       Consumer<String> progress) {
     this.experiment = experiment;
     this.provider = provider;
-    this.tag = tag;
+    this.requestIdTag = requestIdTag;
     this.progress = progress;
   }
 
   /**
    * A run of {@code experiment}.
    *
-   * @param tag part of each request's id, which tells it from those of earlier runs
+   * @param requestIdTag part of each request's id, which tells it from those of earlier runs
    */
   static ExperimentRun of(
       Experiment experiment,
       SystemUnderTest.Provider provider,
-      String tag,
+      String requestIdTag,
       Consumer<String> progress) {
-    return new ExperimentRun(experiment, provider, tag, progress);
+    return new ExperimentRun(experiment, provider, requestIdTag, progress);
   }
 
   /** The system itself, running {@code inForce}; the checks go by the experiment's contract. */
-  VariantResult system(Contract inForce) throws IOException, InterruptedException {
+  VariantResult runSystem(Contract inForce) throws IOException, InterruptedException {
     return run(
         "sageladder",
         inForce,
@@ -56,7 +56,7 @@
   }
 
   /** The system with the entry VMs of another build, whose jars are in {@code directory}. */
-  VariantResult otherBuild(Path directory) throws IOException, InterruptedException {
+  VariantResult runOtherBuild(Path directory) throws IOException, InterruptedException {
     return run(
         "other build",
         experiment.contract(),
@@ -65,7 +65,7 @@
   }
 
   /** Callers who pick a target evenly at random. */
-  VariantResult random() throws IOException, InterruptedException {
+  VariantResult runRandomChoice() throws IOException, InterruptedException {
     return run(
         "random choice",
         experiment.contract(),
@@ -73,7 +73,7 @@
   }
 
   /** Callers who pick a target of their own region at random. */
-  VariantResult localOnly() throws IOException, InterruptedException {
+  VariantResult runLocalOnly() throws IOException, InterruptedException {
     return run(
         "local only",
         experiment.contract(),
@@ -92,30 +92,31 @@
       SystemUnderTest.Provider chosen,
       Function<SystemUnderTest, Sender> senders)
       throws IOException, InterruptedException {
-    List<Arrival> arrivals = Arrivals.of(experiment, name.replace(' ', '-') + tag);
+    List<Arrival> arrivals = Arrivals.of(experiment, name.replace(' ', '-') + requestIdTag);
     progress.accept(name + ": starting the system for " + arrivals.size() + " requests");
-    try (SystemUnderTest system = chosen.start(inForce, experiment.entriesPerZone(), READY);
+    try (SystemUnderTest system =
+            chosen.start(inForce, experiment.entriesPerZone(), READY_TIMEOUT);
         Sender sender = senders.apply(system)) {
-      long start = System.nanoTime() + LEAD.toNanos();
+      long start = System.nanoTime() + START_DELAY.toNanos();
       OpenLoop loop = new OpenLoop();
-      List<Ending> endings;
-      List<FaultSchedule.Injected> injected;
+      List<RequestResult> endings;
+      List<FaultSchedule.InjectedFault> injected;
       Samples samples;
       List<ProcessEvents> events;
-      try (EventWatch watch = EventWatch.start(system.operators());
+      try (EventCollector watch = EventCollector.start(system.operatorAddresses());
           Sampler sampler = Sampler.start(system.targets(), start);
           FaultSchedule faults =
               FaultSchedule.start(experiment.faults(), system, start, progress)) {
-        Thread ticker = new Thread(() -> tick(name, loop, arrivals.size()), "progress");
+        Thread ticker = new Thread(() -> reportProgress(name, loop, arrivals.size()), "progress");
         ticker.setDaemon(true);
         ticker.start();
         endings = loop.run(arrivals, sender, start);
         ticker.interrupt();
         faults.join();
-        Thread.sleep(2 * Sampler.STEP.toMillis());
+        Thread.sleep(2 * Sampler.INTERVAL.toMillis());
         injected = faults.injected();
         samples = sampler.samples();
-        events = watch.events();
+        events = watch.fetchEvents();
       }
       return new VariantResult(
           name,
@@ -123,25 +124,32 @@
           endings,
           samples,
           injected,
-          executions(system.targets()),
+          sumExecutions(system.targets()),
           events,
-          loop.latestStartNanos());
+          loop.maxStartLagNanos());
     }
   }
 
-  private void tick(String name, OpenLoop loop, int all) {
+  private void reportProgress(String name, OpenLoop loop, int totalCount) {
     try {
       while (true) {
-        Thread.sleep(PROGRESS_MILLIS);
+        Thread.sleep(PROGRESS_INTERVAL_MILLIS);
         progress.accept(
-            name + ": " + loop.sent() + " of " + all + " sent, " + loop.ended() + " ended");
+            name
+                + ": "
+                + loop.sentCount()
+                + " of "
+                + totalCount
+                + " sent, "
+                + loop.completedCount()
+                + " ended");
       }
     } catch (InterruptedException e) {
-      progress.accept(name + ": " + loop.ended() + " of " + all + " ended");
+      progress.accept(name + ": " + loop.completedCount() + " of " + totalCount + " ended");
     }
   }
 
-  private static Map<String, Integer> executions(List<TargetView> targets) throws IOException {
+  private static Map<String, Integer> sumExecutions(List<TargetView> targets) throws IOException {
     Map<String, Integer> sums = new HashMap<>();
     for (TargetView target : new ArrayList<>(targets)) {
       target.executions().forEach((key, count) -> sums.merge(key, count, Integer::sum));
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/ExperimentYaml.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/ExperimentYaml.java
@@ -14,15 +14,15 @@
 import org.sageladder.tools.load.Experiment.FaultKind;
 import org.sageladder.tools.load.Experiment.Limits;
 import org.sageladder.tools.load.Experiment.Load;
+import org.sageladder.tools.load.Experiment.RateStep;
+import org.sageladder.tools.load.Experiment.RegionWeight;
 import org.sageladder.tools.load.Experiment.ServiceLimit;
-import org.sageladder.tools.load.Experiment.Step;
-import org.sageladder.tools.load.Experiment.Weight;
 
 /** Reads experiments from YAML; {@code docs/OPERATING.md} lists the keys. */
 final class ExperimentYaml {
   private static final Duration HOUR = Duration.ofHours(1);
   private static final Duration MILLISECOND = Duration.ofMillis(1);
-  private static final double MOST_PER_SECOND = 100_000;
+  private static final double MAX_REQUESTS_PER_SECOND = 100_000;
 
   private final SettingsSection root;
   private final Contract contract;
@@ -64,11 +64,12 @@
     List<Load> loads = new ArrayList<>();
     for (SettingsSection section :
         root.sections("loads", "service", "weights", "deadline", "answerBytes", "steps")) {
-      List<Step> steps = new ArrayList<>();
+      List<RateStep> steps = new ArrayList<>();
       for (SettingsSection step : section.sections("steps", "for", "rate")) {
         steps.add(
-            new Step(
-                step.duration("for", MILLISECOND, HOUR), step.decimal("rate", 0, MOST_PER_SECOND)));
+            new RateStep(
+                step.duration("for", MILLISECOND, HOUR),
+                step.decimal("rate", 0, MAX_REQUESTS_PER_SECOND)));
       }
       Contract.Service service = service(section);
       loads.add(
@@ -85,14 +86,14 @@
     return loads;
   }
 
-  private List<Weight> weights(SettingsSection load) throws SettingsException {
-    List<Weight> weights = new ArrayList<>();
+  private List<RegionWeight> weights(SettingsSection load) throws SettingsException {
+    List<RegionWeight> weights = new ArrayList<>();
     for (SettingsSection section : load.sections("weights", "region", "weight")) {
       String region = section.text("region");
       if (contract.regions().stream().noneMatch(known -> known.name().equals(region))) {
         throw section.error("region", region, "a region of the contract");
       }
-      weights.add(new Weight(region, section.decimal("weight", 0, 1_000)));
+      weights.add(new RegionWeight(region, section.decimal("weight", 0, 1_000)));
     }
     return weights;
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/FaultSchedule.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/FaultSchedule.java
@@ -11,26 +11,27 @@
 
 /** Injects an experiment's faults at their times, on a thread of its own. */
 final class FaultSchedule implements AutoCloseable {
-  private static final long IN_FORCE_POLL_MILLIS = 20;
-  private static final long IN_FORCE_MOST_NANOS = 30_000_000_000L;
+  private static final long IN_FORCE_POLL_INTERVAL_MILLIS = 20;
+  private static final long MAX_IN_FORCE_WAIT_NANOS = 30_000_000_000L;
 
   private final List<Fault> faults;
   private final SystemUnderTest system;
   private final long startNanos;
   private final Consumer<String> progress;
-  private final List<Injected> injected = new ArrayList<>();
+  private final List<InjectedFault> injected = new ArrayList<>();
   private final Thread thread;
 
   /**
    * A fault that was injected.
    *
    * @param atNanos when it had been done, after the experiment's start
-   * @param hit what was hit, or why nothing was
-   * @param done false where the system could not do it
-   * @param inForceNanos how long a changed contract took to be in force everywhere; -1 where the
-   *     fault is no such change or it was not in force within 30 s
+   * @param affected what was hit, or why nothing was
+   * @param succeeded false where the system could not do it
+   * @param inForceDelayNanos how long a changed contract took to be in force everywhere; -1 where
+   *     the fault is no such change or it was not in force within 30 s
    */
-  record Injected(Fault fault, long atNanos, String hit, boolean done, long inForceNanos) {}
+  record InjectedFault(
+      Fault fault, long atNanos, String affected, boolean succeeded, long inForceDelayNanos) {}
 
   private FaultSchedule(
       List<Fault> faults, SystemUnderTest system, long startNanos, Consumer<String> progress) {
@@ -63,43 +64,50 @@
   }
 
   private void inject(Fault fault) throws InterruptedException {
-    Injected result;
+    InjectedFault result;
     try {
       Map<String, Long> before =
           fault.kind() == FaultKind.CHANGE_CONTRACT ? system.revisionsInForce() : Map.of();
-      long began = System.nanoTime();
+      long startedNanos = System.nanoTime();
       String hit = system.inject(fault);
-      long at = began - startNanos;
-      long inForce = fault.kind() == FaultKind.CHANGE_CONTRACT ? awaitInForce(before, began) : -1;
-      result = new Injected(fault, at, hit, true, inForce);
+      long injectedNanos = startedNanos - startNanos;
+      long inForceDelayNanos =
+          fault.kind() == FaultKind.CHANGE_CONTRACT ? awaitInForce(before, startedNanos) : -1;
+      result = new InjectedFault(fault, injectedNanos, hit, true, inForceDelayNanos);
     } catch (IOException e) {
       result =
-          new Injected(
+          new InjectedFault(
               fault, System.nanoTime() - startNanos, "failed: " + e.getMessage(), false, -1);
     }
     synchronized (this) {
       injected.add(result);
     }
     progress.accept(
-        "fault " + fault.kind() + " at " + result.atNanos() / 1_000_000 + " ms: " + result.hit());
+        "fault "
+            + fault.kind()
+            + " at "
+            + result.atNanos() / 1_000_000
+            + " ms: "
+            + result.affected());
   }
 
-  private long awaitInForce(Map<String, Long> before, long began)
+  private long awaitInForce(Map<String, Long> before, long startedNanos)
       throws IOException, InterruptedException {
     long highest = before.values().stream().mapToLong(Long::longValue).max().orElse(0);
-    while (System.nanoTime() - began < IN_FORCE_MOST_NANOS) {
-      Map<String, Long> now = system.revisionsInForce();
-      long asked = System.nanoTime();
-      if (!now.isEmpty() && now.values().stream().allMatch(revision -> revision > highest)) {
-        return asked - began;
+    while (System.nanoTime() - startedNanos < MAX_IN_FORCE_WAIT_NANOS) {
+      Map<String, Long> revisions = system.revisionsInForce();
+      long readNanos = System.nanoTime();
+      if (!revisions.isEmpty()
+          && revisions.values().stream().allMatch(revision -> revision > highest)) {
+        return readNanos - startedNanos;
       }
-      Thread.sleep(IN_FORCE_POLL_MILLIS);
+      Thread.sleep(IN_FORCE_POLL_INTERVAL_MILLIS);
     }
     return -1;
   }
 
   /** What was injected so far. */
-  synchronized List<Injected> injected() {
+  synchronized List<InjectedFault> injected() {
     return List.copyOf(injected);
   }
 
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/LoadMain.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/LoadMain.java
@@ -25,7 +25,7 @@
 /** Entry point of {@code sageladder-load}. */
 public final class LoadMain {
   private static final String USAGE = "sageladder-load EXPERIMENT.yaml [options]";
-  private static final ShiftCap NO_CAP = new ShiftCap(1, Duration.ofSeconds(1));
+  private static final ShiftCap UNLIMITED_SHIFT = new ShiftCap(1, Duration.ofSeconds(1));
 
   private LoadMain() {}
 
@@ -63,27 +63,27 @@
   private static ExitCode run(CommandLine line, PrintStream out)
       throws ParseException, SettingsException, IOException, InterruptedException {
     Experiment experiment = Experiment.read(Path.of(line.getArgList().get(0)));
-    UnaryOperator<Contract> change = disabled(line.getOptionValue("disable", "nothing"));
+    UnaryOperator<Contract> change = contractChange(line.getOptionValue("disable", "nothing"));
     if (line.hasOption("entries") && line.hasOption("disable")) {
       throw new ParseException(
           "--disable changes only a system that is started here; not --entries");
     }
-    String tag = line.hasOption("entries") ? runTag() : "";
+    String tag = line.hasOption("entries") ? uniqueRunTag() : "";
     ExperimentRun run = ExperimentRun.of(experiment, provider(line), tag, out::println);
     List<VariantResult> variants = new ArrayList<>();
-    variants.add(run.system(change.apply(experiment.contract())));
+    variants.add(run.runSystem(change.apply(experiment.contract())));
     if (!line.hasOption("no-baselines")) {
-      variants.add(run.random());
-      variants.add(run.localOnly());
+      variants.add(run.runRandomChoice());
+      variants.add(run.runLocalOnly());
     }
     if (line.hasOption("baseline-build")) {
-      variants.add(run.otherBuild(Path.of(line.getOptionValue("baseline-build"))));
+      variants.add(run.runOtherBuild(Path.of(line.getOptionValue("baseline-build"))));
     }
     List<CheckResult> checks = Checks.of(variants.get(0));
     Path directory = Path.of(line.getOptionValue("output", "target/load/" + experiment.name()));
     Report.write(directory, variants, checks);
     out.print(Report.summary(checks));
-    boolean holds = Report.holds(checks);
+    boolean holds = Report.allHold(checks);
     out.println("report: " + directory.resolve("report.html"));
     out.println(experiment.name() + ": verdict " + (holds ? "holds" : "FAILS"));
     return holds ? ExitCode.OK : ExitCode.VERDICT_FAILED;
@@ -93,7 +93,7 @@
    * Breaks the system on purpose while the checks go on by the experiment's contract, to show that
    * they can fail.
    */
-  static UnaryOperator<Contract> disabled(String what) throws ParseException {
+  static UnaryOperator<Contract> contractChange(String what) throws ParseException {
     return switch (what) {
       case "nothing" -> UnaryOperator.identity();
       case "caps" -> LoadMain::withoutCaps;
@@ -103,14 +103,15 @@
   }
 
   private static Contract withoutCaps(Contract contract) {
-    return contract.withServices(service -> service.withShiftCaps(NO_CAP, NO_CAP));
+    return contract.withServices(
+        service -> service.withShiftCaps(UNLIMITED_SHIFT, UNLIMITED_SHIFT));
   }
 
   /**
    * Processes that run on have seen the requests of earlier runs; without a part of its own in each
    * request's id a second run would look as if its requests ran twice.
    */
-  private static String runTag() {
+  private static String uniqueRunTag() {
     return "-" + Long.toString(System.currentTimeMillis() / 1_000, Character.MAX_RADIX);
   }
 
@@ -120,11 +121,11 @@
       String operators = line.getOptionValue("operators");
       String targets = line.getOptionValue("targets");
       return RemoteSystem.provider(
-          new RemoteSystem.Place(
+          new RemoteSystem.Endpoints(
               List.of(entries.split(",")),
-              operators == null ? List.of() : TimeLineMain.addresses(operators),
+              operators == null ? List.of() : TimeLineMain.parseAddresses(operators),
               targets == null ? null : Path.of(targets),
-              store(line.getOptionValue("store"))));
+              parseStoreUri(line.getOptionValue("store"))));
     }
     for (SystemUnderTest.Provider provider : ServiceLoader.load(SystemUnderTest.Provider.class)) {
       return provider;
@@ -132,7 +133,7 @@
     throw new ParseException("no system to start here; give --entries IP:PORT[,IP:PORT...]");
   }
 
-  private static @Nullable URI store(@Nullable String uri) throws ParseException {
+  private static @Nullable URI parseStoreUri(@Nullable String uri) throws ParseException {
     if (uri == null) {
       return null;
     }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/OpenLoop.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/OpenLoop.java
@@ -18,24 +18,24 @@
  */
 final class OpenLoop {
   /** Callers that wait at the same time; more arrivals queue, and their wait counts as latency. */
-  private static final int MOST_WAITING = 1_024;
+  private static final int MAX_CONCURRENT_CALLERS = 1_024;
 
-  private static final long STACK_BYTES = 256 * 1024;
+  private static final long CALLER_STACK_BYTES = 256 * 1024;
 
-  private final List<Ending> endings = Collections.synchronizedList(new ArrayList<>());
-  private final AtomicLong sent = new AtomicLong();
-  private final AtomicLong latestStartNanos = new AtomicLong();
+  private final List<RequestResult> results = Collections.synchronizedList(new ArrayList<>());
+  private final AtomicLong sentCount = new AtomicLong();
+  private final AtomicLong maxStartLagNanos = new AtomicLong();
 
   /** Sends all and returns when each has ended; {@code startNanos} is the arrivals' time zero. */
-  List<Ending> run(List<Arrival> arrivals, Sender sender, long startNanos)
+  List<RequestResult> run(List<Arrival> arrivals, Sender sender, long startNanos)
       throws InterruptedException {
     ExecutorService pool =
         Executors.newFixedThreadPool(
-            MOST_WAITING, task -> new Thread(null, task, "caller", STACK_BYTES));
+            MAX_CONCURRENT_CALLERS, task -> new Thread(null, task, "caller", CALLER_STACK_BYTES));
     try {
       for (Arrival arrival : arrivals) {
-        awaitNanos(startNanos + arrival.dueNanos());
-        sent.incrementAndGet();
+        sleepUntil(startNanos + arrival.dueNanos());
+        sentCount.incrementAndGet();
         pool.execute(() -> send(arrival, sender, startNanos));
       }
     } finally {
@@ -44,47 +44,49 @@
     if (!pool.awaitTermination(10, TimeUnit.MINUTES)) {
       throw new IllegalStateException("requests were still open 10 minutes after the last was due");
     }
-    return List.copyOf(endings);
+    return List.copyOf(results);
   }
 
-  long sent() {
-    return sent.get();
+  long sentCount() {
+    return sentCount.get();
   }
 
-  int ended() {
-    return endings.size();
+  int completedCount() {
+    return results.size();
   }
 
   /** Largest delay between an arrival's time and its start: how far the sender itself lagged. */
-  long latestStartNanos() {
-    return latestStartNanos.get();
+  long maxStartLagNanos() {
+    return maxStartLagNanos.get();
   }
 
   private void send(Arrival arrival, Sender sender, long startNanos) {
-    long due = startNanos + arrival.dueNanos();
-    latestStartNanos.accumulateAndGet(System.nanoTime() - due, Math::max);
-    Sender.Outcome outcome;
+    long dueNanos = startNanos + arrival.dueNanos();
+    maxStartLagNanos.accumulateAndGet(System.nanoTime() - dueNanos, Math::max);
+    Sender.SendResult outcome;
     try {
       outcome = sender.send(arrival);
     } catch (RuntimeException e) {
-      outcome = new Sender.Outcome(Ending.What.UNKNOWN, "SENDER_FAULT " + e, "", 1);
+      outcome = new Sender.SendResult(RequestResult.Outcome.UNKNOWN, "SENDER_FAULT " + e, "", 1);
     }
-    endings.add(
-        new Ending(
+    results.add(
+        new RequestResult(
             arrival,
-            System.nanoTime() - due,
-            outcome.what(),
+            System.nanoTime() - dueNanos,
+            outcome.outcome(),
             outcome.code(),
             outcome.target(),
-            outcome.tries()));
+            outcome.attempts()));
   }
 
-  private static void awaitNanos(long until) throws InterruptedException {
-    for (long left = until - System.nanoTime(); left > 0; left = until - System.nanoTime()) {
+  private static void sleepUntil(long untilNanos) throws InterruptedException {
+    for (long remainingNanos = untilNanos - System.nanoTime();
+        remainingNanos > 0;
+        remainingNanos = untilNanos - System.nanoTime()) {
       if (Thread.interrupted()) {
         throw new InterruptedException("the experiment was interrupted");
       }
-      LockSupport.parkNanos(left);
+      LockSupport.parkNanos(remainingNanos);
     }
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Plots.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Plots.java
@@ -29,14 +29,14 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 import org.sageladder.core.contract.Contract;
-import org.sageladder.tools.load.Ending.What;
+import org.sageladder.tools.load.RequestResult.Outcome;
 
 /** Pictures of an experiment's results. */
 final class Plots {
   private static final int WIDTH = 900;
   private static final int HEIGHT = 380;
-  private static final long STEP_NANOS = 500_000_000L;
-  private static final BasicStroke FULL = new BasicStroke(1.5f);
+  private static final long BUCKET_NANOS = 500_000_000L;
+  private static final BasicStroke SOLID = new BasicStroke(1.5f);
   private static final BasicStroke DASHED =
       new BasicStroke(1, BasicStroke.CAP_BUTT, BasicStroke.JOIN_MITER, 10, new float[] {4, 3}, 0);
   private static final Color[] COLOURS = {
@@ -65,24 +65,24 @@
     List<Plot> plots = new ArrayList<>();
     VariantResult first = variants.get(0);
     for (Contract.Service service : first.experiment().contract().services()) {
-      if (!first.endings(service.name()).isEmpty()) {
-        plots.add(latency(service.name(), variants));
+      if (!first.results(service.name()).isEmpty()) {
+        plots.add(latencyPlot(service.name(), variants));
       }
     }
-    plots.add(rates(first));
-    plots.add(slowest(first));
-    plots.add(headroom(first));
+    plots.add(ratesPlot(first));
+    plots.add(slowestAnswersPlot(first));
+    plots.add(headroomPlot(first));
     return plots;
   }
 
-  private static Plot latency(String service, List<VariantResult> variants) throws IOException {
+  private static Plot latencyPlot(String service, List<VariantResult> variants) throws IOException {
     XYSeriesCollection data = new XYSeriesCollection();
     for (VariantResult variant : variants) {
       Histogram histogram = variant.latency(service);
       XYSeries series = new XYSeries(variant.name());
       for (double percentile : PERCENTILES) {
         double millis = histogram.getValueAtPercentile(percentile) / 1e3;
-        series.add(nines(percentile), Math.max(0.01, millis));
+        series.add(toNines(percentile), Math.max(0.01, millis));
       }
       data.addSeries(series);
     }
@@ -90,15 +90,15 @@
         ChartFactory.createXYLineChart(
             "Latency of whole answers: " + service, "percentile", "ms", data);
     XYPlot plot = chart.getXYPlot();
-    plot.setRangeAxis(millisAxis());
+    plot.setRangeAxis(logMillisAxis());
     NumberAxis percentiles = new NumberAxis("percentile");
     percentiles.setTickUnit(new NumberTickUnit(1, new PercentileFormat()));
     plot.setDomainAxis(percentiles);
-    return plot("Latency of " + service, chart);
+    return render("Latency of " + service, chart);
   }
 
   /** Number of nines: 0 for 0 %, 1 for 90 %, 2 for 99 %, so that the slow end has room. */
-  private static double nines(double percentile) {
+  private static double toNines(double percentile) {
     return -Math.log10(1 - percentile / 100);
   }
 
@@ -124,7 +124,7 @@
     }
   }
 
-  private static LogAxis millisAxis() {
+  private static LogAxis logMillisAxis() {
     LogAxis axis = new LogAxis("ms");
     NumberFormat format = NumberFormat.getInstance(Locale.ROOT);
     format.setMaximumFractionDigits(2);
@@ -134,23 +134,24 @@
   }
 
   /** Each service's requests due as a dashed line and those answered whole as a full one. */
-  private static Plot rates(VariantResult variant) throws IOException {
+  private static Plot ratesPlot(VariantResult variant) throws IOException {
     Map<String, Map<Long, Integer>> due = new TreeMap<>();
     Map<String, Map<Long, Integer>> whole = new TreeMap<>();
-    for (Ending ending : variant.endings()) {
-      long step = ending.arrival().dueNanos() / STEP_NANOS;
+    for (RequestResult ending : variant.results()) {
+      long step = ending.arrival().dueNanos() / BUCKET_NANOS;
       String service = ending.arrival().service();
-      count(due, service, step);
-      if (ending.what() == What.WHOLE) {
-        count(whole, service, step);
+      increment(due, service, step);
+      if (ending.outcome() == Outcome.WHOLE) {
+        increment(whole, service, step);
       }
     }
     XYSeriesCollection data = new XYSeriesCollection();
     due.keySet()
         .forEach(
             service -> {
-              data.addSeries(perSecond(service + " due", due.get(service)));
-              data.addSeries(perSecond(service + " whole", whole.getOrDefault(service, Map.of())));
+              data.addSeries(toRateSeries(service + " due", due.get(service)));
+              data.addSeries(
+                  toRateSeries(service + " whole", whole.getOrDefault(service, Map.of())));
             });
     JFreeChart chart =
         ChartFactory.createXYLineChart(
@@ -158,83 +159,86 @@
     for (int series = 0; series < data.getSeriesCount(); series++) {
       boolean isDue = series % 2 == 0;
       chart.getXYPlot().getRenderer().setSeriesPaint(series, colour(series / 2));
-      chart.getXYPlot().getRenderer().setSeriesStroke(series, isDue ? DASHED : FULL);
+      chart.getXYPlot().getRenderer().setSeriesStroke(series, isDue ? DASHED : SOLID);
     }
-    return overTime("Requests due and answered whole", chart, variant);
+    return timeSeriesPlot("Requests due and answered whole", chart, variant);
   }
 
-  private static XYSeries perSecond(String name, Map<Long, Integer> steps) {
+  private static XYSeries toRateSeries(String name, Map<Long, Integer> steps) {
     XYSeries series = new XYSeries(name);
-    steps.forEach((step, count) -> series.add(step * STEP_NANOS / 1e9, count * 1e9 / STEP_NANOS));
+    steps.forEach(
+        (step, count) -> series.add(step * BUCKET_NANOS / 1e9, count * 1e9 / BUCKET_NANOS));
     return series;
   }
 
-  private static void count(Map<String, Map<Long, Integer>> counts, String name, long step) {
+  private static void increment(Map<String, Map<Long, Integer>> counts, String name, long step) {
     counts.computeIfAbsent(name, key -> new TreeMap<>()).merge(step, 1, Integer::sum);
   }
 
   /** When requests were slow: the slowest whole answer of each step. */
-  private static Plot slowest(VariantResult variant) throws IOException {
-    Map<String, Map<Long, Double>> most = new TreeMap<>();
-    for (Ending ending : variant.endings()) {
-      if (ending.what() == What.WHOLE) {
-        most.computeIfAbsent(ending.arrival().service(), key -> new TreeMap<>())
+  private static Plot slowestAnswersPlot(VariantResult variant) throws IOException {
+    Map<String, Map<Long, Double>> maxMillis = new TreeMap<>();
+    for (RequestResult ending : variant.results()) {
+      if (ending.outcome() == Outcome.WHOLE) {
+        maxMillis
+            .computeIfAbsent(ending.arrival().service(), key -> new TreeMap<>())
             .merge(
-                ending.arrival().dueNanos() / STEP_NANOS,
+                ending.arrival().dueNanos() / BUCKET_NANOS,
                 Math.max(0.01, ending.latencyNanos() / 1e6),
                 Math::max);
       }
     }
     XYSeriesCollection data = new XYSeriesCollection();
-    most.forEach(
+    maxMillis.forEach(
         (service, steps) -> {
           XYSeries series = new XYSeries(service);
-          steps.forEach((step, millis) -> series.add(step * STEP_NANOS / 1e9, (double) millis));
+          steps.forEach((step, millis) -> series.add(step * BUCKET_NANOS / 1e9, (double) millis));
           data.addSeries(series);
         });
     JFreeChart chart =
         ChartFactory.createXYLineChart(
             "Slowest whole answer of each half second by the time it was due", "s", "ms", data);
-    chart.getXYPlot().setRangeAxis(millisAxis());
-    return overTime("Slowest answers over time", chart, variant);
+    chart.getXYPlot().setRangeAxis(logMillisAxis());
+    return timeSeriesPlot("Slowest answers over time", chart, variant);
   }
 
-  private static Plot headroom(VariantResult variant) throws IOException {
+  private static Plot headroomPlot(VariantResult variant) throws IOException {
     XYSeriesCollection data = new XYSeriesCollection();
     Samples samples = variant.samples();
     for (Contract.Service service : variant.experiment().contract().services()) {
       XYSeries series = new XYSeries(service.name());
       double[] headroom =
-          samples.headroom(samples.choose(target -> target.service().equals(service.name())));
+          samples.headroomFractions(
+              samples.targetIndexes(target -> target.service().equals(service.name())));
       for (int step = 0; step < headroom.length; step++) {
         series.add(samples.atNanos().get(step) / 1e9, 100 * headroom[step]);
       }
       data.addSeries(series);
     }
     JFreeChart chart = ChartFactory.createXYLineChart("Free slots", "s", "% of slots", data);
-    return overTime("Headroom", chart, variant);
+    return timeSeriesPlot("Headroom", chart, variant);
   }
 
   /** Adds the faults as marks, so that a dip can be read beside its cause. */
-  private static Plot overTime(String title, JFreeChart chart, VariantResult variant)
+  private static Plot timeSeriesPlot(String title, JFreeChart chart, VariantResult variant)
       throws IOException {
     XYPlot plot = chart.getXYPlot();
-    plot.getDomainAxis().setRange(0, Math.max(1, variant.experiment().length().toMillis() / 1e3));
-    for (FaultSchedule.Injected fault : variant.injected()) {
+    plot.getDomainAxis().setRange(0, Math.max(1, variant.experiment().duration().toMillis() / 1e3));
+    for (FaultSchedule.InjectedFault fault : variant.injected()) {
       ValueMarker mark = new ValueMarker(fault.atNanos() / 1e9, Color.GRAY, DASHED);
       mark.setLabel(fault.fault().kind().name().toLowerCase(Locale.ROOT).replace('_', '-'));
       mark.setLabelAnchor(RectangleAnchor.TOP_RIGHT);
       mark.setLabelTextAnchor(TextAnchor.TOP_LEFT);
       plot.addDomainMarker(mark);
     }
-    return plot(title, chart);
+    return render(title, chart);
   }
 
   private static Color colour(int number) {
     return COLOURS[number % COLOURS.length];
   }
 
-  private static Plot plot(String title, JFreeChart chart) throws IOException {
+  private static Plot render(String title, JFreeChart chart) throws IOException {
     XYPlot plot = chart.getXYPlot();
     plot.setBackgroundPaint(Color.WHITE);
     plot.setDomainGridlinePaint(Color.LIGHT_GRAY);
@@ -242,7 +246,7 @@
     for (int series = 0; series < plot.getSeriesCount(); series++) {
       if (plot.getRenderer().getSeriesPaint(series) == null) {
         plot.getRenderer().setSeriesPaint(series, colour(series));
-        plot.getRenderer().setSeriesStroke(series, FULL);
+        plot.getRenderer().setSeriesStroke(series, SOLID);
       }
     }
     BufferedImage image = chart.createBufferedImage(WIDTH, HEIGHT);
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteFaults.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteFaults.java
@@ -16,8 +16,8 @@
 import org.sageladder.core.platform.ListedVm;
 import org.sageladder.core.store.StoreException;
 import org.sageladder.platform.store.HttpVmList;
-import org.sageladder.tools.http.HttpAnswer;
-import org.sageladder.tools.http.HttpCaller;
+import org.sageladder.tools.http.BlockingHttpClient;
+import org.sageladder.tools.http.BufferedHttpResponse;
 import org.sageladder.tools.load.Experiment.Fault;
 
 /**
@@ -25,20 +25,20 @@
  * mends them again at the end, so that the next variant meets the same system.
  */
 final class RemoteFaults implements AutoCloseable {
-  private static final Duration TIMEOUT = Duration.ofSeconds(5);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final String customer;
   private final List<TargetView> targets;
-  private final @Nullable URI store;
-  private final HttpCaller caller;
-  private final Deque<Mend> mends = new ArrayDeque<>();
+  private final @Nullable URI storeUri;
+  private final BlockingHttpClient client;
+  private final Deque<UndoAction> pendingUndos = new ArrayDeque<>();
   private final ScheduledExecutorService timer =
       Executors.newSingleThreadScheduledExecutor(task -> new Thread(task, "mend"));
 
   /** Undoes one fault. */
   @FunctionalInterface
-  private interface Mend {
+  private interface UndoAction {
     void run() throws IOException;
   }
 
@@ -47,25 +47,29 @@
    *
    * @param customer whose contract is changed
    */
-  RemoteFaults(String customer, List<TargetView> targets, @Nullable URI store, HttpCaller caller) {
+  RemoteFaults(
+      String customer,
+      List<TargetView> targets,
+      @Nullable URI storeUri,
+      BlockingHttpClient client) {
     this.customer = customer;
     this.targets = targets;
-    this.store = store;
-    this.caller = caller;
+    this.storeUri = storeUri;
+    this.client = client;
   }
 
   String inject(Fault fault) throws IOException {
     return switch (fault.kind()) {
-      case DRAIN_TARGET -> drain(chosen(fault));
-      case CRASH_TARGET -> crash(chosen(fault));
-      case SLOW_TARGET -> breakTarget(fault, "{\"slowFactor\":" + fault.factor() + "}");
-      case SHED_TARGET -> breakTarget(fault, "{\"shed\":true}");
-      case MISLEADING_LOAD -> breakTarget(fault, "{\"reportBusy\":0}");
+      case DRAIN_TARGET -> drain(findTarget(fault));
+      case CRASH_TARGET -> crash(findTarget(fault));
+      case SLOW_TARGET -> setTargetFaults(fault, "{\"slowFactor\":" + fault.factor() + "}");
+      case SHED_TARGET -> setTargetFaults(fault, "{\"shed\":true}");
+      case MISLEADING_LOAD -> setTargetFaults(fault, "{\"reportBusy\":0}");
       case STORE_DOWN -> {
-        breakUntilMended(fault, knownStore().resolve("/admin/faults"), "{\"down\":true}");
+        setFaultsUntilUndone(fault, requireStore().resolve("/admin/faults"), "{\"down\":true}");
         yield "store";
       }
-      case CHANGE_CONTRACT -> ContractChange.longerDrain(knownStore(), customer);
+      case CHANGE_CONTRACT -> ContractChange.extendDrainLimit(requireStore(), customer);
       case KILL_ENTRY, STOP_ENTRY ->
           throw new IOException(
               fault.kind()
@@ -74,7 +78,7 @@
     };
   }
 
-  private TargetView chosen(Fault fault) throws IOException {
+  private TargetView findTarget(Fault fault) throws IOException {
     for (TargetView target : targets) {
       boolean matches =
           (fault.zone().isEmpty() || fault.zone().equals(target.zone()))
@@ -86,11 +90,11 @@
     throw new IOException("no target is in the chosen zone and service; see --targets");
   }
 
-  private URI knownStore() throws IOException {
-    if (store == null) {
+  private URI requireStore() throws IOException {
+    if (storeUri == null) {
       throw new IOException("no store stand-in is known; give --store http://IP:PORT");
     }
-    return store;
+    return storeUri;
   }
 
   /**
@@ -98,23 +102,23 @@
    * taking work and shows whether the gates heed the list; otherwise the target is told.
    */
   private String drain(TargetView target) throws IOException {
-    if (store == null) {
+    if (storeUri == null) {
       post(target.address().resolve("/admin/drain"));
-      mends.push(() -> post(target.address().resolve("/admin/restart")));
+      pendingUndos.push(() -> post(target.address().resolve("/admin/restart")));
       return target.id();
     }
-    ListedVm listed = listed(target.id());
-    list(listed.asLeaving());
-    mends.push(
+    ListedVm listed = findListedVm(target.id());
+    putListedVm(listed.asLeaving());
+    pendingUndos.push(
         () -> {
           post(target.address().resolve("/admin/restart"));
-          list(restarted(listed));
+          putListedVm(asRestarted(listed));
         });
     return target.id();
   }
 
-  private ListedVm listed(String id) throws IOException {
-    try (HttpVmList list = HttpVmList.connect(knownStore(), TIMEOUT)) {
+  private ListedVm findListedVm(String id) throws IOException {
+    try (HttpVmList list = HttpVmList.connect(requireStore(), CALL_TIMEOUT)) {
       for (ListedVm vm : list.fetch()) {
         if (vm.id().equals(id)) {
           return vm;
@@ -126,12 +130,12 @@
     throw new IOException("the list of VMs does not name '" + id + "'");
   }
 
-  private void list(ListedVm vm) throws IOException {
-    put(knownStore().resolve("/admin/vms/" + vm.id()), JSON.writeValueAsBytes(vm));
+  private void putListedVm(ListedVm vm) throws IOException {
+    put(requireStore().resolve("/admin/vms/" + vm.id()), JSON.writeValueAsBytes(vm));
   }
 
   /** A line that is no longer leaving, which holds only for a later incarnation. */
-  private static ListedVm restarted(ListedVm vm) {
+  private static ListedVm asRestarted(ListedVm vm) {
     return new ListedVm(
         vm.role(),
         vm.id(),
@@ -151,39 +155,39 @@
     return target.id();
   }
 
-  private String breakTarget(Fault fault, String faults) throws IOException {
-    TargetView target = chosen(fault);
-    breakUntilMended(fault, target.address().resolve("/admin/faults"), faults);
+  private String setTargetFaults(Fault fault, String faults) throws IOException {
+    TargetView target = findTarget(fault);
+    setFaultsUntilUndone(fault, target.address().resolve("/admin/faults"), faults);
     return target.id();
   }
 
-  private void breakUntilMended(Fault fault, URI uri, String faults) throws IOException {
+  private void setFaultsUntilUndone(Fault fault, URI uri, String faults) throws IOException {
     put(uri, faults.getBytes(StandardCharsets.UTF_8));
-    Mend mend = () -> put(uri, "{}".getBytes(StandardCharsets.UTF_8));
-    mends.push(mend);
-    if (!fault.length().isZero()) {
+    UndoAction undo = () -> put(uri, "{}".getBytes(StandardCharsets.UTF_8));
+    pendingUndos.push(undo);
+    if (!fault.duration().isZero()) {
       var unused =
-          timer.schedule(() -> tryTo(mend), fault.length().toNanos(), TimeUnit.NANOSECONDS);
+          timer.schedule(() -> tryUndo(undo), fault.duration().toNanos(), TimeUnit.NANOSECONDS);
     }
   }
 
   private void post(URI uri) throws IOException {
-    check(uri, caller.post(uri, new byte[0], ContentType.APPLICATION_JSON));
+    requireSuccess(uri, client.post(uri, new byte[0], ContentType.APPLICATION_JSON));
   }
 
   private void put(URI uri, byte[] body) throws IOException {
-    check(uri, caller.put(uri, body, ContentType.APPLICATION_JSON));
+    requireSuccess(uri, client.put(uri, body, ContentType.APPLICATION_JSON));
   }
 
-  private static void check(URI uri, HttpAnswer answer) throws IOException {
+  private static void requireSuccess(URI uri, BufferedHttpResponse answer) throws IOException {
     if (answer.status() / 100 != 2) {
       throw new IOException(uri + ": status " + answer.status() + ": " + answer.text());
     }
   }
 
-  private static void tryTo(Mend mend) {
+  private static void tryUndo(UndoAction undo) {
     try {
-      mend.run();
+      undo.run();
     } catch (IOException e) {
       System.err.println("sageladder-load: a fault could not be undone: " + e.getMessage());
     }
@@ -193,7 +197,7 @@
   @Override
   public void close() {
     timer.shutdownNow();
-    mends.forEach(RemoteFaults::tryTo);
-    mends.clear();
+    pendingUndos.forEach(RemoteFaults::tryUndo);
+    pendingUndos.clear();
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteSystem.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteSystem.java
@@ -16,58 +16,64 @@
 import org.sageladder.platform.settings.SettingsDocument;
 import org.sageladder.platform.settings.SettingsException;
 import org.sageladder.platform.settings.SettingsSection;
-import org.sageladder.tools.http.HttpAnswer;
-import org.sageladder.tools.http.HttpCaller;
+import org.sageladder.tools.http.BlockingHttpClient;
+import org.sageladder.tools.http.BufferedHttpResponse;
 import org.sageladder.tools.load.Experiment.Fault;
 
 /** A system whose processes run already; target stand-ins behind it are asked over HTTP. */
 final class RemoteSystem implements SystemUnderTest {
-  private static final Duration TIMEOUT = Duration.ofSeconds(5);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final List<String> entries;
-  private final List<URI> operators;
+  private final List<String> callerAddresses;
+  private final List<URI> operatorAddresses;
   private final List<TargetView> targets;
-  private final HttpCaller caller;
+  private final BlockingHttpClient client;
   private final RemoteFaults faults;
   private final String customer;
 
-  private RemoteSystem(Place place, List<TargetView> targets, HttpCaller caller, String customer) {
-    this.entries = place.entries();
-    this.operators = place.operators();
+  private RemoteSystem(
+      Endpoints endpoints, List<TargetView> targets, BlockingHttpClient client, String customer) {
+    this.callerAddresses = endpoints.callerAddresses();
+    this.operatorAddresses = endpoints.operatorAddresses();
     this.targets = targets;
-    this.caller = caller;
+    this.client = client;
     this.customer = customer;
-    this.faults = new RemoteFaults(customer, targets, place.store(), caller);
+    this.faults = new RemoteFaults(customer, targets, endpoints.storeUri(), client);
   }
 
   /**
    * Where the processes are.
    *
-   * @param entries callers' ports of the entry VMs, {@code IP:PORT}
-   * @param operators operators' ports of the entry VMs; may be empty
-   * @param targets YAML list of the target stand-ins, or null
-   * @param store store stand-in, or null
+   * @param callerAddresses callers' ports of the entry VMs, {@code IP:PORT}
+   * @param operatorAddresses operators' ports of the entry VMs; may be empty
+   * @param targetsFile YAML list of the target stand-ins, or null
+   * @param storeUri store stand-in, or null
    */
-  record Place(
-      List<String> entries, List<URI> operators, @Nullable Path targets, @Nullable URI store) {}
+  record Endpoints(
+      List<String> callerAddresses,
+      List<URI> operatorAddresses,
+      @Nullable Path targetsFile,
+      @Nullable URI storeUri) {}
 
   /** Joins running processes; each variant of an experiment meets the same ones. */
-  static Provider provider(Place place) {
+  static Provider provider(Endpoints endpoints) {
     return (contract, entriesPerZone, readyWithin) -> {
-      HttpCaller caller = HttpCaller.withTimeout(TIMEOUT);
+      BlockingHttpClient client = BlockingHttpClient.withTimeout(CALL_TIMEOUT);
       try {
         List<TargetView> targets =
-            place.targets() == null ? List.of() : targets(place.targets(), caller);
-        return new RemoteSystem(place, targets, caller, contract.customer());
+            endpoints.targetsFile() == null
+                ? List.of()
+                : readTargets(endpoints.targetsFile(), client);
+        return new RemoteSystem(endpoints, targets, client, contract.customer());
       } catch (SettingsException | IOException e) {
-        caller.close();
+        client.close();
         throw new IOException(e.getMessage(), e);
       }
     };
   }
 
-  private static List<TargetView> targets(Path file, HttpCaller caller)
+  private static List<TargetView> readTargets(Path file, BlockingHttpClient client)
       throws SettingsException, IOException {
     List<TargetView> targets = new ArrayList<>();
     SettingsSection root = SettingsDocument.read(file).root("targets");
@@ -81,9 +87,9 @@
               section.wholeNumber("slots", 1, 10_000),
               URI.create(
                   section.text("uri", SettingPatterns.HTTP_URI, SettingPatterns.HTTP_URI_ALLOWED)),
-              caller,
+              client,
               0);
-      targets.add(target.since(target.read().started()));
+      targets.add(target.withStartedBefore(target.read().started()));
     }
     return targets;
   }
@@ -91,7 +97,7 @@
   /**
    * A target stand-in of another process.
    *
-   * @param before requests that it had started before this variant, which do not count
+   * @param startedBefore requests that it had started before this variant, which do not count
    */
   private record RemoteTarget(
       String id,
@@ -99,33 +105,33 @@
       String zone,
       int slots,
       URI address,
-      HttpCaller caller,
-      long before)
+      BlockingHttpClient client,
+      long startedBefore)
       implements TargetView {
-    RemoteTarget since(long started) {
-      return new RemoteTarget(id, service, zone, slots, address, caller, started);
+    RemoteTarget withStartedBefore(long started) {
+      return new RemoteTarget(id, service, zone, slots, address, client, started);
     }
 
     @Override
     public Reading read() throws IOException {
-      JsonNode load = json("/admin/state").path("load");
-      long started = json("/admin/executions").path("total").asLong() - before;
+      JsonNode load = fetchJson("/admin/state").path("load");
+      long started = fetchJson("/admin/executions").path("total").asLong() - startedBefore;
       return new Reading(started, load.path("busy").asInt(), load.path("queued").asInt());
     }
 
     @Override
     public Map<String, Integer> executions() throws IOException {
       Map<String, Integer> counts = new HashMap<>();
-      json("/admin/executions?keys").forEach(key -> counts.put(key.asText(), 1));
+      fetchJson("/admin/executions?keys").forEach(key -> counts.put(key.asText(), 1));
       for (Map.Entry<String, JsonNode> repeated :
-          json("/admin/executions").path("repeated").properties()) {
+          fetchJson("/admin/executions").path("repeated").properties()) {
         counts.put(repeated.getKey(), repeated.getValue().asInt());
       }
       return counts;
     }
 
-    private JsonNode json(String path) throws IOException {
-      HttpAnswer answer = caller.get(address.resolve(path));
+    private JsonNode fetchJson(String path) throws IOException {
+      BufferedHttpResponse answer = client.get(address.resolve(path));
       if (answer.status() != 200) {
         throw new IOException(address + path + ": status " + answer.status());
       }
@@ -135,12 +141,12 @@
 
   @Override
   public List<String> callerAddresses() {
-    return entries;
+    return callerAddresses;
   }
 
   @Override
-  public List<URI> operators() {
-    return operators;
+  public List<URI> operatorAddresses() {
+    return operatorAddresses;
   }
 
   @Override
@@ -156,8 +162,8 @@
   @Override
   public Map<String, Long> revisionsInForce() throws IOException {
     Map<String, Long> revisions = new TreeMap<>();
-    for (URI uri : operators) {
-      JsonNode state = JSON.readTree(caller.get(uri.resolve("/v1/state")).body());
+    for (URI uri : operatorAddresses) {
+      JsonNode state = JSON.readTree(client.get(uri.resolve("/v1/state")).body());
       revisions.put(state.path("vm").asText(), state.path("revisions").path(customer).asLong());
     }
     return revisions;
@@ -166,6 +172,6 @@
   @Override
   public void close() {
     faults.close();
-    caller.close();
+    client.close();
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Report.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Report.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 import org.sageladder.core.contract.Contract;
-import org.sageladder.tools.load.Ending.What;
+import org.sageladder.tools.load.RequestResult.Outcome;
 import org.sageladder.tools.timeline.TimeLine;
 
 /** Report of an experiment in Markdown and as one HTML page. */
@@ -35,15 +35,16 @@
       Files.write(directory.resolve(plot.fileName()), plot.png());
     }
     Report report = new Report(variants, checks);
-    report.body();
+    report.appendBody();
     Files.writeString(
-        directory.resolve("report.md"), report.markdown(plots), StandardCharsets.UTF_8);
-    Files.writeString(directory.resolve("report.html"), report.html(plots), StandardCharsets.UTF_8);
+        directory.resolve("report.md"), report.toMarkdown(plots), StandardCharsets.UTF_8);
+    Files.writeString(
+        directory.resolve("report.html"), report.toHtml(plots), StandardCharsets.UTF_8);
     RequestsCsv.write(directory.resolve("requests.csv"), variants);
   }
 
   /** True where every check holds. */
-  static boolean holds(List<CheckResult> checks) {
+  static boolean allHold(List<CheckResult> checks) {
     return checks.stream().allMatch(CheckResult::holds);
   }
 
@@ -63,58 +64,60 @@
     return text.toString();
   }
 
-  private void body() {
+  private void appendBody() {
     VariantResult first = variants.get(0);
     Experiment experiment = first.experiment();
     markdown
         .append("# Experiment ")
         .append(experiment.name())
         .append("\n\nVerdict: **")
-        .append(holds(checks) ? "holds" : "FAILS")
+        .append(allHold(checks) ? "holds" : "FAILS")
         .append("**\n\n")
-        .append(first.endings().size())
+        .append(first.results().size())
         .append(" requests in ")
-        .append(experiment.length().toMillis() / 1_000.0)
+        .append(experiment.duration().toMillis() / 1_000.0)
         .append(" s, seed ")
         .append(experiment.seed())
         .append(", ")
         .append(first.samples().targets().size())
         .append(" targets; the tool itself started requests at most ")
-        .append(Checks.millis(first.senderLagNanos()))
+        .append(Checks.formatMillis(first.maxSenderLagNanos()))
         .append(" late, which counts as latency. Latency and headroom leave out the first ")
-        .append(Checks.millis(experiment.warmUp().toNanos()))
+        .append(Checks.formatMillis(experiment.warmUp().toNanos()))
         .append(", the warm-up of fresh processes; all else counts from the first request.\n");
-    checks();
-    faults(first);
-    comparison();
-    results(first);
-    slowest(SlowRequests.of(first));
+    appendChecks();
+    appendFaults(first);
+    appendComparison();
+    appendOutcomeCounts(first);
+    appendSlowRequests(SlowRequests.of(first));
   }
 
-  private void checks() {
-    heading("Checks");
-    row("verdict", "property", "measured", "required");
-    row("---", "---", "---", "---");
+  private void appendChecks() {
+    appendHeading("Checks");
+    appendRow("verdict", "property", "measured", "required");
+    appendRow("---", "---", "---", "---");
     for (CheckResult check : checks) {
-      row(check.holds() ? "holds" : "**FAILS**", check.name(), check.measured(), check.required());
+      appendRow(
+          check.holds() ? "holds" : "**FAILS**", check.name(), check.measured(), check.required());
     }
   }
 
-  private void faults(VariantResult variant) {
+  private void appendFaults(VariantResult variant) {
     if (variant.injected().isEmpty()) {
       return;
     }
-    heading("Faults injected");
-    row("at", "fault", "hit");
-    row("---", "---", "---");
-    for (FaultSchedule.Injected fault : variant.injected()) {
-      row(Checks.millis(fault.atNanos()), fault.fault().kind().name(), fault.hit());
+    appendHeading("Faults injected");
+    appendRow("at", "fault", "hit");
+    appendRow("---", "---", "---");
+    for (FaultSchedule.InjectedFault fault : variant.injected()) {
+      appendRow(
+          Checks.formatMillis(fault.atNanos()), fault.fault().kind().name(), fault.affected());
     }
   }
 
-  private void comparison() {
-    heading("Variants");
-    row(
+  private void appendComparison() {
+    appendHeading("Variants");
+    appendRow(
         "service",
         "variant",
         "requests",
@@ -125,11 +128,11 @@
         "max ms",
         "least headroom",
         "outside region");
-    row("---", "---", "--:", "--:", "--:", "--:", "--:", "--:", "--:", "--:");
+    appendRow("---", "---", "--:", "--:", "--:", "--:", "--:", "--:", "--:", "--:");
     for (Contract.Service service : variants.get(0).experiment().contract().services()) {
       for (VariantResult variant : variants) {
-        if (!variant.endings(service.name()).isEmpty()) {
-          compare(service.name(), variant);
+        if (!variant.results(service.name()).isEmpty()) {
+          appendVariantRow(service.name(), variant);
         }
       }
     }
@@ -140,11 +143,11 @@
             + " answers only, so it is to be read beside their share. 'outside region' is the share"
             + " of whole answers from a target outside the caller's region, each of which would"
             + " pay the contract's delay between regions twice.\n");
-    breaches();
+    appendFailedChecks();
   }
 
   /** What the same checks say of each variant, so that a baseline's speed is read with its cost. */
-  private void breaches() {
+  private void appendFailedChecks() {
     markdown.append("\n");
     for (VariantResult variant : variants) {
       List<String> failed = new ArrayList<>();
@@ -161,76 +164,76 @@
     }
   }
 
-  private void compare(String service, VariantResult variant) {
+  private void appendVariantRow(String service, VariantResult variant) {
     Histogram latency = variant.latency(service);
-    row(
+    appendRow(
         service,
         variant.name(),
-        String.valueOf(variant.endings(service).size()),
-        Checks.percent(variant.wholeShare(service)),
-        millis(latency, 50),
-        millis(latency, 90),
-        millis(latency, 99),
-        millis(latency, 100),
-        Checks.percent(variant.leastHeadroom(service)),
-        Checks.percent(variant.abroadShare(service)));
+        String.valueOf(variant.results(service).size()),
+        Checks.formatPercent(variant.wholeFraction(service)),
+        formatPercentileMillis(latency, 50),
+        formatPercentileMillis(latency, 90),
+        formatPercentileMillis(latency, 99),
+        formatPercentileMillis(latency, 100),
+        Checks.formatPercent(variant.minHeadroom(service)),
+        Checks.formatPercent(variant.crossRegionFraction(service)));
   }
 
-  private static String millis(Histogram histogram, double percentile) {
+  private static String formatPercentileMillis(Histogram histogram, double percentile) {
     return String.format(Locale.ROOT, "%.1f", histogram.getValueAtPercentile(percentile) / 1e3);
   }
 
-  private void results(VariantResult variant) {
-    heading("Results that callers saw");
-    row("service", "told", "result", "requests");
-    row("---", "---", "---", "--:");
+  private void appendOutcomeCounts(VariantResult variant) {
+    appendHeading("Results that callers saw");
+    appendRow("service", "told", "result", "requests");
+    appendRow("---", "---", "---", "--:");
     Map<String, Integer> counts = new TreeMap<>();
-    for (Ending ending : variant.endings()) {
-      String key = ending.arrival().service() + " | " + ending.what() + " | " + ending.code();
+    for (RequestResult ending : variant.results()) {
+      String key = ending.arrival().service() + " | " + ending.outcome() + " | " + ending.code();
       counts.merge(key, 1, Integer::sum);
     }
-    counts.forEach((key, count) -> row(key, String.valueOf(count)));
-    long unknown = variant.endings().stream().filter(e -> e.what() == What.UNKNOWN).count();
+    counts.forEach((key, count) -> appendRow(key, String.valueOf(count)));
+    long unknown = variant.results().stream().filter(e -> e.outcome() == Outcome.UNKNOWN).count();
     markdown.append("\nUnknown: ").append(unknown).append(".\n");
   }
 
   /** Why the slowest requests were slow: their events over all processes, in order. */
-  private void slowest(SlowRequests slow) {
-    heading("Slowest and lost requests");
+  private void appendSlowRequests(SlowRequests slow) {
+    appendHeading("Slowest and lost requests");
     markdown
         .append(
             "Of each service the three slowest whole answers after the warm-up and at most three"
                 + " requests whose run is not known, with their events over all processes. ")
         .append("Times are after its first event.\n");
-    slow.stories().forEach(this::story);
+    slow.eventsByRequest().forEach(this::appendRequestEvents);
   }
 
-  private void story(Ending ending, List<TimeLine.Entry> entries) {
+  private void appendRequestEvents(RequestResult result, List<TimeLine.Entry> entries) {
     markdown
         .append("\n### ")
-        .append(ending.arrival().key())
+        .append(result.arrival().requestId())
         .append(": ")
-        .append(Checks.millis(ending.latencyNanos()))
+        .append(Checks.formatMillis(result.latencyNanos()))
         .append(", due at ")
-        .append(Checks.millis(ending.arrival().dueNanos()))
+        .append(Checks.formatMillis(result.arrival().dueNanos()))
         .append(", from ")
-        .append(ending.arrival().region())
+        .append(result.arrival().region())
         .append(", tries ")
-        .append(ending.tries())
+        .append(result.attempts())
         .append(", told ")
-        .append(ending.what())
+        .append(result.outcome())
         .append(' ')
-        .append(ending.code())
+        .append(result.code())
         .append("\n\n");
     if (entries.isEmpty()) {
       markdown.append("No events: the processes were not asked.\n");
       return;
     }
-    row("after the first event", "entry VM", "event", "subject", "detail");
-    row("--:", "---", "---", "---", "---");
+    appendRow("after the first event", "entry VM", "event", "subject", "detail");
+    appendRow("--:", "---", "---", "---", "---");
     long first = entries.get(0).micros();
     for (TimeLine.Entry entry : entries) {
-      row(
+      appendRow(
           String.format(Locale.ROOT, "%.1f ms", (entry.micros() - first) / 1e3),
           entry.vm(),
           entry.event().kind().name(),
@@ -239,15 +242,15 @@
     }
   }
 
-  private void heading(String text) {
+  private void appendHeading(String text) {
     markdown.append("\n## ").append(text).append("\n\n");
   }
 
-  private void row(String... cells) {
+  private void appendRow(String... cells) {
     markdown.append("| ").append(String.join(" | ", cells)).append(" |\n");
   }
 
-  private String markdown(List<Plots.Plot> plots) {
+  private String toMarkdown(List<Plots.Plot> plots) {
     StringBuilder text = new StringBuilder(markdown);
     text.append("\n## Pictures\n");
     for (Plots.Plot plot : plots) {
@@ -256,7 +259,7 @@
     return text.toString();
   }
 
-  private String html(List<Plots.Plot> plots) {
+  private String toHtml(List<Plots.Plot> plots) {
     StringBuilder html = new StringBuilder();
     html.append("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Experiment ")
         .append(escape(variants.get(0).experiment().name()))
@@ -270,7 +273,7 @@
         table.add(line);
         continue;
       }
-      flush(table, html);
+      flushTable(table, html);
       if (line.startsWith("### ")) {
         html.append("<h3>").append(escape(line.substring(4))).append("</h3>");
       } else if (line.startsWith("## ")) {
@@ -278,10 +281,10 @@
       } else if (line.startsWith("# ")) {
         html.append("<h1>").append(escape(line.substring(2))).append("</h1>");
       } else if (!line.isBlank()) {
-        html.append("<p>").append(bold(escape(line))).append("</p>");
+        html.append("<p>").append(renderBold(escape(line))).append("</p>");
       }
     }
-    flush(table, html);
+    flushTable(table, html);
     for (Plots.Plot plot : plots) {
       html.append("<p><img alt=\"")
           .append(escape(plot.title()))
@@ -292,7 +295,7 @@
     return html.append("</body></html>\n").toString();
   }
 
-  private static void flush(List<String> table, StringBuilder html) {
+  private static void flushTable(List<String> table, StringBuilder html) {
     if (table.isEmpty()) {
       return;
     }
@@ -305,7 +308,7 @@
       html.append("<tr>");
       String line = table.get(i);
       for (String cell : line.substring(2, line.length() - 2).split(" \\| ", -1)) {
-        html.append("<").append(tag).append(">").append(bold(escape(cell)));
+        html.append("<").append(tag).append(">").append(renderBold(escape(cell)));
         html.append("</").append(tag).append(">");
       }
       html.append("</tr>");
@@ -314,7 +317,7 @@
     table.clear();
   }
 
-  private static String bold(String text) {
+  private static String renderBold(String text) {
     return text.replaceAll("\\*\\*FAILS\\*\\*", "<strong class=\"fails\">FAILS</strong>")
         .replaceAll("\\*\\*holds\\*\\*", "<strong class=\"holds\">holds</strong>")
         .replaceAll("\\*\\*([^*]+)\\*\\*", "<strong>$1</strong>");
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Ending.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/RequestResult.java
@@ -5,16 +5,16 @@
  *
  * @param arrival the request
  * @param latencyNanos from when it was due, so that waiting for a slow system counts
- * @param what what the caller was told
+ * @param outcome what the caller was told
  * @param code name of the result, or the fault that the caller saw
  * @param target target that answered, empty where unknown
- * @param tries times it was sent
+ * @param attempts times it was sent
  */
-public record Ending(
-    Arrival arrival, long latencyNanos, What what, String code, String target, int tries) {
+public record RequestResult(
+    Arrival arrival, long latencyNanos, Outcome outcome, String code, String target, int attempts) {
 
   /** What the caller was told. */
-  public enum What {
+  public enum Outcome {
     /** The whole answer to its own request. */
     WHOLE,
     /** An answer that is not the one to its own request, or a part of it as if whole. */
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/RequestsCsv.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/RequestsCsv.java
@@ -11,43 +11,43 @@
 
 /** Every request of a run with its end, one line each, for a spreadsheet. */
 final class RequestsCsv {
-  private static final String HEAD =
+  private static final String HEADER =
       "variant,request,service,region,block,due_ms,latency_ms,told,result,target,tries";
 
   private RequestsCsv() {}
 
   static void write(Path file, List<VariantResult> variants) throws IOException {
     try (BufferedWriter out = Files.newBufferedWriter(file, StandardCharsets.UTF_8)) {
-      out.write(HEAD);
+      out.write(HEADER);
       out.newLine();
       for (VariantResult variant : variants) {
-        List<Ending> endings =
-            variant.endings().stream()
+        List<RequestResult> endings =
+            variant.results().stream()
                 .sorted(Comparator.comparingLong(ending -> ending.arrival().dueNanos()))
                 .toList();
-        for (Ending ending : endings) {
-          out.write(line(variant.name(), ending));
+        for (RequestResult ending : endings) {
+          out.write(formatLine(variant.name(), ending));
           out.newLine();
         }
       }
     }
   }
 
-  private static String line(String variant, Ending ending) {
-    Arrival arrival = ending.arrival();
+  private static String formatLine(String variant, RequestResult result) {
+    Arrival arrival = result.arrival();
     return String.format(
         Locale.ROOT,
         "%s,%s,%s,%s,%d,%.1f,%.1f,%s,%s,%s,%d",
         variant,
-        arrival.key(),
+        arrival.requestId(),
         arrival.service(),
         arrival.region(),
         arrival.block(),
         arrival.dueNanos() / 1e6,
-        ending.latencyNanos() / 1e6,
-        ending.what(),
-        ending.code().replace(',', ';'),
-        ending.target(),
-        ending.tries());
+        result.latencyNanos() / 1e6,
+        result.outcome(),
+        result.code().replace(',', ';'),
+        result.target(),
+        result.attempts());
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Sampler.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Sampler.java
@@ -8,7 +8,7 @@
 
 /** Reads all targets at even steps, on a thread of its own. */
 final class Sampler implements AutoCloseable {
-  static final Duration STEP = Duration.ofMillis(100);
+  static final Duration INTERVAL = Duration.ofMillis(100);
 
   private final List<TargetView> targets;
   private final long startNanos;
@@ -30,14 +30,14 @@
   }
 
   private void run() {
-    long next = System.nanoTime();
+    long nextNanos = System.nanoTime();
     while (!stopped) {
       sample();
-      next += STEP.toNanos();
-      long left = next - System.nanoTime();
-      if (left > 0) {
+      nextNanos += INTERVAL.toNanos();
+      long remainingNanos = nextNanos - System.nanoTime();
+      if (remainingNanos > 0) {
         try {
-          Thread.sleep(left / 1_000_000, (int) (left % 1_000_000));
+          Thread.sleep(remainingNanos / 1_000_000, (int) (remainingNanos % 1_000_000));
         } catch (InterruptedException e) {
           return;
         }
@@ -49,7 +49,7 @@
     List<Reading> step = new ArrayList<>(targets.size());
     long now = System.nanoTime();
     for (int i = 0; i < targets.size(); i++) {
-      step.add(read(i));
+      step.add(readOrRepeatLast(i));
     }
     synchronized (this) {
       atNanos.add(now - startNanos);
@@ -57,7 +57,7 @@
     }
   }
 
-  private Reading read(int target) {
+  private Reading readOrRepeatLast(int target) {
     try {
       return targets.get(target).read();
     } catch (IOException e) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Samples.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Samples.java
@@ -20,13 +20,13 @@
   }
 
   /** Number of steps. */
-  public int steps() {
+  public int sampleCount() {
     return atNanos.size();
   }
 
   /** Requests that the chosen targets had started by each step. */
-  long[] started(List<Integer> chosen) {
-    long[] sums = new long[steps()];
+  long[] startedCounts(List<Integer> chosen) {
+    long[] sums = new long[sampleCount()];
     for (int step = 0; step < sums.length; step++) {
       for (int target : chosen) {
         sums[step] += readings.get(step).get(target).started();
@@ -36,7 +36,7 @@
   }
 
   /** Positions of the targets that {@code choice} accepts. */
-  List<Integer> choose(java.util.function.Predicate<TargetView> choice) {
+  List<Integer> targetIndexes(java.util.function.Predicate<TargetView> choice) {
     List<Integer> chosen = new ArrayList<>();
     for (int i = 0; i < targets.size(); i++) {
       if (choice.test(targets.get(i))) {
@@ -47,8 +47,8 @@
   }
 
   /** Free slots of the chosen targets as a fraction of their slots, by step. */
-  double[] headroom(List<Integer> chosen) {
-    double[] fractions = new double[steps()];
+  double[] headroomFractions(List<Integer> chosen) {
+    double[] fractions = new double[sampleCount()];
     for (int step = 0; step < fractions.length; step++) {
       int slots = 0;
       int used = 0;
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Sender.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Sender.java
@@ -4,11 +4,11 @@
 @FunctionalInterface
 public interface Sender extends AutoCloseable {
   /** What became of the request; never fails, since every end is a result. */
-  Outcome send(Arrival arrival);
+  SendResult send(Arrival arrival);
 
   @Override
   default void close() {}
 
   /** What a sender saw, without the time. */
-  record Outcome(Ending.What what, String code, String target, int tries) {}
+  record SendResult(RequestResult.Outcome outcome, String code, String target, int attempts) {}
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/CapCheck.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/ShiftCapCheck.java
@@ -12,97 +12,100 @@
  * <p>No window may hold more starts than the window before it plus the gain that the contract
  * allows. Windows are cut so that the step of sampling can only make a breach look smaller.
  */
-final class CapCheck {
+final class ShiftCapCheck {
   /** A start follows its admission by a little, so a window may hold a few of the one before. */
-  private static final double SLACK = 0.05;
+  private static final double SLACK_FRACTION = 0.05;
 
   private static final int SLACK_REQUESTS = 2;
 
   private final VariantResult result;
   private final Samples samples;
 
-  private CapCheck(VariantResult result) {
+  private ShiftCapCheck(VariantResult result) {
     this.result = result;
     this.samples = result.samples();
   }
 
-  static CapCheck of(VariantResult result) {
-    return new CapCheck(result);
+  static ShiftCapCheck of(VariantResult result) {
+    return new ShiftCapCheck(result);
   }
 
   /** The place and moment that came closest to its cap, or went beyond it. */
-  private static final class Worst {
-    private double used;
-    private String place = "none";
+  private static final class WorstCase {
+    private double usedFraction;
+    private String location = "none";
 
-    void offer(double share, String candidate) {
-      if (share > used) {
-        used = share;
-        place = candidate;
+    void update(double fraction, String candidateLocation) {
+      if (fraction > usedFraction) {
+        usedFraction = fraction;
+        location = candidateLocation;
       }
     }
 
-    CheckResult verdict(String name) {
+    CheckResult toCheckResult(String name) {
       return new CheckResult(
           name,
-          used <= 1,
-          String.format(Locale.ROOT, "%.0f %% of the allowed gain used, at %s", 100 * used, place),
+          usedFraction <= 1,
+          String.format(
+              Locale.ROOT, "%.0f %% of the allowed gain used, at %s", 100 * usedFraction, location),
           "at most 100 %");
     }
   }
 
-  CheckResult targets() {
-    Worst worst = new Worst();
+  CheckResult checkTargets() {
+    WorstCase worst = new WorstCase();
     for (Contract.Service service : result.experiment().contract().services()) {
-      List<Integer> chosen = samples.choose(target -> target.service().equals(service.name()));
+      List<Integer> chosen =
+          samples.targetIndexes(target -> target.service().equals(service.name()));
       for (int target : chosen) {
-        worst.offer(
-            share(List.of(target), service.targetShiftCap(), service.targetCapacity()),
+        worst.update(
+            maxUsedFraction(List.of(target), service.targetShiftCap(), service.targetCapacity()),
             samples.targets().get(target).id());
       }
     }
-    return worst.verdict("shift toward a target stays under its cap");
+    return worst.toCheckResult("shift toward a target stays under its cap");
   }
 
-  CheckResult regions() {
-    Worst worst = new Worst();
+  CheckResult checkRegions() {
+    WorstCase worst = new WorstCase();
     Contract contract = result.experiment().contract();
     for (Contract.Service service : contract.services()) {
       for (Contract.Region region : contract.regions()) {
         List<Integer> chosen =
-            samples.choose(
+            samples.targetIndexes(
                 target ->
                     target.service().equals(service.name())
                         && region.zones().contains(target.zone()));
         if (!chosen.isEmpty()) {
           double capacity = chosen.size() * service.targetCapacity();
-          worst.offer(
-              share(chosen, service.regionShiftCap(), capacity),
+          worst.update(
+              maxUsedFraction(chosen, service.regionShiftCap(), capacity),
               service.name() + " in " + region.name());
         }
       }
     }
-    return worst.verdict("shift toward a region stays under its cap");
+    return worst.toCheckResult("shift toward a region stays under its cap");
   }
 
   /** Largest growth of any window over the one before, as a share of the growth allowed. */
-  private double share(List<Integer> chosen, ShiftCap cap, double capacity) {
-    long[] started = samples.started(chosen);
+  private double maxUsedFraction(List<Integer> chosen, ShiftCap cap, double capacity) {
+    long[] started = samples.startedCounts(chosen);
     double allowed = cap.gainFraction() * capacity * cap.window().toNanos() / 1e9;
-    double slack = SLACK * allowed + SLACK_REQUESTS;
+    double slack = SLACK_FRACTION * allowed + SLACK_REQUESTS;
     double worst = 0;
-    for (int step = 0; step < samples.steps(); step++) {
+    for (int step = 0; step < samples.sampleCount(); step++) {
       long end = samples.atNanos().get(step);
-      long recent = started[step] - atOrAfter(started, end - cap.window().toNanos());
+      long recent = started[step] - countAtOrAfter(started, end - cap.window().toNanos());
       long before =
-          atOrAfter(started, end - cap.window().toNanos()) - before(started, end, cap.window());
+          countAtOrAfter(started, end - cap.window().toNanos())
+              - countTwoWindowsBefore(started, end, cap.window());
       worst = Math.max(worst, (recent - before - slack) / allowed);
     }
     return worst;
   }
 
   /** The count at the first sample not earlier than {@code nanos}; 0 before the first sample. */
-  private long atOrAfter(long[] started, long nanos) {
+  private long countAtOrAfter(long[] started, long nanos) {
     if (nanos < 0) {
       return 0;
     }
@@ -115,7 +118,7 @@
   }
 
   /** The count at the last sample not later than two windows before {@code end}. */
-  private long before(long[] started, long end, Duration window) {
+  private long countTwoWindowsBefore(long[] started, long end, Duration window) {
     long nanos = end - 2 * window.toNanos();
     long count = 0;
     for (int step = 0; step < started.length && samples.atNanos().get(step) <= nanos; step++) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/SlowRequests.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/SlowRequests.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import org.sageladder.core.contract.Contract;
-import org.sageladder.tools.load.Ending.What;
+import org.sageladder.tools.load.RequestResult.Outcome;
 import org.sageladder.tools.timeline.TimeLine;
 
 /** The slowest and the lost requests of a variant with what the time line tells of them. */
 final class SlowRequests {
   /** Enough to see whether one cause repeats. */
-  private static final int OF_EACH_SERVICE = 3;
+  private static final int MAX_PER_SERVICE = 3;
 
-  private final Map<Ending, List<TimeLine.Entry>> stories;
+  private final Map<RequestResult, List<TimeLine.Entry>> eventsByRequest;
 
-  private SlowRequests(Map<Ending, List<TimeLine.Entry>> stories) {
-    this.stories = stories;
+  private SlowRequests(Map<RequestResult, List<TimeLine.Entry>> stories) {
+    this.eventsByRequest = stories;
   }
 
   /**
@@ -27,22 +27,23 @@
    */
   static SlowRequests of(VariantResult variant) {
     TimeLine line = TimeLine.merge(variant.events());
-    List<Ending> chosen = new ArrayList<>();
+    List<RequestResult> chosen = new ArrayList<>();
     for (Contract.Service service : variant.experiment().contract().services()) {
-      variant.endings(service.name()).stream()
-          .filter(ending -> ending.what() == What.WHOLE && variant.isWarm(ending))
-          .sorted(Comparator.comparingLong(Ending::latencyNanos).reversed())
-          .limit(OF_EACH_SERVICE)
+      variant.results(service.name()).stream()
+          .filter(ending -> ending.outcome() == Outcome.WHOLE && variant.isAfterWarmUp(ending))
+          .sorted(Comparator.comparingLong(RequestResult::latencyNanos).reversed())
+          .limit(MAX_PER_SERVICE)
           .forEach(chosen::add);
-      variant.endings(service.name()).stream()
-          .filter(ending -> ending.what() == What.UNKNOWN || ending.what() == What.WRONG)
-          .limit(OF_EACH_SERVICE)
+      variant.results(service.name()).stream()
+          .filter(
+              ending -> ending.outcome() == Outcome.UNKNOWN || ending.outcome() == Outcome.WRONG)
+          .limit(MAX_PER_SERVICE)
           .forEach(chosen::add);
     }
-    Map<Ending, List<TimeLine.Entry>> stories = new LinkedHashMap<>();
+    Map<RequestResult, List<TimeLine.Entry>> stories = new LinkedHashMap<>();
     chosen.forEach(ending -> stories.put(ending, new ArrayList<>()));
     Map<String, List<TimeLine.Entry>> byId =
-        chosen.stream().collect(Collectors.toMap(e -> e.arrival().key(), stories::get));
+        chosen.stream().collect(Collectors.toMap(e -> e.arrival().requestId(), stories::get));
     for (TimeLine.Entry entry : line.entries(event -> byId.containsKey(event.request()))) {
       byId.get(entry.event().request()).add(entry);
     }
@@ -50,7 +51,7 @@
   }
 
   /** What the time line has of each; empty where no events were fetched. */
-  Map<Ending, List<TimeLine.Entry>> stories() {
-    return stories;
+  Map<RequestResult, List<TimeLine.Entry>> eventsByRequest() {
+    return eventsByRequest;
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemSender.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemSender.java
@@ -5,7 +5,7 @@
 import org.sageladder.client.ClientOptions;
 import org.sageladder.client.Request;
 import org.sageladder.client.SageladderClient;
-import org.sageladder.tools.load.Ending.What;
+import org.sageladder.tools.load.RequestResult.Outcome;
 
 /** Sends through sageladder with the callers' library. */
 final class SystemSender implements Sender {
@@ -27,7 +27,7 @@
   }
 
   @Override
-  public Outcome send(Arrival arrival) {
+  public SendResult send(Arrival arrival) {
     TargetRequest target = TargetRequest.of(arrival);
     Request request =
         arrival.repeatable()
@@ -39,32 +39,34 @@
                 target.path(),
                 target.body(),
                 "application/octet-stream");
-    return outcome(client.send(request.deadline(arrival.deadline()).id(arrival.key())), target);
+    return classify(
+        client.send(request.deadline(arrival.deadline()).id(arrival.requestId())), target);
   }
 
-  private static Outcome outcome(Answer answer, TargetRequest request) {
+  private static SendResult classify(Answer answer, TargetRequest request) {
     if (answer instanceof Answer.Complete whole) {
-      return whole(whole, request);
+      return classifyWhole(whole, request);
     }
     if (answer instanceof Answer.RanAnswerUnavailable ran) {
-      return new Outcome(What.RAN_UNSEEN, ran.code().name(), "", ran.attemptCount());
+      return new SendResult(Outcome.RAN_UNSEEN, ran.code().name(), "", ran.attemptCount());
     }
     if (answer instanceof Answer.NotRun notRun) {
-      return new Outcome(What.NOT_RUN, notRun.code().name(), "", notRun.attemptCount());
+      return new SendResult(Outcome.NOT_RUN, notRun.code().name(), "", notRun.attemptCount());
     }
     Answer.Unknown unknown = (Answer.Unknown) answer;
-    return new Outcome(What.UNKNOWN, unknown.code().name(), "", unknown.attemptCount());
+    return new SendResult(Outcome.UNKNOWN, unknown.code().name(), "", unknown.attemptCount());
   }
 
   /** A status of the target's own, such as 504 past the deadline, tells that it ran or may have. */
-  private static Outcome whole(Answer.Complete whole, TargetRequest request) {
+  private static SendResult classifyWhole(Answer.Complete whole, TargetRequest request) {
     if (whole.status() != 200) {
-      return new Outcome(
-          What.UNKNOWN, "STATUS_" + whole.status(), whole.target(), whole.attemptCount());
+      return new SendResult(
+          Outcome.UNKNOWN, "STATUS_" + whole.status(), whole.target(), whole.attemptCount());
     }
-    String checksum = whole.header(TargetRequest.CHECKSUM).orElse("");
+    String checksum = whole.header(TargetRequest.CHECKSUM_HEADER).orElse("");
     boolean right = request.isAnsweredBy(checksum, whole.body());
-    return new Outcome(right ? What.WHOLE : What.WRONG, "OK", whole.target(), whole.attemptCount());
+    return new SendResult(
+        right ? Outcome.WHOLE : Outcome.WRONG, "OK", whole.target(), whole.attemptCount());
   }
 
   @Override
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemUnderTest.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemUnderTest.java
@@ -15,7 +15,7 @@
   List<String> callerAddresses();
 
   /** Operators' ports of the entry VMs; empty where their events cannot be fetched. */
-  List<URI> operators();
+  List<URI> operatorAddresses();
 
   /** The targets; empty where only callers' results can be checked. */
   List<TargetView> targets();
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/TargetRequest.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/TargetRequest.java
@@ -9,14 +9,14 @@
 @SuppressWarnings("ArrayRecordComponent")
 record TargetRequest(String method, String path, byte[] body, int answerBytes) {
   /** Header in which the stand-in echoes the checksum of the request it answers. */
-  static final String CHECKSUM = "Request-Checksum";
+  static final String CHECKSUM_HEADER = "Request-Checksum";
 
   static TargetRequest of(Arrival arrival) {
-    String path = "/x?work=" + arrival.key() + "&answerBytes=" + arrival.answerBytes();
+    String path = "/x?work=" + arrival.requestId() + "&answerBytes=" + arrival.answerBytes();
     if (arrival.repeatable()) {
       return new TargetRequest("GET", path, new byte[0], arrival.answerBytes());
     }
-    byte[] body = ("record of " + arrival.key()).getBytes(StandardCharsets.UTF_8);
+    byte[] body = ("record of " + arrival.requestId()).getBytes(StandardCharsets.UTF_8);
     return new TargetRequest("POST", path, body, arrival.answerBytes());
   }
 
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/EventFetcher.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/EventFetcher.java
@@ -7,8 +7,8 @@
 import org.sageladder.core.event.Event;
 import org.sageladder.core.time.TimeSource;
 import org.sageladder.platform.event.EventPage;
-import org.sageladder.tools.http.HttpAnswer;
-import org.sageladder.tools.http.HttpCaller;
+import org.sageladder.tools.http.BlockingHttpClient;
+import org.sageladder.tools.http.BufferedHttpResponse;
 
 /**
  * Fetches the events of one process from its operators' port, again and again if wanted.
@@ -19,30 +19,30 @@
  * }</pre>
  */
 public final class EventFetcher {
-  private static final int MOST_PAGES = 10_000;
+  private static final int MAX_PAGES = 10_000;
 
-  private final URI operators;
-  private final HttpCaller caller;
-  private final TimeSource time;
+  private final URI operatorUri;
+  private final BlockingHttpClient client;
+  private final TimeSource timeSource;
   private final long startNanos;
   private final long startMicros;
   private final List<Event> events = new ArrayList<>();
-  private Offset clock = Offset.UNKNOWN;
+  private ClockOffset clockOffset = ClockOffset.UNKNOWN;
   private long incarnation = -1;
-  private long lost;
-  private long next;
+  private long lostCount;
+  private long nextSequence;
 
-  private EventFetcher(URI operators, HttpCaller caller, TimeSource time) {
-    this.operators = operators;
-    this.caller = caller;
-    this.time = time;
-    this.startNanos = time.nanos();
-    this.startMicros = time.wallMillis() * 1_000;
+  private EventFetcher(URI operatorUri, BlockingHttpClient client, TimeSource timeSource) {
+    this.operatorUri = operatorUri;
+    this.client = client;
+    this.timeSource = timeSource;
+    this.startNanos = timeSource.nanos();
+    this.startMicros = timeSource.wallMillis() * 1_000;
   }
 
   /** A fetcher that has fetched nothing yet. */
-  public static EventFetcher of(URI operators, HttpCaller caller) {
-    return new EventFetcher(operators, caller, TimeSource.system());
+  public static EventFetcher of(URI operatorUri, BlockingHttpClient client) {
+    return new EventFetcher(operatorUri, client, TimeSource.system());
   }
 
   /**
@@ -54,35 +54,38 @@
    * @throws IOException where the process gives no answer or one that is no page of events
    */
   public ProcessEvents fetch() throws IOException {
-    for (int page = 0; page < MOST_PAGES; page++) {
-      long asked = nowMicros();
-      HttpAnswer answer = caller.get(operators.resolve("/v1/events?after=" + next));
-      long answered = nowMicros();
-      if (answer.status() != 200) {
-        throw new IOException(operators + "/v1/events: status " + answer.status());
+    for (int page = 0; page < MAX_PAGES; page++) {
+      long askedMicros = nowMicros();
+      BufferedHttpResponse response =
+          client.get(operatorUri.resolve("/v1/events?after=" + nextSequence));
+      long answeredMicros = nowMicros();
+      if (response.status() != 200) {
+        throw new IOException(operatorUri + "/v1/events: status " + response.status());
       }
-      EventPage read = EventPage.fromJson(answer.body());
+      EventPage read = EventPage.fromJson(response.body());
       if (incarnation >= 0 && read.incarnation() != incarnation) {
         incarnation = read.incarnation();
-        next = 0;
-        clock = Offset.UNKNOWN;
+        nextSequence = 0;
+        clockOffset = ClockOffset.UNKNOWN;
         continue;
       }
       incarnation = read.incarnation();
-      clock = clock.narrowedBy(Offset.ofExchange(asked, read.nowMicros(), answered));
+      clockOffset =
+          clockOffset.intersect(
+              ClockOffset.ofExchange(askedMicros, read.nowMicros(), answeredMicros));
       events.addAll(read.events());
-      lost += read.lost();
-      next = read.next();
+      lostCount += read.lost();
+      nextSequence = read.next();
       if (read.events().isEmpty()) {
         return new ProcessEvents(
-            read.process(), read.incarnation(), read.zone(), lost, clock, events);
+            read.process(), read.incarnation(), read.zone(), lostCount, clockOffset, events);
       }
     }
     throw new IOException(
-        operators + "/v1/events: still new events after " + MOST_PAGES + " pages");
+        operatorUri + "/v1/events: still new events after " + MAX_PAGES + " pages");
   }
 
   private long nowMicros() {
-    return startMicros + (time.nanos() - startNanos) / 1_000;
+    return startMicros + (timeSource.nanos() - startNanos) / 1_000;
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/Messages.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/MessageMatcher.java
@@ -14,29 +14,29 @@
  * sender records an answer, the receiver's own end of the request gives one back. A sender that
  * fails or refuses may have given up by itself, before the receiver's end, so that gives none.
  */
-final class Messages {
+final class MessageMatcher {
   private final List<ProcessEvents> processes;
-  private final Map<String, Integer> indexes = new HashMap<>();
-  private final List<Map<String, List<Integer>>> byRequest = new ArrayList<>();
-  private final List<Message> found = new ArrayList<>();
+  private final Map<String, Integer> processIndexes = new HashMap<>();
+  private final List<Map<String, List<Integer>>> eventIndexesByRequest = new ArrayList<>();
+  private final List<Message> matched = new ArrayList<>();
 
-  private Messages(List<ProcessEvents> processes) {
+  private MessageMatcher(List<ProcessEvents> processes) {
     this.processes = processes;
     for (int p = 0; p < processes.size(); p++) {
-      indexes.put(processes.get(p).process(), p);
-      byRequest.add(positions(processes.get(p).events()));
+      processIndexes.put(processes.get(p).vm(), p);
+      eventIndexesByRequest.add(indexesByRequest(processes.get(p).events()));
     }
   }
 
-  static List<Message> in(List<ProcessEvents> processes) {
-    Messages messages = new Messages(processes);
+  static List<Message> match(List<ProcessEvents> processes) {
+    MessageMatcher messages = new MessageMatcher(processes);
     for (int p = 0; p < processes.size(); p++) {
-      messages.find(p);
+      messages.matchSentBy(p);
     }
-    return List.copyOf(messages.found);
+    return List.copyOf(messages.matched);
   }
 
-  private static Map<String, List<Integer>> positions(List<Event> events) {
+  private static Map<String, List<Integer>> indexesByRequest(List<Event> events) {
     Map<String, List<Integer>> positions = new HashMap<>();
     for (int i = 0; i < events.size(); i++) {
       String request = events.get(i).request();
@@ -47,31 +47,32 @@
     return positions;
   }
 
-  private void find(int sender) {
+  private void matchSentBy(int sender) {
     List<Event> events = processes.get(sender).events();
     for (int sent = 0; sent < events.size(); sent++) {
       Event event = events.get(sent);
-      Integer receiver = indexes.get(event.subject());
+      Integer receiver = processIndexes.get(event.subject());
       if (event.kind() != EventKind.FORWARDED || receiver == null || receiver == sender) {
         continue;
       }
-      List<Integer> there = byRequest.get(receiver).getOrDefault(event.request(), List.of());
-      int received = firstOfKind(receiver, there, sender);
+      List<Integer> there =
+          eventIndexesByRequest.get(receiver).getOrDefault(event.request(), List.of());
+      int received = firstReceipt(receiver, there, sender);
       if (received < 0) {
         continue;
       }
-      found.add(new Message(sender, sent, receiver, received));
-      int ended = firstEnd(receiver, there, received);
-      int back = firstAnswer(sender, byRequest.get(sender).get(event.request()), sent);
+      matched.add(new Message(sender, sent, receiver, received));
+      int ended = firstCompletion(receiver, there, received);
+      int back = firstAnswer(sender, eventIndexesByRequest.get(sender).get(event.request()), sent);
       if (ended >= 0 && back >= 0) {
-        found.add(new Message(receiver, ended, sender, back));
+        matched.add(new Message(receiver, ended, sender, back));
       }
     }
   }
 
   /** The detail of a receipt names who forwarded the request; it is empty for a caller's own. */
-  private int firstOfKind(int receiver, List<Integer> positions, int sender) {
-    String name = processes.get(sender).process();
+  private int firstReceipt(int receiver, List<Integer> positions, int sender) {
+    String name = processes.get(sender).vm();
     for (int position : positions) {
       Event event = processes.get(receiver).events().get(position);
       if (event.kind() == EventKind.RECEIVED && event.detail().equals(name)) {
@@ -81,22 +82,22 @@
     return -1;
   }
 
-  private int firstAnswer(int process, List<Integer> positions, int after) {
+  private int firstAnswer(int process, List<Integer> positions, int afterIndex) {
     for (int position : positions) {
       EventKind kind = processes.get(process).events().get(position).kind();
-      if (position > after && kind == EventKind.ANSWERED) {
+      if (position > afterIndex && kind == EventKind.ANSWERED) {
         return position;
       }
     }
     return -1;
   }
 
-  private int firstEnd(int process, List<Integer> positions, int after) {
+  private int firstCompletion(int process, List<Integer> positions, int afterIndex) {
     for (int position : positions) {
       EventKind kind = processes.get(process).events().get(position).kind();
       boolean end =
           kind == EventKind.ANSWERED || kind == EventKind.REFUSED || kind == EventKind.FAILED;
-      if (position > after && end) {
+      if (position > afterIndex && end) {
         return position;
       }
     }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/ProcessEvents.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/ProcessEvents.java
@@ -6,12 +6,17 @@
 /**
  * What was fetched from one process.
  *
- * @param process name of the VM
- * @param lost events that had given way before they were fetched
- * @param clock how far the process's event clock is from the collector's
+ * @param vm name of the VM
+ * @param lostCount events that had given way before they were fetched
+ * @param clockOffset how far the process's event clock is from the collector's
  */
 public record ProcessEvents(
-    String process, long incarnation, String zone, long lost, Offset clock, List<Event> events) {
+    String vm,
+    long incarnation,
+    String zone,
+    long lostCount,
+    ClockOffset clockOffset,
+    List<Event> events) {
   /** Copies the list, so that the events cannot change. */
   public ProcessEvents {
     events = List.copyOf(events);
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLine.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLine.java
@@ -22,19 +22,19 @@
  */
 public final class TimeLine {
   private final List<ProcessEvents> processes;
-  private final List<Offset> offsets;
+  private final List<ClockOffset> offsets;
   private final List<Entry> entries;
-  private final List<Arrow> arrows;
+  private final List<MessageArrow> messageArrows;
 
   private TimeLine(
       List<ProcessEvents> processes,
-      List<Offset> offsets,
+      List<ClockOffset> offsets,
       List<Entry> entries,
-      List<Arrow> arrows) {
+      List<MessageArrow> arrows) {
     this.processes = List.copyOf(processes);
     this.offsets = List.copyOf(offsets);
     this.entries = List.copyOf(entries);
-    this.arrows = List.copyOf(arrows);
+    this.messageArrows = List.copyOf(arrows);
   }
 
   /**
@@ -48,13 +48,13 @@
   public record Entry(int process, String vm, long micros, long uncertainty, Event event) {}
 
   /** A message from one entry to a later one. */
-  public record Arrow(Entry from, Entry to) {}
+  public record MessageArrow(Entry from, Entry to) {}
 
   /** Merges what was fetched; each process must occur once. */
   public static TimeLine merge(List<ProcessEvents> processes) {
-    List<Message> messages = Messages.in(processes);
-    List<Offset> offsets = ClockOffsets.estimate(processes, messages);
-    return new Merge(processes, messages, offsets).run();
+    List<Message> messages = MessageMatcher.match(processes);
+    List<ClockOffset> offsets = ClockOffsetEstimator.estimate(processes, messages);
+    return new Merge(processes, messages, offsets).merge();
   }
 
   /** The processes in the order that {@link Entry#process()} counts. */
@@ -63,13 +63,13 @@
   }
 
   /** The lead of each process's clock over the collector's. */
-  public List<Offset> offsets() {
+  public List<ClockOffset> offsets() {
     return offsets;
   }
 
   /** Events that had given way in any process before they were fetched. */
-  public long lost() {
-    return processes.stream().mapToLong(ProcessEvents::lost).sum();
+  public long lostCount() {
+    return processes.stream().mapToLong(ProcessEvents::lostCount).sum();
   }
 
   /** The entries whose event passes {@code filter}, in order. */
@@ -78,8 +78,8 @@
   }
 
   /** The messages both of whose events pass {@code filter}. */
-  public List<Arrow> arrows(Predicate<Event> filter) {
-    return arrows.stream()
+  public List<MessageArrow> messageArrows(Predicate<Event> filter) {
+    return messageArrows.stream()
         .filter(arrow -> filter.test(arrow.from().event()) && filter.test(arrow.to().event()))
         .toList();
   }
@@ -88,59 +88,60 @@
   private static final class Merge {
     private final List<ProcessEvents> processes;
     private final List<Message> messages;
-    private final List<Offset> offsets;
-    private final Map<Long, List<Message>> arriving = new HashMap<>();
-    private final Map<Long, Entry> placed = new HashMap<>();
-    private final Map<Long, List<Integer>> waiting = new HashMap<>();
-    private final int[] position;
-    private final boolean[] queued;
-    private final long[] latest;
+    private final List<ClockOffset> offsets;
+    private final Map<Long, List<Message>> messagesByReceipt = new HashMap<>();
+    private final Map<Long, Entry> mergedEntries = new HashMap<>();
+    private final Map<Long, List<Integer>> waitingForSend = new HashMap<>();
+    private final int[] nextIndex;
+    private final boolean[] isQueued;
+    private final long[] latestMicros;
     private final PriorityQueue<Integer> ready;
 
-    Merge(List<ProcessEvents> processes, List<Message> messages, List<Offset> offsets) {
+    Merge(List<ProcessEvents> processes, List<Message> messages, List<ClockOffset> offsets) {
       this.processes = processes;
       this.messages = messages;
       this.offsets = offsets;
-      this.position = new int[processes.size()];
-      this.latest = new long[processes.size()];
-      this.queued = new boolean[processes.size()];
+      this.nextIndex = new int[processes.size()];
+      this.latestMicros = new long[processes.size()];
+      this.isQueued = new boolean[processes.size()];
       this.ready =
           new PriorityQueue<>(
               Comparator.<Integer>comparingLong(this::nextMicros).thenComparing(p -> p));
       for (Message message : messages) {
-        arriving
-            .computeIfAbsent(key(message.to(), message.received()), k -> new ArrayList<>())
+        messagesByReceipt
+            .computeIfAbsent(
+                eventKey(message.receiver(), message.receiveIndex()), k -> new ArrayList<>())
             .add(message);
       }
     }
 
-    TimeLine run() {
+    TimeLine merge() {
       List<Entry> entries = new ArrayList<>();
       for (int p = 0; p < processes.size(); p++) {
-        offer(p);
+        enqueueOrWait(p);
       }
-      while (!ready.isEmpty() || releaseOne()) {
+      while (!ready.isEmpty() || enqueueEarliestWaiting()) {
         int process = ready.remove();
-        queued[process] = false;
-        entries.add(place(process));
-        List<Integer> released = waiting.remove(key(process, position[process] - 1));
-        offer(process);
+        isQueued[process] = false;
+        entries.add(takeNext(process));
+        List<Integer> released = waitingForSend.remove(eventKey(process, nextIndex[process] - 1));
+        enqueueOrWait(process);
         if (released != null) {
-          released.forEach(this::offer);
+          released.forEach(this::enqueueOrWait);
         }
       }
-      return new TimeLine(processes, offsets, entries, arrows());
+      return new TimeLine(processes, offsets, entries, messageArrows());
     }
 
     /** Puts a process in line, or lets it wait for the message that its next event receives. */
-    private void offer(int process) {
-      if (queued[process] || ended(process)) {
+    private void enqueueOrWait(int process) {
+      if (isQueued[process] || isExhausted(process)) {
         return;
       }
-      for (Message message : arrivingNext(process)) {
-        long sent = key(message.from(), message.sent());
-        if (!placed.containsKey(sent)) {
-          waiting.computeIfAbsent(sent, k -> new ArrayList<>()).add(process);
+      for (Message message : messagesReceivedNext(process)) {
+        long sent = eventKey(message.sender(), message.sendIndex());
+        if (!mergedEntries.containsKey(sent)) {
+          waitingForSend.computeIfAbsent(sent, k -> new ArrayList<>()).add(process);
           return;
         }
       }
@@ -152,10 +153,10 @@
      * uses one request id twice: without it their events would be missing from the line. The one
      * that is earliest by its clock goes first.
      */
-    private boolean releaseOne() {
+    private boolean enqueueEarliestWaiting() {
       int earliest = -1;
       for (int p = 0; p < processes.size(); p++) {
-        if (!ended(p) && (earliest < 0 || nextMicros(p) < nextMicros(earliest))) {
+        if (!isExhausted(p) && (earliest < 0 || nextMicros(p) < nextMicros(earliest))) {
           earliest = p;
         }
       }
@@ -166,36 +167,36 @@
     }
 
     private void enqueue(int process) {
-      queued[process] = true;
+      isQueued[process] = true;
       ready.add(process);
     }
 
-    private boolean ended(int process) {
-      return position[process] >= processes.get(process).events().size();
+    private boolean isExhausted(int process) {
+      return nextIndex[process] >= processes.get(process).events().size();
     }
 
-    private Entry place(int process) {
-      Event event = processes.get(process).events().get(position[process]);
-      Offset offset = offsets.get(process);
+    private Entry takeNext(int process) {
+      Event event = processes.get(process).events().get(nextIndex[process]);
+      ClockOffset offset = offsets.get(process);
       Entry entry =
           new Entry(
               process,
-              processes.get(process).process(),
+              processes.get(process).vm(),
               nextMicros(process),
-              offset.uncertainty(),
+              offset.uncertaintyMicros(),
               event);
-      latest[process] = entry.micros();
-      placed.put(key(process, position[process]), entry);
-      position[process]++;
+      latestMicros[process] = entry.micros();
+      mergedEntries.put(eventKey(process, nextIndex[process]), entry);
+      nextIndex[process]++;
       return entry;
     }
 
     private long nextMicros(int process) {
-      Event event = processes.get(process).events().get(position[process]);
-      long micros = event.wallMicros() - offsets.get(process).middle();
-      micros = Math.max(micros, latest[process]);
-      for (Message message : arrivingNext(process)) {
-        Entry sent = placed.get(key(message.from(), message.sent()));
+      Event event = processes.get(process).events().get(nextIndex[process]);
+      long micros = event.wallMicros() - offsets.get(process).midpointMicros();
+      micros = Math.max(micros, latestMicros[process]);
+      for (Message message : messagesReceivedNext(process)) {
+        Entry sent = mergedEntries.get(eventKey(message.sender(), message.sendIndex()));
         if (sent != null) {
           micros = Math.max(micros, sent.micros());
         }
@@ -203,23 +204,23 @@
       return micros;
     }
 
-    private List<Message> arrivingNext(int process) {
-      return arriving.getOrDefault(key(process, position[process]), List.of());
+    private List<Message> messagesReceivedNext(int process) {
+      return messagesByReceipt.getOrDefault(eventKey(process, nextIndex[process]), List.of());
     }
 
-    private List<Arrow> arrows() {
-      List<Arrow> arrows = new ArrayList<>();
+    private List<MessageArrow> messageArrows() {
+      List<MessageArrow> arrows = new ArrayList<>();
       for (Message message : messages) {
-        Entry from = placed.get(key(message.from(), message.sent()));
-        Entry to = placed.get(key(message.to(), message.received()));
+        Entry from = mergedEntries.get(eventKey(message.sender(), message.sendIndex()));
+        Entry to = mergedEntries.get(eventKey(message.receiver(), message.receiveIndex()));
         if (from != null && to != null) {
-          arrows.add(new Arrow(from, to));
+          arrows.add(new MessageArrow(from, to));
         }
       }
       return arrows;
     }
 
-    private static long key(int process, int event) {
+    private static long eventKey(int process, int event) {
       return (long) process << 32 | event;
     }
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineHtml.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineHtml.java
@@ -8,21 +8,21 @@
 
 /** Page with a picture of a time line: a lane for each process, arrows for messages. */
 final class TimeLineHtml {
-  private static final int MOST_DRAWN = 2_000;
+  private static final int MAX_DRAWN_EVENTS = 2_000;
   private static final int LANE_HEIGHT = 64;
   private static final int LABEL_WIDTH = 190;
   private static final int WIDTH = 1_400;
   private static final int TOP = 30;
 
   /** More names than this would cover one another. */
-  private static final int MOST_NAMED = 60;
+  private static final int MAX_LABELLED_EVENTS = 60;
 
-  private static final int LONGEST_LANE_NAME = 30;
-  private static final int[] NAME_OFFSETS = {-8, 16, -18, 26};
+  private static final int MAX_LANE_NAME_LENGTH = 30;
+  private static final int[] LABEL_OFFSETS = {-8, 16, -18, 26};
 
   private final TimeLine line;
   private final List<TimeLine.Entry> entries;
-  private final List<TimeLine.Entry> drawn;
+  private final List<TimeLine.Entry> drawnEntries;
 
   /** Processes that have a drawn event, in the order of their lanes. */
   private final List<Integer> lanes;
@@ -32,21 +32,21 @@
   private TimeLineHtml(TimeLine line, Predicate<Event> filter) {
     this.line = line;
     this.entries = line.entries(filter);
-    this.drawn = entries.subList(0, Math.min(MOST_DRAWN, entries.size()));
-    this.lanes = drawn.stream().map(TimeLine.Entry::process).distinct().sorted().toList();
+    this.drawnEntries = entries.subList(0, Math.min(MAX_DRAWN_EVENTS, entries.size()));
+    this.lanes = drawnEntries.stream().map(TimeLine.Entry::process).distinct().sorted().toList();
   }
 
   static String write(TimeLine line, Predicate<Event> filter) {
     TimeLineHtml page = new TimeLineHtml(line, filter);
-    page.head();
-    if (!page.drawn.isEmpty()) {
-      page.picture(filter);
+    page.appendHead();
+    if (!page.drawnEntries.isEmpty()) {
+      page.appendDiagram(filter);
     }
-    page.table(!page.drawn.isEmpty());
+    page.appendTable(!page.drawnEntries.isEmpty());
     return page.html.append("</body></html>\n").toString();
   }
 
-  private void head() {
+  private void appendHead() {
     html.append("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\">")
         .append("<title>sageladder time line</title><style>")
         .append("body{font:14px sans-serif;margin:1em}table{border-collapse:collapse}")
@@ -54,26 +54,26 @@
         .append("td.n{font-family:monospace;white-space:nowrap}svg{border:1px solid #ccc}")
         .append("</style></head><body><h1>Time line</h1><ul>");
     for (int p = 0; p < line.processes().size(); p++) {
-      html.append("<li>").append(escape(TimeLineText.processLine(line, p))).append("</li>");
+      html.append("<li>").append(escape(TimeLineText.formatProcess(line, p))).append("</li>");
     }
     html.append("</ul>");
-    if (line.lost() > 0) {
+    if (line.lostCount() > 0) {
       html.append("<p><strong>")
-          .append(line.lost())
+          .append(line.lostCount())
           .append(" events were lost: they had given way before they were fetched.</strong></p>");
     }
-    if (drawn.size() < entries.size()) {
+    if (drawnEntries.size() < entries.size()) {
       html.append("<p>The picture shows the first ")
-          .append(drawn.size())
+          .append(drawnEntries.size())
           .append(" of ")
           .append(entries.size())
           .append(" events; the table shows all.</p>");
     }
   }
 
-  private void picture(Predicate<Event> filter) {
+  private void appendDiagram(Predicate<Event> filter) {
     int height = TOP + LANE_HEIGHT * lanes.size() + 20;
-    legend();
+    appendLegend();
     html.append(
         String.format(
             Locale.ROOT,
@@ -91,39 +91,39 @@
               "<text x=\"6\" y=\"%d\" font-size=\"12\">%s</text>"
                   + "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#ddd\"/>",
               laneY(p) + 4,
-              escape(shortened(line.processes().get(p).process())),
+              escape(truncateStart(line.processes().get(p).vm())),
               LABEL_WIDTH,
               laneY(p),
               WIDTH - 10,
               laneY(p)));
     }
-    axis(height);
-    arrows(filter);
-    for (int i = 0; i < drawn.size(); i++) {
-      mark(drawn.get(i));
-      if (drawn.size() <= MOST_NAMED) {
-        name(drawn.get(i), i);
+    appendAxis(height);
+    appendArrows(filter);
+    for (int i = 0; i < drawnEntries.size(); i++) {
+      appendEvent(drawnEntries.get(i));
+      if (drawnEntries.size() <= MAX_LABELLED_EVENTS) {
+        appendLabel(drawnEntries.get(i), i);
       }
     }
     html.append("</svg>");
   }
 
   /** What the reader has to know of the picture. */
-  private void legend() {
+  private void appendLegend() {
     html.append("<p>The picture starts at ")
-        .append(TimeLineText.clock(drawn.get(0).micros()))
+        .append(TimeLineText.formatClock(drawnEntries.get(0).micros()))
         .append(" UTC. Each lane is a process (those without an event here are left out), each dot")
         .append(" an event; the pale bar around it is how far its true time may be, an arrow a")
         .append(" message. Point at a dot for its text. Colours: ");
-    dot(EventKind.REFUSED, "refused, failed or lost");
-    dot(EventKind.RETRIED, "retried, cancelled, leaving or silent");
-    dot(EventKind.CONTRACT_IN_FORCE, "contract, view or duty changed");
-    dot(EventKind.ANSWERED, "answered");
-    dot(EventKind.RECEIVED, "all else");
+    appendLegendEntry(EventKind.REFUSED, "refused, failed or lost");
+    appendLegendEntry(EventKind.RETRIED, "retried, cancelled, leaving or silent");
+    appendLegendEntry(EventKind.CONTRACT_IN_FORCE, "contract, view or duty changed");
+    appendLegendEntry(EventKind.ANSWERED, "answered");
+    appendLegendEntry(EventKind.RECEIVED, "all else");
     html.append("</p>");
   }
 
-  private void dot(EventKind kind, String meaning) {
+  private void appendLegendEntry(EventKind kind, String meaning) {
     html.append("<span style=\"color:")
         .append(colour(kind))
         .append("\">&#9679;</span> ")
@@ -131,13 +131,13 @@
         .append("&ensp;");
   }
 
-  private static String shortened(String name) {
-    int excess = name.length() - LONGEST_LANE_NAME;
+  private static String truncateStart(String name) {
+    int excess = name.length() - MAX_LANE_NAME_LENGTH;
     return excess <= 0 ? name : "..." + name.substring(excess + 3);
   }
 
-  private void axis(int height) {
-    long span = span();
+  private void appendAxis(int height) {
+    long span = spanMicros();
     for (int tick = 0; tick <= 5; tick++) {
       double x = LABEL_WIDTH + tick * (WIDTH - LABEL_WIDTH - 20) / 5.0;
       html.append(
@@ -153,9 +153,9 @@
     }
   }
 
-  private void arrows(Predicate<Event> filter) {
-    long last = drawn.get(drawn.size() - 1).micros();
-    for (TimeLine.Arrow arrow : line.arrows(filter)) {
+  private void appendArrows(Predicate<Event> filter) {
+    long last = drawnEntries.get(drawnEntries.size() - 1).micros();
+    for (TimeLine.MessageArrow arrow : line.messageArrows(filter)) {
       if (arrow.to().micros() > last) {
         continue;
       }
@@ -171,7 +171,7 @@
     }
   }
 
-  private void mark(TimeLine.Entry entry) {
+  private void appendEvent(TimeLine.Entry entry) {
     double spread = entry.uncertainty() * pixelsPerMicro();
     html.append(
         String.format(
@@ -179,7 +179,7 @@
             "<g><title>%s</title><line x1=\"%.1f\" y1=\"%d\" x2=\"%.1f\" y2=\"%d\" stroke=\"%s\""
                 + " stroke-opacity=\"0.3\" stroke-width=\"5\"/>"
                 + "<circle cx=\"%.1f\" cy=\"%d\" r=\"5\" fill=\"%s\"/></g>",
-            escape(TimeLineText.entryLine(entry)),
+            escape(TimeLineText.formatEntry(entry)),
             x(entry) - spread,
             laneY(entry.process()),
             x(entry) + spread,
@@ -191,19 +191,19 @@
   }
 
   /** Writes the kind beside the dot, in turn above and below it. */
-  private void name(TimeLine.Entry entry, int number) {
+  private void appendLabel(TimeLine.Entry entry, int number) {
     boolean atEnd = x(entry) > WIDTH - LABEL_WIDTH;
     html.append(
         String.format(
             Locale.ROOT,
             "<text x=\"%.1f\" y=\"%d\" font-size=\"9\" fill=\"#444\" text-anchor=\"%s\">%s</text>",
             x(entry),
-            laneY(entry.process()) + NAME_OFFSETS[number % NAME_OFFSETS.length],
+            laneY(entry.process()) + LABEL_OFFSETS[number % LABEL_OFFSETS.length],
             atEnd ? "end" : "start",
             entry.event().kind()));
   }
 
-  private void table(boolean any) {
+  private void appendTable(boolean any) {
     if (!any) {
       html.append("<p>No event passes the filter.</p>");
       return;
@@ -213,7 +213,7 @@
     for (TimeLine.Entry entry : entries) {
       Event event = entry.event();
       html.append("<tr><td class=\"n\">")
-          .append(TimeLineText.clock(entry.micros()))
+          .append(TimeLineText.formatClock(entry.micros()))
           .append("</td><td class=\"n\">")
           .append(String.format(Locale.ROOT, "%.3f", entry.uncertainty() / 1e3));
       for (String cell :
@@ -232,15 +232,16 @@
   }
 
   private double x(TimeLine.Entry entry) {
-    return LABEL_WIDTH + (entry.micros() - drawn.get(0).micros()) * pixelsPerMicro();
+    return LABEL_WIDTH + (entry.micros() - drawnEntries.get(0).micros()) * pixelsPerMicro();
   }
 
   private double pixelsPerMicro() {
-    return (WIDTH - LABEL_WIDTH - 20) / (double) span();
+    return (WIDTH - LABEL_WIDTH - 20) / (double) spanMicros();
   }
 
-  private long span() {
-    return Math.max(1, drawn.get(drawn.size() - 1).micros() - drawn.get(0).micros());
+  private long spanMicros() {
+    return Math.max(
+        1, drawnEntries.get(drawnEntries.size() - 1).micros() - drawnEntries.get(0).micros());
   }
 
   private int laneY(int process) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineJson.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineJson.java
@@ -27,19 +27,19 @@
     List<Source> processes = new ArrayList<>();
     for (int p = 0; p < line.processes().size(); p++) {
       ProcessEvents events = line.processes().get(p);
-      Offset offset = line.offsets().get(p);
+      ClockOffset offset = line.offsets().get(p);
       processes.add(
           new Source(
-              events.process(),
+              events.vm(),
               events.zone(),
               events.incarnation(),
-              events.lost(),
-              offset.middle(),
-              offset.uncertainty()));
+              events.lostCount(),
+              offset.midpointMicros(),
+              offset.uncertaintyMicros()));
     }
     try {
       return JSON.writerWithDefaultPrettyPrinter()
-              .writeValueAsString(new Document(line.lost(), processes, line.entries(filter)))
+              .writeValueAsString(new Document(line.lostCount(), processes, line.entries(filter)))
           + "\n";
     } catch (JsonProcessingException e) {
       throw new IllegalStateException("records of plain values could not be written", e);
