--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineMain.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineMain.java
@@ -20,7 +20,7 @@
 import org.sageladder.core.event.Event;
 import org.sageladder.platform.settings.ExitCode;
 import org.sageladder.platform.settings.SettingPatterns;
-import org.sageladder.tools.http.HttpCaller;
+import org.sageladder.tools.http.BlockingHttpClient;
 
 /** Entry point of {@code sageladder-timeline}. */
 public final class TimeLineMain {
@@ -62,15 +62,15 @@
 
   private static ExitCode show(CommandLine line, PrintStream out, PrintStream err)
       throws ParseException, IOException {
-    List<URI> operators = addresses(line.getOptionValue("operators"));
-    TimeLineFormat format = format(line.getOptionValue("format", "text"));
+    List<URI> operators = parseAddresses(line.getOptionValue("operators"));
+    TimeLineFormat format = parseFormat(line.getOptionValue("format", "text"));
     Predicate<Event> filter =
         EventFilter.of(
             line.getOptionValue("request"),
             line.getOptionValue("contract"),
             line.getOptionValue("target"),
-            revision(line.getOptionValue("revision")));
-    List<ProcessEvents> fetched = fetch(operators, err);
+            parseRevision(line.getOptionValue("revision")));
+    List<ProcessEvents> fetched = fetchAll(operators, err);
     if (fetched.isEmpty()) {
       err.println("no process answered");
       return ExitCode.UNAVAILABLE;
@@ -86,9 +86,9 @@
   }
 
   /** What each process has; those that do not answer are named on {@code err} and left out. */
-  public static List<ProcessEvents> fetch(List<URI> operators, PrintStream err) {
+  public static List<ProcessEvents> fetchAll(List<URI> operators, PrintStream err) {
     List<ProcessEvents> fetched = new ArrayList<>();
-    try (HttpCaller caller = HttpCaller.withTimeout(CALL_TIMEOUT)) {
+    try (BlockingHttpClient caller = BlockingHttpClient.withTimeout(CALL_TIMEOUT)) {
       for (URI uri : operators) {
         try {
           fetched.add(EventFetcher.of(uri, caller).fetch());
@@ -105,7 +105,7 @@
    *
    * @throws ParseException where one is no address
    */
-  public static List<URI> addresses(@Nullable String text) throws ParseException {
+  public static List<URI> parseAddresses(@Nullable String text) throws ParseException {
     if (text == null) {
       throw new ParseException("no process to ask; give --operators IP:PORT[,IP:PORT...]");
     }
@@ -123,7 +123,7 @@
     return uris;
   }
 
-  private static TimeLineFormat format(String name) throws ParseException {
+  private static TimeLineFormat parseFormat(String name) throws ParseException {
     return switch (name) {
       case "text" -> TimeLineFormat.text();
       case "json" -> TimeLineFormat.json();
@@ -137,7 +137,7 @@
     };
   }
 
-  private static @Nullable Long revision(@Nullable String text) throws ParseException {
+  private static @Nullable Long parseRevision(@Nullable String text) throws ParseException {
     if (text == null) {
       return null;
     }
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/ChecksTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/ChecksTest.java
@@ -12,9 +12,9 @@
 import java.util.function.LongUnaryOperator;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.sageladder.tools.load.Ending.What;
 import org.sageladder.tools.load.Experiment.Fault;
 import org.sageladder.tools.load.Experiment.FaultKind;
+import org.sageladder.tools.load.RequestResult.Outcome;
 import org.sageladder.tools.load.TargetView.Reading;
 
 class ChecksTest {
@@ -39,7 +39,7 @@
 
   @Test
   void bothExperimentsAreRead() throws Exception {
-    assertEquals(Duration.ofSeconds(28), experiment.length());
+    assertEquals(Duration.ofSeconds(28), experiment.duration());
     Experiment other = Experiment.read(Path.of("..", "experiments", "kalnins-dauge.yaml"));
     assertEquals(5, other.faults().size());
   }
@@ -55,18 +55,20 @@
 
   @Test
   void secondRunOfADonationFailsTheVerdict() {
-    Ending ending = ending(DONATION, false, What.WHOLE, 10);
+    RequestResult ending = ending(DONATION, false, Outcome.WHOLE, 10);
 
-    VariantResult twice = result(List.of(ending), steady(1), Map.of(ending.arrival().key(), 2));
+    VariantResult twice =
+        result(List.of(ending), steady(1), Map.of(ending.arrival().requestId(), 2));
 
     assertTrue(failed(twice).contains("what must not repeat runs at most once"));
   }
 
   @Test
   void refusalOfWhatHadRunFailsTheVerdict() {
-    Ending ending = ending(SEARCH, true, What.NOT_RUN, 10);
+    RequestResult ending = ending(SEARCH, true, Outcome.NOT_RUN, 10);
 
-    VariantResult untrue = result(List.of(ending), steady(1), Map.of(ending.arrival().key(), 1));
+    VariantResult untrue =
+        result(List.of(ending), steady(1), Map.of(ending.arrival().requestId(), 1));
 
     assertTrue(failed(untrue).contains("what callers are told was not run was not run"));
   }
@@ -74,7 +76,7 @@
   @Test
   void answerToAnotherRequestFailsTheVerdict() {
     VariantResult wrong =
-        result(List.of(ending(SEARCH, true, What.WRONG, 10)), steady(1), Map.of());
+        result(List.of(ending(SEARCH, true, Outcome.WRONG, 10)), steady(1), Map.of());
 
     assertTrue(failed(wrong).contains("each caller gets the whole answer to its own request"));
   }
@@ -103,8 +105,8 @@
   void newWorkOnALeavingTargetFailsTheVerdict() {
     Fault fault =
         new Fault(Duration.ofSeconds(2), FaultKind.DRAIN_TARGET, "", "", Duration.ZERO, 1);
-    List<FaultSchedule.Injected> drained =
-        List.of(new FaultSchedule.Injected(fault, 2_000_000_000L, "t", true, -1));
+    List<FaultSchedule.InjectedFault> drained =
+        List.of(new FaultSchedule.InjectedFault(fault, 2_000_000_000L, "t", true, -1));
 
     VariantResult goesOn = result(List.of(), step -> step, 1, Map.of(), drained);
     VariantResult stops = result(List.of(), step -> Math.min(step, 30), 0, Map.of(), drained);
@@ -127,21 +129,21 @@
   }
 
   private VariantResult result(
-      List<Ending> endings, LongUnaryOperator started, Map<String, Integer> executions) {
+      List<RequestResult> endings, LongUnaryOperator started, Map<String, Integer> executions) {
     return result(endings, started, 1, executions, List.of());
   }
 
-  private VariantResult result(List<Ending> endings, LongUnaryOperator started) {
+  private VariantResult result(List<RequestResult> endings, LongUnaryOperator started) {
     return result(endings, started, Map.of());
   }
 
   /** A run of 20 s with one search target, read every 100 ms. */
   private VariantResult result(
-      List<Ending> endings,
+      List<RequestResult> endings,
       LongUnaryOperator started,
       int busy,
       Map<String, Integer> executions,
-      List<FaultSchedule.Injected> injected) {
+      List<FaultSchedule.InjectedFault> injected) {
     List<Long> at = new ArrayList<>();
     List<List<Reading>> readings = new ArrayList<>();
     for (long step = 0; step < 200; step++) {
@@ -153,10 +155,11 @@
         "sageladder", experiment, endings, samples, injected, executions, List.of(), 0);
   }
 
-  private static Ending ending(String service, boolean repeatable, What what, long millis) {
+  private static RequestResult ending(
+      String service, boolean repeatable, Outcome what, long millis) {
     Arrival arrival =
         new Arrival(0, "k-1", service, repeatable, "tallinn", 1, Duration.ofSeconds(1), 16);
-    return new Ending(arrival, millis * 1_000_000, what, "OK", "t", 1);
+    return new RequestResult(arrival, millis * 1_000_000, what, "OK", "t", 1);
   }
 
   record FixedTarget() implements TargetView {
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/DisabledCapTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/DisabledCapTest.java
@@ -45,20 +45,20 @@
     List<CheckResult> inForce = surge(experiment, experiment.contract());
     List<CheckResult> disabled =
         new DisabledCapTest()
-            .surge(experiment, LoadMain.disabled("caps").apply(experiment.contract()));
+            .surge(experiment, LoadMain.contractChange("caps").apply(experiment.contract()));
 
     assertTrue(holds(inForce, "target"), inForce::toString);
     assertTrue(holds(inForce, "region"), inForce::toString);
     assertFalse(holds(disabled, "target"), disabled::toString);
     assertFalse(holds(disabled, "region"), disabled::toString);
-    assertFalse(Report.holds(disabled));
+    assertFalse(Report.allHold(disabled));
   }
 
   @Test
   void disablingNothingChangesNothing() throws Exception {
     Contract contract = withoutFaults().contract();
 
-    assertEquals(contract, LoadMain.disabled("nothing").apply(contract));
+    assertEquals(contract, LoadMain.contractChange("nothing").apply(contract));
   }
 
   private static Experiment withoutFaults() throws Exception {
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/OpenLoopTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/OpenLoopTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
-import org.sageladder.tools.load.Ending.What;
+import org.sageladder.tools.load.RequestResult.Outcome;
 
 class OpenLoopTest {
   // Story: a system hangs for a while and the report shows a fine 99th percentile. Cause: a sender
@@ -20,15 +20,15 @@
     CountDownLatch othersCame = new CountDownLatch(count - 1);
     Sender sender =
         arrival -> {
-          if (arrival.key().equals("k-0")) {
+          if (arrival.requestId().equals("k-0")) {
             awaitQuietly(othersCame);
           } else {
             othersCame.countDown();
           }
-          return new Sender.Outcome(What.WHOLE, "OK", "", 1);
+          return new Sender.SendResult(Outcome.WHOLE, "OK", "", 1);
         };
 
-    List<Ending> endings = new OpenLoop().run(arrivals(count), sender, System.nanoTime());
+    List<RequestResult> endings = new OpenLoop().run(arrivals(count), sender, System.nanoTime());
 
     assertEquals(count, endings.size());
     assertEquals(0, othersCame.getCount());
@@ -36,10 +36,10 @@
 
   @Test
   void latencyCountsFromWhenARequestWasDue() throws Exception {
-    Sender sender = arrival -> new Sender.Outcome(What.WHOLE, "OK", "", 1);
+    Sender sender = arrival -> new Sender.SendResult(Outcome.WHOLE, "OK", "", 1);
     long overdue = System.nanoTime() - Duration.ofSeconds(3).toNanos();
 
-    List<Ending> endings = new OpenLoop().run(arrivals(1), sender, overdue);
+    List<RequestResult> endings = new OpenLoop().run(arrivals(1), sender, overdue);
 
     assertTrue(endings.get(0).latencyNanos() >= Duration.ofSeconds(3).toNanos());
   }
@@ -51,9 +51,11 @@
           throw new IllegalStateException("broken");
         };
 
-    List<Ending> endings = new OpenLoop().run(arrivals(2), sender, System.nanoTime());
+    List<RequestResult> endings = new OpenLoop().run(arrivals(2), sender, System.nanoTime());
 
-    assertEquals(List.of(What.UNKNOWN, What.UNKNOWN), endings.stream().map(Ending::what).toList());
+    assertEquals(
+        List.of(Outcome.UNKNOWN, Outcome.UNKNOWN),
+        endings.stream().map(RequestResult::outcome).toList());
   }
 
   private static void awaitQuietly(CountDownLatch latch) {
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/RemoteSystemTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/RemoteSystemTest.java
@@ -24,7 +24,7 @@
 import org.sageladder.standin.target.ServiceTime;
 import org.sageladder.standin.target.TargetOptions;
 import org.sageladder.standin.target.TargetServer;
-import org.sageladder.tools.http.HttpCaller;
+import org.sageladder.tools.http.BlockingHttpClient;
 import org.sageladder.tools.load.Experiment.Fault;
 import org.sageladder.tools.load.Experiment.FaultKind;
 
@@ -32,7 +32,7 @@
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
   @TempDir Path directory;
-  private final HttpCaller caller = HttpCaller.withTimeout(TIMEOUT);
+  private final BlockingHttpClient caller = BlockingHttpClient.withTimeout(TIMEOUT);
   private TargetServer target;
   private StoreServer store;
 
@@ -118,8 +118,8 @@
             + target.address()
             + "\"}\n");
     Contract contract = Experiment.read(Path.of("..", "experiments", "kannelkoda.yaml")).contract();
-    RemoteSystem.Place place =
-        new RemoteSystem.Place(List.of("127.0.0.1:1"), List.of(), targets, knownStore);
+    RemoteSystem.Endpoints place =
+        new RemoteSystem.Endpoints(List.of("127.0.0.1:1"), List.of(), targets, knownStore);
     return RemoteSystem.provider(place).start(contract, 1, TIMEOUT);
   }
 
--- a/sageladder-tools/src/test/java/org/sageladder/tools/timeline/TimeLineTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/timeline/TimeLineTest.java
@@ -16,13 +16,13 @@
     ProcessEvents edge =
         process(
             "edge",
-            new Offset(-3_000, 3_000),
+            new ClockOffset(-3_000, 3_000),
             event(1, 100_000, EventKind.FORWARDED, "r", "gate"),
             event(2, 112_000, EventKind.ANSWERED, "r", "gate"));
     ProcessEvents gate =
         process(
             "gate",
-            new Offset(-90_000, 10_000),
+            new ClockOffset(-90_000, 10_000),
             event(1, 62_000, EventKind.RECEIVED, "r", "", "edge"),
             event(2, 70_000, EventKind.ANSWERED, "r", "t-1"));
 
@@ -30,7 +30,7 @@
 
     assertEquals(
         List.of("edge FORWARDED", "gate RECEIVED", "gate ANSWERED", "edge ANSWERED"), order(line));
-    assertEquals(2, line.arrows(EventFilter.all()).size());
+    assertEquals(2, line.messageArrows(EventFilter.all()).size());
   }
 
   @Test
@@ -38,20 +38,20 @@
     ProcessEvents edge =
         process(
             "edge",
-            new Offset(0, 0),
+            new ClockOffset(0, 0),
             event(1, 100_000, EventKind.FORWARDED, "r", "gate"),
             event(2, 112_000, EventKind.ANSWERED, "r", "gate"));
     ProcessEvents gate =
         process(
             "gate",
-            new Offset(-90_000, 10_000),
+            new ClockOffset(-90_000, 10_000),
             event(1, 62_000, EventKind.RECEIVED, "r", "", "edge"),
             event(2, 70_000, EventKind.ANSWERED, "r", "t-1"));
 
-    Offset clock = TimeLine.merge(List.of(edge, gate)).offsets().get(1);
+    ClockOffset clock = TimeLine.merge(List.of(edge, gate)).offsets().get(1);
 
-    assertEquals(new Offset(-42_000, -38_000), clock);
-    assertEquals(2_000, clock.uncertainty());
+    assertEquals(new ClockOffset(-42_000, -38_000), clock);
+    assertEquals(2_000, clock.uncertaintyMicros());
   }
 
   // Story: the line is empty for two processes though both have events. Cause: a caller used one
@@ -61,13 +61,13 @@
     ProcessEvents a =
         process(
             "a",
-            new Offset(0, 0),
+            new ClockOffset(0, 0),
             event(1, 10, EventKind.RECEIVED, "r", "", "b"),
             event(2, 20, EventKind.FORWARDED, "r", "b"));
     ProcessEvents b =
         process(
             "b",
-            new Offset(0, 0),
+            new ClockOffset(0, 0),
             event(1, 15, EventKind.RECEIVED, "r", "", "a"),
             event(2, 25, EventKind.FORWARDED, "r", "a"));
 
@@ -79,19 +79,19 @@
     ProcessEvents edge =
         process(
             "edge",
-            new Offset(0, 10),
+            new ClockOffset(0, 10),
             event(1, 100_000, EventKind.FORWARDED, "r", "gate"),
             event(2, 112_000, EventKind.ANSWERED, "r", "gate"));
     ProcessEvents gate =
         process(
             "gate",
-            new Offset(0, 10),
+            new ClockOffset(0, 10),
             event(1, 62_000, EventKind.RECEIVED, "r", "", "edge"),
             event(2, 70_000, EventKind.ANSWERED, "r", "t-1"));
 
     TimeLine line = TimeLine.merge(List.of(edge, gate));
 
-    assertEquals(new Offset(0, 10), line.offsets().get(1));
+    assertEquals(new ClockOffset(0, 10), line.offsets().get(1));
     assertEquals("gate RECEIVED", order(line).get(1));
   }
 
@@ -100,7 +100,8 @@
     Event contract =
         new Event(1, 5, EventKind.CONTRACT_IN_FORCE, "", "kannelkoda", "contracts/k", 41, "");
     ProcessEvents a =
-        process("a", new Offset(0, 0), contract, event(2, 10, EventKind.DISPATCHED, "r", "t-1"));
+        process(
+            "a", new ClockOffset(0, 0), contract, event(2, 10, EventKind.DISPATCHED, "r", "t-1"));
     TimeLine line = TimeLine.merge(List.of(a));
 
     assertEquals(1, line.entries(EventFilter.of("r", null, null, null)).size());
@@ -113,7 +114,7 @@
   void eachFormatStatesLossAndUncertaintyAndEscapesText() {
     Event hostile = new Event(1, 5, EventKind.RECEIVED, "<b>", "k", "", 0, "\"&");
     ProcessEvents a =
-        new ProcessEvents("a", 1, "z", 7, new Offset(-2_000, 2_000), List.of(hostile));
+        new ProcessEvents("a", 1, "z", 7, new ClockOffset(-2_000, 2_000), List.of(hostile));
     TimeLine line = TimeLine.merge(List.of(a));
 
     String text = TimeLineFormat.text().write(line, EventFilter.all());
@@ -126,7 +127,7 @@
     assertTrue(html.contains("<svg") && !html.contains("<b>"), html);
   }
 
-  private static ProcessEvents process(String name, Offset clock, Event... events) {
+  private static ProcessEvents process(String name, ClockOffset clock, Event... events) {
     return new ProcessEvents(name, 1, "z", 0, clock, List.of(events));
   }
 
