--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/ContractCommands.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/ContractCommands.java
@@ -29,17 +29,17 @@
   private ContractCommands() {}
 
   static ExitCode check(Invocation invocation) throws CtlException {
-    boolean good = true;
+    boolean allValid = true;
     for (String file : invocation.operands()) {
       List<ContractCheck.Problem> problems = ContractCheck.problems(readContract(file));
       if (problems.isEmpty()) {
         invocation.out().println(file + ": good");
       } else {
         printProblems(file, problems, invocation.err());
-        good = false;
+        allValid = false;
       }
     }
-    return good ? ExitCode.OK : ExitCode.BAD_CONTRACT;
+    return allValid ? ExitCode.OK : ExitCode.BAD_CONTRACT;
   }
 
   static ExitCode show(Invocation invocation) throws CtlException {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Ctl.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Ctl.java
@@ -58,17 +58,17 @@
 
   private static ExitCode run(Command command, String[] args, PrintStream out, PrintStream err) {
     try {
-      CommandLine line = new DefaultParser().parse(command.options(), args);
-      if (line.hasOption("help")) {
+      CommandLine commandLine = new DefaultParser().parse(command.options(), args);
+      if (commandLine.hasOption("help")) {
         out.print(help(command));
         return ExitCode.OK;
       }
-      int operands = line.getArgList().size();
+      int operands = commandLine.getArgList().size();
       if (operands < command.minOperands() || operands > command.maxOperands()) {
         throw Invocation.usage(
             "expected: " + synopsis(command) + ", not " + operands + " operands");
       }
-      return command.body().run(new Invocation(line, out, err));
+      return command.body().run(new Invocation(commandLine, out, err));
     } catch (ParseException e) {
       err.println(NAME + " " + command.name() + ": " + e.getMessage() + "; see --help");
       return ExitCode.USAGE;
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Invocation.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Invocation.java
@@ -15,7 +15,7 @@
 import org.sageladder.platform.store.HttpStore;
 
 /** Options and operands of one run of a command, and where its output goes. */
-record Invocation(CommandLine line, PrintStream out, PrintStream err) {
+record Invocation(CommandLine commandLine, PrintStream out, PrintStream err) {
   static final String STORE = "store";
   static final String TIMEOUT = "timeout";
   static final String AUTHOR = "author";
@@ -25,7 +25,7 @@
   private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(5);
 
   List<String> operands() {
-    return line.getArgList();
+    return commandLine.getArgList();
   }
 
   String operand(int index) {
@@ -33,7 +33,7 @@
   }
 
   @Nullable String option(String name) {
-    return line.getOptionValue(name);
+    return commandLine.getOptionValue(name);
   }
 
   Duration duration(String name, Duration defaultValue) throws CtlException {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/StatusCommand.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/StatusCommand.java
@@ -52,17 +52,18 @@
   private record StateResponse(URI uri, @Nullable JsonNode state, String error) {}
 
   static ExitCode run(Invocation invocation) throws CtlException {
-    Long wanted = wantedRevision(invocation);
-    Map<String, Long> accepted = acceptedRevisions(invocation);
-    if (LATEST.equals(invocation.option(WAIT)) && accepted.isEmpty()) {
+    Long wantedRevision = wantedRevision(invocation);
+    Map<String, Long> acceptedRevisions = acceptedRevisions(invocation);
+    if (LATEST.equals(invocation.option(WAIT)) && acceptedRevisions.isEmpty()) {
       throw Invocation.usage("--wait latest needs a store that holds a contract; give --store URI");
     }
     Duration within = invocation.duration(WITHIN, DEFAULT_WITHIN);
-    accepted.forEach(
+    acceptedRevisions.forEach(
         (customer, revision) ->
             invocation.out().println("store: " + customer + " at revision " + revision));
-    try (BlockingHttpClient caller = BlockingHttpClient.withTimeout(invocation.timeout())) {
-      StatusCommand status = new StatusCommand(invocation, caller, accepted, wanted);
+    try (BlockingHttpClient client = BlockingHttpClient.withTimeout(invocation.timeout())) {
+      StatusCommand status =
+          new StatusCommand(invocation, client, acceptedRevisions, wantedRevision);
       return invocation.option(WAIT) == null ? status.printOnce() : status.awaitInForce(within);
     }
   }
@@ -82,10 +83,10 @@
   }
 
   private ExitCode printOnce() throws CtlException {
-    List<StateResponse> answers = fetchStates(invocation.operators());
-    List<String> lagging = findLagging(answers);
-    answers.forEach(this::print);
-    printZones(answers, invocation.out());
+    List<StateResponse> responses = fetchStates(invocation.operators());
+    List<String> lagging = findLagging(responses);
+    responses.forEach(this::print);
+    printZones(responses, invocation.out());
     return lagging.isEmpty() ? ExitCode.OK : ExitCode.VERDICT_FAILED;
   }
 
@@ -93,18 +94,18 @@
     List<URI> operators = invocation.requiredOperators();
     long start = System.nanoTime();
     while (true) {
-      List<StateResponse> answers = fetchStates(operators);
-      List<String> lagging = findLagging(answers);
+      List<StateResponse> responses = fetchStates(operators);
+      List<String> lagging = findLagging(responses);
       if (lagging.isEmpty()) {
-        printZones(answers, invocation.out());
+        printZones(responses, invocation.out());
         long millis = (System.nanoTime() - start) / 1_000_000;
         invocation.out().println("in force everywhere after " + millis + " ms");
         return ExitCode.OK;
       }
       if (System.nanoTime() - start >= within.toNanos()) {
-        printZones(answers, invocation.out());
+        printZones(responses, invocation.out());
         lagging.forEach(line -> invocation.err().println("lags: " + line));
-        boolean noneAnswered = answers.stream().allMatch(answer -> answer.state() == null);
+        boolean noneAnswered = responses.stream().allMatch(response -> response.state() == null);
         return noneAnswered ? ExitCode.UNAVAILABLE : ExitCode.VERDICT_FAILED;
       }
       sleepPollInterval();
@@ -112,38 +113,38 @@
   }
 
   private List<StateResponse> fetchStates(List<URI> operators) {
-    List<StateResponse> answers = new ArrayList<>();
+    List<StateResponse> responses = new ArrayList<>();
     for (URI uri : operators) {
       try {
-        answers.add(new StateResponse(uri, json(client.get(uri.resolve("/v1/state"))), ""));
+        responses.add(new StateResponse(uri, parseJson(client.get(uri.resolve("/v1/state"))), ""));
       } catch (IOException e) {
-        answers.add(new StateResponse(uri, null, String.valueOf(e.getMessage())));
+        responses.add(new StateResponse(uri, null, String.valueOf(e.getMessage())));
       }
     }
-    return answers;
+    return responses;
   }
 
   /** A line for each entry VM asked and each zone that is behind, silent or of no known state. */
-  private List<String> findLagging(List<StateResponse> answers) {
+  private List<String> findLagging(List<StateResponse> responses) {
     List<String> lagging = new ArrayList<>();
-    for (StateResponse answer : answers) {
-      JsonNode state = answer.state();
+    for (StateResponse response : responses) {
+      JsonNode state = response.state();
       if (state == null) {
-        lagging.add(answer.uri().getAuthority() + ": no answer (" + answer.error() + ")");
+        lagging.add(response.uri().getAuthority() + ": no answer (" + response.error() + ")");
         continue;
       }
       if (state.path("revisions").isEmpty()) {
-        lagging.add(vmName(answer, state) + ": no contract in force");
+        lagging.add(vmName(response, state) + ": no contract in force");
       }
       for (Map.Entry<String, JsonNode> revision : state.path("revisions").properties()) {
         long inForce = revision.getValue().asLong();
-        long needed = requiredRevision(revision.getKey(), inForce);
-        if (inForce < needed) {
-          lagging.add(vmName(answer, state) + ": at " + inForce + ", not " + needed);
+        long required = requiredRevision(revision.getKey(), inForce);
+        if (inForce < required) {
+          lagging.add(vmName(response, state) + ": at " + inForce + ", not " + required);
         }
       }
     }
-    latestReportsByZone(answers).forEach((zone, report) -> addIfLagging(zone, report, lagging));
+    latestReportsByZone(responses).forEach((zone, report) -> addIfLagging(zone, report, lagging));
     return lagging;
   }
 
@@ -153,9 +154,9 @@
       return;
     }
     long lowest = report.path("lowestRevision").asLong();
-    long needed = requiredRevision(report.path("customer").asText(), lowest);
-    if (lowest < needed) {
-      lagging.add(formatZone(zone, report) + ", not " + needed);
+    long required = requiredRevision(report.path("customer").asText(), lowest);
+    if (lowest < required) {
+      lagging.add(formatZone(zone, report) + ", not " + required);
     }
   }
 
@@ -167,10 +168,10 @@
   }
 
   /** The latest report of each zone that any of the entry VMs asked knows of. */
-  private static Map<String, JsonNode> latestReportsByZone(List<StateResponse> answers) {
+  private static Map<String, JsonNode> latestReportsByZone(List<StateResponse> responses) {
     Map<String, JsonNode> zones = new TreeMap<>();
-    for (StateResponse answer : answers) {
-      JsonNode state = answer.state();
+    for (StateResponse response : responses) {
+      JsonNode state = response.state();
       if (state == null) {
         continue;
       }
@@ -186,12 +187,13 @@
   }
 
   private static JsonNode newerReport(JsonNode left, JsonNode right) {
-    boolean rightLater = right.path("takenAtMillis").asLong() > left.path("takenAtMillis").asLong();
-    return rightLater ? right : left;
+    boolean isRightNewer =
+        right.path("takenAtMillis").asLong() > left.path("takenAtMillis").asLong();
+    return isRightNewer ? right : left;
   }
 
-  private static void printZones(List<StateResponse> answers, PrintStream out) {
-    Map<String, JsonNode> zones = latestReportsByZone(answers);
+  private static void printZones(List<StateResponse> responses, PrintStream out) {
+    Map<String, JsonNode> zones = latestReportsByZone(responses);
     zones.values().removeIf(report -> !report.has("lowestRevision"));
     zones.forEach((zone, report) -> out.println(formatZone(zone, report)));
     zones.entrySet().stream()
@@ -222,21 +224,21 @@
     return line.toString();
   }
 
-  private void print(StateResponse answer) {
+  private void print(StateResponse response) {
     PrintStream out = invocation.out();
-    JsonNode state = answer.state();
+    JsonNode state = response.state();
     if (state == null) {
-      out.println(answer.uri().getAuthority() + ": no answer (" + answer.error() + ")");
+      out.println(response.uri().getAuthority() + ": no answer (" + response.error() + ")");
       return;
     }
-    StringBuilder line = new StringBuilder(vmName(answer, state));
+    StringBuilder line = new StringBuilder(vmName(response, state));
     line.append(": ").append(state.path("readiness").asText("?"));
     for (Map.Entry<String, JsonNode> revision : state.path("revisions").properties()) {
       long inForce = revision.getValue().asLong();
       line.append(", ").append(revision.getKey()).append(" at ").append(inForce);
-      long needed = requiredRevision(revision.getKey(), inForce);
-      if (needed != inForce) {
-        line.append(" (store has ").append(needed).append(")");
+      long required = requiredRevision(revision.getKey(), inForce);
+      if (required != inForce) {
+        line.append(" (store has ").append(required).append(")");
       }
     }
     for (Map.Entry<String, JsonNode> view : state.path("views").properties()) {
@@ -261,8 +263,8 @@
         + " waiting";
   }
 
-  private static String vmName(StateResponse answer, JsonNode state) {
-    return state.path("vm").asText(answer.uri().getAuthority());
+  private static String vmName(StateResponse response, JsonNode state) {
+    return state.path("vm").asText(response.uri().getAuthority());
   }
 
   private static Map<String, Long> acceptedRevisions(Invocation invocation) throws CtlException {
@@ -290,10 +292,10 @@
     }
   }
 
-  private static JsonNode json(BufferedHttpResponse answer) throws IOException {
-    if (answer.status() != 200) {
-      throw new IOException("status " + answer.status());
+  private static JsonNode parseJson(BufferedHttpResponse response) throws IOException {
+    if (response.status() != 200) {
+      throw new IOException("status " + response.status());
     }
-    return JSON.readTree(answer.body());
+    return JSON.readTree(response.body());
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/SystemCommands.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/SystemCommands.java
@@ -32,30 +32,34 @@
   /** Begins a planned stop of each named entry VM, one after the other, and waits for its end. */
   static ExitCode drain(Invocation invocation) throws CtlException {
     Duration wait = invocation.duration(WAIT, DEFAULT_DRAIN_WAIT);
-    try (BlockingHttpClient caller = BlockingHttpClient.withTimeout(invocation.timeout())) {
+    try (BlockingHttpClient client = BlockingHttpClient.withTimeout(invocation.timeout())) {
       for (URI uri : invocation.requiredOperators()) {
-        drain(uri, caller, wait, invocation.out());
+        drain(uri, client, wait, invocation.out());
       }
     }
     return ExitCode.OK;
   }
 
-  private static void drain(URI uri, BlockingHttpClient caller, Duration wait, PrintStream out)
+  private static void drain(URI uri, BlockingHttpClient client, Duration wait, PrintStream out)
       throws CtlException {
     long started = System.nanoTime();
     try {
-      BufferedHttpResponse answer =
-          caller.post(uri.resolve("/v1/drain"), new byte[0], ContentType.APPLICATION_JSON);
-      if (answer.status() / 100 != 2) {
+      BufferedHttpResponse response =
+          client.post(uri.resolve("/v1/drain"), new byte[0], ContentType.APPLICATION_JSON);
+      if (response.status() / 100 != 2) {
         throw new CtlException(
             ExitCode.UNAVAILABLE,
-            uri.getAuthority() + ": refused with status " + answer.status() + " " + answer.text());
+            uri.getAuthority()
+                + ": refused with status "
+                + response.status()
+                + " "
+                + response.text());
       }
     } catch (IOException e) {
       throw new CtlException(ExitCode.UNAVAILABLE, e.getMessage());
     }
     while (System.nanoTime() - started < wait.toNanos()) {
-      if (hasEnded(uri, caller)) {
+      if (hasEnded(uri, client)) {
         long millis = (System.nanoTime() - started) / 1_000_000;
         out.println(uri.getAuthority() + ": drained and stopped after " + millis + " ms");
         return;
@@ -68,9 +72,9 @@
   }
 
   /** A process that has ended refuses connections; that it was there is known from the drain. */
-  private static boolean hasEnded(URI uri, BlockingHttpClient caller) {
+  private static boolean hasEnded(URI uri, BlockingHttpClient client) {
     try {
-      caller.get(uri.resolve("/v1/state"));
+      client.get(uri.resolve("/v1/state"));
       return false;
     } catch (IOException e) {
       return true;
@@ -97,17 +101,17 @@
     if (fetched.isEmpty()) {
       throw new CtlException(ExitCode.UNAVAILABLE, "no entry VM answered");
     }
-    TimeLine line = TimeLine.merge(fetched);
-    if (line.entries(EventFilter.request(request)).isEmpty()) {
+    TimeLine timeLine = TimeLine.merge(fetched);
+    if (timeLine.entries(EventFilter.request(request)).isEmpty()) {
       throw new CtlException(
           ExitCode.NOT_FOUND,
           "no event about request '"
               + request
               + "' ("
-              + line.lostCount()
+              + timeLine.lostCount()
               + " events were lost in these processes)");
     }
-    invocation.out().print(TimeLineFormat.text().write(line, EventFilter.request(request)));
+    invocation.out().print(TimeLineFormat.text().write(timeLine, EventFilter.request(request)));
     return ExitCode.OK;
   }
 
@@ -125,10 +129,10 @@
             + encoded(invocation, SERVICE)
             + "&block="
             + encoded(invocation, BLOCK);
-    try (BlockingHttpClient caller = BlockingHttpClient.withTimeout(invocation.timeout())) {
-      BufferedHttpResponse answer = caller.get(uri.resolve(query));
-      invocation.out().println(answer.text().strip());
-      return answer.status() == 200 ? ExitCode.OK : ExitCode.NOT_FOUND;
+    try (BlockingHttpClient client = BlockingHttpClient.withTimeout(invocation.timeout())) {
+      BufferedHttpResponse response = client.get(uri.resolve(query));
+      invocation.out().println(response.text().strip());
+      return response.status() == 200 ? ExitCode.OK : ExitCode.NOT_FOUND;
     } catch (IOException e) {
       throw new CtlException(ExitCode.UNAVAILABLE, e.getMessage());
     }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Checks.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Checks.java
@@ -12,21 +12,21 @@
 
 /** Checks a variant against what must always hold and what its experiment demands. */
 final class Checks {
-  private final VariantResult result;
+  private final VariantResult variant;
   private final Limits limits;
   private final List<CheckResult> checks = new ArrayList<>();
 
-  private Checks(VariantResult result) {
-    this.result = result;
-    this.limits = result.experiment().limits();
+  private Checks(VariantResult variant) {
+    this.variant = variant;
+    this.limits = variant.experiment().limits();
   }
 
-  static List<CheckResult> of(VariantResult result) {
-    Checks checks = new Checks(result);
+  static List<CheckResult> of(VariantResult variant) {
+    Checks checks = new Checks(variant);
     checks.checkFaultsInjected();
     checks.checkWholeAnswers();
     checks.checkUnknownOutcomes();
-    if (!result.samples().targets().isEmpty()) {
+    if (!variant.samples().targets().isEmpty()) {
       checks.checkAtMostOnce();
       checks.checkNotRunOutcomes();
       checks.checkSlots();
@@ -41,8 +41,8 @@
   }
 
   private void checkFaultsInjected() {
-    long failed = result.injected().stream().filter(fault -> !fault.succeeded()).count();
-    int missing = result.experiment().faults().size() - result.injected().size();
+    long failed = variant.injected().stream().filter(fault -> !fault.succeeded()).count();
+    int missing = variant.experiment().faults().size() - variant.injected().size();
     add(
         "faults were injected",
         failed == 0 && missing == 0,
@@ -51,28 +51,28 @@
   }
 
   private void checkWholeAnswers() {
-    long wrong = result.results().stream().filter(e -> e.outcome() == Outcome.WRONG).count();
+    long wrong = variant.results().stream().filter(e -> e.outcome() == Outcome.WRONG).count();
     add("each caller gets the whole answer to its own request", wrong == 0, wrong + " wrong", "0");
   }
 
   private void checkUnknownOutcomes() {
-    long unknown = result.results().stream().filter(e -> e.outcome() == Outcome.UNKNOWN).count();
-    double share = result.results().isEmpty() ? 0 : unknown / (double) result.results().size();
+    long unknown = variant.results().stream().filter(e -> e.outcome() == Outcome.UNKNOWN).count();
+    double fraction = variant.results().isEmpty() ? 0 : unknown / (double) variant.results().size();
     add(
         "requests whose run is not known",
-        share <= limits.unknownAtMost(),
-        unknown + " (" + formatPercent(share) + ")",
+        fraction <= limits.unknownAtMost(),
+        unknown + " (" + formatPercent(fraction) + ")",
         "at most " + formatPercent(limits.unknownAtMost()));
   }
 
   private void checkAtMostOnce() {
     int repeated = 0;
     String example = "";
-    for (RequestResult ending : result.results()) {
-      int runs = result.executions().getOrDefault(ending.arrival().requestId(), 0);
-      if (!ending.arrival().repeatable() && runs > 1) {
+    for (RequestResult result : variant.results()) {
+      int runs = variant.executions().getOrDefault(result.arrival().requestId(), 0);
+      if (!result.arrival().repeatable() && runs > 1) {
         repeated++;
-        example = ", such as " + ending.arrival().requestId() + " (" + runs + " runs)";
+        example = ", such as " + result.arrival().requestId() + " (" + runs + " runs)";
       }
     }
     add(
@@ -86,14 +86,14 @@
     int ranAnyway = 0;
     int notRunCount = 0;
     String example = "";
-    for (RequestResult ending : result.results()) {
-      if (ending.outcome() != Outcome.NOT_RUN) {
+    for (RequestResult result : variant.results()) {
+      if (result.outcome() != Outcome.NOT_RUN) {
         continue;
       }
       notRunCount++;
-      if (result.executions().getOrDefault(ending.arrival().requestId(), 0) > 0) {
+      if (variant.executions().getOrDefault(result.arrival().requestId(), 0) > 0) {
         ranAnyway++;
-        example = ", such as " + ending.arrival().requestId() + " (" + ending.code() + ")";
+        example = ", such as " + result.arrival().requestId() + " (" + result.code() + ")";
       }
     }
     add(
@@ -107,7 +107,7 @@
     int maxExcess = 0;
     int readingsOverLimit = 0;
     String where = "";
-    Samples samples = result.samples();
+    Samples samples = variant.samples();
     for (int step = 0; step < samples.sampleCount(); step++) {
       for (int target = 0; target < samples.targets().size(); target++) {
         TargetView.Reading reading = samples.readings().get(step).get(target);
@@ -128,13 +128,13 @@
   }
 
   private void checkShiftCaps() {
-    ShiftCapCheck check = ShiftCapCheck.of(result);
+    ShiftCapCheck check = ShiftCapCheck.of(variant);
     checks.add(check.checkTargets());
     checks.add(check.checkRegions());
   }
 
   private void checkDrains() {
-    for (FaultSchedule.InjectedFault fault : result.injected()) {
+    for (FaultSchedule.InjectedFault fault : variant.injected()) {
       if (fault.fault().kind() == FaultKind.DRAIN_TARGET && fault.succeeded()) {
         checkDrain(fault);
       }
@@ -142,7 +142,7 @@
   }
 
   private void checkDrain(FaultSchedule.InjectedFault fault) {
-    Samples samples = result.samples();
+    Samples samples = variant.samples();
     List<Integer> chosen = samples.targetIndexes(target -> target.id().equals(fault.affected()));
     if (chosen.isEmpty()) {
       add("drain of " + fault.affected(), false, "no such target", "a target of the experiment");
@@ -186,46 +186,50 @@
   }
 
   private void checkNothingCutOff(FaultSchedule.InjectedFault fault) {
-    long cut =
-        result.results().stream()
+    long cutOffCount =
+        variant.results().stream()
             .filter(ending -> ending.target().equals(fault.affected()))
             .filter(
                 ending -> ending.outcome() != Outcome.WHOLE && ending.outcome() != Outcome.NOT_RUN)
             .count();
-    add("drain of " + fault.affected() + " cuts nothing off", cut == 0, cut + " cut off", "0");
+    add(
+        "drain of " + fault.affected() + " cuts nothing off",
+        cutOffCount == 0,
+        cutOffCount + " cut off",
+        "0");
   }
 
   private void checkContractInForce() {
     Duration limit = limits.inForceWithin();
-    for (FaultSchedule.InjectedFault fault : result.injected()) {
+    for (FaultSchedule.InjectedFault fault : variant.injected()) {
       if (fault.fault().kind() != FaultKind.CHANGE_CONTRACT || !fault.succeeded()) {
         continue;
       }
-      long nanos = fault.inForceDelayNanos();
+      long inForceDelayNanos = fault.inForceDelayNanos();
       add(
           "changed contract is in force everywhere",
-          nanos >= 0 && nanos <= limit.toNanos(),
-          nanos < 0 ? "not within 30 s" : "after " + formatMillis(nanos),
+          inForceDelayNanos >= 0 && inForceDelayNanos <= limit.toNanos(),
+          inForceDelayNanos < 0 ? "not within 30 s" : "after " + formatMillis(inForceDelayNanos),
           "within " + formatMillis(limit.toNanos()));
     }
   }
 
   private void checkService(ServiceLimit limit) {
     String service = limit.service();
-    double latency = result.latency(service).getValueAtPercentile(limit.percentile()) / 1e3;
+    double latency = variant.latency(service).getValueAtPercentile(limit.percentile()) / 1e3;
     add(
         service + ": latency at percentile " + limit.percentile(),
         latency <= limit.latencyAtMost().toNanos() / 1e6,
         String.format(Locale.ROOT, "%.1f ms", latency),
         "at most " + formatMillis(limit.latencyAtMost().toNanos()));
-    double whole = result.wholeFraction(service);
+    double whole = variant.wholeFraction(service);
     add(
         service + ": whole answers",
         whole >= limit.wholeAtLeast(),
-        formatPercent(whole) + " " + describe(result.countsByOutcome(service)),
+        formatPercent(whole) + " " + describe(variant.countsByOutcome(service)),
         "at least " + formatPercent(limit.wholeAtLeast()));
-    if (!result.samples().targets().isEmpty()) {
-      double headroom = result.minHeadroom(service);
+    if (!variant.samples().targets().isEmpty()) {
+      double headroom = variant.minHeadroom(service);
       add(
           service + ": headroom at the busiest moment",
           headroom >= limit.headroomAtLeast(),
@@ -242,8 +246,8 @@
     checks.add(new CheckResult(name, holds, measured, required));
   }
 
-  static String formatPercent(double share) {
-    return String.format(Locale.ROOT, "%.2f %%", 100 * share);
+  static String formatPercent(double fraction) {
+    return String.format(Locale.ROOT, "%.2f %%", 100 * fraction);
   }
 
   static String formatMillis(long nanos) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/DirectSender.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/DirectSender.java
@@ -124,10 +124,10 @@
       Message<HttpResponse, byte[]> message = future.get(remaining.toNanos(), TimeUnit.NANOSECONDS);
       return classify(message, request, target, attempts);
     } catch (ExecutionException e) {
-      boolean refused = e.getCause() instanceof java.net.ConnectException;
+      boolean isConnectionRefused = e.getCause() instanceof java.net.ConnectException;
       String code = e.getCause().getClass().getSimpleName();
       return new SendResult(
-          refused ? Outcome.NOT_RUN : Outcome.UNKNOWN, code, target.id(), attempts);
+          isConnectionRefused ? Outcome.NOT_RUN : Outcome.UNKNOWN, code, target.id(), attempts);
     } catch (TimeoutException e) {
       future.cancel(true);
       return new SendResult(Outcome.UNKNOWN, "DEADLINE", target.id(), attempts);
@@ -142,18 +142,18 @@
       TargetRequest request,
       TargetView target,
       int attempts) {
-    HttpResponse head = message.getHead();
-    Header refused = head.getFirstHeader("Target-Refused");
-    if (refused != null) {
+    HttpResponse response = message.getHead();
+    Header refusedHeader = response.getFirstHeader("Target-Refused");
+    if (refusedHeader != null) {
       return new SendResult(Outcome.NOT_RUN, "TARGET_REFUSED", target.id(), attempts);
     }
-    if (head.getCode() != 200) {
-      return new SendResult(Outcome.UNKNOWN, "STATUS_" + head.getCode(), target.id(), attempts);
+    if (response.getCode() != 200) {
+      return new SendResult(Outcome.UNKNOWN, "STATUS_" + response.getCode(), target.id(), attempts);
     }
-    Header checksum = head.getFirstHeader(TargetRequest.CHECKSUM_HEADER);
+    Header checksum = response.getFirstHeader(TargetRequest.CHECKSUM_HEADER);
     byte[] body = message.getBody() == null ? new byte[0] : message.getBody();
-    boolean right = checksum != null && request.isAnsweredBy(checksum.getValue(), body);
-    return new SendResult(right ? Outcome.WHOLE : Outcome.WRONG, "OK", target.id(), attempts);
+    boolean isCorrect = checksum != null && request.isAnsweredBy(checksum.getValue(), body);
+    return new SendResult(isCorrect ? Outcome.WHOLE : Outcome.WRONG, "OK", target.id(), attempts);
   }
 
   @Override
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/ExperimentRun.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/ExperimentRun.java
@@ -81,47 +81,48 @@
   }
 
   private VariantResult run(
-      String name, Contract inForce, Function<SystemUnderTest, Sender> senders)
+      String variant, Contract inForce, Function<SystemUnderTest, Sender> senders)
       throws IOException, InterruptedException {
-    return run(name, inForce, provider, senders);
+    return run(variant, inForce, provider, senders);
   }
 
   private VariantResult run(
-      String name,
+      String variant,
       Contract inForce,
-      SystemUnderTest.Provider chosen,
+      SystemUnderTest.Provider selectedProvider,
       Function<SystemUnderTest, Sender> senders)
       throws IOException, InterruptedException {
-    List<Arrival> arrivals = Arrivals.of(experiment, name.replace(' ', '-') + requestIdTag);
-    progress.accept(name + ": starting the system for " + arrivals.size() + " requests");
+    List<Arrival> arrivals = Arrivals.of(experiment, variant.replace(' ', '-') + requestIdTag);
+    progress.accept(variant + ": starting the system for " + arrivals.size() + " requests");
     try (SystemUnderTest system =
-            chosen.start(inForce, experiment.entriesPerZone(), READY_TIMEOUT);
+            selectedProvider.start(inForce, experiment.entriesPerZone(), READY_TIMEOUT);
         Sender sender = senders.apply(system)) {
-      long start = System.nanoTime() + START_DELAY.toNanos();
+      long startNanos = System.nanoTime() + START_DELAY.toNanos();
       OpenLoop loop = new OpenLoop();
-      List<RequestResult> endings;
+      List<RequestResult> results;
       List<FaultSchedule.InjectedFault> injected;
       Samples samples;
       List<ProcessEvents> events;
-      try (EventCollector watch = EventCollector.start(system.operatorAddresses());
-          Sampler sampler = Sampler.start(system.targets(), start);
+      try (EventCollector collector = EventCollector.start(system.operatorAddresses());
+          Sampler sampler = Sampler.start(system.targets(), startNanos);
           FaultSchedule faults =
-              FaultSchedule.start(experiment.faults(), system, start, progress)) {
-        Thread ticker = new Thread(() -> reportProgress(name, loop, arrivals.size()), "progress");
+              FaultSchedule.start(experiment.faults(), system, startNanos, progress)) {
+        Thread ticker =
+            new Thread(() -> reportProgress(variant, loop, arrivals.size()), "progress");
         ticker.setDaemon(true);
         ticker.start();
-        endings = loop.run(arrivals, sender, start);
+        results = loop.run(arrivals, sender, startNanos);
         ticker.interrupt();
         faults.join();
         Thread.sleep(2 * Sampler.INTERVAL.toMillis());
         injected = faults.injected();
         samples = sampler.samples();
-        events = watch.fetchEvents();
+        events = collector.fetchEvents();
       }
       return new VariantResult(
-          name,
+          variant,
           experiment,
-          endings,
+          results,
           samples,
           injected,
           sumExecutions(system.targets()),
@@ -130,12 +131,12 @@
     }
   }
 
-  private void reportProgress(String name, OpenLoop loop, int totalCount) {
+  private void reportProgress(String variant, OpenLoop loop, int totalCount) {
     try {
       while (true) {
         Thread.sleep(PROGRESS_INTERVAL_MILLIS);
         progress.accept(
-            name
+            variant
                 + ": "
                 + loop.sentCount()
                 + " of "
@@ -145,7 +146,7 @@
                 + " ended");
       }
     } catch (InterruptedException e) {
-      progress.accept(name + ": " + loop.completedCount() + " of " + totalCount + " ended");
+      progress.accept(variant + ": " + loop.completedCount() + " of " + totalCount + " ended");
     }
   }
 
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/FaultSchedule.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/FaultSchedule.java
@@ -52,9 +52,9 @@
   private void run() {
     try {
       for (Fault fault : faults) {
-        long left = startNanos + fault.at().toNanos() - System.nanoTime();
-        if (left > 0) {
-          Thread.sleep(left / 1_000_000, (int) (left % 1_000_000));
+        long remainingNanos = startNanos + fault.at().toNanos() - System.nanoTime();
+        if (remainingNanos > 0) {
+          Thread.sleep(remainingNanos / 1_000_000, (int) (remainingNanos % 1_000_000));
         }
         inject(fault);
       }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/LoadMain.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/LoadMain.java
@@ -25,7 +25,7 @@
 /** Entry point of {@code sageladder-load}. */
 public final class LoadMain {
   private static final String USAGE = "sageladder-load EXPERIMENT.yaml [options]";
-  private static final ShiftCap UNLIMITED_SHIFT = new ShiftCap(1, Duration.ofSeconds(1));
+  private static final ShiftCap NO_SHIFT_CAP = new ShiftCap(1, Duration.ofSeconds(1));
 
   private LoadMain() {}
 
@@ -38,12 +38,12 @@
   /** As {@link #main}, without ending the process. */
   public static ExitCode run(String[] args, PrintStream out, PrintStream err) {
     try {
-      CommandLine line = new DefaultParser().parse(options(), args);
-      if (line.hasOption("help") || line.getArgList().size() != 1) {
-        help(line.hasOption("help") ? out : err);
-        return line.hasOption("help") ? ExitCode.OK : ExitCode.USAGE;
+      CommandLine commandLine = new DefaultParser().parse(options(), args);
+      if (commandLine.hasOption("help") || commandLine.getArgList().size() != 1) {
+        help(commandLine.hasOption("help") ? out : err);
+        return commandLine.hasOption("help") ? ExitCode.OK : ExitCode.USAGE;
       }
-      return run(line, out);
+      return run(commandLine, out);
     } catch (ParseException e) {
       err.println("sageladder-load: " + e.getMessage() + "; see --help");
       return ExitCode.USAGE;
@@ -60,51 +60,53 @@
     }
   }
 
-  private static ExitCode run(CommandLine line, PrintStream out)
+  private static ExitCode run(CommandLine commandLine, PrintStream out)
       throws ParseException, SettingsException, IOException, InterruptedException {
-    Experiment experiment = Experiment.read(Path.of(line.getArgList().get(0)));
-    UnaryOperator<Contract> change = contractChange(line.getOptionValue("disable", "nothing"));
-    if (line.hasOption("entries") && line.hasOption("disable")) {
+    Experiment experiment = Experiment.read(Path.of(commandLine.getArgList().get(0)));
+    UnaryOperator<Contract> change =
+        contractChange(commandLine.getOptionValue("disable", "nothing"));
+    if (commandLine.hasOption("entries") && commandLine.hasOption("disable")) {
       throw new ParseException(
           "--disable changes only a system that is started here; not --entries");
     }
-    String tag = line.hasOption("entries") ? uniqueRunTag() : "";
-    ExperimentRun run = ExperimentRun.of(experiment, provider(line), tag, out::println);
+    String tag = commandLine.hasOption("entries") ? uniqueRunTag() : "";
+    ExperimentRun run = ExperimentRun.of(experiment, provider(commandLine), tag, out::println);
     List<VariantResult> variants = new ArrayList<>();
     variants.add(run.runSystem(change.apply(experiment.contract())));
-    if (!line.hasOption("no-baselines")) {
+    if (!commandLine.hasOption("no-baselines")) {
       variants.add(run.runRandomChoice());
       variants.add(run.runLocalOnly());
     }
-    if (line.hasOption("baseline-build")) {
-      variants.add(run.runOtherBuild(Path.of(line.getOptionValue("baseline-build"))));
+    if (commandLine.hasOption("baseline-build")) {
+      variants.add(run.runOtherBuild(Path.of(commandLine.getOptionValue("baseline-build"))));
     }
     List<CheckResult> checks = Checks.of(variants.get(0));
-    Path directory = Path.of(line.getOptionValue("output", "target/load/" + experiment.name()));
+    Path directory =
+        Path.of(commandLine.getOptionValue("output", "target/load/" + experiment.name()));
     Report.write(directory, variants, checks);
     out.print(Report.summary(checks));
-    boolean holds = Report.allHold(checks);
+    boolean allHold = Report.allHold(checks);
     out.println("report: " + directory.resolve("report.html"));
-    out.println(experiment.name() + ": verdict " + (holds ? "holds" : "FAILS"));
-    return holds ? ExitCode.OK : ExitCode.VERDICT_FAILED;
+    out.println(experiment.name() + ": verdict " + (allHold ? "holds" : "FAILS"));
+    return allHold ? ExitCode.OK : ExitCode.VERDICT_FAILED;
   }
 
   /**
    * Breaks the system on purpose while the checks go on by the experiment's contract, to show that
    * they can fail.
    */
-  static UnaryOperator<Contract> contractChange(String what) throws ParseException {
-    return switch (what) {
+  static UnaryOperator<Contract> contractChange(String feature) throws ParseException {
+    return switch (feature) {
       case "nothing" -> UnaryOperator.identity();
       case "caps" -> LoadMain::withoutCaps;
       default ->
-          throw new ParseException("--disable '" + what + "' is not allowed; give caps or nothing");
+          throw new ParseException(
+              "--disable '" + feature + "' is not allowed; give caps or nothing");
     };
   }
 
   private static Contract withoutCaps(Contract contract) {
-    return contract.withServices(
-        service -> service.withShiftCaps(UNLIMITED_SHIFT, UNLIMITED_SHIFT));
+    return contract.withServices(service -> service.withShiftCaps(NO_SHIFT_CAP, NO_SHIFT_CAP));
   }
 
   /**
@@ -115,17 +117,17 @@
     return "-" + Long.toString(System.currentTimeMillis() / 1_000, Character.MAX_RADIX);
   }
 
-  private static SystemUnderTest.Provider provider(CommandLine line) throws ParseException {
-    String entries = line.getOptionValue("entries");
+  private static SystemUnderTest.Provider provider(CommandLine commandLine) throws ParseException {
+    String entries = commandLine.getOptionValue("entries");
     if (entries != null) {
-      String operators = line.getOptionValue("operators");
-      String targets = line.getOptionValue("targets");
+      String operators = commandLine.getOptionValue("operators");
+      String targets = commandLine.getOptionValue("targets");
       return RemoteSystem.provider(
           new RemoteSystem.Endpoints(
               List.of(entries.split(",")),
               operators == null ? List.of() : TimeLineMain.parseAddresses(operators),
               targets == null ? null : Path.of(targets),
-              parseStoreUri(line.getOptionValue("store"))));
+              parseStoreUri(commandLine.getOptionValue("store"))));
     }
     for (SystemUnderTest.Provider provider : ServiceLoader.load(SystemUnderTest.Provider.class)) {
       return provider;
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/OpenLoop.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/OpenLoop.java
@@ -63,20 +63,20 @@
   private void send(Arrival arrival, Sender sender, long startNanos) {
     long dueNanos = startNanos + arrival.dueNanos();
     maxStartLagNanos.accumulateAndGet(System.nanoTime() - dueNanos, Math::max);
-    Sender.SendResult outcome;
+    Sender.SendResult sendResult;
     try {
-      outcome = sender.send(arrival);
+      sendResult = sender.send(arrival);
     } catch (RuntimeException e) {
-      outcome = new Sender.SendResult(RequestResult.Outcome.UNKNOWN, "SENDER_FAULT " + e, "", 1);
+      sendResult = new Sender.SendResult(RequestResult.Outcome.UNKNOWN, "SENDER_FAULT " + e, "", 1);
     }
     results.add(
         new RequestResult(
             arrival,
             System.nanoTime() - dueNanos,
-            outcome.outcome(),
-            outcome.code(),
-            outcome.target(),
-            outcome.attempts()));
+            sendResult.outcome(),
+            sendResult.code(),
+            sendResult.target(),
+            sendResult.attempts()));
   }
 
   private static void sleepUntil(long untilNanos) throws InterruptedException {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Plots.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Plots.java
@@ -136,13 +136,13 @@
   /** Each service's requests due as a dashed line and those answered whole as a full one. */
   private static Plot ratesPlot(VariantResult variant) throws IOException {
     Map<String, Map<Long, Integer>> due = new TreeMap<>();
-    Map<String, Map<Long, Integer>> whole = new TreeMap<>();
-    for (RequestResult ending : variant.results()) {
-      long step = ending.arrival().dueNanos() / BUCKET_NANOS;
-      String service = ending.arrival().service();
-      increment(due, service, step);
-      if (ending.outcome() == Outcome.WHOLE) {
-        increment(whole, service, step);
+    Map<String, Map<Long, Integer>> answered = new TreeMap<>();
+    for (RequestResult result : variant.results()) {
+      long bucket = result.arrival().dueNanos() / BUCKET_NANOS;
+      String service = result.arrival().service();
+      increment(due, service, bucket);
+      if (result.outcome() == Outcome.WHOLE) {
+        increment(answered, service, bucket);
       }
     }
     XYSeriesCollection data = new XYSeriesCollection();
@@ -151,7 +151,7 @@
             service -> {
               data.addSeries(toRateSeries(service + " due", due.get(service)));
               data.addSeries(
-                  toRateSeries(service + " whole", whole.getOrDefault(service, Map.of())));
+                  toRateSeries(service + " whole", answered.getOrDefault(service, Map.of())));
             });
     JFreeChart chart =
         ChartFactory.createXYLineChart(
@@ -178,13 +178,13 @@
   /** When requests were slow: the slowest whole answer of each step. */
   private static Plot slowestAnswersPlot(VariantResult variant) throws IOException {
     Map<String, Map<Long, Double>> maxMillis = new TreeMap<>();
-    for (RequestResult ending : variant.results()) {
-      if (ending.outcome() == Outcome.WHOLE) {
+    for (RequestResult result : variant.results()) {
+      if (result.outcome() == Outcome.WHOLE) {
         maxMillis
-            .computeIfAbsent(ending.arrival().service(), key -> new TreeMap<>())
+            .computeIfAbsent(result.arrival().service(), key -> new TreeMap<>())
             .merge(
-                ending.arrival().dueNanos() / BUCKET_NANOS,
-                Math.max(0.01, ending.latencyNanos() / 1e6),
+                result.arrival().dueNanos() / BUCKET_NANOS,
+                Math.max(0.01, result.latencyNanos() / 1e6),
                 Math::max);
       }
     }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteFaults.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteFaults.java
@@ -179,9 +179,9 @@
     requireSuccess(uri, client.put(uri, body, ContentType.APPLICATION_JSON));
   }
 
-  private static void requireSuccess(URI uri, BufferedHttpResponse answer) throws IOException {
-    if (answer.status() / 100 != 2) {
-      throw new IOException(uri + ": status " + answer.status() + ": " + answer.text());
+  private static void requireSuccess(URI uri, BufferedHttpResponse response) throws IOException {
+    if (response.status() / 100 != 2) {
+      throw new IOException(uri + ": status " + response.status() + ": " + response.text());
     }
   }
 
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteSystem.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteSystem.java
@@ -108,8 +108,8 @@
       BlockingHttpClient client,
       long startedBefore)
       implements TargetView {
-    RemoteTarget withStartedBefore(long started) {
-      return new RemoteTarget(id, service, zone, slots, address, client, started);
+    RemoteTarget withStartedBefore(long startedBefore) {
+      return new RemoteTarget(id, service, zone, slots, address, client, startedBefore);
     }
 
     @Override
@@ -131,11 +131,11 @@
     }
 
     private JsonNode fetchJson(String path) throws IOException {
-      BufferedHttpResponse answer = client.get(address.resolve(path));
-      if (answer.status() != 200) {
-        throw new IOException(address + path + ": status " + answer.status());
+      BufferedHttpResponse response = client.get(address.resolve(path));
+      if (response.status() != 200) {
+        throw new IOException(address + path + ": status " + response.status());
       }
-      return JSON.readTree(answer.body());
+      return JSON.readTree(response.body());
     }
   }
 
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Report.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Report.java
@@ -188,8 +188,8 @@
     appendRow("service", "told", "result", "requests");
     appendRow("---", "---", "---", "--:");
     Map<String, Integer> counts = new TreeMap<>();
-    for (RequestResult ending : variant.results()) {
-      String key = ending.arrival().service() + " | " + ending.outcome() + " | " + ending.code();
+    for (RequestResult result : variant.results()) {
+      String key = result.arrival().service() + " | " + result.outcome() + " | " + result.code();
       counts.merge(key, 1, Integer::sum);
     }
     counts.forEach((key, count) -> appendRow(key, String.valueOf(count)));
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/RequestsCsv.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/RequestsCsv.java
@@ -21,12 +21,12 @@
       out.write(HEADER);
       out.newLine();
       for (VariantResult variant : variants) {
-        List<RequestResult> endings =
+        List<RequestResult> results =
             variant.results().stream()
-                .sorted(Comparator.comparingLong(ending -> ending.arrival().dueNanos()))
+                .sorted(Comparator.comparingLong(result -> result.arrival().dueNanos()))
                 .toList();
-        for (RequestResult ending : endings) {
-          out.write(formatLine(variant.name(), ending));
+        for (RequestResult result : results) {
+          out.write(formatLine(variant.name(), result));
           out.newLine();
         }
       }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/ShiftCapCheck.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/ShiftCapCheck.java
@@ -18,16 +18,16 @@
 
   private static final int SLACK_REQUESTS = 2;
 
-  private final VariantResult result;
+  private final VariantResult variant;
   private final Samples samples;
 
-  private ShiftCapCheck(VariantResult result) {
-    this.result = result;
-    this.samples = result.samples();
+  private ShiftCapCheck(VariantResult variant) {
+    this.variant = variant;
+    this.samples = variant.samples();
   }
 
-  static ShiftCapCheck of(VariantResult result) {
-    return new ShiftCapCheck(result);
+  static ShiftCapCheck of(VariantResult variant) {
+    return new ShiftCapCheck(variant);
   }
 
   /** The place and moment that came closest to its cap, or went beyond it. */
@@ -54,7 +54,7 @@
 
   CheckResult checkTargets() {
     WorstCase worst = new WorstCase();
-    for (Contract.Service service : result.experiment().contract().services()) {
+    for (Contract.Service service : variant.experiment().contract().services()) {
       List<Integer> chosen =
           samples.targetIndexes(target -> target.service().equals(service.name()));
       for (int target : chosen) {
@@ -68,7 +68,7 @@
 
   CheckResult checkRegions() {
     WorstCase worst = new WorstCase();
-    Contract contract = result.experiment().contract();
+    Contract contract = variant.experiment().contract();
     for (Contract.Service service : contract.services()) {
       for (Contract.Region region : contract.regions()) {
         List<Integer> chosen =
@@ -92,16 +92,16 @@
     long[] started = samples.startedCounts(chosen);
     double allowed = cap.gainFraction() * capacity * cap.window().toNanos() / 1e9;
     double slack = SLACK_FRACTION * allowed + SLACK_REQUESTS;
-    double worst = 0;
+    double maxUsed = 0;
     for (int step = 0; step < samples.sampleCount(); step++) {
-      long end = samples.atNanos().get(step);
-      long recent = started[step] - countAtOrAfter(started, end - cap.window().toNanos());
+      long endNanos = samples.atNanos().get(step);
+      long recent = started[step] - countAtOrAfter(started, endNanos - cap.window().toNanos());
       long before =
-          countAtOrAfter(started, end - cap.window().toNanos())
-              - countTwoWindowsBefore(started, end, cap.window());
-      worst = Math.max(worst, (recent - before - slack) / allowed);
+          countAtOrAfter(started, endNanos - cap.window().toNanos())
+              - countTwoWindowsBefore(started, endNanos, cap.window());
+      maxUsed = Math.max(maxUsed, (recent - before - slack) / allowed);
     }
-    return worst;
+    return maxUsed;
   }
 
   /** The count at the first sample not earlier than {@code nanos}; 0 before the first sample. */
@@ -118,10 +118,12 @@
   }
 
   /** The count at the last sample not later than two windows before {@code end}. */
-  private long countTwoWindowsBefore(long[] started, long end, Duration window) {
-    long nanos = end - 2 * window.toNanos();
+  private long countTwoWindowsBefore(long[] started, long endNanos, Duration window) {
+    long cutoffNanos = endNanos - 2 * window.toNanos();
     long count = 0;
-    for (int step = 0; step < started.length && samples.atNanos().get(step) <= nanos; step++) {
+    for (int step = 0;
+        step < started.length && samples.atNanos().get(step) <= cutoffNanos;
+        step++) {
       count = started[step];
     }
     return count;
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/SlowRequests.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/SlowRequests.java
@@ -17,8 +17,8 @@
 
   private final Map<RequestResult, List<TimeLine.Entry>> eventsByRequest;
 
-  private SlowRequests(Map<RequestResult, List<TimeLine.Entry>> stories) {
-    this.eventsByRequest = stories;
+  private SlowRequests(Map<RequestResult, List<TimeLine.Entry>> eventsByRequest) {
+    this.eventsByRequest = eventsByRequest;
   }
 
   /**
@@ -26,7 +26,7 @@
    * whose run is not known or whose answer was wrong.
    */
   static SlowRequests of(VariantResult variant) {
-    TimeLine line = TimeLine.merge(variant.events());
+    TimeLine timeLine = TimeLine.merge(variant.events());
     List<RequestResult> chosen = new ArrayList<>();
     for (Contract.Service service : variant.experiment().contract().services()) {
       variant.results(service.name()).stream()
@@ -40,14 +40,16 @@
           .limit(MAX_PER_SERVICE)
           .forEach(chosen::add);
     }
-    Map<RequestResult, List<TimeLine.Entry>> stories = new LinkedHashMap<>();
-    chosen.forEach(ending -> stories.put(ending, new ArrayList<>()));
-    Map<String, List<TimeLine.Entry>> byId =
-        chosen.stream().collect(Collectors.toMap(e -> e.arrival().requestId(), stories::get));
-    for (TimeLine.Entry entry : line.entries(event -> byId.containsKey(event.request()))) {
-      byId.get(entry.event().request()).add(entry);
+    Map<RequestResult, List<TimeLine.Entry>> eventsByRequest = new LinkedHashMap<>();
+    chosen.forEach(ending -> eventsByRequest.put(ending, new ArrayList<>()));
+    Map<String, List<TimeLine.Entry>> eventsByRequestId =
+        chosen.stream()
+            .collect(Collectors.toMap(e -> e.arrival().requestId(), eventsByRequest::get));
+    for (TimeLine.Entry entry :
+        timeLine.entries(event -> eventsByRequestId.containsKey(event.request()))) {
+      eventsByRequestId.get(entry.event().request()).add(entry);
     }
-    return new SlowRequests(stories);
+    return new SlowRequests(eventsByRequest);
   }
 
   /** What the time line has of each; empty where no events were fetched. */
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemSender.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemSender.java
@@ -28,19 +28,19 @@
 
   @Override
   public SendResult send(Arrival arrival) {
-    TargetRequest target = TargetRequest.of(arrival);
+    TargetRequest targetRequest = TargetRequest.of(arrival);
     Request request =
         arrival.repeatable()
-            ? Request.get(customer, arrival.service(), arrival.block(), target.path())
+            ? Request.get(customer, arrival.service(), arrival.block(), targetRequest.path())
             : Request.post(
                 customer,
                 arrival.service(),
                 arrival.block(),
-                target.path(),
-                target.body(),
+                targetRequest.path(),
+                targetRequest.body(),
                 "application/octet-stream");
     return classify(
-        client.send(request.deadline(arrival.deadline()).id(arrival.requestId())), target);
+        client.send(request.deadline(arrival.deadline()).id(arrival.requestId())), targetRequest);
   }
 
   private static SendResult classify(Answer answer, TargetRequest request) {
@@ -64,9 +64,9 @@
           Outcome.UNKNOWN, "STATUS_" + whole.status(), whole.target(), whole.attemptCount());
     }
     String checksum = whole.header(TargetRequest.CHECKSUM_HEADER).orElse("");
-    boolean right = request.isAnsweredBy(checksum, whole.body());
+    boolean isCorrect = request.isAnsweredBy(checksum, whole.body());
     return new SendResult(
-        right ? Outcome.WHOLE : Outcome.WRONG, "OK", whole.target(), whole.attemptCount());
+        isCorrect ? Outcome.WHOLE : Outcome.WRONG, "OK", whole.target(), whole.attemptCount());
   }
 
   @Override
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/TargetRequest.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/TargetRequest.java
@@ -22,11 +22,11 @@
 
   /** True where the answer is to this request and every byte of it is there and right. */
   boolean isAnsweredBy(String checksum, byte[] answer) {
-    long mine = RequestChecksum.of(method, path, body);
-    if (!String.valueOf(mine).equals(checksum) || answer.length != answerBytes) {
+    long expectedChecksum = RequestChecksum.of(method, path, body);
+    if (!String.valueOf(expectedChecksum).equals(checksum) || answer.length != answerBytes) {
       return false;
     }
-    AnswerPattern.Checker checker = AnswerPattern.checker(mine);
+    AnswerPattern.Checker checker = AnswerPattern.checker(expectedChecksum);
     checker.add(ByteBuffer.wrap(answer));
     return checker.matches();
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/VariantResult.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/VariantResult.java
@@ -36,7 +36,7 @@
 
   /** Endings of one service. */
   List<RequestResult> results(String service) {
-    return results.stream().filter(ending -> ending.arrival().service().equals(service)).toList();
+    return results.stream().filter(result -> result.arrival().service().equals(service)).toList();
   }
 
   /** True where the request was due after the warm-up. */
@@ -63,7 +63,7 @@
   /** Number of endings of one service by what the caller was told. */
   Map<Outcome, Integer> countsByOutcome(String service) {
     Map<Outcome, Integer> counts = new HashMap<>();
-    results(service).forEach(ending -> counts.merge(ending.outcome(), 1, Integer::sum));
+    results(service).forEach(result -> counts.merge(result.outcome(), 1, Integer::sum));
     return counts;
   }
 
@@ -84,11 +84,11 @@
     }
     int whole = 0;
     int crossRegion = 0;
-    for (RequestResult ending : results(service)) {
-      String region = regionOfTarget.get(ending.target());
-      if (ending.outcome() == Outcome.WHOLE && region != null) {
+    for (RequestResult result : results(service)) {
+      String region = regionOfTarget.get(result.target());
+      if (result.outcome() == Outcome.WHOLE && region != null) {
         whole++;
-        crossRegion += region.equals(ending.arrival().region()) ? 0 : 1;
+        crossRegion += region.equals(result.arrival().region()) ? 0 : 1;
       }
     }
     return whole == 0 ? 0 : crossRegion / (double) whole;
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/ClockOffset.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/ClockOffset.java
@@ -34,8 +34,8 @@
 
   /** Bounds that hold where both do; where none can, {@code this}. */
   public ClockOffset intersect(ClockOffset other) {
-    long low = Math.max(minMicros, other.minMicros);
-    long high = Math.min(maxMicros, other.maxMicros);
-    return low <= high ? new ClockOffset(low, high) : this;
+    long newMin = Math.max(minMicros, other.minMicros);
+    long newMax = Math.min(maxMicros, other.maxMicros);
+    return newMin <= newMax ? new ClockOffset(newMin, newMax) : this;
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/ClockOffsetEstimator.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/ClockOffsetEstimator.java
@@ -26,9 +26,9 @@
       maxDifference[p][p] = 0;
     }
     for (int p = 0; p < collector; p++) {
-      ClockOffset clock = processes.get(p).clockOffset();
-      maxDifference[collector][p] = clock.maxMicros();
-      maxDifference[p][collector] = -clock.minMicros();
+      ClockOffset clockOffset = processes.get(p).clockOffset();
+      maxDifference[collector][p] = clockOffset.maxMicros();
+      maxDifference[p][collector] = -clockOffset.minMicros();
     }
     for (Message message : messages) {
       long sent = wallMicros(processes, message.sender(), message.sendIndex());
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/MessageMatcher.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/MessageMatcher.java
@@ -49,23 +49,24 @@
 
   private void matchSentBy(int sender) {
     List<Event> events = processes.get(sender).events();
-    for (int sent = 0; sent < events.size(); sent++) {
-      Event event = events.get(sent);
+    for (int sendIndex = 0; sendIndex < events.size(); sendIndex++) {
+      Event event = events.get(sendIndex);
       Integer receiver = processIndexes.get(event.subject());
       if (event.kind() != EventKind.FORWARDED || receiver == null || receiver == sender) {
         continue;
       }
-      List<Integer> there =
+      List<Integer> receiverIndexes =
           eventIndexesByRequest.get(receiver).getOrDefault(event.request(), List.of());
-      int received = firstReceipt(receiver, there, sender);
-      if (received < 0) {
+      int receiveIndex = firstReceipt(receiver, receiverIndexes, sender);
+      if (receiveIndex < 0) {
         continue;
       }
-      matched.add(new Message(sender, sent, receiver, received));
-      int ended = firstCompletion(receiver, there, received);
-      int back = firstAnswer(sender, eventIndexesByRequest.get(sender).get(event.request()), sent);
-      if (ended >= 0 && back >= 0) {
-        matched.add(new Message(receiver, ended, sender, back));
+      matched.add(new Message(sender, sendIndex, receiver, receiveIndex));
+      int completionIndex = firstCompletion(receiver, receiverIndexes, receiveIndex);
+      int answerIndex =
+          firstAnswer(sender, eventIndexesByRequest.get(sender).get(event.request()), sendIndex);
+      if (completionIndex >= 0 && answerIndex >= 0) {
+        matched.add(new Message(receiver, completionIndex, sender, answerIndex));
       }
     }
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineFormat.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineFormat.java
@@ -8,7 +8,7 @@
 @FunctionalInterface
 public interface TimeLineFormat {
   /** The events that pass {@code filter}, with the clocks' uncertainty and the loss stated. */
-  String write(TimeLine line, Predicate<Event> filter);
+  String write(TimeLine timeLine, Predicate<Event> filter);
 
   /** One line of text for each event. */
   static TimeLineFormat text() {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineHtml.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineHtml.java
@@ -20,7 +20,7 @@
   private static final int MAX_LANE_NAME_LENGTH = 30;
   private static final int[] LABEL_OFFSETS = {-8, 16, -18, 26};
 
-  private final TimeLine line;
+  private final TimeLine timeLine;
   private final List<TimeLine.Entry> entries;
   private final List<TimeLine.Entry> drawnEntries;
 
@@ -29,15 +29,15 @@
 
   private final StringBuilder html = new StringBuilder();
 
-  private TimeLineHtml(TimeLine line, Predicate<Event> filter) {
-    this.line = line;
-    this.entries = line.entries(filter);
+  private TimeLineHtml(TimeLine timeLine, Predicate<Event> filter) {
+    this.timeLine = timeLine;
+    this.entries = timeLine.entries(filter);
     this.drawnEntries = entries.subList(0, Math.min(MAX_DRAWN_EVENTS, entries.size()));
     this.lanes = drawnEntries.stream().map(TimeLine.Entry::process).distinct().sorted().toList();
   }
 
-  static String write(TimeLine line, Predicate<Event> filter) {
-    TimeLineHtml page = new TimeLineHtml(line, filter);
+  static String write(TimeLine timeLine, Predicate<Event> filter) {
+    TimeLineHtml page = new TimeLineHtml(timeLine, filter);
     page.appendHead();
     if (!page.drawnEntries.isEmpty()) {
       page.appendDiagram(filter);
@@ -53,13 +53,13 @@
         .append("td,th{padding:2px 8px;text-align:left;border-bottom:1px solid #ddd}")
         .append("td.n{font-family:monospace;white-space:nowrap}svg{border:1px solid #ccc}")
         .append("</style></head><body><h1>Time line</h1><ul>");
-    for (int p = 0; p < line.processes().size(); p++) {
-      html.append("<li>").append(escape(TimeLineText.formatProcess(line, p))).append("</li>");
+    for (int p = 0; p < timeLine.processes().size(); p++) {
+      html.append("<li>").append(escape(TimeLineText.formatProcess(timeLine, p))).append("</li>");
     }
     html.append("</ul>");
-    if (line.lostCount() > 0) {
+    if (timeLine.lostCount() > 0) {
       html.append("<p><strong>")
-          .append(line.lostCount())
+          .append(timeLine.lostCount())
           .append(" events were lost: they had given way before they were fetched.</strong></p>");
     }
     if (drawnEntries.size() < entries.size()) {
@@ -91,7 +91,7 @@
               "<text x=\"6\" y=\"%d\" font-size=\"12\">%s</text>"
                   + "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#ddd\"/>",
               laneY(p) + 4,
-              escape(truncateStart(line.processes().get(p).vm())),
+              escape(truncateStart(timeLine.processes().get(p).vm())),
               LABEL_WIDTH,
               laneY(p),
               WIDTH - 10,
@@ -155,7 +155,7 @@
 
   private void appendArrows(Predicate<Event> filter) {
     long last = drawnEntries.get(drawnEntries.size() - 1).micros();
-    for (TimeLine.MessageArrow arrow : line.messageArrows(filter)) {
+    for (TimeLine.MessageArrow arrow : timeLine.messageArrows(filter)) {
       if (arrow.to().micros() > last) {
         continue;
       }
@@ -203,8 +203,8 @@
             entry.event().kind()));
   }
 
-  private void appendTable(boolean any) {
-    if (!any) {
+  private void appendTable(boolean hasEvents) {
+    if (!hasEvents) {
       html.append("<p>No event passes the filter.</p>");
       return;
     }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineJson.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineJson.java
@@ -23,11 +23,11 @@
       long clockLeadMicros,
       long clockUncertaintyMicros) {}
 
-  static String write(TimeLine line, Predicate<Event> filter) {
+  static String write(TimeLine timeLine, Predicate<Event> filter) {
     List<Source> processes = new ArrayList<>();
-    for (int p = 0; p < line.processes().size(); p++) {
-      ProcessEvents events = line.processes().get(p);
-      ClockOffset offset = line.offsets().get(p);
+    for (int p = 0; p < timeLine.processes().size(); p++) {
+      ProcessEvents events = timeLine.processes().get(p);
+      ClockOffset offset = timeLine.offsets().get(p);
       processes.add(
           new Source(
               events.vm(),
@@ -39,7 +39,8 @@
     }
     try {
       return JSON.writerWithDefaultPrettyPrinter()
-              .writeValueAsString(new Document(line.lostCount(), processes, line.entries(filter)))
+              .writeValueAsString(
+                  new Document(timeLine.lostCount(), processes, timeLine.entries(filter)))
           + "\n";
     } catch (JsonProcessingException e) {
       throw new IllegalStateException("records of plain values could not be written", e);
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineMain.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineMain.java
@@ -42,15 +42,15 @@
   public static ExitCode run(String[] args, PrintStream out, PrintStream err) {
     Options options = options();
     try {
-      CommandLine line = new DefaultParser().parse(options, args);
-      if (line.hasOption("help")) {
+      CommandLine commandLine = new DefaultParser().parse(options, args);
+      if (commandLine.hasOption("help")) {
         help(options, out);
         return ExitCode.OK;
       }
-      if (!line.getArgList().isEmpty()) {
-        throw new ParseException("unexpected '" + line.getArgList().get(0) + "'");
+      if (!commandLine.getArgList().isEmpty()) {
+        throw new ParseException("unexpected '" + commandLine.getArgList().get(0) + "'");
       }
-      return show(line, out, err);
+      return printTimeLine(commandLine, out, err);
     } catch (ParseException e) {
       err.println(e.getMessage() + "; see --help");
       return ExitCode.USAGE;
@@ -60,23 +60,23 @@
     }
   }
 
-  private static ExitCode show(CommandLine line, PrintStream out, PrintStream err)
+  private static ExitCode printTimeLine(CommandLine commandLine, PrintStream out, PrintStream err)
       throws ParseException, IOException {
-    List<URI> operators = parseAddresses(line.getOptionValue("operators"));
-    TimeLineFormat format = parseFormat(line.getOptionValue("format", "text"));
+    List<URI> operators = parseAddresses(commandLine.getOptionValue("operators"));
+    TimeLineFormat format = parseFormat(commandLine.getOptionValue("format", "text"));
     Predicate<Event> filter =
         EventFilter.of(
-            line.getOptionValue("request"),
-            line.getOptionValue("contract"),
-            line.getOptionValue("target"),
-            parseRevision(line.getOptionValue("revision")));
+            commandLine.getOptionValue("request"),
+            commandLine.getOptionValue("contract"),
+            commandLine.getOptionValue("target"),
+            parseRevision(commandLine.getOptionValue("revision")));
     List<ProcessEvents> fetched = fetchAll(operators, err);
     if (fetched.isEmpty()) {
       err.println("no process answered");
       return ExitCode.UNAVAILABLE;
     }
     String text = format.write(TimeLine.merge(fetched), filter);
-    String file = line.getOptionValue("output");
+    String file = commandLine.getOptionValue("output");
     if (file == null) {
       out.print(text);
     } else {
@@ -88,10 +88,10 @@
   /** What each process has; those that do not answer are named on {@code err} and left out. */
   public static List<ProcessEvents> fetchAll(List<URI> operators, PrintStream err) {
     List<ProcessEvents> fetched = new ArrayList<>();
-    try (BlockingHttpClient caller = BlockingHttpClient.withTimeout(CALL_TIMEOUT)) {
+    try (BlockingHttpClient client = BlockingHttpClient.withTimeout(CALL_TIMEOUT)) {
       for (URI uri : operators) {
         try {
-          fetched.add(EventFetcher.of(uri, caller).fetch());
+          fetched.add(EventFetcher.of(uri, client).fetch());
         } catch (IOException e) {
           err.println("left out: " + e.getMessage());
         }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineText.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineText.java
@@ -14,21 +14,21 @@
 
   private TimeLineText() {}
 
-  static String write(TimeLine line, Predicate<Event> filter) {
+  static String write(TimeLine timeLine, Predicate<Event> filter) {
     StringBuilder text = new StringBuilder();
-    for (int p = 0; p < line.processes().size(); p++) {
-      text.append("# ").append(formatProcess(line, p)).append('\n');
+    for (int p = 0; p < timeLine.processes().size(); p++) {
+      text.append("# ").append(formatProcess(timeLine, p)).append('\n');
     }
-    for (TimeLine.Entry entry : line.entries(filter)) {
+    for (TimeLine.Entry entry : timeLine.entries(filter)) {
       text.append(formatEntry(entry)).append('\n');
     }
     return text.toString();
   }
 
   /** One process with its clock's lead and its loss. */
-  static String formatProcess(TimeLine line, int process) {
-    ProcessEvents events = line.processes().get(process);
-    ClockOffset offset = line.offsets().get(process);
+  static String formatProcess(TimeLine timeLine, int process) {
+    ProcessEvents events = timeLine.processes().get(process);
+    ClockOffset offset = timeLine.offsets().get(process);
     return String.format(
         Locale.ROOT,
         "%s (zone %s, incarnation %d): %d events, %d lost, clock %+.3f ms +-%.3f ms",
--- a/sageladder-tools/src/test/java/org/sageladder/tools/ctl/CtlTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/ctl/CtlTest.java
@@ -19,7 +19,8 @@
 import org.sageladder.standin.store.StoreServer;
 
 class CtlTest {
-  private static final String GOOD = Path.of("..", "contracts", "kannelkoda.yaml").toString();
+  private static final String VALID_CONTRACT =
+      Path.of("..", "contracts", "kannelkoda.yaml").toString();
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -43,8 +44,8 @@
   }
 
   @Test
-  void misspeltCommandIsSuggested() {
-    assertEquals(ExitCode.USAGE, run("aply", GOOD));
+  void misspeltCommandGetsASuggestion() {
+    assertEquals(ExitCode.USAGE, run("aply", VALID_CONTRACT));
     assertTrue(err().startsWith("sageladderctl: no command 'aply'; did you mean 'apply'?"), err());
   }
 
@@ -52,14 +53,14 @@
   void checkNeedsNoStoreAndNamesEachProblem(@TempDir Path directory) throws Exception {
     Path bad = changed(directory, "retryFraction: 0\n", "retryFraction: 0.2\n");
 
-    assertEquals(ExitCode.OK, run("check", GOOD));
-    assertEquals(ExitCode.BAD_CONTRACT, run("check", GOOD, bad.toString()));
+    assertEquals(ExitCode.OK, run("check", VALID_CONTRACT));
+    assertEquals(ExitCode.BAD_CONTRACT, run("check", VALID_CONTRACT, bad.toString()));
     assertTrue(err().contains("services[donation-cataloguing].retryFraction"), err());
   }
 
   @Test
-  void appliedContractIsShownDifferedAndInTheHistory(@TempDir Path directory) throws Exception {
-    assertEquals(ExitCode.OK, run("apply", GOOD, "--store", uri(), "--author", "maie"));
+  void appliedContractAppearsInDiffHistoryAndShow(@TempDir Path directory) throws Exception {
+    assertEquals(ExitCode.OK, run("apply", VALID_CONTRACT, "--store", uri(), "--author", "maie"));
     Path wider = changed(directory, "queueWait: 2s", "queueWait: 3s");
 
     assertEquals(ExitCode.VERDICT_FAILED, run("diff", wider.toString(), "--store", uri()));
@@ -77,8 +78,8 @@
   // yesterday is gone from the contract in force and nobody is told. Cause: a tool that takes
   // whatever revision stands as the one that the operator started from.
   @Test
-  void changeOfAStandingContractNeedsItsBaseRevision(@TempDir Path directory) throws Exception {
-    run("apply", GOOD, "--store", uri());
+  void changeOfAnExistingContractRequiresItsBaseRevision(@TempDir Path directory) throws Exception {
+    run("apply", VALID_CONTRACT, "--store", uri());
     Path wider = changed(directory, "queueWait: 2s", "queueWait: 3s");
 
     assertEquals(ExitCode.USAGE, run("apply", wider.toString(), "--store", uri()));
@@ -89,10 +90,10 @@
   }
 
   @Test
-  void lostAnswerOfTheStoreIsReportedAsAccepted() {
+  void changeIsReportedAsAcceptedAfterALostStoreAnswer() {
     store.setFaults(StoreFaults.none().withLoseAnswers(1));
 
-    ExitCode code = run("apply", GOOD, "--store", uri());
+    ExitCode code = run("apply", VALID_CONTRACT, "--store", uri());
 
     assertEquals(ExitCode.OK, code, err());
     assertTrue(out().contains("accepted at revision"), out());
@@ -101,10 +102,11 @@
   // Story: the store is down while an operator applies a change. Were the change queued or dropped
   // without a word, she would take it for accepted. Cause: an outage before anything was sent.
   @Test
-  void changeDuringAnOutageIsRefusedAloud() {
+  void changeDuringAnOutageFailsWithAnError() {
     store.setFaults(StoreFaults.none().withDown(true));
 
-    ExitCode code = run("apply", GOOD, "--store", uri(), "--base", "0", "--timeout", "300ms");
+    ExitCode code =
+        run("apply", VALID_CONTRACT, "--store", uri(), "--base", "0", "--timeout", "300ms");
 
     assertEquals(ExitCode.UNAVAILABLE, code, err());
     assertTrue(err().startsWith("kannelkoda: nothing was written: "), err());
@@ -115,10 +117,11 @@
   // Story: every answer of the store is lost for a while. The change took effect at the first try,
   // but the operator cannot know; she must be told so, and be able to find out once answers come.
   @Test
-  void changeWithoutAnyAnswerIsResolvedLaterByItsId() {
+  void unansweredChangeIsResolvedLaterByItsId() {
     store.setFaults(StoreFaults.none().withLoseAnswers(20));
 
-    ExitCode code = run("apply", GOOD, "--store", uri(), "--base", "0", "--timeout", "500ms");
+    ExitCode code =
+        run("apply", VALID_CONTRACT, "--store", uri(), "--base", "0", "--timeout", "500ms");
 
     assertEquals(ExitCode.OUTCOME_UNKNOWN, code, err());
     Matcher command = Pattern.compile("history kannelkoda --change ([-0-9a-f]+)").matcher(err());
@@ -132,7 +135,7 @@
   }
 
   @Test
-  void storeThatIsDownIsNamedAndNothingIsWritten() {
+  void unreachableStoreIsReported() {
     String gone = uri();
     store.close();
 
@@ -169,7 +172,7 @@
   }
 
   private static Path changed(Path directory, String good, String bad) throws Exception {
-    String yaml = Files.readString(Path.of(GOOD));
+    String yaml = Files.readString(Path.of(VALID_CONTRACT));
     return Files.writeString(directory.resolve("changed.yaml"), yaml.replace(good, bad));
   }
 }
--- a/sageladder-tools/src/test/java/org/sageladder/tools/ctl/StatusCommandTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/ctl/StatusCommandTest.java
@@ -22,7 +22,7 @@
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
   private final Map<String, Object> zones = new TreeMap<>();
-  private final AtomicInteger asked = new AtomicInteger();
+  private final AtomicInteger requestCount = new AtomicInteger();
   private Runnable beforeAnswer = () -> {};
   private JsonServer entryVm;
 
@@ -33,7 +33,7 @@
             "127.0.0.1",
             0,
             call -> {
-              asked.incrementAndGet();
+              requestCount.incrementAndGet();
               beforeAnswer.run();
               return CompletableFuture.completedFuture(Reply.json(200, state()));
             });
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void lowestRevisionIsToldByZoneWithWhoLags() {
+  void printsLowestRevisionAndLaggingVmsOfEachZone() {
     run("status", "--operators", address());
     assertTrue(out().contains("zone tartu-a: lowest revision 7 at 3 entry VMs"), out());
     assertTrue(out().contains("behind its relay: vm-4"), out());
@@ -57,7 +57,7 @@
   // Story: an operator's script waits for a change and goes on as soon as the VM it asked has it;
   // another zone still serves the old limits. Cause: asking one VM for its own revision only.
   @Test
-  void waitIsNotOverWhileAnyZoneLags() {
+  void waitContinuesWhileAnyZoneLags() {
     ExitCode code = run("status", "--operators", address(), "--wait", "7", "--within", "500ms");
     assertEquals(ExitCode.VERDICT_FAILED, code);
     assertTrue(err().contains("lags: zone tartu-b: lowest revision 5"), err());
@@ -67,20 +67,20 @@
   void waitEndsAsSoonAsAllZonesHaveTheRevision() {
     beforeAnswer =
         () -> {
-          if (asked.get() == 3) {
+          if (requestCount.get() == 3) {
             report("tartu-b", 8, 7, List.of());
           }
         };
     ExitCode code = run("status", "--operators", address(), "--wait", "7", "--within", "1m");
     assertEquals(ExitCode.OK, code, err());
-    assertEquals(3, asked.get());
+    assertEquals(3, requestCount.get());
     assertTrue(out().contains("in force everywhere after"), out());
   }
 
   // Story: a zone has just come up and its relay has not reported yet. Counting only zones that
   // have reported, the wait would end although nothing is known of that one.
   @Test
-  void zoneWithoutAReportLags() {
+  void zoneWithoutAReportCountsAsLagging() {
     zones.remove("tartu-b");
     ExitCode code = run("status", "--operators", address(), "--wait", "7", "--within", "300ms");
     assertEquals(ExitCode.VERDICT_FAILED, code);
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void waitForNobodyIsUnavailableAndBadRevisionIsUsage() {
+  void waitWithoutAnswersIsUnavailableAndBadRevisionIsUsage() {
     String gone = address();
     entryVm.close();
     assertEquals(
--- a/sageladder-tools/src/test/java/org/sageladder/tools/ctl/TraceCommandTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/ctl/TraceCommandTest.java
@@ -42,7 +42,7 @@
 
   /** A bid got 502: its target had crashed, which its entry VM noticed 80 ms later. */
   @Test
-  void showsTheRequestAndWhatItsTargetAndVmDidAboutThen(@TempDir Path directory) throws Exception {
+  void printsTheRequestWithRelatedEventsOfItsTargetAndVm(@TempDir Path directory) throws Exception {
     assertEquals(ExitCode.OK, run(directory, "r-7"));
     String text = out.toString(StandardCharsets.UTF_8);
     assertTrue(text.contains("reset by peer"), text);
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void saysThatNoVmHasReadARequestWithoutLines(@TempDir Path directory) throws Exception {
+  void requestWithoutLogLinesIsNotFound(@TempDir Path directory) throws Exception {
     assertEquals(ExitCode.NOT_FOUND, run(directory, "r-8"));
     assertTrue(out.toString(StandardCharsets.UTF_8).contains("no line of request 'r-8' among 7"));
   }
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/ChecksTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/ChecksTest.java
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void bothExperimentsAreRead() throws Exception {
+  void readsBothExperimentFiles() throws Exception {
     assertEquals(Duration.ofSeconds(28), experiment.duration());
     Experiment other = Experiment.read(Path.of("..", "experiments", "kalnins-dauge.yaml"));
     assertEquals(5, other.faults().size());
@@ -54,38 +54,39 @@
   }
 
   @Test
-  void secondRunOfADonationFailsTheVerdict() {
-    RequestResult ending = ending(DONATION, false, Outcome.WHOLE, 10);
+  void nonRepeatableRequestRunTwiceFailsTheVerdict() {
+    RequestResult result = requestResult(DONATION, false, Outcome.WHOLE, 10);
 
     VariantResult twice =
-        result(List.of(ending), steady(1), Map.of(ending.arrival().requestId(), 2));
+        variantResult(List.of(result), steady(1), Map.of(result.arrival().requestId(), 2));
 
-    assertTrue(failed(twice).contains("what must not repeat runs at most once"));
+    assertTrue(failedChecks(twice).contains("what must not repeat runs at most once"));
   }
 
   @Test
-  void refusalOfWhatHadRunFailsTheVerdict() {
-    RequestResult ending = ending(SEARCH, true, Outcome.NOT_RUN, 10);
+  void executedRequestReportedAsNotRunFailsTheVerdict() {
+    RequestResult result = requestResult(SEARCH, true, Outcome.NOT_RUN, 10);
 
     VariantResult untrue =
-        result(List.of(ending), steady(1), Map.of(ending.arrival().requestId(), 1));
+        variantResult(List.of(result), steady(1), Map.of(result.arrival().requestId(), 1));
 
-    assertTrue(failed(untrue).contains("what callers are told was not run was not run"));
+    assertTrue(failedChecks(untrue).contains("what callers are told was not run was not run"));
   }
 
   @Test
   void answerToAnotherRequestFailsTheVerdict() {
     VariantResult wrong =
-        result(List.of(ending(SEARCH, true, Outcome.WRONG, 10)), steady(1), Map.of());
+        variantResult(List.of(requestResult(SEARCH, true, Outcome.WRONG, 10)), steady(1), Map.of());
 
-    assertTrue(failed(wrong).contains("each caller gets the whole answer to its own request"));
+    assertTrue(
+        failedChecks(wrong).contains("each caller gets the whole answer to its own request"));
   }
 
   @Test
-  void workBeyondTheSlotsFailsTheVerdict() {
-    VariantResult beyond = result(List.of(), step -> step, 4, Map.of(), List.of());
+  void exceedingTheSlotsFailsTheVerdict() {
+    VariantResult beyond = variantResult(List.of(), step -> step, 4, Map.of(), List.of());
 
-    assertTrue(failed(beyond).contains("no target holds more than its slots"));
+    assertTrue(failedChecks(beyond).contains("no target holds more than its slots"));
   }
 
   // Story: a surge of searches lands on a cold region at once; its caches are empty and every
@@ -94,31 +95,34 @@
   // within.
   @Test
   void surgeBeyondTheCapFailsTheVerdictAndOneWithinItDoesNot() {
-    VariantResult surge = result(List.of(), step -> step < 100 ? step : 100 + 12 * (step - 100));
-    VariantResult slow = result(List.of(), step -> step < 100 ? step : 100 + 2 * (step - 100));
+    VariantResult surge =
+        variantResult(List.of(), step -> step < 100 ? step : 100 + 12 * (step - 100));
+    VariantResult slow =
+        variantResult(List.of(), step -> step < 100 ? step : 100 + 2 * (step - 100));
 
-    assertTrue(failed(surge).contains("shift toward a target stays under its cap"));
-    assertTrue(!failed(slow).contains("shift toward a target stays under its cap"));
+    assertTrue(failedChecks(surge).contains("shift toward a target stays under its cap"));
+    assertTrue(!failedChecks(slow).contains("shift toward a target stays under its cap"));
   }
 
   @Test
-  void newWorkOnALeavingTargetFailsTheVerdict() {
+  void newWorkOnADrainingTargetFailsTheVerdict() {
     Fault fault =
         new Fault(Duration.ofSeconds(2), FaultKind.DRAIN_TARGET, "", "", Duration.ZERO, 1);
     List<FaultSchedule.InjectedFault> drained =
         List.of(new FaultSchedule.InjectedFault(fault, 2_000_000_000L, "t", true, -1));
 
-    VariantResult goesOn = result(List.of(), step -> step, 1, Map.of(), drained);
-    VariantResult stops = result(List.of(), step -> Math.min(step, 30), 0, Map.of(), drained);
+    VariantResult goesOn = variantResult(List.of(), step -> step, 1, Map.of(), drained);
+    VariantResult stops =
+        variantResult(List.of(), step -> Math.min(step, 30), 0, Map.of(), drained);
 
-    assertTrue(failed(goesOn).contains("leaving target t gets no new work"));
-    assertTrue(failed(goesOn).contains("drain time of t"));
-    assertTrue(!failed(stops).contains("leaving target t gets no new work"));
-    assertTrue(!failed(stops).contains("drain time of t"));
+    assertTrue(failedChecks(goesOn).contains("leaving target t gets no new work"));
+    assertTrue(failedChecks(goesOn).contains("drain time of t"));
+    assertTrue(!failedChecks(stops).contains("leaving target t gets no new work"));
+    assertTrue(!failedChecks(stops).contains("drain time of t"));
   }
 
-  private static List<String> failed(VariantResult result) {
-    return Checks.of(result).stream()
+  private static List<String> failedChecks(VariantResult variant) {
+    return Checks.of(variant).stream()
         .filter(check -> !check.holds())
         .map(CheckResult::name)
         .toList();
@@ -128,18 +132,18 @@
     return step -> step * perStep;
   }
 
-  private VariantResult result(
-      List<RequestResult> endings, LongUnaryOperator started, Map<String, Integer> executions) {
-    return result(endings, started, 1, executions, List.of());
+  private VariantResult variantResult(
+      List<RequestResult> results, LongUnaryOperator started, Map<String, Integer> executions) {
+    return variantResult(results, started, 1, executions, List.of());
   }
 
-  private VariantResult result(List<RequestResult> endings, LongUnaryOperator started) {
-    return result(endings, started, Map.of());
+  private VariantResult variantResult(List<RequestResult> results, LongUnaryOperator started) {
+    return variantResult(results, started, Map.of());
   }
 
   /** A run of 20 s with one search target, read every 100 ms. */
-  private VariantResult result(
-      List<RequestResult> endings,
+  private VariantResult variantResult(
+      List<RequestResult> results,
       LongUnaryOperator started,
       int busy,
       Map<String, Integer> executions,
@@ -152,10 +156,10 @@
     }
     Samples samples = new Samples(List.of(new FixedTarget()), at, readings);
     return new VariantResult(
-        "sageladder", experiment, endings, samples, injected, executions, List.of(), 0);
+        "sageladder", experiment, results, samples, injected, executions, List.of(), 0);
   }
 
-  private static RequestResult ending(
+  private static RequestResult requestResult(
       String service, boolean repeatable, Outcome what, long millis) {
     Arrival arrival =
         new Arrival(0, "k-1", service, repeatable, "tallinn", 1, Duration.ofSeconds(1), 16);
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/DisabledCapTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/DisabledCapTest.java
@@ -74,8 +74,8 @@
         whole.limits());
   }
 
-  private static boolean holds(List<CheckResult> checks, String place) {
-    String name = "shift toward a " + place + " stays under its cap";
+  private static boolean holds(List<CheckResult> checks, String scope) {
+    String name = "shift toward a " + scope + " stays under its cap";
     return checks.stream().filter(check -> check.name().equals(name)).allMatch(CheckResult::holds);
   }
 
@@ -111,12 +111,12 @@
               if (admission instanceof Admission.Admitted admitted) {
                 started++;
                 busy++;
-                runAfter(Duration.ofMillis(serviceMillis), () -> answer(admitted));
+                runAfter(Duration.ofMillis(serviceMillis), () -> completeRequest(admitted));
               }
             });
   }
 
-  private void answer(Admission.Admitted admitted) {
+  private void completeRequest(Admission.Admitted admitted) {
     busy--;
     admitted.slot().release(Admission.Completion.ANSWERED);
   }
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/OpenLoopTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/OpenLoopTest.java
@@ -15,47 +15,47 @@
   // that waits for each answer sends nothing while the system hangs, so only one request is slow
   // (coordinated omission). Here the first request does not end before all others have been sent.
   @Test
-  void requestsAreSentThoughTheFirstOneHangs() throws Exception {
+  void sendsAllRequestsWhileTheFirstOneHangs() throws Exception {
     int count = 50;
-    CountDownLatch othersCame = new CountDownLatch(count - 1);
+    CountDownLatch othersSent = new CountDownLatch(count - 1);
     Sender sender =
         arrival -> {
           if (arrival.requestId().equals("k-0")) {
-            awaitQuietly(othersCame);
+            awaitQuietly(othersSent);
           } else {
-            othersCame.countDown();
+            othersSent.countDown();
           }
           return new Sender.SendResult(Outcome.WHOLE, "OK", "", 1);
         };
 
-    List<RequestResult> endings = new OpenLoop().run(arrivals(count), sender, System.nanoTime());
+    List<RequestResult> results = new OpenLoop().run(arrivals(count), sender, System.nanoTime());
 
-    assertEquals(count, endings.size());
-    assertEquals(0, othersCame.getCount());
+    assertEquals(count, results.size());
+    assertEquals(0, othersSent.getCount());
   }
 
   @Test
-  void latencyCountsFromWhenARequestWasDue() throws Exception {
+  void latencyIsMeasuredFromTheDueTime() throws Exception {
     Sender sender = arrival -> new Sender.SendResult(Outcome.WHOLE, "OK", "", 1);
     long overdue = System.nanoTime() - Duration.ofSeconds(3).toNanos();
 
-    List<RequestResult> endings = new OpenLoop().run(arrivals(1), sender, overdue);
+    List<RequestResult> results = new OpenLoop().run(arrivals(1), sender, overdue);
 
-    assertTrue(endings.get(0).latencyNanos() >= Duration.ofSeconds(3).toNanos());
+    assertTrue(results.get(0).latencyNanos() >= Duration.ofSeconds(3).toNanos());
   }
 
   @Test
-  void aSenderThatThrowsLosesNoRequest() throws Exception {
+  void throwingSenderStillYieldsAResultForEachRequest() throws Exception {
     Sender sender =
         arrival -> {
           throw new IllegalStateException("broken");
         };
 
-    List<RequestResult> endings = new OpenLoop().run(arrivals(2), sender, System.nanoTime());
+    List<RequestResult> results = new OpenLoop().run(arrivals(2), sender, System.nanoTime());
 
     assertEquals(
         List.of(Outcome.UNKNOWN, Outcome.UNKNOWN),
-        endings.stream().map(RequestResult::outcome).toList());
+        results.stream().map(RequestResult::outcome).toList());
   }
 
   private static void awaitQuietly(CountDownLatch latch) {
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/RemoteSystemTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/RemoteSystemTest.java
@@ -32,7 +32,7 @@
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
   @TempDir Path directory;
-  private final BlockingHttpClient caller = BlockingHttpClient.withTimeout(TIMEOUT);
+  private final BlockingHttpClient client = BlockingHttpClient.withTimeout(TIMEOUT);
   private TargetServer target;
   private StoreServer store;
 
@@ -56,7 +56,7 @@
 
   @AfterEach
   void stop() {
-    caller.close();
+    client.close();
     target.close();
     store.close();
   }
@@ -66,11 +66,11 @@
   // goes on counting.
   @Test
   void startsOfEarlierRunsDoNotCount() throws Exception {
-    work("a");
-    work("b");
-    try (SystemUnderTest system = join(store.address())) {
+    sendWork("a");
+    sendWork("b");
+    try (SystemUnderTest system = connect(store.address())) {
       assertEquals(0, system.targets().get(0).read().started());
-      work("c");
+      sendWork("c");
       assertEquals(1, system.targets().get(0).read().started());
     }
   }
@@ -79,28 +79,28 @@
   // Cause: the drain that the first one injected was never undone; and a line that only stops
   // leaving is not believed, since leaving is final within an incarnation.
   @Test
-  void drainedTargetComesBackAsALaterIncarnation() throws Exception {
-    try (SystemUnderTest system = join(store.address())) {
+  void closeRestartsADrainedTargetAsALaterIncarnation() throws Exception {
+    try (SystemUnderTest system = connect(store.address())) {
       assertEquals("t-1", system.inject(fault(FaultKind.DRAIN_TARGET)));
       assertTrue(listed().leaving());
-      assertEquals(200, work("d"), "the list alone tells of the end");
+      assertEquals(200, sendWork("d"), "the list alone tells of the end");
     }
     assertFalse(listed().leaving());
     assertEquals(2, listed().incarnation());
   }
 
   @Test
-  void brokenTargetIsMendedAtTheEnd() throws Exception {
-    try (SystemUnderTest system = join(null)) {
+  void closeClearsTheTargetsFaults() throws Exception {
+    try (SystemUnderTest system = connect(null)) {
       system.inject(fault(FaultKind.SHED_TARGET));
-      assertEquals(503, work("e"));
+      assertEquals(503, sendWork("e"));
     }
-    assertEquals(200, work("f"));
+    assertEquals(200, sendWork("f"));
   }
 
   @Test
-  void faultsOutOfReachSayWhatToDo() throws Exception {
-    try (SystemUnderTest system = join(null)) {
+  void unsupportedFaultsNameAnAlternative() throws Exception {
+    try (SystemUnderTest system = connect(null)) {
       IOException kill =
           assertThrows(IOException.class, () -> system.inject(fault(FaultKind.KILL_ENTRY)));
       assertTrue(kill.getMessage().contains("by hand"), kill.getMessage());
@@ -110,7 +110,7 @@
     }
   }
 
-  private SystemUnderTest join(@Nullable URI knownStore) throws Exception {
+  private SystemUnderTest connect(@Nullable URI storeUri) throws Exception {
     Path targets = directory.resolve("targets.yaml");
     Files.writeString(
         targets,
@@ -118,17 +118,17 @@
             + target.address()
             + "\"}\n");
     Contract contract = Experiment.read(Path.of("..", "experiments", "kannelkoda.yaml")).contract();
-    RemoteSystem.Endpoints place =
-        new RemoteSystem.Endpoints(List.of("127.0.0.1:1"), List.of(), targets, knownStore);
-    return RemoteSystem.provider(place).start(contract, 1, TIMEOUT);
+    RemoteSystem.Endpoints endpoints =
+        new RemoteSystem.Endpoints(List.of("127.0.0.1:1"), List.of(), targets, storeUri);
+    return RemoteSystem.provider(endpoints).start(contract, 1, TIMEOUT);
   }
 
   private static Fault fault(FaultKind kind) {
     return new Fault(Duration.ZERO, kind, "tallinn-1", "lyric-search", Duration.ZERO, 1);
   }
 
-  private int work(String key) throws IOException {
-    return caller.get(target.address().resolve("/songs?work=" + key)).status();
+  private int sendWork(String requestId) throws IOException {
+    return client.get(target.address().resolve("/songs?work=" + requestId)).status();
   }
 
   private ListedVm listed() throws Exception {
--- a/sageladder-tools/src/test/java/org/sageladder/tools/timeline/TimeLineTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/timeline/TimeLineTest.java
@@ -12,7 +12,7 @@
   // Story: an operator reads that the gate received a request before it was forwarded, and blames
   // the wrong VM. Cause: the gate's clock is 40 ms behind and lines were sorted by wall clock.
   @Test
-  void receiptNeverComesBeforeItsSendingWhateverTheClocksSay() {
+  void receiptIsOrderedAfterItsSendDespiteClockSkew() {
     ProcessEvents edge =
         process(
             "edge",
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void messagesNarrowTheClockOfAProcessThatAnsweredTheFetchSlowly() {
+  void messagesNarrowTheOffsetOfAProcessWithASlowFetch() {
     ProcessEvents edge =
         process(
             "edge",
@@ -48,16 +48,16 @@
             event(1, 62_000, EventKind.RECEIVED, "r", "", "edge"),
             event(2, 70_000, EventKind.ANSWERED, "r", "t-1"));
 
-    ClockOffset clock = TimeLine.merge(List.of(edge, gate)).offsets().get(1);
+    ClockOffset clockOffset = TimeLine.merge(List.of(edge, gate)).offsets().get(1);
 
-    assertEquals(new ClockOffset(-42_000, -38_000), clock);
-    assertEquals(2_000, clock.uncertaintyMicros());
+    assertEquals(new ClockOffset(-42_000, -38_000), clockOffset);
+    assertEquals(2_000, clockOffset.uncertaintyMicros());
   }
 
   // Story: the line is empty for two processes though both have events. Cause: a caller used one
   // request id twice, so that two wrongly paired messages wait for one another.
   @Test
-  void wronglyPairedMessagesHideNoEvent() {
+  void mismatchedMessagesDropNoEvent() {
     ProcessEvents a =
         process(
             "a",
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void aClockThatJumpedFallsBackToTheFetches() {
+  void clockJumpFallsBackToTheFetchBounds() {
     ProcessEvents edge =
         process(
             "edge",
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void filtersChooseByRequestContractSubjectAndRevision() {
+  void filtersSelectByRequestContractSubjectAndRevision() {
     Event contract =
         new Event(1, 5, EventKind.CONTRACT_IN_FORCE, "", "kannelkoda", "contracts/k", 41, "");
     ProcessEvents a =
@@ -127,8 +127,8 @@
     assertTrue(html.contains("<svg") && !html.contains("<b>"), html);
   }
 
-  private static ProcessEvents process(String name, ClockOffset clock, Event... events) {
-    return new ProcessEvents(name, 1, "z", 0, clock, List.of(events));
+  private static ProcessEvents process(String name, ClockOffset clockOffset, Event... events) {
+    return new ProcessEvents(name, 1, "z", 0, clockOffset, List.of(events));
   }
 
   private static Event event(
