--- a/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/AtMostOnceMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/AtMostOnceMain.java
@@ -19,14 +19,14 @@
   private static final int ENTRIES = 6;
   private static final int TARGETS = 12;
   private static final int BIDDERS = 160;
-  private static final int USUAL_REQUESTS = 8_000;
+  private static final int DEFAULT_REQUESTS = 8_000;
   private static final int FULL_REQUESTS = 100_000;
 
   private AtMostOnceMain() {}
 
   /** Takes {@code --full} for 100,000 requests instead of 8,000. */
   public static void main(String[] args) throws Exception {
-    int requests = List.of(args).contains("--full") ? FULL_REQUESTS : USUAL_REQUESTS;
+    int requestCount = List.of(args).contains("--full") ? FULL_REQUESTS : DEFAULT_REQUESTS;
     try (TestBed bed = TestBed.start(4)) {
       bed.addTargets("bids", TARGETS, ServiceTime.fixed(4), 3);
       bed.addEntries(ENTRIES);
@@ -35,35 +35,35 @@
             TargetFaults.none().withTruncateProbability(0.01).withLateAnswers(0.02, 700));
       }
       Thread.sleep(1_000);
-      Ledger ledger = new Ledger();
-      Disorder disorder = new Disorder(bed, 20_261_202);
-      Thread trouble = new Thread(disorder, "disorder");
-      trouble.start();
+      OutcomeLog outcomes = new OutcomeLog();
+      FaultInjector faults = new FaultInjector(bed, 20_261_202);
+      Thread faultThread = new Thread(faults, "disorder");
+      faultThread.start();
       long start = System.nanoTime();
-      run(bed, ledger, requests);
-      disorder.end();
-      trouble.join();
-      boolean holds = report(bed, ledger, disorder, requests, System.nanoTime() - start);
-      if (!holds) {
-        System.out.print(bed.logs());
+      run(bed, outcomes, requestCount);
+      faults.stop();
+      faultThread.join();
+      boolean hasPassed = report(bed, outcomes, faults, requestCount, System.nanoTime() - start);
+      if (!hasPassed) {
+        System.out.print(bed.logTails());
       }
-      System.exit(holds ? 0 : 1);
+      System.exit(hasPassed ? 0 : 1);
     }
   }
 
-  private static void run(TestBed bed, Ledger ledger, int requests) throws Exception {
+  private static void run(TestBed bed, OutcomeLog outcomes, int requestCount) throws Exception {
     ExecutorService bidders = Executors.newFixedThreadPool(BIDDERS);
-    ExecutorService strays = Executors.newFixedThreadPool(BIDDERS);
+    ExecutorService delayedCopies = Executors.newFixedThreadPool(BIDDERS);
     Caller caller = Caller.create();
     AtomicInteger next = new AtomicInteger();
     List<Future<?>> running = new ArrayList<>();
     for (int i = 0; i < BIDDERS; i++) {
-      Bidder bidder = new Bidder(bed, caller, ledger, strays, i);
+      Bidder bidder = new Bidder(bed, caller, outcomes, delayedCopies, i);
       running.add(
           bidders.submit(
               () -> {
-                for (int n = next.getAndIncrement(); n < requests; n = next.getAndIncrement()) {
-                  bidder.bid("w" + n);
+                for (int n = next.getAndIncrement(); n < requestCount; n = next.getAndIncrement()) {
+                  bidder.placeBid("w" + n);
                 }
                 return null;
               }));
@@ -72,8 +72,8 @@
       each.get();
     }
     bidders.shutdown();
-    strays.shutdown();
-    if (!strays.awaitTermination(30, TimeUnit.SECONDS)) {
+    delayedCopies.shutdown();
+    if (!delayedCopies.awaitTermination(30, TimeUnit.SECONDS)) {
       throw new IllegalStateException("late copies are still on their way after 30 s");
     }
     // What the last copies started must have shown itself at the targets.
@@ -81,54 +81,57 @@
   }
 
   private static boolean report(
-      TestBed bed, Ledger ledger, Disorder disorder, int requests, long nanos) {
-    long twice = 0;
-    long notRunButRan = 0;
-    long ranButDidNot = 0;
-    long withoutPermit = 0;
-    Map<String, Integer> runs = new java.util.HashMap<>();
+      TestBed bed, OutcomeLog outcomes, FaultInjector faults, int requestCount, long nanos) {
+    long executedTwice = 0;
+    long falseNotRun = 0;
+    long falseRan = 0;
+    long executedWithoutPermit = 0;
+    Map<String, Integer> executions = new java.util.HashMap<>();
     for (TargetServer target : bed.targets()) {
       for (String key : target.executions().keys()) {
-        runs.merge(key, target.executions().count(key), Integer::sum);
+        executions.merge(key, target.executions().count(key), Integer::sum);
       }
     }
-    for (Map.Entry<String, Integer> run : runs.entrySet()) {
-      twice += run.getValue() > 1 ? 1 : 0;
-      withoutPermit += run.getKey().endsWith(".0") ? 1 : 0;
+    for (Map.Entry<String, Integer> run : executions.entrySet()) {
+      executedTwice += run.getValue() > 1 ? 1 : 0;
+      executedWithoutPermit += run.getKey().endsWith(".0") ? 1 : 0;
     }
-    for (Map.Entry<String, Ledger.Told> told : ledger.words().entrySet()) {
-      int count = runs.getOrDefault(told.getKey(), 0);
-      notRunButRan += told.getValue() == Ledger.Told.NOT_RUN && count > 0 ? 1 : 0;
-      ranButDidNot += told.getValue() == Ledger.Told.RAN && count == 0 ? 1 : 0;
+    for (Map.Entry<String, OutcomeLog.ReportedOutcome> reported :
+        outcomes.outcomesByKey().entrySet()) {
+      int count = executions.getOrDefault(reported.getKey(), 0);
+      falseNotRun += reported.getValue() == OutcomeLog.ReportedOutcome.NOT_RUN && count > 0 ? 1 : 0;
+      falseRan += reported.getValue() == OutcomeLog.ReportedOutcome.RAN && count == 0 ? 1 : 0;
     }
-    System.out.println("requests: " + requests + " in " + nanos / 1_000_000_000 + " s");
-    System.out.println("disorder: " + disorder.done());
+    System.out.println("requests: " + requestCount + " in " + nanos / 1_000_000_000 + " s");
+    System.out.println("disorder: " + faults.countsByFault());
     System.out.println(
         "permits used: "
-            + ledger.words().size()
+            + outcomes.outcomesByKey().size()
             + ", told ran "
-            + ledger.count(Ledger.Told.RAN)
+            + outcomes.count(OutcomeLog.ReportedOutcome.RAN)
             + ", not run "
-            + ledger.count(Ledger.Told.NOT_RUN)
+            + outcomes.count(OutcomeLog.ReportedOutcome.NOT_RUN)
             + ", unknown to the end "
-            + ledger.count(Ledger.Told.UNKNOWN));
-    System.out.println("refusals of the bidders' own copies: " + ledger.refusals());
-    System.out.println("executions at targets: " + runs.values().stream().mapToInt(n -> n).sum());
-    System.out.println("permits run more than once: " + twice);
-    System.out.println("told not run and found run: " + notRunButRan);
-    System.out.println("told ran and found not run: " + ranButDidNot);
-    System.out.println("run without a permit: " + withoutPermit);
-    System.out.println("told both ran and not run: " + ledger.contradictions());
-    System.out.println("answers of another request or cut short: " + ledger.wrongAnswers());
-    long faults =
-        twice
-            + notRunButRan
-            + ranButDidNot
-            + withoutPermit
-            + ledger.contradictions()
-            + ledger.wrongAnswers();
-    System.out.println("at-most-once: " + faults + " broken promises (aim 0)");
+            + outcomes.count(OutcomeLog.ReportedOutcome.UNKNOWN));
+    System.out.println("refusals of the bidders' own copies: " + outcomes.refusalsByResult());
+    System.out.println(
+        "executions at targets: " + executions.values().stream().mapToInt(n -> n).sum());
+    System.out.println("permits run more than once: " + executedTwice);
+    System.out.println("told not run and found run: " + falseNotRun);
+    System.out.println("told ran and found not run: " + falseRan);
+    System.out.println("run without a permit: " + executedWithoutPermit);
+    System.out.println("told both ran and not run: " + outcomes.contradictionCount());
+    System.out.println("answers of another request or cut short: " + outcomes.wrongAnswerCount());
+    long violations =
+        executedTwice
+            + falseNotRun
+            + falseRan
+            + executedWithoutPermit
+            + outcomes.contradictionCount()
+            + outcomes.wrongAnswerCount();
+    System.out.println("at-most-once: " + violations + " broken promises (aim 0)");
     // A system that runs nothing breaks no promise: most permits must have run to prove anything.
-    return faults == 0 && ledger.count(Ledger.Told.RAN) >= requests * 9L / 10;
+    return violations == 0
+        && outcomes.count(OutcomeLog.ReportedOutcome.RAN) >= requestCount * 9L / 10;
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/Bidder.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/Bidder.java
@@ -17,57 +17,58 @@
  */
 final class Bidder {
   private static final Duration DEADLINE = Duration.ofSeconds(3);
-  private static final Duration PATIENCE = Duration.ofMillis(400);
-  private static final long LONGEST_PAUSE_MILLIS = 1_000;
-  private static final int MOST_COPIES = 12;
+  private static final Duration CLIENT_TIMEOUT = Duration.ofMillis(400);
+  private static final long MAX_PAUSE_MILLIS = 1_000;
+  private static final int MAX_COPIES = 12;
   private static final int ANSWER_BYTES = 64;
-  private static final double STRAY_SHARE = 0.05;
+  private static final double DELAYED_COPY_FRACTION = 0.05;
 
   private final TestBed bed;
   private final Caller caller;
-  private final Ledger ledger;
-  private final ExecutorService strays;
+  private final OutcomeLog outcomes;
+  private final ExecutorService delayedCopies;
   private final SplittableRandom random;
 
-  Bidder(TestBed bed, Caller caller, Ledger ledger, ExecutorService strays, long seed) {
+  Bidder(
+      TestBed bed, Caller caller, OutcomeLog outcomes, ExecutorService delayedCopies, long seed) {
     this.bed = bed;
     this.caller = caller;
-    this.ledger = ledger;
-    this.strays = strays;
+    this.outcomes = outcomes;
+    this.delayedCopies = delayedCopies;
     this.random = new SplittableRandom(seed);
   }
 
   /** Places one bid and follows it until it ran or hope is given up. */
-  void bid(String work) throws InterruptedException {
+  void placeBid(String work) throws InterruptedException {
     String permit = "";
-    for (int attempt = 0; attempt < MOST_COPIES && permit.isEmpty(); attempt++) {
-      permit = send(anyPort(), work + ".0", "").permit();
+    for (int attempt = 0; attempt < MAX_COPIES && permit.isEmpty(); attempt++) {
+      permit = send(randomPort(), work + ".0", "").permit();
     }
     for (int attempt = 1; attempt <= 3 && !permit.isEmpty(); attempt++) {
       String key = work + "." + attempt;
-      Reply last = follow(key, permit);
-      if (!last.notRun()) {
+      Reply last = sendUntilFinal(key, permit);
+      if (!last.isNotRun()) {
         return;
       }
-      ledger.refused(last.result());
+      outcomes.recordRefusal(last.result());
       permit = last.permit();
       // As docs/CALLERS.md asks: who comes back sooner than told is refused again, and gives up on
       // a bid that would have run.
-      Thread.sleep(Math.min(last.retryAfterMillis(), LONGEST_PAUSE_MILLIS));
+      Thread.sleep(Math.min(last.retryAfterMillis(), MAX_PAUSE_MILLIS));
     }
   }
 
   /** Sends copies under one permit until an answer is final. */
-  private Reply follow(String key, String permit) throws InterruptedException {
-    ledger.told(key, Ledger.Told.UNKNOWN);
+  private Reply sendUntilFinal(String key, String permit) throws InterruptedException {
+    outcomes.recordOutcome(key, OutcomeLog.ReportedOutcome.UNKNOWN);
     Reply reply = Reply.TIMEOUT;
-    for (int copy = 0; copy < MOST_COPIES; copy++) {
-      if (random.nextDouble() < STRAY_SHARE) {
-        stray(key, permit, 20 + random.nextInt(1500));
+    for (int copy = 0; copy < MAX_COPIES; copy++) {
+      if (random.nextDouble() < DELAYED_COPY_FRACTION) {
+        sendDelayedCopy(key, permit, 20 + random.nextInt(1500));
       }
-      reply = send(anyPort(), key, permit);
-      note(key, reply);
-      if (reply.ran() || reply.notRun()) {
+      reply = send(randomPort(), key, permit);
+      recordReply(key, reply);
+      if (reply.ran() || reply.isNotRun()) {
         return reply;
       }
       Thread.sleep(20 + random.nextInt(60));
@@ -76,31 +77,32 @@
   }
 
   /** A copy that the network held back; whatever it is answered counts as told. */
-  private void stray(String key, String permit, int afterMillis) {
-    int port = anyPort();
+  private void sendDelayedCopy(String key, String permit, int delayMillis) {
+    int port = randomPort();
     Future<?> unused =
-        strays.submit(
+        delayedCopies.submit(
             () -> {
-              Thread.sleep(afterMillis);
-              note(key, send(port, key, permit));
+              Thread.sleep(delayMillis);
+              recordReply(key, send(port, key, permit));
               return null;
             });
   }
 
-  private void note(String key, Reply reply) {
+  private void recordReply(String key, Reply reply) {
     if (reply.ran()) {
-      ledger.told(key, Ledger.Told.RAN);
-      boolean kept = !reply.result().contains("ANSWER_NOT_KEPT");
-      if (kept && !reply.isAnswerTo(checksum(key), ANSWER_BYTES)) {
-        ledger.wrongAnswer();
+      outcomes.recordOutcome(key, OutcomeLog.ReportedOutcome.RAN);
+      boolean hasKeptAnswer = !reply.result().contains("ANSWER_NOT_KEPT");
+      if (hasKeptAnswer && !reply.isAnswerTo(checksum(key), ANSWER_BYTES)) {
+        outcomes.recordWrongAnswer();
       }
-    } else if (reply.notRun()) {
-      ledger.told(key, Ledger.Told.NOT_RUN);
+    } else if (reply.isNotRun()) {
+      outcomes.recordOutcome(key, OutcomeLog.ReportedOutcome.NOT_RUN);
     }
   }
 
   private Reply send(int port, String key, String permit) throws InterruptedException {
-    return caller.send(port, "POST", "bids", path(key), body(key), permit, DEADLINE, PATIENCE);
+    return caller.send(
+        port, "POST", "bids", path(key), body(key), permit, DEADLINE, CLIENT_TIMEOUT);
   }
 
   private static String path(String key) {
@@ -115,7 +117,7 @@
     return RequestChecksum.of("POST", path(key), body(key));
   }
 
-  private int anyPort() {
+  private int randomPort() {
     EntryProcess entry = bed.entries().get(random.nextInt(bed.entries().size()));
     return entry.callersPort();
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/Disorder.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/FaultInjector.java
@@ -9,31 +9,31 @@
 import org.sageladder.standin.store.StoreFaults;
 
 /** Kills, pauses and stops entry daemons, crashes targets and takes the store down, by a seed. */
-final class Disorder implements Runnable {
+final class FaultInjector implements Runnable {
   private final TestBed bed;
   private final SplittableRandom random;
-  private final Map<String, Integer> done = new TreeMap<>();
-  private volatile boolean over;
+  private final Map<String, Integer> countsByFault = new TreeMap<>();
+  private volatile boolean isStopped;
 
-  Disorder(TestBed bed, long seed) {
+  FaultInjector(TestBed bed, long seed) {
     this.bed = bed;
     this.random = new SplittableRandom(seed);
   }
 
-  void end() {
-    over = true;
+  void stop() {
+    isStopped = true;
   }
 
-  synchronized Map<String, Integer> done() {
-    return new TreeMap<>(done);
+  synchronized Map<String, Integer> countsByFault() {
+    return new TreeMap<>(countsByFault);
   }
 
   @Override
   public void run() {
     try {
-      while (!over) {
+      while (!isStopped) {
         Thread.sleep(150 + random.nextInt(300));
-        oneEvent();
+        injectFault();
       }
       bed.store().setFaults(StoreFaults.none());
     } catch (IOException e) {
@@ -43,46 +43,46 @@
     }
   }
 
-  private void oneEvent() throws IOException, InterruptedException {
+  private void injectFault() throws IOException, InterruptedException {
     EntryProcess entry = bed.entries().get(random.nextInt(bed.entries().size()));
     int draw = random.nextInt(100);
     if (draw < 20) {
-      count("entry killed");
+      countFault("entry killed");
       entry.kill();
       Thread.sleep(random.nextInt(300));
       entry.restart();
-      bed.list(entry, false);
+      bed.listEntry(entry, false);
     } else if (draw < 50) {
-      count("entry paused");
+      countFault("entry paused");
       entry.pause();
       Thread.sleep(100 + random.nextInt(1_900));
       entry.resume();
     } else if (draw < 60) {
-      count("entry stopped by SIGTERM");
-      bed.list(entry, true);
+      countFault("entry stopped by SIGTERM");
+      bed.listEntry(entry, true);
       entry.terminate();
       if (entry.awaitEnd(30) < 0) {
         entry.kill();
       }
       entry.restart();
-      bed.list(entry, false);
+      bed.listEntry(entry, false);
     } else if (draw < 75) {
-      count("target crashed");
+      countFault("target crashed");
       bed.targets().get(random.nextInt(bed.targets().size())).crash();
     } else if (draw < 88) {
-      count("store down");
+      countFault("store down");
       bed.store().setFaults(StoreFaults.none().withDown(true));
       Thread.sleep(500 + random.nextInt(1_500));
       bed.store().setFaults(StoreFaults.none());
     } else {
-      count("store slow");
+      countFault("store slow");
       bed.store().setFaults(StoreFaults.none().withSlowMillis(400));
       Thread.sleep(500 + random.nextInt(1_000));
       bed.store().setFaults(StoreFaults.none());
     }
   }
 
-  private synchronized void count(String event) {
-    done.merge(event, 1, Integer::sum);
+  private synchronized void countFault(String fault) {
+    countsByFault.merge(fault, 1, Integer::sum);
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/BackgroundMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/BackgroundMain.java
@@ -33,18 +33,18 @@
 public final class BackgroundMain {
   private static final int RECORD_BYTES = 4 << 20;
   private static final int PULLERS = 40;
-  private static final int PEOPLE = 12;
+  private static final int INTERACTIVE_CALLERS = 12;
   private static final int LISTING_BYTES = 512;
-  private static final Duration NIGHT = Duration.ofMinutes(5);
-  private static final long LONGEST_PULL_MILLIS = 45_000;
+  private static final Duration PULL_DEADLINE = Duration.ofMinutes(5);
+  private static final long MAX_PULL_MILLIS = 45_000;
 
   private final TestBed bed;
-  private final Histogram pulls = new ConcurrentHistogram(600_000, 3);
-  private final LongAdder tries = new LongAdder();
-  private final LongAdder restarts = new LongAdder();
-  private final LongAdder wrong = new LongAdder();
-  private final LongAdder whole = new LongAdder();
-  private volatile boolean over;
+  private final Histogram pullMillis = new ConcurrentHistogram(600_000, 3);
+  private final LongAdder attemptCount = new LongAdder();
+  private final LongAdder restartCount = new LongAdder();
+  private final LongAdder wrongCount = new LongAdder();
+  private final LongAdder wholeCount = new LongAdder();
+  private volatile boolean isStopped;
 
   private BackgroundMain(TestBed bed) {
     this.bed = bed;
@@ -61,86 +61,90 @@
         target.setFaults(TargetFaults.none().withTruncateProbability(0.2));
       }
       Thread.sleep(2_000);
-      boolean holds = new BackgroundMain(bed).run(count);
-      if (!holds) {
-        System.out.print(bed.logs());
+      boolean hasPassed = new BackgroundMain(bed).run(count);
+      if (!hasPassed) {
+        System.out.print(bed.logTails());
       }
-      System.exit(holds ? 0 : 1);
+      System.exit(hasPassed ? 0 : 1);
     }
   }
 
   private boolean run(int count) throws Exception {
-    Histogram quiet = listFor(Duration.ofSeconds(6));
+    Histogram baselineMillis = listFor(Duration.ofSeconds(6));
     ExecutorService listing = Executors.newSingleThreadExecutor();
-    Future<Histogram> beside = listing.submit(() -> listUntilOver());
+    Future<Histogram> listingDuringPulls = listing.submit(() -> listUntilStopped());
     long start = System.nanoTime();
-    NightFaults faults = NightFaults.start(bed);
+    PeriodicFaultInjector faults = PeriodicFaultInjector.start(bed);
     List<String> seeds =
         bed.entries().stream().map(entry -> "127.0.0.1:" + entry.callersPort()).toList();
     try (SageladderClient client = SageladderClient.start(ClientOptions.seeds(seeds))) {
       pullAll(client, count);
     }
     long seconds = Math.max(1, (System.nanoTime() - start) / 1_000_000_000);
-    faults.end();
-    over = true;
-    Histogram busy = beside.get();
+    faults.stop();
+    isStopped = true;
+    Histogram loadedMillis = listingDuringPulls.get();
     listing.shutdown();
     System.out.println(
         count + " pulls of 4 MB by " + PULLERS + " pullers on 16 slots in " + seconds + " s");
     System.out.println(
         "whole "
-            + whole
+            + wholeCount
             + ", wrong "
-            + wrong
+            + wrongCount
             + ", tries "
-            + tries
+            + attemptCount
             + ", begun anew as a whole "
-            + restarts
+            + restartCount
             + "; faults "
-            + faults.done());
+            + faults.countsByFault());
     System.out.println(
         "pull from first try to whole: p50 "
-            + pulls.getValueAtPercentile(50)
+            + pullMillis.getValueAtPercentile(50)
             + " ms, longest "
-            + pulls.getMaxValue()
+            + pullMillis.getMaxValue()
             + " ms");
     System.out.println(
         "listings without pulls p50/p99 "
-            + quiet.getValueAtPercentile(50)
+            + baselineMillis.getValueAtPercentile(50)
             + "/"
-            + quiet.getValueAtPercentile(99)
+            + baselineMillis.getValueAtPercentile(99)
             + " ms, beside pulls "
-            + busy.getValueAtPercentile(50)
+            + loadedMillis.getValueAtPercentile(50)
             + "/"
-            + busy.getValueAtPercentile(99)
+            + loadedMillis.getValueAtPercentile(99)
             + " ms");
-    boolean holds =
-        whole.sum() == count && wrong.sum() == 0 && pulls.getMaxValue() <= LONGEST_PULL_MILLIS;
+    boolean hasPassed =
+        wholeCount.sum() == count
+            && wrongCount.sum() == 0
+            && pullMillis.getMaxValue() <= MAX_PULL_MILLIS;
     System.out.println(
         "background: "
-            + pulls.getMaxValue()
+            + pullMillis.getMaxValue()
             + " ms for the longest of "
-            + whole
+            + wholeCount
             + " whole pulls (aim all whole, at most "
-            + LONGEST_PULL_MILLIS
+            + MAX_PULL_MILLIS
             + ")");
-    return holds;
+    return hasPassed;
   }
 
   private void pullAll(SageladderClient client, int count)
       throws InterruptedException, ExecutionException {
-    AtomicInteger next = new AtomicInteger();
+    AtomicInteger nextNumber = new AtomicInteger();
     List<Callable<Void>> pullers = new ArrayList<>();
     for (int i = 0; i < PULLERS; i++) {
       pullers.add(
           () -> {
-            for (int n = next.getAndIncrement(); n < count; n = next.getAndIncrement()) {
+            for (int n = nextNumber.getAndIncrement();
+                n < count;
+                n = nextNumber.getAndIncrement()) {
               pull(client, n);
             }
             return null;
           });
     }
-    all(pullers);
+    runAll(pullers);
   }
 
   /** One record: fetched in parts by the callers' library until it is whole or morning has come. */
@@ -150,40 +154,41 @@
     long start = System.nanoTime();
     Answer answer =
         client.fetch(
-            Request.get(TestBed.CUSTOMER, "archive", number % 1_000, path).deadline(NIGHT), sink);
-    pulls.recordValue(millisSince(start));
-    tries.add(answer.attemptCount());
-    restarts.add(sink.restarts());
+            Request.get(TestBed.CUSTOMER, "archive", number % 1_000, path).deadline(PULL_DEADLINE),
+            sink);
+    pullMillis.recordValue(millisSince(start));
+    attemptCount.add(answer.attemptCount());
+    restartCount.add(sink.restartCount());
     if (answer instanceof Answer.Complete) {
-      (sink.isWhole(RECORD_BYTES) ? whole : wrong).increment();
+      (sink.isWhole(RECORD_BYTES) ? wholeCount : wrongCount).increment();
     } else {
       System.out.println("pull " + number + " ended as " + answer);
     }
   }
 
-  private Histogram listUntilOver() throws InterruptedException, ExecutionException {
+  private Histogram listUntilStopped() throws InterruptedException, ExecutionException {
     Histogram latency = new ConcurrentHistogram(60_000, 3);
-    people(latency, Long.MAX_VALUE);
+    sendListings(latency, Long.MAX_VALUE);
     return latency;
   }
 
-  private Histogram listFor(Duration time) throws InterruptedException, ExecutionException {
+  private Histogram listFor(Duration duration) throws InterruptedException, ExecutionException {
     Histogram latency = new ConcurrentHistogram(60_000, 3);
-    people(latency, System.nanoTime() + time.toNanos());
+    sendListings(latency, System.nanoTime() + duration.toNanos());
     return latency;
   }
 
-  private void people(Histogram latency, long untilNanos)
+  private void sendListings(Histogram latencyMillis, long untilNanos)
       throws InterruptedException, ExecutionException {
-    List<Callable<Void>> people = new ArrayList<>();
-    for (int i = 0; i < PEOPLE; i++) {
+    List<Callable<Void>> callers = new ArrayList<>();
+    for (int i = 0; i < INTERACTIVE_CALLERS; i++) {
       int seed = i;
-      people.add(
+      callers.add(
           () -> {
             Caller caller = Caller.create();
             SplittableRandom random = new SplittableRandom(seed);
-            int port = port(random);
-            while (!over && System.nanoTime() < untilNanos) {
+            int port = randomPort(random);
+            while (!isStopped && System.nanoTime() < untilNanos) {
               long start = System.nanoTime();
               Reply reply =
                   caller.send(
@@ -196,20 +201,20 @@
                       Duration.ofSeconds(3),
                       Duration.ofSeconds(4));
               if (reply.ran()) {
-                latency.recordValue(millisSince(start));
+                latencyMillis.recordValue(millisSince(start));
               }
-              if (!reply.ran() || reply.lookUpAgain()) {
-                port = port(random);
+              if (!reply.ran() || reply.shouldLookUpAgain()) {
+                port = randomPort(random);
               }
               Thread.sleep(random.nextInt(60));
             }
             return null;
           });
     }
-    all(people);
+    runAll(callers);
   }
 
-  private static void all(List<Callable<Void>> tasks)
+  private static void runAll(List<Callable<Void>> tasks)
       throws InterruptedException, ExecutionException {
     ExecutorService pool = Executors.newFixedThreadPool(tasks.size());
     for (Future<Void> each : pool.invokeAll(tasks)) {
@@ -222,7 +227,7 @@
     return (System.nanoTime() - startNanos) / 1_000_000;
   }
 
-  private int port(SplittableRandom random) {
+  private int randomPort(SplittableRandom random) {
     return bed.entries().get(random.nextInt(bed.entries().size())).callersPort();
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/CheckedSink.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/CheckedSink.java
@@ -8,7 +8,7 @@
 final class CheckedSink implements BodySink {
   private final long seed;
   private AnswerPattern.Checker checker;
-  private int begun;
+  private int beginCount;
 
   private CheckedSink(long seed) {
     this.seed = seed;
@@ -22,17 +22,17 @@
 
   @Override
   public synchronized void begin() {
-    begun++;
+    beginCount++;
     checker = AnswerPattern.checker(seed);
   }
 
   @Override
-  public synchronized void accept(ByteBuffer piece) {
-    checker.add(piece);
+  public synchronized void accept(ByteBuffer chunk) {
+    checker.add(chunk);
   }
 
-  synchronized int restarts() {
-    return Math.max(0, begun - 1);
+  synchronized int restartCount() {
+    return Math.max(0, beginCount - 1);
   }
 
   /** True where exactly the {@code length} bytes of the answer have come. */
--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/NightFaults.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/PeriodicFaultInjector.java
@@ -8,42 +8,42 @@
 import org.sageladder.standin.store.StoreFaults;
 
 /** One failure after the other, in a fixed order, until told to end. */
-final class NightFaults {
-  private static final long BETWEEN_MILLIS = 1_500;
-  private static final long DOWN_MILLIS = 1_000;
-  private static final long LONGEST_STOP_SECONDS = 90;
+final class PeriodicFaultInjector {
+  private static final long INTERVAL_MILLIS = 1_500;
+  private static final long FAULT_MILLIS = 1_000;
+  private static final long MAX_STOP_SECONDS = 90;
 
   private final TestBed bed;
-  private final Map<String, Integer> done = new TreeMap<>();
+  private final Map<String, Integer> countsByFault = new TreeMap<>();
   private final Thread thread = new Thread(this::run, "night-faults");
-  private volatile boolean over;
+  private volatile boolean isStopped;
 
-  private NightFaults(TestBed bed) {
+  private PeriodicFaultInjector(TestBed bed) {
     this.bed = bed;
   }
 
-  static NightFaults start(TestBed bed) {
-    NightFaults faults = new NightFaults(bed);
+  static PeriodicFaultInjector start(TestBed bed) {
+    PeriodicFaultInjector faults = new PeriodicFaultInjector(bed);
     faults.thread.start();
     return faults;
   }
 
   /** Waits until what has begun is undone again. */
-  void end() throws InterruptedException {
-    over = true;
+  void stop() throws InterruptedException {
+    isStopped = true;
     thread.join();
   }
 
   /** How often each failure was caused. */
-  synchronized Map<String, Integer> done() {
-    return new TreeMap<>(done);
+  synchronized Map<String, Integer> countsByFault() {
+    return new TreeMap<>(countsByFault);
   }
 
   private void run() {
     try {
-      for (int round = 0; !over; round++) {
-        Thread.sleep(BETWEEN_MILLIS);
-        cause(round);
+      for (int round = 0; !isStopped; round++) {
+        Thread.sleep(INTERVAL_MILLIS);
+        injectFault(round);
       }
     } catch (IOException e) {
       throw new IllegalStateException("an entry VM did not come back", e);
@@ -52,44 +52,44 @@
     }
   }
 
-  private void cause(int round) throws IOException, InterruptedException {
+  private void injectFault(int round) throws IOException, InterruptedException {
     EntryProcess entry = bed.entries().get(round % bed.entries().size());
     switch (round % 5) {
       case 0 -> {
-        count("target crashed");
+        countFault("target crashed");
         bed.targets().get(round % bed.targets().size()).crash();
       }
       case 1 -> {
-        count("entry VM killed");
+        countFault("entry VM killed");
         entry.kill();
         entry.restart();
       }
       case 2 -> {
-        count("store down");
+        countFault("store down");
         bed.store().setFaults(StoreFaults.none().withDown(true));
-        Thread.sleep(DOWN_MILLIS);
+        Thread.sleep(FAULT_MILLIS);
         bed.store().setFaults(StoreFaults.none());
       }
       case 3 -> {
-        count("entry VM paused");
+        countFault("entry VM paused");
         entry.pause();
-        Thread.sleep(DOWN_MILLIS);
+        Thread.sleep(FAULT_MILLIS);
         entry.resume();
       }
       default -> {
-        count("entry VM stopped");
-        bed.list(entry, true);
+        countFault("entry VM stopped");
+        bed.listEntry(entry, true);
         entry.terminate();
-        if (entry.awaitEnd(LONGEST_STOP_SECONDS) < 0) {
+        if (entry.awaitEnd(MAX_STOP_SECONDS) < 0) {
           entry.kill();
         }
         entry.restart();
-        bed.list(entry, false);
+        bed.listEntry(entry, false);
       }
     }
   }
 
-  private synchronized void count(String fault) {
-    done.merge(fault, 1, Integer::sum);
+  private synchronized void countFault(String fault) {
+    countsByFault.merge(fault, 1, Integer::sum);
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/Capacity.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/Capacity.java
@@ -9,7 +9,7 @@
  * target size.
  */
 public final class Capacity {
-  private static final double AIM_ERROR = 0.25;
+  private static final double MAX_FIT_ERROR = 0.25;
 
   private Capacity() {}
 
@@ -19,44 +19,44 @@
    */
   public static void main(String[] args) throws Exception {
     if (args.length > 0 && args[0].equals("--failures")) {
-      failures();
+      printFailureCosts();
       return;
     }
     boolean full = args.length > 0 && args[0].equals("--full");
     boolean control = args.length > 0 && args[0].equals("--control");
-    List<Line> lines = new ArrayList<>();
+    List<SlopeResult> results = new ArrayList<>();
     if (!control) {
-      lines.addAll(CodeSlopes.measure());
-      lines.addAll(ExchangeSlopes.measure());
+      results.addAll(CodeSlopes.measure());
+      results.addAll(ExchangeSlopes.measure());
     }
     if (full || control) {
-      lines.addAll(ControlSlopes.measure());
+      results.addAll(ControlSlopes.measure());
     }
-    double worst = 0;
-    String where = "";
-    for (Line line : lines) {
-      System.out.println(line.describe());
-      if (line.slope().error() > worst) {
-        worst = line.slope().error();
-        where = line.name();
+    double maxError = 0;
+    String maxErrorName = "";
+    for (SlopeResult result : results) {
+      System.out.println(result.describe());
+      if (result.slope().relativeError() > maxError) {
+        maxError = result.slope().relativeError();
+        maxErrorName = result.name();
       }
     }
     if (full) {
-      failures();
+      printFailureCosts();
     }
     System.out.printf(
         Locale.ROOT,
         "capacity: %.1f %% largest error of a fit, of '%s' (aim at most %.0f %%)%n",
-        100 * worst,
-        where,
-        100 * AIM_ERROR);
-    System.exit(worst <= AIM_ERROR ? 0 : 1);
+        100 * maxError,
+        maxErrorName,
+        100 * MAX_FIT_ERROR);
+    System.exit(maxError <= MAX_FIT_ERROR ? 0 : 1);
   }
 
   /**
    * Differences of traffic that flows anyway: their errors are large, and the aim leaves them out.
    */
-  private static void failures() throws Exception {
+  private static void printFailureCosts() throws Exception {
     FailureCosts.measure().forEach(line -> System.out.println(line.describe()));
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/CodeSlopes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/CodeSlopes.java
@@ -28,100 +28,100 @@
 final class CodeSlopes {
   private static final int[] ZONES = {16, 32, 48, 64, 94};
   private static final int[] COUNTS = {100_000, 200_000, 300_000, 400_000};
-  private static final long NOW = 1_700_000_000_000L;
+  private static final long NOW_MILLIS = 1_700_000_000_000L;
 
   private CodeSlopes() {}
 
   /** All slopes, each with what it means at the target size. */
-  static List<Line> measure() {
-    List<Line> lines = new ArrayList<>();
-    lines.add(
-        new Line(
+  static List<SlopeResult> measure() {
+    List<SlopeResult> results = new ArrayList<>();
+    results.add(
+        new SlopeResult(
             "time of one look-up in the table",
             "ns",
             "look-up",
             fit(COUNTS, CodeSlopes::lookUpNanos),
             1,
             "core.steering.LookUpTable"));
-    lines.add(
-        new Line(
+    results.add(
+        new SlopeResult(
             "time to rebuild the look-up table",
             "us",
             "zone",
             fit(ZONES, CodeSlopes::rebuildMicros),
             TargetSize.ZONES,
             "core.steering.LookUpTable"));
-    lines.add(
-        new Line(
+    results.add(
+        new SlopeResult(
             "memory of the look-up table",
             "kB",
             "zone",
             fit(ZONES, CodeSlopes::tableKilobytes),
             TargetSize.ZONES,
             "core.steering.LookUpTable"));
-    lines.add(
-        new Line(
+    results.add(
+        new SlopeResult(
             "memory of the state of all zones",
             "kB",
             "zone",
             fit(ZONES, CodeSlopes::stateKilobytes),
             TargetSize.ZONES,
             "core.membership.ClusterState"));
-    lines.add(
-        new Line(
+    results.add(
+        new SlopeResult(
             "size of a stored contract",
             "bytes",
             "zone",
             fit(ZONES, CodeSlopes::contractBytes),
             TargetSize.ZONES,
             "platform.contract.StoredContract"));
-    lines.add(
-        new Line(
+    results.add(
+        new SlopeResult(
             "time to check and parse a contract",
             "us",
             "zone",
             fit(new int[] {94, 188, 376, 564, 752}, CodeSlopes::contractMicros),
             TargetSize.ZONES,
             "platform.contract.ContractYaml"));
-    addRequestPath(lines);
-    return lines;
+    addRequestPath(results);
+    return results;
   }
 
-  private static void addRequestPath(List<Line> lines) {
-    lines.add(
-        new Line(
+  private static void addRequestPath(List<SlopeResult> results) {
+    results.add(
+        new SlopeResult(
             "time of one admission and release",
             "ns",
             "request",
             fit(COUNTS, CodeSlopes::gateNanos),
             1,
             "core.limits.ServiceGate"));
-    lines.add(
-        new Line(
+    results.add(
+        new SlopeResult(
             "memory of a gate",
             "kB",
             "target held",
             fit(new int[] {40, 80, 160, 320}, CodeSlopes::gateKilobytes),
-            (double) TargetSize.SITES / TargetSize.NODES,
+            (double) TargetSize.TARGETS / TargetSize.ENTRY_VMS,
             "core.limits.ServiceGate"));
-    lines.add(
-        new Line(
+    results.add(
+        new SlopeResult(
             "time of one permit sealed, opened and begun",
             "ns",
             "permit",
             fit(new int[] {5_000, 10_000, 15_000, 20_000}, CodeSlopes::permitNanos),
             1,
             "core.permit.PermitHome, PermitCodec"));
-    lines.add(
-        new Line(
+    results.add(
+        new SlopeResult(
             "time of one event",
             "ns",
             "event",
             fit(COUNTS, CodeSlopes::eventNanos),
             1,
             "core.event.EventBuffer"));
-    lines.add(
-        new Line(
+    results.add(
+        new SlopeResult(
             "memory of the event buffer",
             "kB",
             "event kept",
@@ -141,55 +141,58 @@
   }
 
   private static ClusterState state(int zones) {
-    return TargetSize.state(TargetSize.contract(zones, TargetSize.BLOCKS), NOW);
+    return TargetSize.state(TargetSize.contract(zones, TargetSize.CLIENT_BLOCKS), NOW_MILLIS);
   }
 
   private static double lookUpNanos(int count) {
-    LookUpTable table = LookUpTable.build(state(TargetSize.ZONES), SteeringInputs.at(NOW));
-    return Measure.nanos(
+    LookUpTable table = LookUpTable.build(state(TargetSize.ZONES), SteeringInputs.at(NOW_MILLIS));
+    return Measure.minCpuNanos(
         3,
         8,
         () -> {
-          int seen = 0;
+          int found = 0;
           int block = 0;
           for (int i = 0; i < count; i++) {
-            block = (block + 7_919) % TargetSize.BLOCKS;
+            block = (block + 7_919) % TargetSize.CLIENT_BLOCKS;
             Object route =
                 table.lookUp(
                     TargetSize.CUSTOMER, TargetSize.SERVICE, block, i * 0x9e3779b97f4a7c15L);
-            seen += route == null ? 0 : 1;
+            found += route == null ? 0 : 1;
           }
-          Measure.sink = seen;
+          Measure.sink = found;
         });
   }
 
   private static double rebuildMicros(int zones) {
     ClusterState state = state(zones);
-    LookUpTable first = LookUpTable.build(state, SteeringInputs.at(NOW));
-    return Measure.nanos(
+    LookUpTable first = LookUpTable.build(state, SteeringInputs.at(NOW_MILLIS));
+    return Measure.minCpuNanos(
             40,
             60,
-            () -> Measure.sink = LookUpTable.build(state, SteeringInputs.after(first, NOW + 1)))
+            () ->
+                Measure.sink =
+                    LookUpTable.build(state, SteeringInputs.after(first, NOW_MILLIS + 1)))
         / 1e3;
   }
 
   private static double tableKilobytes(int zones) {
     ClusterState state = state(zones);
-    return Measure.bytes(() -> LookUpTable.build(state, SteeringInputs.at(NOW))) / 1e3;
+    return Measure.medianHeapBytes(() -> LookUpTable.build(state, SteeringInputs.at(NOW_MILLIS)))
+        / 1e3;
   }
 
   private static double stateKilobytes(int zones) {
-    return Measure.bytes(() -> state(zones)) / 1e3;
+    return Measure.medianHeapBytes(() -> state(zones)) / 1e3;
   }
 
   private static double contractBytes(int zones) {
-    Contract contract = TargetSize.contract(zones, TargetSize.BLOCKS);
+    Contract contract = TargetSize.contract(zones, TargetSize.CLIENT_BLOCKS);
     return new StoredContract("change-1", "operator", contract).toBytes().length;
   }
 
   private static double contractMicros(int zones) {
-    String yaml = ContractYaml.format(TargetSize.contract(zones, TargetSize.BLOCKS));
-    return Measure.nanos(
+    String yaml = ContractYaml.format(TargetSize.contract(zones, TargetSize.CLIENT_BLOCKS));
+    return Measure.minCpuNanos(
             200,
             200,
             () -> {
@@ -232,7 +235,7 @@
     try (ServiceGate gate = gate(8)) {
       long deadline = System.nanoTime() + Duration.ofHours(1).toNanos();
       AdmissionRequest request = new AdmissionRequest("r", deadline, "", "");
-      return Measure.nanos(
+      return Measure.minCpuNanos(
           2,
           4,
           () -> {
@@ -250,34 +253,34 @@
   }
 
   private static double gateKilobytes(int targets) {
-    return Measure.bytes(() -> gate(targets)) / 1e3;
+    return Measure.medianHeapBytes(() -> gate(targets)) / 1e3;
   }
 
   private static double permitNanos(int count) {
     byte[] secret = new byte[32];
-    KeyRing ring = KeyRing.of(List.of(new KeyRing.Key("k", NOW, KeyRing.Secret.of(secret))));
+    KeyRing ring = KeyRing.of(List.of(new KeyRing.Key("k", NOW_MILLIS, KeyRing.Secret.of(secret))));
     PermitCodec codec = PermitCodec.of(() -> ring);
-    PermitHome home = PermitHome.of("vm", 1, PermitHome.Limits.standard());
-    long[] clock = {NOW};
-    return Measure.nanos(
+    PermitHome permitHome = PermitHome.of("vm", 1, PermitHome.Limits.standard());
+    long[] clock = {NOW_MILLIS};
+    return Measure.minCpuNanos(
         3,
         8,
         () -> {
           for (int i = 0; i < count; i++) {
             clock[0] += i % 10 == 0 ? 1 : 0;
             Permit permit =
-                home.mint(TargetSize.CUSTOMER, TargetSize.SERVICE, clock[0]).orElseThrow();
+                permitHome.mint(TargetSize.CUSTOMER, TargetSize.SERVICE, clock[0]).orElseThrow();
             codec.open(codec.seal(permit));
-            Measure.sink = home.beginExecution(permit, "digest", clock[0]);
+            Measure.sink = permitHome.beginExecution(permit, "digest", clock[0]);
           }
           clock[0] += Duration.ofHours(2).toMillis();
-          home.dropExpired(clock[0]);
+          permitHome.dropExpired(clock[0]);
         });
   }
 
   private static double eventNanos(int count) {
     EventBuffer buffer = EventBuffer.withCapacity(16_384, TimeSource.system());
-    return Measure.nanos(
+    return Measure.minCpuNanos(
         3,
         8,
         () -> {
@@ -289,7 +292,7 @@
   }
 
   private static double eventKilobytes(int capacity) {
-    return Measure.bytes(
+    return Measure.medianHeapBytes(
             () -> {
               EventBuffer buffer = EventBuffer.withCapacity(capacity, TimeSource.system());
               for (int i = 0; i < capacity; i++) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ControlSlopes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ControlSlopes.java
@@ -31,63 +31,83 @@
  * in each interval, more often than the 12,000 a day of the target size.
  */
 final class ControlSlopes {
-  private static final Duration SETTLE = Duration.ofSeconds(4);
+  private static final Duration SETTLE_TIME = Duration.ofSeconds(4);
   private static final Duration INTERVAL = Duration.ofSeconds(6);
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
-  private static final int[] PER_ZONE = {1, 2, 3, 4};
+  private static final int[] VMS_PER_ZONE = {1, 2, 3, 4};
   private static final int[] ZONES = {2, 4, 6, 8};
   private static final int FIXED_ZONES = 4;
-  private static final int FIXED_PER_ZONE = 2;
+  private static final int FIXED_VMS_PER_ZONE = 2;
 
   private ControlSlopes() {}
 
   /** What one fleet cost in one interval, each second. */
-  private record Cost(double coreFraction, double heapMegabytes, double bytes, double storeCalls) {}
-
-  static List<Line> measure() throws Exception {
-    List<Line> lines = new ArrayList<>();
-    List<Cost> byNodes = new ArrayList<>();
-    for (int perZone : PER_ZONE) {
-      byNodes.add(cost(FIXED_ZONES, perZone));
+  private record Cost(
+      double coreFraction,
+      double heapMegabytes,
+      double bytesPerSecond,
+      double storeCallsPerSecond) {}
+
+  static List<SlopeResult> measure() throws Exception {
+    List<SlopeResult> results = new ArrayList<>();
+    List<Cost> costsByVmCount = new ArrayList<>();
+    for (int vmsPerZone : VMS_PER_ZONE) {
+      costsByVmCount.add(measureCost(FIXED_ZONES, vmsPerZone));
     }
-    double[] nodes = new double[PER_ZONE.length];
-    for (int i = 0; i < nodes.length; i++) {
-      nodes[i] = FIXED_ZONES * PER_ZONE[i];
+    double[] vmCounts = new double[VMS_PER_ZONE.length];
+    for (int i = 0; i < vmCounts.length; i++) {
+      vmCounts[i] = FIXED_ZONES * VMS_PER_ZONE[i];
     }
-    lines.add(
-        line(
-            "control: processor time", "% of a core", nodes, byNodes, c -> 100 * c.coreFraction()));
-    lines.add(line("control: heap", "MB", nodes, byNodes, Cost::heapMegabytes));
-    lines.add(line("control: bytes sent and received", "B/s", nodes, byNodes, Cost::bytes));
-    lines.add(line("control: calls to the store", "calls/s", nodes, byNodes, Cost::storeCalls));
-    List<Cost> byZones = new ArrayList<>();
-    double[] zones = new double[ZONES.length];
-    for (int i = 0; i < zones.length; i++) {
-      zones[i] = ZONES[i];
-      byZones.add(cost(ZONES[i], FIXED_PER_ZONE));
+    results.add(
+        result(
+            "control: processor time",
+            "% of a core",
+            vmCounts,
+            costsByVmCount,
+            c -> 100 * c.coreFraction()));
+    results.add(result("control: heap", "MB", vmCounts, costsByVmCount, Cost::heapMegabytes));
+    results.add(
+        result(
+            "control: bytes sent and received",
+            "B/s",
+            vmCounts,
+            costsByVmCount,
+            Cost::bytesPerSecond));
+    results.add(
+        result(
+            "control: calls to the store",
+            "calls/s",
+            vmCounts,
+            costsByVmCount,
+            Cost::storeCallsPerSecond));
+    List<Cost> costsByZoneCount = new ArrayList<>();
+    double[] zoneCounts = new double[ZONES.length];
+    for (int i = 0; i < zoneCounts.length; i++) {
+      zoneCounts[i] = ZONES[i];
+      costsByZoneCount.add(measureCost(ZONES[i], FIXED_VMS_PER_ZONE));
     }
-    lines.add(
-        new Line(
-            "control: calls to the store by zones, " + FIXED_PER_ZONE + " entry VMs in each",
+    results.add(
+        new SlopeResult(
+            "control: calls to the store by zones, " + FIXED_VMS_PER_ZONE + " entry VMs in each",
             "calls/s",
             "zone",
-            fit(zones, byZones, Cost::storeCalls),
+            fit(zoneCounts, costsByZoneCount, Cost::storeCallsPerSecond),
             TargetSize.ZONES,
             "entry.control"));
-    lines.add(
-        new Line(
+    results.add(
+        new SlopeResult(
             "control: bytes of each entry VM by zones",
             "B/s",
             "zone",
-            fit(zones, byZones, c -> c.bytes(), FIXED_PER_ZONE),
+            fit(zoneCounts, costsByZoneCount, c -> c.bytesPerSecond(), FIXED_VMS_PER_ZONE),
             TargetSize.ZONES,
             "entry.control"));
-    return lines;
+    return results;
   }
 
-  private static Line line(
-      String name, String unit, double[] nodes, List<Cost> costs, ToDoubleFunction<Cost> value) {
-    return new Line(name, unit, "entry VM", fit(nodes, costs, value), 1, "entry.control");
+  private static SlopeResult result(
+      String name, String unit, double[] vmCounts, List<Cost> costs, ToDoubleFunction<Cost> value) {
+    return new SlopeResult(name, unit, "entry VM", fit(vmCounts, costs, value), 1, "entry.control");
   }
 
   private static Slope fit(double[] sizes, List<Cost> costs, ToDoubleFunction<Cost> value) {
@@ -100,45 +120,46 @@
 
   /** As {@link #fit(double[], List, ToDoubleFunction)}, for the share of one entry VM. */
   private static Slope fit(
-      double[] zones, List<Cost> costs, ToDoubleFunction<Cost> value, int perZone) {
+      double[] zones, List<Cost> costs, ToDoubleFunction<Cost> value, int vmsPerZone) {
     List<Slope.Point> points = new ArrayList<>();
     for (int i = 0; i < zones.length; i++) {
       points.add(
-          new Slope.Point(zones[i], value.applyAsDouble(costs.get(i)) / (zones[i] * perZone)));
+          new Slope.Point(zones[i], value.applyAsDouble(costs.get(i)) / (zones[i] * vmsPerZone)));
     }
     return Slope.fit(points);
   }
 
   /** A contract with as many targets for each entry VM as at the target size. */
-  static Contract fleetContract(int zones, int perZone) {
-    int targets = (int) Math.ceil(zones * perZone * (double) TargetSize.SITES / TargetSize.NODES);
+  static Contract fleetContract(int zones, int vmsPerZone) {
+    int targets =
+        (int) Math.ceil(zones * vmsPerZone * (double) TargetSize.TARGETS / TargetSize.ENTRY_VMS);
     return contract(zones, targets);
   }
 
-  private static Cost cost(int zones, int perZone) throws Exception {
-    Contract contract = fleetContract(zones, perZone);
+  private static Cost measureCost(int zones, int vmsPerZone) throws Exception {
+    Contract contract = fleetContract(zones, vmsPerZone);
     try (StoreServer store = StoreServer.start("127.0.0.1", 0);
-        LocalSystem system = LocalSystem.start(store, contract, perZone);
+        LocalSystem system = LocalSystem.start(store, contract, vmsPerZone);
         BlockingHttpClient caller = BlockingHttpClient.withTimeout(TIMEOUT);
         Store client = HttpStore.connect(store.address(), TIMEOUT)) {
       system.awaitReady();
-      Thread.sleep(SETTLE.toMillis());
-      double bytes = controlBytes(system, caller);
-      long calls = storeCalls(store);
-      long cpu = cpuNanos();
+      Thread.sleep(SETTLE_TIME.toMillis());
+      double bytesBefore = controlBytes(system, caller);
+      long callsBefore = storeCalls(store);
+      long cpuBefore = cpuNanos();
       long start = System.nanoTime();
-      change(client, contract);
+      changeContract(client, contract);
       Thread.sleep(INTERVAL.toMillis());
       double seconds = (System.nanoTime() - start) / 1e9;
-      double core = (cpuNanos() - cpu) / 1e9 / seconds;
-      double callsEach = (storeCalls(store) - calls) / seconds;
-      double bytesEach = (controlBytes(system, caller) - bytes) / seconds;
+      double coreFraction = (cpuNanos() - cpuBefore) / 1e9 / seconds;
+      double callsPerSecond = (storeCalls(store) - callsBefore) / seconds;
+      double bytesPerSecond = (controlBytes(system, caller) - bytesBefore) / seconds;
       Runtime runtime = Runtime.getRuntime();
       for (int i = 0; i < 4; i++) {
         System.gc();
       }
-      double heap = (runtime.totalMemory() - runtime.freeMemory()) / 1e6;
-      return new Cost(core, heap, bytesEach, callsEach);
+      double heapMegabytes = (runtime.totalMemory() - runtime.freeMemory()) / 1e6;
+      return new Cost(coreFraction, heapMegabytes, bytesPerSecond, callsPerSecond);
     }
   }
 
@@ -160,10 +181,10 @@
         List.of(TargetSize.service(TargetSize.SERVICE, targets)));
   }
 
-  private static void change(Store client, Contract contract) throws Exception {
+  private static void changeContract(Store client, Contract contract) throws Exception {
     ContractWriter writer = ContractWriter.of(client, TimeSource.system(), "bench");
-    StoredContract standing = writer.read(contract.customer());
-    if (standing == null) {
+    StoredContract current = writer.read(contract.customer());
+    if (current == null) {
       throw new IOException("the store has lost the contract");
     }
     Contract changed =
@@ -175,7 +196,7 @@
             contract.clientBlocks(),
             contract.linkLimits(),
             contract.services());
-    Measure.sink = writer.apply(changed, standing.contract().revision());
+    Measure.sink = writer.apply(changed, current.contract().revision());
   }
 
   static long storeCalls(StoreServer store) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ExchangeSlopes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ExchangeSlopes.java
@@ -26,7 +26,7 @@
  */
 final class ExchangeSlopes {
   private static final int[] COUNTS = {5_000, 10_000, 15_000, 20_000};
-  private static final int WARM_UP = 20_000;
+  private static final int WARM_UP_LOOK_UPS = 20_000;
   private static final int CALLERS = 4;
   private static final int ZONES = 2;
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -34,14 +34,14 @@
 
   private ExchangeSlopes() {}
 
-  static List<Line> measure() throws Exception {
+  static List<SlopeResult> measure() throws Exception {
     Contract contract = ControlSlopes.fleetContract(ZONES, 1);
     try (StoreServer store = StoreServer.start("127.0.0.1", 0);
         LocalSystem system = LocalSystem.start(store, contract, 1)) {
       system.awaitReady();
-      Set<Long> servers =
+      Set<Long> serverThreads =
           LongStream.of(THREADS.getAllThreadIds()).boxed().collect(Collectors.toSet());
-      servers.remove(Thread.currentThread().getId());
+      serverThreads.remove(Thread.currentThread().getId());
       URI uri =
           URI.create(
               "http://"
@@ -53,15 +53,15 @@
                   + "&block=1");
       List<Slope.Point> points = new ArrayList<>();
       try (BlockingHttpClient caller = BlockingHttpClient.withTimeout(TIMEOUT)) {
-        lookUps(caller, uri, WARM_UP);
+        sendLookUps(caller, uri, WARM_UP_LOOK_UPS);
         for (int count : COUNTS) {
-          double before = cpuMicros(servers);
-          lookUps(caller, uri, count);
-          points.add(new Slope.Point(count, cpuMicros(servers) - before));
+          double before = cpuMicros(serverThreads);
+          sendLookUps(caller, uri, count);
+          points.add(new Slope.Point(count, cpuMicros(serverThreads) - before));
         }
       }
       return List.of(
-          new Line(
+          new SlopeResult(
               "processor time of one look-up with its HTTP exchange",
               "us",
               "look-up",
@@ -75,7 +75,7 @@
     return threads.stream().mapToLong(THREADS::getThreadCpuTime).filter(t -> t > 0).sum() / 1e3;
   }
 
-  private static void lookUps(BlockingHttpClient caller, URI uri, int count) throws Exception {
+  private static void sendLookUps(BlockingHttpClient caller, URI uri, int count) throws Exception {
     ExecutorService callers = Executors.newFixedThreadPool(CALLERS);
     try {
       List<Future<?>> done = new ArrayList<>();
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/FailureCosts.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/FailureCosts.java
@@ -23,13 +23,13 @@
  * what flowed in as long a while before it.
  */
 final class FailureCosts {
-  private static final Duration SETTLE = Duration.ofSeconds(4);
-  private static final Duration WHILE = Duration.ofSeconds(5);
+  private static final Duration SETTLE_TIME = Duration.ofSeconds(4);
+  private static final Duration OBSERVATION_TIME = Duration.ofSeconds(5);
   // Longer than the waits: the library closes a kept connection that was silent for as long.
   private static final Duration TIMEOUT = Duration.ofSeconds(30);
-  private static final long TAKE_OVER_MOST_NANOS = Duration.ofSeconds(20).toNanos();
+  private static final long MAX_TAKEOVER_NANOS = Duration.ofSeconds(20).toNanos();
   private static final int[] ZONES = {2, 4, 6, 8};
-  private static final int PER_ZONE = 2;
+  private static final int VMS_PER_ZONE = 2;
   private static final JsonMapper JSON = new JsonMapper();
 
   private final StoreServer store;
@@ -48,109 +48,114 @@
   /**
    * Costs in one fleet.
    *
-   * @param lostBytes more bytes at each entry VM left, after one was lost
-   * @param lostCalls more calls to the store, of all together
-   * @param takeOverMillis until the targets of the one lost are held by another
-   * @param startBytes bytes of a fresh entry VM until some seconds after it serves
-   * @param startCalls more calls to the store, of all together, because of the fresh one
-   * @param zoneBytes more bytes at each entry VM left, after a zone was lost
+   * @param vmLossBytes more bytes at each entry VM left, after one was lost
+   * @param vmLossStoreCalls more calls to the store, of all together
+   * @param takeoverMillis until the targets of the one lost are held by another
+   * @param vmStartBytes bytes of a fresh entry VM until some seconds after it serves
+   * @param vmStartStoreCalls more calls to the store, of all together, because of the fresh one
+   * @param zoneLossBytes more bytes at each entry VM left, after a zone was lost
    */
   private record Costs(
-      double lostBytes,
-      double lostCalls,
-      double takeOverMillis,
-      double startBytes,
-      double startCalls,
-      double zoneBytes) {}
+      double vmLossBytes,
+      double vmLossStoreCalls,
+      double takeoverMillis,
+      double vmStartBytes,
+      double vmStartStoreCalls,
+      double zoneLossBytes) {}
 
   /** Bytes of each entry VM and calls to the store, at one moment or between two. */
-  private record Traffic(Map<String, Double> bytes, double calls) {
+  private record Traffic(Map<String, Double> bytesByVm, double storeCalls) {
     /** Mean growth over the entry VMs that are in both. */
     double bytesSince(Traffic earlier) {
-      return bytes.entrySet().stream()
-          .filter(entry -> earlier.bytes.containsKey(entry.getKey()))
-          .mapToDouble(entry -> entry.getValue() - earlier.bytes.get(entry.getKey()))
+      return bytesByVm.entrySet().stream()
+          .filter(entry -> earlier.bytesByVm.containsKey(entry.getKey()))
+          .mapToDouble(entry -> entry.getValue() - earlier.bytesByVm.get(entry.getKey()))
           .average()
           .orElse(0);
     }
   }
 
-  static List<Line> measure() throws Exception {
+  static List<SlopeResult> measure() throws Exception {
     List<Costs> costs = new ArrayList<>();
     for (int zones : ZONES) {
-      costs.add(ofFleet(zones));
+      costs.add(measureFleetOf(zones));
     }
-    List<Line> lines = new ArrayList<>();
-    lines.add(line("entry VM lost: bytes at each other", "B", costs, Costs::lostBytes));
-    lines.add(line("entry VM lost: calls to the store", "calls", costs, Costs::lostCalls));
-    lines.add(line("entry VM lost: its targets held again", "ms", costs, Costs::takeOverMillis));
-    lines.add(line("entry VM started: its bytes", "B", costs, Costs::startBytes));
-    lines.add(line("entry VM started: calls to the store", "calls", costs, Costs::startCalls));
-    lines.add(line("zone lost: bytes at each other entry VM", "B", costs, Costs::zoneBytes));
-    return lines;
+    List<SlopeResult> results = new ArrayList<>();
+    results.add(result("entry VM lost: bytes at each other", "B", costs, Costs::vmLossBytes));
+    results.add(
+        result("entry VM lost: calls to the store", "calls", costs, Costs::vmLossStoreCalls));
+    results.add(
+        result("entry VM lost: its targets held again", "ms", costs, Costs::takeoverMillis));
+    results.add(result("entry VM started: its bytes", "B", costs, Costs::vmStartBytes));
+    results.add(
+        result("entry VM started: calls to the store", "calls", costs, Costs::vmStartStoreCalls));
+    results.add(
+        result("zone lost: bytes at each other entry VM", "B", costs, Costs::zoneLossBytes));
+    return results;
   }
 
-  private static Line line(
+  private static SlopeResult result(
       String name, String unit, List<Costs> costs, ToDoubleFunction<Costs> value) {
     List<Slope.Point> points = new ArrayList<>();
     for (int i = 0; i < ZONES.length; i++) {
       points.add(new Slope.Point(ZONES[i], value.applyAsDouble(costs.get(i))));
     }
-    return new Line(name, unit, "zone", Slope.fit(points), TargetSize.ZONES, "entry.control");
+    return new SlopeResult(
+        name, unit, "zone", Slope.fit(points), TargetSize.ZONES, "entry.control");
   }
 
-  private static Costs ofFleet(int zones) throws Exception {
-    Contract contract = ControlSlopes.fleetContract(zones, PER_ZONE);
+  private static Costs measureFleetOf(int zones) throws Exception {
+    Contract contract = ControlSlopes.fleetContract(zones, VMS_PER_ZONE);
     try (StoreServer store = StoreServer.start("127.0.0.1", 0);
-        LocalSystem system = LocalSystem.start(store, contract, PER_ZONE);
+        LocalSystem system = LocalSystem.start(store, contract, VMS_PER_ZONE);
         BlockingHttpClient caller = BlockingHttpClient.withTimeout(TIMEOUT)) {
       system.awaitReady();
-      Thread.sleep(SETTLE.toMillis());
+      Thread.sleep(SETTLE_TIME.toMillis());
       return new FailureCosts(store, system, caller, contract).measureFleet();
     }
   }
 
   private Costs measureFleet() throws Exception {
-    Traffic start = now();
-    Thread.sleep(WHILE.toMillis());
-    Traffic quiet = now();
+    Traffic start = currentTraffic();
+    Thread.sleep(OBSERVATION_TIME.toMillis());
+    Traffic baseline = currentTraffic();
     String zone = contract.zones().get(0);
-    String victim = name(zone, PER_ZONE);
-    long lost = System.nanoTime();
-    system.killEntry(victim);
-    double takeOver = awaitTakeOver(zone, victim, lost);
-    sleepUntil(lost + WHILE.toNanos());
-    Traffic afterLoss = now();
+    String lostVm = vmName(zone, VMS_PER_ZONE);
+    long lostNanos = System.nanoTime();
+    system.killEntry(lostVm);
+    double takeoverMillis = awaitTakeover(zone, lostVm, lostNanos);
+    sleepUntil(lostNanos + OBSERVATION_TIME.toNanos());
+    Traffic afterLoss = currentTraffic();
     // The quiet while was as long, unless taking over took longer than it.
-    double loss = (System.nanoTime() - lost) / (double) WHILE.toNanos();
-    Traffic beforeStart = now();
-    long started = System.nanoTime();
-    String fresh = system.startEntry(zone, PER_ZONE + 1);
-    awaitServing(fresh);
-    sleepUntil(started + WHILE.toNanos());
-    Traffic afterStart = now();
+    double lossPeriods = (System.nanoTime() - lostNanos) / (double) OBSERVATION_TIME.toNanos();
+    Traffic beforeStart = currentTraffic();
+    long startedNanos = System.nanoTime();
+    String newVm = system.startEntry(zone, VMS_PER_ZONE + 1);
+    awaitServing(newVm);
+    sleepUntil(startedNanos + OBSERVATION_TIME.toNanos());
+    Traffic afterStart = currentTraffic();
     String lastZone = contract.zones().get(contract.zones().size() - 1);
-    for (int i = 1; i <= PER_ZONE; i++) {
-      system.killEntry(name(lastZone, i));
+    for (int i = 1; i <= VMS_PER_ZONE; i++) {
+      system.killEntry(vmName(lastZone, i));
     }
-    Thread.sleep(WHILE.toMillis());
-    Traffic afterZone = now();
-    double quietBytes = quiet.bytesSince(start);
-    double quietCalls = quiet.calls - start.calls;
+    Thread.sleep(OBSERVATION_TIME.toMillis());
+    Traffic afterZone = currentTraffic();
+    double baselineBytes = baseline.bytesSince(start);
+    double baselineCalls = baseline.storeCalls - start.storeCalls;
     return new Costs(
-        afterLoss.bytesSince(quiet) - quietBytes * loss,
-        afterLoss.calls - quiet.calls - quietCalls * loss,
-        takeOver,
-        afterStart.bytes.get(fresh),
-        afterStart.calls - beforeStart.calls - quietCalls,
-        afterZone.bytesSince(afterStart) - quietBytes);
+        afterLoss.bytesSince(baseline) - baselineBytes * lossPeriods,
+        afterLoss.storeCalls - baseline.storeCalls - baselineCalls * lossPeriods,
+        takeoverMillis,
+        afterStart.bytesByVm.get(newVm),
+        afterStart.storeCalls - beforeStart.storeCalls - baselineCalls,
+        afterZone.bytesSince(afterStart) - baselineBytes);
   }
 
-  private String name(String zone, int number) {
+  private String vmName(String zone, int number) {
     return contract.customer() + "-entry-" + zone + "-" + number;
   }
 
-  private Traffic now() throws IOException {
+  private Traffic currentTraffic() throws IOException {
     Map<String, Double> bytes = new HashMap<>();
     for (Map.Entry<String, EntryVm> vm : system.entries().entrySet()) {
       bytes.put(vm.getKey(), ControlSlopes.controlBytes(vm.getValue(), caller));
@@ -163,26 +168,26 @@
   }
 
   private void awaitServing(String vm) throws Exception {
-    EntryVm fresh = system.entries().get(vm);
-    long most = System.nanoTime() + TAKE_OVER_MOST_NANOS;
-    while (!fresh.isServing(1) && System.nanoTime() < most) {
+    EntryVm newVm = system.entries().get(vm);
+    long deadline = System.nanoTime() + MAX_TAKEOVER_NANOS;
+    while (!newVm.isServing(1) && System.nanoTime() < deadline) {
       Thread.sleep(10);
     }
   }
 
   /** Milliseconds until the zone's view names another holder for each target of {@code victim}. */
-  private double awaitTakeOver(String zone, String victim, long since) throws Exception {
-    EntryVm left = system.entries().get(name(zone, 1));
-    URI state = URI.create("http://127.0.0.1:" + left.operatorsPort() + "/v1/state");
-    while (System.nanoTime() - since < TAKE_OVER_MOST_NANOS) {
+  private double awaitTakeover(String zone, String lostVm, long lostNanos) throws Exception {
+    EntryVm survivor = system.entries().get(vmName(zone, 1));
+    URI state = URI.create("http://127.0.0.1:" + survivor.operatorsPort() + "/v1/state");
+    while (System.nanoTime() - lostNanos < MAX_TAKEOVER_NANOS) {
       JsonNode holdings =
           JSON.readTree(caller.get(state).body()).path("views").path(zone).path("holdings");
-      if (!holders(holdings).contains(victim)) {
+      if (!holders(holdings).contains(lostVm)) {
         break;
       }
       Thread.sleep(20);
     }
-    return (System.nanoTime() - since) / 1e6;
+    return (System.nanoTime() - lostNanos) / 1e6;
   }
 
   private static List<String> holders(JsonNode holdings) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/Slope.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/Slope.java
@@ -8,12 +8,12 @@
  * A straight line fitted to measurements at several sizes.
  *
  * @param perUnit growth of the measured value for one more of what was varied
- * @param atZero value where the line meets size 0
- * @param error largest distance of a measurement from the line, as a fraction of the largest
- *     measurement
+ * @param intercept value where the line meets size 0
+ * @param relativeError largest distance of a measurement from the line, as a fraction of the
+ *     largest measurement
  * @param points the measurements
  */
-record Slope(double perUnit, double atZero, double error, List<Point> points) {
+record Slope(double perUnit, double intercept, double relativeError, List<Point> points) {
   /** One measurement. */
   record Point(double size, double value) {}
 
@@ -23,37 +23,39 @@
     double meanValue = points.stream().mapToDouble(Point::value).average().orElseThrow();
     double covariance = 0;
     double variance = 0;
-    double largest = 0;
+    double largestValue = 0;
     for (Point point : points) {
       covariance += (point.size() - meanSize) * (point.value() - meanValue);
       variance += (point.size() - meanSize) * (point.size() - meanSize);
-      largest = Math.max(largest, Math.abs(point.value()));
+      largestValue = Math.max(largestValue, Math.abs(point.value()));
     }
     double perUnit = covariance / variance;
     double atZero = meanValue - perUnit * meanSize;
-    double worst = 0;
+    double maxDeviation = 0;
     for (Point point : points) {
-      worst = Math.max(worst, Math.abs(atZero + perUnit * point.size() - point.value()));
+      maxDeviation =
+          Math.max(maxDeviation, Math.abs(atZero + perUnit * point.size() - point.value()));
     }
-    return new Slope(perUnit, atZero, largest == 0 ? 0 : worst / largest, List.copyOf(points));
+    return new Slope(
+        perUnit, atZero, largestValue == 0 ? 0 : maxDeviation / largestValue, List.copyOf(points));
   }
 
   /** The value that the line gives at {@code size}. */
-  double at(double size) {
-    return atZero + perUnit * size;
+  double valueAt(double size) {
+    return intercept + perUnit * size;
   }
 
   /** Slope, start and error as one line. */
-  String describe(String unit, String per) {
+  String describe(String unit, String sizeUnit) {
     return String.format(
         Locale.ROOT,
         "%.4g %s per %s, %.4g %s at zero, error %.1f %%",
         perUnit,
         unit,
-        per,
-        atZero,
+        sizeUnit,
+        intercept,
         unit,
-        100 * error);
+        100 * relativeError);
   }
 
   /** The measurements as {@code size:value}. */
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/TargetSize.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/TargetSize.java
@@ -20,9 +20,9 @@
 
 /** One customer's state with the densities of the target size and any number of zones. */
 final class TargetSize {
-  static final int NODES = 2_500;
-  static final int BLOCKS = 180_000;
-  static final int SITES = 3_700;
+  static final int ENTRY_VMS = 2_500;
+  static final int CLIENT_BLOCKS = 180_000;
+  static final int TARGETS = 3_700;
   static final int REGIONS = 27;
   static final int ZONES = 94;
   static final double LOOK_UPS_PER_SECOND = 9.5e6;
@@ -33,8 +33,8 @@
   static final String CUSTOMER = "customer";
   static final String SERVICE = "service-1";
 
-  private static final int SERVICES = 3;
-  private static final ShiftCap CAP = new ShiftCap(0.3, Duration.ofSeconds(5));
+  private static final int SERVICE_COUNT = 3;
+  private static final ShiftCap SHIFT_CAP = new ShiftCap(0.3, Duration.ofSeconds(5));
 
   private TargetSize() {}
 
@@ -57,8 +57,8 @@
       ranges.add(new ClientBlocks(first, end - 1, "region-" + r));
     }
     List<Service> services = new ArrayList<>();
-    for (int s = 1; s <= SERVICES; s++) {
-      services.add(service("service-" + s, zones * SITES / ZONES / SERVICES));
+    for (int s = 1; s <= SERVICE_COUNT; s++) {
+      services.add(service("service-" + s, zones * TARGETS / ZONES / SERVICE_COUNT));
     }
     return new Contract(CUSTOMER, 1, regions, new Delays(1, 30, 5), ranges, List.of(), services);
   }
@@ -77,16 +77,16 @@
         Duration.ofSeconds(5),
         Duration.ofSeconds(10),
         0.1,
-        CAP,
-        CAP);
+        SHIFT_CAP,
+        SHIFT_CAP);
   }
 
   /** What a process knows of all zones of {@code contract}. */
   static ClusterState state(Contract contract, long nowMillis) {
     Map<String, ZoneView> views = new HashMap<>();
     List<ZoneSummary> summaries = new ArrayList<>();
-    int membersPerZone = Math.round((float) NODES / ZONES);
-    int targetsPerZone = Math.round((float) SITES / ZONES);
+    int membersPerZone = Math.round((float) ENTRY_VMS / ZONES);
+    int targetsPerZone = Math.round((float) TARGETS / ZONES);
     for (String zone : contract.zones()) {
       List<Member> members = new ArrayList<>();
       for (int m = 0; m < membersPerZone; m++) {
@@ -98,7 +98,7 @@
             new Holding(
                 zone + "-t" + t,
                 CUSTOMER,
-                "service-" + (t % SERVICES + 1),
+                "service-" + (t % SERVICE_COUNT + 1),
                 "10.0.1." + t,
                 9_000,
                 3,
--- a/sageladder-bench/src/main/java/org/sageladder/bench/controlcost/ControlCostBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/controlcost/ControlCostBench.java
@@ -20,15 +20,15 @@
 public final class ControlCostBench {
   private static final int HEAP_MEGABYTES = 64;
   private static final long SETTLE_MILLIS = 60_000;
-  private static final double MOST_BYTES = 7_000;
-  private static final double MOST_CPU_PERCENT = 1.6;
+  private static final double MAX_BYTES_PER_SECOND = 7_000;
+  private static final double MAX_CPU_PERCENT = 1.6;
 
-  private final long millis;
-  private double worstBytes;
-  private double worstCpu;
+  private final long measureMillis;
+  private double maxBytesPerSecond;
+  private double maxCpuPercent;
 
-  private ControlCostBench(long millis) {
-    this.millis = millis;
+  private ControlCostBench(long measureMillis) {
+    this.measureMillis = measureMillis;
   }
 
   /** Takes {@code --full} for longer measurements and more fleets. */
@@ -51,9 +51,10 @@
     System.out.printf(
         "control-cost: %.0f bytes/s and %.2f %% of a core at the busiest VM measured"
             + " (aim <= %.0f and <= %.1f)%n",
-        bench.worstBytes, bench.worstCpu, MOST_BYTES, MOST_CPU_PERCENT);
-    boolean good = bench.worstBytes <= MOST_BYTES && bench.worstCpu <= MOST_CPU_PERCENT;
-    System.exit(good ? 0 : 1);
+        bench.maxBytesPerSecond, bench.maxCpuPercent, MAX_BYTES_PER_SECOND, MAX_CPU_PERCENT);
+    boolean hasPassed =
+        bench.maxBytesPerSecond <= MAX_BYTES_PER_SECOND && bench.maxCpuPercent <= MAX_CPU_PERCENT;
+    System.exit(hasPassed ? 0 : 1);
   }
 
   private void measure(int zones, int vmsPerZone, int targets, int ranges, int changesPerSecond)
@@ -65,8 +66,9 @@
       Thread.sleep(SETTLE_MILLIS + 1_000L * targets / zones / 8);
       ProcessorTimes before = ProcessorTimes.ofChildren();
       Sample sample =
-          Sample.over(fleet, millis, work -> change(fleet, contract, changesPerSecond, work));
-      ProcessorTimes.Shares cpu = ProcessorTimes.ofChildren().since(before);
+          Sample.measure(
+              fleet, measureMillis, work -> writeChanges(fleet, contract, changesPerSecond, work));
+      ProcessorTimes.CoreShares cpu = ProcessorTimes.ofChildren().since(before);
       System.out.printf(
           "%5d %3d %7d %6d %9d | %6.2f %5.2f %9.2f | %7.0f %6.0f | %6.1f%n",
           zones,
@@ -75,17 +77,17 @@
           ranges,
           changesPerSecond,
           cpu.meanPercent(),
-          cpu.mostPercent(),
-          cpu.compilingPercent(),
-          sample.bytesPerSecond(),
-          sample.bytesPerSecondMost(),
-          sample.residentMegabytes());
-      worstBytes = Math.max(worstBytes, sample.bytesPerSecondMost());
-      worstCpu = Math.max(worstCpu, cpu.mostPercent());
+          cpu.maxPercent(),
+          cpu.meanCompilerPercent(),
+          sample.meanBytesPerSecond(),
+          sample.maxBytesPerSecond(),
+          sample.meanResidentMegabytes());
+      maxBytesPerSecond = Math.max(maxBytesPerSecond, sample.maxBytesPerSecond());
+      maxCpuPercent = Math.max(maxCpuPercent, cpu.maxPercent());
     }
   }
 
-  private static void change(Fleet fleet, Contract contract, int perSecond, long millis)
+  private static void writeChanges(Fleet fleet, Contract contract, int perSecond, long millis)
       throws InterruptedException {
     if (perSecond == 0) {
       return;
@@ -93,7 +95,7 @@
     long changes = perSecond * millis / 1_000;
     for (int i = 0; i < changes; i++) {
       try {
-        fleet.accept(Contracts.withServiceMillis(contract, 20 + i % 9));
+        fleet.writeContract(Contracts.withMeanServiceMillis(contract, 20 + i % 9));
       } catch (StoreException e) {
         throw new IllegalStateException("the store stand-in failed without a fault", e);
       }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/controlcost/ProcessorTimes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/controlcost/ProcessorTimes.java
@@ -14,10 +14,10 @@
  * nanoseconds.
  *
  * @param takenNanos when it was read
- * @param threads nanoseconds used by process and thread
+ * @param nanosByThread nanoseconds used by process and thread
  */
-record ProcessorTimes(long takenNanos, Map<ThreadKey, Long> threads) {
-  private static final String COMPILER = "CompilerThre";
+record ProcessorTimes(long takenNanos, Map<ThreadKey, Long> nanosByThread) {
+  private static final String COMPILER_THREAD_NAME = "CompilerThre";
 
   /** One thread; the kernel cuts its name at 15 characters. */
   record ThreadKey(long process, String id, String name) {}
@@ -26,10 +26,10 @@
    * Shares of one core.
    *
    * @param meanPercent a process's threads but the compiler's, mean
-   * @param mostPercent the same of the busiest process
-   * @param compilingPercent a process's compiler threads, mean
+   * @param maxPercent the same of the busiest process
+   * @param meanCompilerPercent a process's compiler threads, mean
    */
-  record Shares(double meanPercent, double mostPercent, double compilingPercent) {}
+  record CoreShares(double meanPercent, double maxPercent, double meanCompilerPercent) {}
 
   static ProcessorTimes ofChildren() throws IOException {
     Map<ThreadKey, Long> threads = new HashMap<>();
@@ -59,22 +59,22 @@
   }
 
   /** What was used since {@code before}; time of threads that ended meanwhile is not seen. */
-  Shares since(ProcessorTimes before) {
+  CoreShares since(ProcessorTimes before) {
     double percentPerNano = 100.0 / (takenNanos - before.takenNanos);
     Map<Long, Double> working = new HashMap<>();
     double compiling = 0;
-    for (Map.Entry<ThreadKey, Long> entry : threads.entrySet()) {
+    for (Map.Entry<ThreadKey, Long> entry : nanosByThread.entrySet()) {
       ThreadKey thread = entry.getKey();
-      long used = entry.getValue() - before.threads.getOrDefault(thread, 0L);
-      if (thread.name().contains(COMPILER)) {
+      long used = entry.getValue() - before.nanosByThread.getOrDefault(thread, 0L);
+      if (thread.name().contains(COMPILER_THREAD_NAME)) {
         compiling += used * percentPerNano;
       } else {
         working.merge(thread.process(), used * percentPerNano, Double::sum);
       }
     }
     double sum = working.values().stream().mapToDouble(Double::doubleValue).sum();
-    double most = working.values().stream().mapToDouble(Double::doubleValue).max().orElse(0);
+    double max = working.values().stream().mapToDouble(Double::doubleValue).max().orElse(0);
     int processes = Math.max(1, working.size());
-    return new Shares(sum / processes, most, compiling / processes);
+    return new CoreShares(sum / processes, max, compiling / processes);
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/DrainMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/DrainMain.java
@@ -23,62 +23,65 @@
       bed.addTargets("bids", TARGETS, ServiceTime.parse("lognormal:60:0.8"), 3);
       bed.addEntries(ENTRIES);
       Thread.sleep(1_500);
-      boolean holds = run(bed, targetStops, entryStops);
-      if (!holds) {
-        System.out.print(bed.logs());
+      boolean hasPassed = run(bed, targetStops, entryStops);
+      if (!hasPassed) {
+        System.out.print(bed.logTails());
       }
-      System.exit(holds ? 0 : 1);
+      System.exit(hasPassed ? 0 : 1);
     }
   }
 
-  private static boolean run(TestBed bed, int targetStops, int entryStops) throws Exception {
-    TargetStops shown = new TargetStops(bed);
-    TargetStops announced = new TargetStops(bed);
-    EntryStops entries = new EntryStops(bed);
-    EntryStops kills = new EntryStops(bed);
+  private static boolean run(TestBed bed, int targetStopCount, int entryStopCount)
+      throws Exception {
+    TargetStops refusingTargets = new TargetStops(bed);
+    TargetStops listedTargets = new TargetStops(bed);
+    EntryStops entryStops = new EntryStops(bed);
+    EntryStops entryKills = new EntryStops(bed);
     long cutPlanned;
     long cutKilled;
     try (SteadyLoad load = SteadyLoad.start(bed, CALLERS, PAUSE_MILLIS)) {
       Thread.sleep(2_000);
-      Thread stopping =
+      Thread stopThread =
           new Thread(
               () -> {
                 try {
-                  for (int i = 0; i < entryStops; i++) {
-                    entries.stop(i % ENTRIES);
+                  for (int i = 0; i < entryStopCount; i++) {
+                    entryStops.stop(i % ENTRIES);
                   }
                 } catch (Exception e) {
                   throw new IllegalStateException("an entry VM could not be stopped", e);
                 }
               });
-      stopping.start();
-      for (int i = 0; i < targetStops; i++) {
-        shown.stop(i % bed.targets().size(), false);
-        announced.stop((i + 5) % bed.targets().size(), true);
+      stopThread.start();
+      for (int i = 0; i < targetStopCount; i++) {
+        refusingTargets.stop(i % bed.targets().size(), false);
+        listedTargets.stop((i + 5) % bed.targets().size(), true);
       }
-      stopping.join();
-      cutPlanned = load.cut();
+      stopThread.join();
+      cutPlanned = load.cutCount();
       System.out.println("requests by end: " + load.counts());
-      for (int i = 0; i < Math.max(2, entryStops / 8); i++) {
-        kills.kill(i % ENTRIES);
+      for (int i = 0; i < Math.max(2, entryStopCount / 8); i++) {
+        entryKills.kill(i % ENTRIES);
       }
-      cutKilled = load.cut() - cutPlanned;
+      cutKilled = load.cutCount() - cutPlanned;
     }
-    shown.print("targets that refuse");
-    announced.print("targets that the list announces");
-    entries.print();
-    int planned = shown.stops() + announced.stops() + entries.stops();
-    System.out.println("planned stops: " + planned + ", requests cut: " + cutPlanned);
-    System.out.println("baseline, killed entry VMs: " + kills.stops() + ", cut: " + cutKilled);
-    int late = shown.late() + announced.late();
+    refusingTargets.print("targets that refuse");
+    listedTargets.print("targets that the list announces");
+    entryStops.print();
+    int plannedStops =
+        refusingTargets.stopCount() + listedTargets.stopCount() + entryStops.stopCount();
+    System.out.println("planned stops: " + plannedStops + ", requests cut: " + cutPlanned);
+    System.out.println(
+        "baseline, killed entry VMs: " + entryKills.stopCount() + ", cut: " + cutKilled);
+    int lateStops = refusingTargets.lateCount() + listedTargets.lateCount();
     System.out.println(
         "drain: "
-            + (cutPlanned + late + entries.badExits() + entries.permitsLost())
+            + (cutPlanned + lateStops + entryStops.failedExitCount() + entryStops.lostPermitCount())
             + " cut requests, late work, bad exits and lost permits (aim 0)");
     return cutPlanned == 0
-        && late == 0
-        && entries.badExits() == 0
-        && entries.permitsLost() == 0
-        && planned >= 20;
+        && lateStops == 0
+        && entryStops.failedExitCount() == 0
+        && entryStops.lostPermitCount() == 0
+        && plannedStops >= 20;
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/EntryStops.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/EntryStops.java
@@ -10,14 +10,14 @@
 
 /** Stops entry VMs by SIGTERM one after another and starts them again. */
 final class EntryStops {
-  private static final long LONGEST_SECONDS = 90;
+  private static final long MAX_STOP_SECONDS = 90;
 
   private final TestBed bed;
-  private final Histogram toExit = new Histogram(120_000, 3);
+  private final Histogram millisToExit = new Histogram(120_000, 3);
   private final Caller caller = Caller.create();
-  private int badExits;
-  private int permitsLost;
-  private int stops;
+  private int failedExitCount;
+  private int lostPermitCount;
+  private int stopCount;
 
   EntryStops(TestBed bed) {
     this.bed = bed;
@@ -25,28 +25,28 @@
 
   void stop(int number) throws IOException, InterruptedException {
     EntryProcess entry = bed.entries().get(number);
-    String work = "handed" + stops;
+    String work = "handed" + stopCount;
     String permit = bid(entry, work, "").permit();
-    long sign = System.nanoTime();
-    bed.list(entry, true);
+    long startNanos = System.nanoTime();
+    bed.listEntry(entry, true);
     entry.terminate();
-    int code = entry.awaitEnd(LONGEST_SECONDS);
-    toExit.recordValue((System.nanoTime() - sign) / 1_000_000);
-    stops++;
-    System.out.println(entry.lastWords());
+    int code = entry.awaitEnd(MAX_STOP_SECONDS);
+    millisToExit.recordValue((System.nanoTime() - startNanos) / 1_000_000);
+    stopCount++;
+    System.out.println(entry.lastOutputLine());
     if (code != 0) {
-      badExits++;
+      failedExitCount++;
       entry.kill();
     }
     EntryProcess other = bed.entries().get((number + 1) % bed.entries().size());
     Reply reply = bid(other, work, permit);
     // "Not run" is the successor's own word, with a fresh permit; only "unknown" shows a lost one.
-    if (!reply.ran() && !reply.notRun()) {
-      permitsLost++;
+    if (!reply.ran() && !reply.isNotRun()) {
+      lostPermitCount++;
       System.out.println("permit of a stopped entry VM: " + reply.status() + " " + reply.result());
     }
     entry.restart();
-    bed.list(entry, false);
+    bed.listEntry(entry, false);
     Thread.sleep(1_500);
   }
 
@@ -65,39 +65,39 @@
   /** The baseline: the process is ended at once. */
   void kill(int number) throws IOException, InterruptedException {
     EntryProcess entry = bed.entries().get(number);
-    bed.list(entry, true);
+    bed.listEntry(entry, true);
     entry.kill();
-    stops++;
+    stopCount++;
     entry.restart();
-    bed.list(entry, false);
+    bed.listEntry(entry, false);
     Thread.sleep(1_500);
   }
 
-  int stops() {
-    return stops;
+  int stopCount() {
+    return stopCount;
   }
 
   /** Stops that did not end with exit code 0. */
-  int badExits() {
-    return badExits;
+  int failedExitCount() {
+    return failedExitCount;
   }
 
   /** Permits of stopped entry VMs that could not be used at another one afterwards. */
-  int permitsLost() {
-    return permitsLost;
+  int lostPermitCount() {
+    return lostPermitCount;
   }
 
   void print() {
     System.out.println(
         "entry VMs: "
-            + stops
+            + stopCount
             + " stops; SIGTERM to exit p50 "
-            + toExit.getValueAtPercentile(50)
+            + millisToExit.getValueAtPercentile(50)
             + " ms, p99 "
-            + toExit.getValueAtPercentile(99)
+            + millisToExit.getValueAtPercentile(99)
             + " ms; exit codes other than 0: "
-            + badExits
+            + failedExitCount
             + "; permits not taken over: "
-            + permitsLost);
+            + lostPermitCount);
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/SteadyLoad.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/SteadyLoad.java
@@ -16,15 +16,15 @@
 /** Callers that look up, keep the answer for its time to live, and send listings and bids. */
 final class SteadyLoad implements AutoCloseable {
   private static final Duration DEADLINE = Duration.ofSeconds(5);
-  private static final Duration PATIENCE = Duration.ofSeconds(7);
-  private static final long LOOK_UP_LIVES_NANOS = 2_000_000_000L;
+  private static final Duration CLIENT_TIMEOUT = Duration.ofSeconds(7);
+  private static final long LOOK_UP_TTL_NANOS = 2_000_000_000L;
   private static final int ANSWER_BYTES = 256;
 
   private final TestBed bed;
   private final List<Thread> threads = new ArrayList<>();
   private final Map<String, AtomicLong> counts = new TreeMap<>();
-  private final AtomicLong next = new AtomicLong();
-  private volatile boolean over;
+  private final AtomicLong nextKey = new AtomicLong();
+  private volatile boolean isClosed;
 
   private SteadyLoad(TestBed bed) {
     this.bed = bed;
@@ -34,7 +34,7 @@
     SteadyLoad load = new SteadyLoad(bed);
     for (int i = 0; i < callers; i++) {
       int seed = i;
-      Thread thread = new Thread(() -> load.call(seed, pauseMillis), "caller-" + i);
+      Thread thread = new Thread(() -> load.runCaller(seed, pauseMillis), "caller-" + i);
       thread.setDaemon(true);
       load.threads.add(thread);
       thread.start();
@@ -42,22 +42,22 @@
     return load;
   }
 
-  private void call(int seed, int pauseMillis) {
+  private void runCaller(int seed, int pauseMillis) {
     SplittableRandom random = new SplittableRandom(seed);
     Caller caller = Caller.create();
     List<Integer> entries = List.of();
-    long lookedUp = 0;
+    long lookedUpAtNanos = 0;
     try {
-      while (!over) {
-        boolean bid = random.nextInt(10) < 3;
-        if (entries.isEmpty() || System.nanoTime() - lookedUp > LOOK_UP_LIVES_NANOS) {
+      while (!isClosed) {
+        boolean isBid = random.nextInt(10) < 3;
+        if (entries.isEmpty() || System.nanoTime() - lookedUpAtNanos > LOOK_UP_TTL_NANOS) {
           entries = lookUp(caller, random);
-          lookedUp = System.nanoTime();
+          lookedUpAtNanos = System.nanoTime();
         }
-        String key = "d" + next.getAndIncrement();
-        Reply reply = bid ? bid(caller, entries, key) : listing(caller, entries, key);
+        String key = "d" + nextKey.getAndIncrement();
+        Reply reply = isBid ? sendBid(caller, entries, key) : sendListing(caller, entries, key);
         count(reply);
-        if (reply.lookUpAgain()) {
+        if (reply.shouldLookUpAgain()) {
           entries = List.of();
         }
         Thread.sleep(random.nextInt(2 * pauseMillis + 1));
@@ -79,25 +79,25 @@
     return List.of();
   }
 
-  private static Reply listing(Caller caller, List<Integer> entries, String key)
+  private static Reply sendListing(Caller caller, List<Integer> entries, String key)
       throws InterruptedException {
     String path = "/lots?answerBytes=" + ANSWER_BYTES + "&work=" + key;
-    return first(caller, entries, "GET", "listings", path, new byte[0], "");
+    return sendToFirstReachable(caller, entries, "GET", "listings", path, new byte[0], "");
   }
 
-  private static Reply bid(Caller caller, List<Integer> entries, String key)
+  private static Reply sendBid(Caller caller, List<Integer> entries, String key)
       throws InterruptedException {
     String path = "/lots/7?answerBytes=" + ANSWER_BYTES + "&work=" + key;
     byte[] body = key.getBytes(StandardCharsets.UTF_8);
-    Reply reply = first(caller, entries, "POST", "bids", path, body, "");
+    Reply reply = sendToFirstReachable(caller, entries, "POST", "bids", path, body, "");
     for (int i = 0; i < 10 && !reply.permit().isEmpty(); i++) {
-      reply = first(caller, entries, "POST", "bids", path, body, reply.permit());
+      reply = sendToFirstReachable(caller, entries, "POST", "bids", path, body, reply.permit());
     }
     return reply;
   }
 
   /** The first entry VM that takes a connection answers; others are fallbacks. */
-  private static Reply first(
+  private static Reply sendToFirstReachable(
       Caller caller,
       List<Integer> entries,
       String method,
@@ -108,17 +108,17 @@
       throws InterruptedException {
     Reply reply = Reply.REFUSED;
     for (int port : entries) {
-      reply = caller.send(port, method, service, path, body, permit, DEADLINE, PATIENCE);
+      reply = caller.send(port, method, service, path, body, permit, DEADLINE, CLIENT_TIMEOUT);
       if (!reply.isRefused()) {
-        boolean whole = reply.isAnswerTo(RequestChecksum.of(method, path, body), ANSWER_BYTES);
-        return reply.ran() && !whole ? Reply.CUT : reply;
+        boolean isWhole = reply.isAnswerTo(RequestChecksum.of(method, path, body), ANSWER_BYTES);
+        return reply.ran() && !isWhole ? Reply.CUT : reply;
       }
     }
     return reply;
   }
 
   private synchronized void count(Reply reply) {
-    String name = reply.isLost() ? reply.result() : reply.result() + " " + reply.outcome();
+    String name = reply.hasNoAnswer() ? reply.result() : reply.result() + " " + reply.outcome();
     counts.computeIfAbsent(name, ignored -> new AtomicLong()).incrementAndGet();
   }
 
@@ -130,13 +130,13 @@
   }
 
   /** Requests whose connection ended before the answer was whole. */
-  long cut() {
+  long cutCount() {
     return counts().getOrDefault("cut", 0L);
   }
 
   @Override
   public void close() {
-    over = true;
+    isClosed = true;
     boolean interrupted = false;
     for (Thread thread : threads) {
       try {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/TargetStops.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/TargetStops.java
@@ -6,34 +6,34 @@
 
 /** Stops targets one after another, as the platform or they themselves announce it. */
 final class TargetStops {
-  private static final long SETTLED_NANOS = 400_000_000L;
-  private static final long LONGEST_NANOS = 10_000_000_000L;
+  private static final long IDLE_NANOS = 400_000_000L;
+  private static final long MAX_STOP_NANOS = 10_000_000_000L;
 
   private final TestBed bed;
-  private final Histogram toLastNewWork = new Histogram(60_000, 3);
-  private final Histogram toIdle = new Histogram(60_000, 3);
-  private int late;
-  private int stops;
+  private final Histogram millisToLastNewRequest = new Histogram(60_000, 3);
+  private final Histogram millisToIdle = new Histogram(60_000, 3);
+  private int lateCount;
+  private int stopCount;
 
   TargetStops(TestBed bed) {
     this.bed = bed;
   }
 
   /** One stop; {@code announced} on the platform's list, else shown by the target alone. */
-  void stop(int number, boolean announced) throws InterruptedException {
+  void stop(int number, boolean isListed) throws InterruptedException {
     TargetServer target = bed.targets().get(number);
     long incarnation = target.incarnation();
-    long sign = System.nanoTime();
-    if (announced) {
+    long startNanos = System.nanoTime();
+    if (isListed) {
       bed.listTarget(number, incarnation, true);
     } else {
       target.drain();
     }
-    long lastStart = sign;
-    long lastBusy = sign;
+    long lastStart = startNanos;
+    long lastBusy = startNanos;
     long started = target.executions().total();
-    while (System.nanoTime() - lastBusy < SETTLED_NANOS
-        && System.nanoTime() - sign < LONGEST_NANOS) {
+    while (System.nanoTime() - lastBusy < IDLE_NANOS
+        && System.nanoTime() - startNanos < MAX_STOP_NANOS) {
       Thread.sleep(1);
       long now = System.nanoTime();
       if (target.executions().total() != started) {
@@ -44,38 +44,38 @@
         lastBusy = now;
       }
     }
-    stops++;
-    long lastStartMillis = (lastStart - sign) / 1_000_000;
-    toLastNewWork.recordValue(lastStartMillis);
-    toIdle.recordValue((lastBusy - sign) / 1_000_000);
-    late += lastStartMillis > 3_000 ? 1 : 0;
+    stopCount++;
+    long lastStartMillis = (lastStart - startNanos) / 1_000_000;
+    millisToLastNewRequest.recordValue(lastStartMillis);
+    millisToIdle.recordValue((lastBusy - startNanos) / 1_000_000);
+    lateCount += lastStartMillis > 3_000 ? 1 : 0;
     target.restart();
     bed.listTarget(number, target.incarnation(), false);
   }
 
-  int stops() {
-    return stops;
+  int stopCount() {
+    return stopCount;
   }
 
   /** Stops after which new work came later than 3 s after the first sign. */
-  int late() {
-    return late;
+  int lateCount() {
+    return lateCount;
   }
 
   void print(String name) {
     System.out.println(
         name
             + ": "
-            + stops
+            + stopCount
             + " stops; sign to last new work p50 "
-            + toLastNewWork.getValueAtPercentile(50)
+            + millisToLastNewRequest.getValueAtPercentile(50)
             + " ms, max "
-            + toLastNewWork.getMaxValue()
+            + millisToLastNewRequest.getMaxValue()
             + " ms; sign to idle p50 "
-            + toIdle.getValueAtPercentile(50)
+            + millisToIdle.getValueAtPercentile(50)
             + " ms, p99 "
-            + toIdle.getValueAtPercentile(99)
+            + millisToIdle.getValueAtPercentile(99)
             + " ms; later than 3 s: "
-            + late);
+            + lateCount);
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Contracts.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Contracts.java
@@ -49,7 +49,7 @@
   }
 
   /** The same contract with another planned service time, which is one changed line. */
-  public static Contract withServiceMillis(Contract contract, double millis) {
+  public static Contract withMeanServiceMillis(Contract contract, double millis) {
     Contract.Service old = contract.services().get(0);
     return new Contract(
         contract.customer(),
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Fleet.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Fleet.java
@@ -43,9 +43,9 @@
  */
 public final class Fleet implements AutoCloseable {
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(3);
-  private static final int STARTS_AT_ONCE = 4;
+  private static final int MAX_PARALLEL_STARTS = 4;
   private static final int CLOSED_PORT = 9;
-  private static final List<String> SMALL_JVM =
+  private static final List<String> SMALL_JVM_OPTIONS =
       List.of("-XX:ReservedCodeCacheSize=24m", "-XX:-UsePerfData", "-Xss256k", "-Xms8m");
   private static final String SETTINGS =
       """
@@ -62,7 +62,7 @@
   private final HttpStore client;
   private final BlockingHttpClient caller;
   private final Map<String, FleetVm> vms = new LinkedHashMap<>();
-  private final Map<String, TreeMap<Long, Long>> inForce = new LinkedHashMap<>();
+  private final Map<String, TreeMap<Long, Long>> inForceMicrosByVm = new LinkedHashMap<>();
   private final List<String> reverts = new ArrayList<>();
   private final Map<String, Long> lastRevision = new LinkedHashMap<>();
 
@@ -79,7 +79,7 @@
       throws IOException, InterruptedException, StoreException {
     Fleet fleet = new Fleet(options);
     try {
-      fleet.begin();
+      fleet.startAll();
       return fleet;
     } catch (IOException | InterruptedException | StoreException | RuntimeException e) {
       fleet.close();
@@ -87,16 +87,16 @@
     }
   }
 
-  private void begin() throws IOException, InterruptedException, StoreException {
-    Acceptance first = accept(options.contract());
+  private void startAll() throws IOException, InterruptedException, StoreException {
+    Acceptance first = writeContract(options.contract());
     listTargets();
-    EntryOptions usual = ClassArchive.use(entryOptions());
-    ExecutorService starters = Executors.newFixedThreadPool(STARTS_AT_ONCE);
+    EntryOptions baseOptions = ClassArchive.withArchive(entryOptions());
+    ExecutorService starters = Executors.newFixedThreadPool(MAX_PARALLEL_STARTS);
     List<Future<?>> starts = new ArrayList<>();
     for (String zone : options.contract().zones()) {
       for (int i = 0; i < options.vmsPerZone(); i++) {
         String name = zone + "-vm-" + i;
-        starts.add(starters.submit(() -> startVm(usual.vm(name, zone))));
+        starts.add(starters.submit(() -> startVm(baseOptions.vm(name, zone))));
       }
     }
     for (Future<?> start : starts) {
@@ -125,9 +125,9 @@
     Contract contract = options.contract();
     return EntryOptions.of("probe", contract.customer(), contract.zones().get(0), store().address())
         .storeTimeout("2s")
-        .listEvery("1s")
+        .listInterval("1s")
         .heapMegabytes(options.heapMegabytes())
-        .jvmOptions(SMALL_JVM)
+        .jvmOptions(SMALL_JVM_OPTIONS)
         .settings(SETTINGS);
   }
 
@@ -137,7 +137,7 @@
       for (int i = 0; i < service.targets(); i++) {
         String id = service.name() + "-" + i;
         String zone = zones.get(i % zones.size());
-        if (options.realTargets()) {
+        if (options.hasRealTargets()) {
           startTarget(id, service, zone);
         } else {
           standIns.listTarget(id, service.name(), zone, CLOSED_PORT, 1);
@@ -156,16 +156,16 @@
   }
 
   /** Requests that each target has started since its own start, by target. */
-  public Map<String, Long> started() {
-    Map<String, Long> started = new TreeMap<>();
+  public Map<String, Long> startedRequestCounts() {
+    Map<String, Long> counts = new TreeMap<>();
     standIns
         .targets()
-        .forEach(target -> started.put(target.options().id(), target.executions().total()));
-    return started;
+        .forEach(target -> counts.put(target.options().id(), target.executions().total()));
+    return counts;
   }
 
   /** Ends all entry VMs of a zone at once and leaves its targets up. */
-  public void loseEntryVms(String zone) throws InterruptedException {
+  public void killEntryVms(String zone) throws InterruptedException {
     for (FleetVm vm : vms()) {
       if (vm.zone().equals(zone)) {
         vm.kill();
@@ -174,8 +174,8 @@
   }
 
   /** Ends all entry VMs and targets of a zone at once; the platform's list shows it later. */
-  public void loseZone(String zone) throws InterruptedException {
-    loseEntryVms(zone);
+  public void killZone(String zone) throws InterruptedException {
+    killEntryVms(zone);
     standIns.targetsIn(zone).forEach(TargetServer::close);
   }
 
@@ -183,14 +183,15 @@
   public record Acceptance(long revision, long sentMicros, long answeredMicros) {}
 
   /** Writes a contract over whatever stands; times are on the clock that the VMs share. */
-  public Acceptance accept(Contract contract) throws StoreException {
+  public Acceptance writeContract(Contract contract) throws StoreException {
     String key = StoredContract.keyOf(contract.customer());
     byte[] value =
         new StoredContract(java.util.UUID.randomUUID().toString(), "bench", contract).toBytes();
     while (true) {
-      long before = client.read(key).map(StoredValue::revision).orElse(0L);
+      long baseRevision = client.read(key).map(StoredValue::revision).orElse(0L);
       long sent = nowMicros();
-      if (client.compareAndSet(key, before, value, null) instanceof WriteResult.Written done) {
+      if (client.compareAndSet(key, baseRevision, value, null)
+          instanceof WriteResult.Written done) {
         return new Acceptance(done.revision(), sent, nowMicros());
       }
     }
@@ -234,8 +235,8 @@
   }
 
   /** Takes an ended VM off the platform's list, or puts one back on it. */
-  public void listed(FleetVm vm, boolean present) {
-    if (present) {
+  public void setListed(FleetVm vm, boolean isListed) {
+    if (isListed) {
       standIns.relist(vm.name());
     } else {
       standIns.unlist(vm.name());
@@ -243,26 +244,26 @@
   }
 
   /** Reads all new events of the VMs that run and notes what came into force when. */
-  public void collect(Predicate<FleetVm> which) throws IOException {
+  public void collectEvents(Predicate<FleetVm> filter) throws IOException {
     for (FleetVm vm : vms()) {
-      if (vm.isAlive() && which.test(vm)) {
+      if (vm.isAlive() && filter.test(vm)) {
         for (Event event : vm.newEvents()) {
-          note(vm, event);
+          recordEvent(vm, event);
         }
       }
     }
   }
 
-  private void note(FleetVm vm, Event event) {
+  private void recordEvent(FleetVm vm, Event event) {
     if (event.kind() != EventKind.CONTRACT_IN_FORCE) {
       return;
     }
-    long before = lastRevision.getOrDefault(vm.name(), 0L);
-    if (event.revision() < before) {
-      reverts.add(vm.name() + " went from " + before + " back to " + event.revision());
+    long previous = lastRevision.getOrDefault(vm.name(), 0L);
+    if (event.revision() < previous) {
+      reverts.add(vm.name() + " went from " + previous + " back to " + event.revision());
     }
     lastRevision.put(vm.name(), event.revision());
-    inForce
+    inForceMicrosByVm
         .computeIfAbsent(vm.name(), name -> new TreeMap<>())
         .putIfAbsent(event.revision(), event.wallMicros());
   }
@@ -284,29 +285,29 @@
    *
    * @return when it came into force there, microseconds since the Unix epoch
    */
-  public Map<String, Long> awaitRevision(long revision, Duration patience, Predicate<FleetVm> which)
+  public Map<String, Long> awaitRevision(long revision, Duration timeout, Predicate<FleetVm> filter)
       throws IOException, InterruptedException {
-    long end = System.nanoTime() + patience.toNanos();
+    long deadline = System.nanoTime() + timeout.toNanos();
     Map<String, Long> times = new LinkedHashMap<>();
     while (true) {
-      collect(which);
+      collectEvents(filter);
       List<String> missing = new ArrayList<>();
       for (FleetVm vm : vms()) {
-        if (!vm.isAlive() || !which.test(vm)) {
+        if (!vm.isAlive() || !filter.test(vm)) {
           continue;
         }
-        Map.Entry<Long, Long> seen =
-            inForce.getOrDefault(vm.name(), new TreeMap<>()).ceilingEntry(revision);
-        if (seen == null) {
+        Map.Entry<Long, Long> inForce =
+            inForceMicrosByVm.getOrDefault(vm.name(), new TreeMap<>()).ceilingEntry(revision);
+        if (inForce == null) {
           missing.add(vm.name());
         } else {
-          times.put(vm.name(), seen.getValue());
+          times.put(vm.name(), inForce.getValue());
         }
       }
       if (missing.isEmpty()) {
         return times;
       }
-      if (System.nanoTime() - end > 0) {
+      if (System.nanoTime() - deadline > 0) {
         throw new IOException("revision " + revision + " is not in force at " + missing);
       }
       Thread.sleep(100);
@@ -314,28 +315,28 @@
   }
 
   /** Waits until each VM's own zone view names all VMs of the zone. */
-  public void awaitViews(Duration patience) throws IOException, InterruptedException {
-    long end = System.nanoTime() + patience.toNanos();
+  public void awaitViews(Duration timeout) throws IOException, InterruptedException {
+    long deadline = System.nanoTime() + timeout.toNanos();
     while (true) {
-      String behind = "";
+      String laggingVm = "";
       for (FleetVm vm : vms()) {
-        if (vm.isAlive() && !seesAll(vm)) {
-          behind = vm.name();
+        if (vm.isAlive() && !seesAllVms(vm)) {
+          laggingVm = vm.name();
           break;
         }
       }
-      if (behind.isEmpty()) {
+      if (laggingVm.isEmpty()) {
         return;
       }
-      if (System.nanoTime() - end > 0) {
-        throw new IOException(behind + " does not see its whole zone");
+      if (System.nanoTime() - deadline > 0) {
+        throw new IOException(laggingVm + " does not see its whole zone");
       }
       Thread.sleep(200);
     }
   }
 
-  private boolean seesAll(FleetVm vm) throws IOException {
-    String state = vm.state();
+  private boolean seesAllVms(FleetVm vm) throws IOException {
+    String state = vm.stateJson();
     for (FleetVm other : vms()) {
       if (other.isAlive() && !state.contains("\"vm\":\"" + other.name() + "\"")) {
         return false;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/FleetVm.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/FleetVm.java
@@ -16,7 +16,7 @@
 
 /** One entry VM's process with what it tells its operators. */
 public final class FleetVm {
-  private static final int MOST_PAGES = 50;
+  private static final int MAX_EVENT_PAGES = 50;
 
   private final EntryProcess process;
   private final BlockingHttpClient caller;
@@ -37,7 +37,7 @@
   }
 
   /** Address that callers use. */
-  public String callers() {
+  public String callersAddress() {
     return process.callersAddress();
   }
 
@@ -83,7 +83,7 @@
   /** Events since the last call, in order. */
   public List<Event> newEvents() throws IOException {
     List<Event> events = new ArrayList<>();
-    for (int i = 0; i < MOST_PAGES; i++) {
+    for (int i = 0; i < MAX_EVENT_PAGES; i++) {
       EventPage page =
           EventPage.fromJson(caller.get(operators("/v1/events?after=" + eventCursor)).body());
       if (page.lost() > 0) {
@@ -99,7 +99,7 @@
   }
 
   /** The state that operators see, as JSON. */
-  public String state() throws IOException {
+  public String stateJson() throws IOException {
     return caller.get(operators("/v1/state")).text();
   }
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/path/PathMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/path/PathMain.java
@@ -17,23 +17,23 @@
 
 /** Alternates direct calls with calls through an entry VM, and weighs a million permits. */
 public final class PathMain {
-  private static final int WARM_UP = 1_500;
-  private static final int USUAL = 4_000;
-  private static final int FULL = 20_000;
+  private static final int WARM_UP_CALLS = 1_500;
+  private static final int DEFAULT_CALLS = 4_000;
+  private static final int FULL_CALLS = 20_000;
   private static final int PERMITS = 1_000_000;
-  private static final double LARGEST_P50_MILLIS = 2.0;
+  private static final double MAX_ADDED_P50_MILLIS = 2.0;
 
   private final HttpClient client =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-  private final Histogram direct = new Histogram(10_000_000, 3);
-  private final Histogram through = new Histogram(10_000_000, 3);
-  private final Histogram permitted = new Histogram(10_000_000, 3);
+  private final Histogram directMicros = new Histogram(10_000_000, 3);
+  private final Histogram throughEntryMicros = new Histogram(10_000_000, 3);
+  private final Histogram withPermitMicros = new Histogram(10_000_000, 3);
 
   private PathMain() {}
 
   /** Takes {@code --full} for 20,000 calls each way instead of 4,000. */
   public static void main(String[] args) throws Exception {
-    int count = List.of(args).contains("--full") ? FULL : USUAL;
+    int count = List.of(args).contains("--full") ? FULL_CALLS : DEFAULT_CALLS;
     System.out.println(permitMemory());
     try (TestBed bed = TestBed.start(1)) {
       bed.addTargets("listings", 1, ServiceTime.fixed(0), 8);
@@ -41,10 +41,10 @@
       bed.addEntries(1);
       Thread.sleep(2_000);
       PathMain path = new PathMain();
-      path.run(bed, WARM_UP);
-      path.direct.reset();
-      path.through.reset();
-      path.permitted.reset();
+      path.run(bed, WARM_UP_CALLS);
+      path.directMicros.reset();
+      path.throughEntryMicros.reset();
+      path.withPermitMicros.reset();
       path.run(bed, count);
       System.exit(path.report() ? 0 : 1);
     }
@@ -57,13 +57,14 @@
     URI bid = URI.create(entry + TestBed.CUSTOMER + "/bids/lots/7?answerBytes=512");
     String permit = "";
     for (int i = 0; i < count; i++) {
-      time(direct, HttpRequest.newBuilder(target).build());
-      time(through, request(listing).build());
+      timeCall(directMicros, HttpRequest.newBuilder(target).build());
+      timeCall(throughEntryMicros, request(listing).build());
       if (permit.isEmpty()) {
         permit = permit(request(bid).POST(HttpRequest.BodyPublishers.ofString("bid")).build());
       }
-      HttpRequest.Builder paid = request(bid).POST(HttpRequest.BodyPublishers.ofString("bid"));
-      time(permitted, paid.header("Sageladder-Permit", permit).build());
+      HttpRequest.Builder bidWithPermit =
+          request(bid).POST(HttpRequest.BodyPublishers.ofString("bid"));
+      timeCall(withPermitMicros, bidWithPermit.header("Sageladder-Permit", permit).build());
       permit = "";
     }
   }
@@ -80,7 +81,7 @@
         .orElse("");
   }
 
-  private void time(Histogram histogram, HttpRequest request)
+  private void timeCall(Histogram histogram, HttpRequest request)
       throws IOException, InterruptedException {
     long start = System.nanoTime();
     HttpResponse<byte[]> response = client.send(request, HttpResponse.BodyHandlers.ofByteArray());
@@ -91,18 +92,19 @@
   }
 
   private boolean report() {
-    print("direct", direct);
-    print("through an entry VM", through);
-    print("through an entry VM with a permit", permitted);
-    double added = millis(through, 50) - millis(direct, 50);
+    print("direct", directMicros);
+    print("through an entry VM", throughEntryMicros);
+    print("through an entry VM with a permit", withPermitMicros);
+    double added = millis(throughEntryMicros, 50) - millis(directMicros, 50);
     System.out.printf(
         "added by the way: p50 %.2f ms, p99 %.2f ms; with a permit p50 %.2f ms, p99 %.2f ms%n",
         added,
-        millis(through, 99) - millis(direct, 99),
-        millis(permitted, 50) - millis(direct, 50),
-        millis(permitted, 99) - millis(direct, 99));
-    System.out.printf("path: %.2f ms added at p50 (aim at most %.1f)%n", added, LARGEST_P50_MILLIS);
-    return added <= LARGEST_P50_MILLIS;
+        millis(throughEntryMicros, 99) - millis(directMicros, 99),
+        millis(withPermitMicros, 50) - millis(directMicros, 50),
+        millis(withPermitMicros, 99) - millis(directMicros, 99));
+    System.out.printf(
+        "path: %.2f ms added at p50 (aim at most %.1f)%n", added, MAX_ADDED_P50_MILLIS);
+    return added <= MAX_ADDED_P50_MILLIS;
   }
 
   private static void print(String name, Histogram histogram) {
@@ -117,7 +119,7 @@
 
   /** Heap held by a million live permits, unused and used with an answer of 200 bytes. */
   private static String permitMemory() {
-    PermitHome home =
+    PermitHome permitHome =
         PermitHome.of(
             "entry-0",
             1,
@@ -126,31 +128,32 @@
                 java.time.Duration.ofSeconds(10),
                 java.time.Duration.ofMinutes(1),
                 1L << 30));
-    long before = used();
-    List<Permit> some = new ArrayList<>();
+    long before = usedHeapBytes();
+    List<Permit> usedPermits = new ArrayList<>();
     for (int i = 0; i < PERMITS; i++) {
-      Permit permit = home.mint(TestBed.CUSTOMER, "bids", i / 20L).orElseThrow();
+      Permit permit = permitHome.mint(TestBed.CUSTOMER, "bids", i / 20L).orElseThrow();
       if (i % 10 == 0) {
-        some.add(permit);
+        usedPermits.add(permit);
       }
     }
-    long tickets = used();
-    for (Permit permit : some) {
-      if (home.beginExecution(permit, "bid", PERMITS / 20L) instanceof Decision.Execute execute) {
+    long afterMint = usedHeapBytes();
+    for (Permit permit : usedPermits) {
+      if (permitHome.beginExecution(permit, "bid", PERMITS / 20L)
+          instanceof Decision.Execute execute) {
         boolean unused =
             execute
                 .execution()
                 .recordAnswer(RecordedAnswer.complete(200, List.of(), new byte[200]));
       }
     }
-    long answered = used();
-    long held = home.retainedCount(PERMITS / 20L);
+    long afterAnswers = usedHeapBytes();
+    long permitCount = permitHome.retainedCount(PERMITS / 20L);
     return String.format(
         "permits: %d live ones take %.1f MB; answers of 200 bytes to 100,000 of them %.1f MB more",
-        held, (tickets - before) / 1e6, (answered - tickets) / 1e6);
+        permitCount, (afterMint - before) / 1e6, (afterAnswers - afterMint) / 1e6);
   }
 
-  private static long used() {
+  private static long usedHeapBytes() {
     System.gc();
     Runtime runtime = Runtime.getRuntime();
     return runtime.totalMemory() - runtime.freeMemory();
--- /dev/null
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/AdmissionLog.java
@@ -0,0 +1,124 @@
+package org.sageladder.bench.policy;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Counts what was admitted where, and checks caps and slots the slow and plain way. */
+final class AdmissionLog {
+  private static final int STEPS_PER_WINDOW = 10;
+
+  private final Setup setup;
+  private final Map<String, Map<Long, Integer>> countsByScope = new HashMap<>();
+  private final Map<String, Integer> inFlightByTarget = new HashMap<>();
+  private final List<Integer> servedBySecond = new ArrayList<>();
+  private long slotViolationCount;
+  private long offeredCount;
+  private long servedCount;
+  private long servedRemoteCount;
+
+  AdmissionLog(Setup setup) {
+    this.setup = setup;
+  }
+
+  void recordOffered() {
+    offeredCount++;
+  }
+
+  void recordAdmitted(String target, String region, String callerRegion, long nowNanos) {
+    servedCount++;
+    servedRemoteCount += region.equals(callerRegion) ? 0 : 1;
+    int second = (int) (nowNanos / 1_000_000_000L);
+    while (servedBySecond.size() <= second) {
+      servedBySecond.add(0);
+    }
+    servedBySecond.set(second, servedBySecond.get(second) + 1);
+    countAdmission("target " + target, nowNanos);
+    countAdmission("region " + region, nowNanos);
+    if (inFlightByTarget.merge(target, 1, Integer::sum) > setup.slotsPerTarget()) {
+      slotViolationCount++;
+    }
+  }
+
+  void recordAnswered(String target) {
+    inFlightByTarget.merge(target, -1, Integer::sum);
+  }
+
+  private void countAdmission(String scope, long nowNanos) {
+    countsByScope
+        .computeIfAbsent(scope, name -> new HashMap<>())
+        .merge(stepAt(nowNanos), 1, Integer::sum);
+  }
+
+  private long stepAt(long nowNanos) {
+    return nowNanos / (setup.windowSeconds() * 1_000_000_000L / STEPS_PER_WINDOW);
+  }
+
+  /** True where one more request at {@code place} now breaks its cap neither now nor later. */
+  boolean allowsOneMore(String scope, int maxGain, long nowNanos) {
+    Map<Long, Integer> counts = countsByScope.getOrDefault(scope, Map.of());
+    long now = stepAt(nowNanos);
+    for (long end = now; end < now + STEPS_PER_WINDOW; end++) {
+      if (windowCount(counts, end) + 1 > windowCount(counts, end - STEPS_PER_WINDOW) + maxGain) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  private static int windowCount(Map<Long, Integer> counts, long end) {
+    int count = 0;
+    for (int back = 0; back < STEPS_PER_WINDOW; back++) {
+      count += counts.getOrDefault(end - back, 0);
+    }
+    return count;
+  }
+
+  /** Windows of any place that outgrew the window before by more than its gain. */
+  int capViolationCount(long endNanos) {
+    int violations = 0;
+    for (Map.Entry<String, Map<Long, Integer>> scope : countsByScope.entrySet()) {
+      boolean isRegion = scope.getKey().startsWith("region");
+      int maxGain = isRegion ? setup.regionGainRequests() : setup.targetGainRequests();
+      for (long end = 0; end <= stepAt(endNanos) + STEPS_PER_WINDOW; end++) {
+        int count = windowCount(scope.getValue(), end);
+        violations +=
+            count > windowCount(scope.getValue(), end - STEPS_PER_WINDOW) + maxGain ? 1 : 0;
+      }
+    }
+    return violations;
+  }
+
+  /** Windows in which a region took in more than its slots can carry. */
+  int overCapacityWindowCount(long endNanos) {
+    int overCapacity = 0;
+    double capacityPerWindow = setup.regionCapacityPerSecond() * setup.windowSeconds();
+    for (Map.Entry<String, Map<Long, Integer>> scope : countsByScope.entrySet()) {
+      for (long end = 0; scope.getKey().startsWith("region") && end <= stepAt(endNanos); end++) {
+        overCapacity += windowCount(scope.getValue(), end) > 1.1 * capacityPerWindow ? 1 : 0;
+      }
+    }
+    return overCapacity;
+  }
+
+  long slotViolationCount() {
+    return slotViolationCount;
+  }
+
+  long offeredCount() {
+    return offeredCount;
+  }
+
+  long servedCount() {
+    return servedCount;
+  }
+
+  long servedRemoteCount() {
+    return servedRemoteCount;
+  }
+
+  int servedInSecond(int second) {
+    return second < servedBySecond.size() ? servedBySecond.get(second) : 0;
+  }
+}
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Arrivals.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Arrivals.java
@@ -7,8 +7,8 @@
 
 /** The same random arrivals for every policy that is run with the same seed. */
 final class Arrivals {
-  static final int TICKS = 50;
-  static final Duration TICK = Duration.ofMillis(1000 / TICKS);
+  static final int TICKS_PER_SECOND = 50;
+  static final Duration TICK = Duration.ofMillis(1000 / TICKS_PER_SECOND);
 
   private final Setup setup;
   private final Demand demand;
@@ -21,18 +21,19 @@
   }
 
   /** Home regions of the requests that come in one tick, mixed. */
-  List<Integer> of(int tick) {
-    List<Integer> homes = new ArrayList<>();
-    for (int region = 0; region < setup.regions(); region++) {
-      double mean = demand.perSecond(region, (double) tick / TICKS) / TICKS;
-      for (int i = poisson(mean); i > 0; i--) {
-        homes.add(random.nextInt(homes.size() + 1), region);
+  List<Integer> drawCallerRegions(int tick) {
+    List<Integer> callerRegions = new ArrayList<>();
+    for (int region = 0; region < setup.regionCount(); region++) {
+      double mean =
+          demand.requestsPerSecond(region, (double) tick / TICKS_PER_SECOND) / TICKS_PER_SECOND;
+      for (int i = drawPoisson(mean); i > 0; i--) {
+        callerRegions.add(random.nextInt(callerRegions.size() + 1), region);
       }
     }
-    return homes;
+    return callerRegions;
   }
 
-  private int poisson(double mean) {
+  private int drawPoisson(double mean) {
     double limit = Math.exp(-mean);
     double product = random.nextDouble();
     int count = 0;
@@ -44,7 +45,7 @@
   }
 
   /** Half to one and a half of the planned time. */
-  static Duration serviceTime(Setup setup, Random random) {
-    return Duration.ofNanos((long) (setup.meanMillis() * 1e6 * (0.5 + random.nextDouble())));
+  static Duration drawServiceTime(Setup setup, Random random) {
+    return Duration.ofNanos((long) (setup.meanServiceMillis() * 1e6 * (0.5 + random.nextDouble())));
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Caps.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Caps.java
@@ -6,35 +6,41 @@
 
   /** Runs the comparison; {@code --full} for ten times the runs. */
   public static void main(String[] arguments) {
-    int runs = Report.isFull(arguments) ? 200 : 20;
-    int seconds = 120;
-    long broken = 0;
-    long slots = 0;
-    double worst = 1;
-    double served = 0;
-    double central = 0;
-    for (int seed = 1; seed <= runs; seed++) {
-      World faulty = RandomRun.of(seed, seconds, true).distributed();
-      broken += faulty.tally().capsBroken(faulty.nowNanos());
-      slots += faulty.tally().slotsBroken();
-      RandomRun calm = RandomRun.of(seed, seconds, false);
-      World world = calm.distributed();
-      Tally naive = calm.central();
-      broken += world.tally().capsBroken(world.nowNanos());
-      slots += world.tally().slotsBroken();
-      served += world.tally().servedTotal();
-      central += naive.servedTotal();
-      worst = Math.min(worst, (double) world.tally().servedTotal() / naive.servedTotal());
+    int runCount = ResultPrinter.isFullRun(arguments) ? 200 : 20;
+    int secondsPerRun = 120;
+    long capViolations = 0;
+    long slotViolations = 0;
+    double minServedFraction = 1;
+    double servedCount = 0;
+    double centralServedCount = 0;
+    for (int seed = 1; seed <= runCount; seed++) {
+      ClusterSimulation faultyRun = RandomRun.of(seed, secondsPerRun, true).runDistributed();
+      capViolations += faultyRun.admissionLog().capViolationCount(faultyRun.nowNanos());
+      slotViolations += faultyRun.admissionLog().slotViolationCount();
+      RandomRun faultFreeRun = RandomRun.of(seed, secondsPerRun, false);
+      ClusterSimulation faultFreeCluster = faultFreeRun.runDistributed();
+      AdmissionLog centralLog = faultFreeRun.runCentral();
+      capViolations +=
+          faultFreeCluster.admissionLog().capViolationCount(faultFreeCluster.nowNanos());
+      slotViolations += faultFreeCluster.admissionLog().slotViolationCount();
+      servedCount += faultFreeCluster.admissionLog().servedCount();
+      centralServedCount += centralLog.servedCount();
+      minServedFraction =
+          Math.min(
+              minServedFraction,
+              (double) faultFreeCluster.admissionLog().servedCount() / centralLog.servedCount());
     }
-    Report.line("%d random runs with faults, %d without, %d s each", runs, runs, seconds);
-    Report.line("  caps broken %d, targets over their slots %d", broken, slots);
-    Report.line(
+    ResultPrinter.printLine(
+        "%d random runs with faults, %d without, %d s each", runCount, runCount, secondsPerRun);
+    ResultPrinter.printLine(
+        "  caps broken %d, targets over their slots %d", capViolations, slotViolations);
+    ResultPrinter.printLine(
         "  without faults: %.1f %% of naive central served over all, %.1f %% in the worst run",
-        100 * served / central, 100 * worst);
-    Report.end(
-        broken + slots == 0 && served >= 0.95 * central,
+        100 * servedCount / centralServedCount, 100 * minServedFraction);
+    ResultPrinter.printResultAndExit(
+        capViolations + slotViolations == 0 && servedCount >= 0.95 * centralServedCount,
         "caps: %d broken, %.1f %% of naive central served (aim 0 broken, >= 95 %%)",
-        broken + slots,
-        100 * served / central);
+        capViolations + slotViolations,
+        100 * servedCount / centralServedCount);
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/EntryVm.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/EntryVm.java
@@ -23,7 +23,7 @@
   ServiceGate gate;
   long incarnation = 1;
 
-  EntryVm(Setup setup, Agenda agenda, int region, String zone, int number) {
+  EntryVm(Setup setup, VirtualScheduler scheduler, int region, String zone, int number) {
     this.region = region;
     this.zone = zone;
     this.name = zone + "v" + number;
@@ -37,23 +37,23 @@
               1,
               1,
               name,
-              setup.slots(),
+              setup.slotsPerTarget(),
               false));
     }
-    this.gate = newGate(setup, agenda);
+    this.gate = newGate(setup, scheduler);
     gate.updateHoldings(holdings);
   }
 
-  private static ServiceGate newGate(Setup setup, Agenda agenda) {
+  private static ServiceGate newGate(Setup setup, VirtualScheduler scheduler) {
     return ServiceGate.create(
-        Setup.CUSTOMER, setup.service(), agenda.time(), agenda, EventSink.none());
+        Setup.CUSTOMER, setup.service(), scheduler.time(), scheduler, EventSink.none());
   }
 
   /** Loses all memory, as a new process would, and gets the same targets back. */
-  void restart(Setup setup, Agenda agenda) {
+  void restart(Setup setup, VirtualScheduler scheduler) {
     gate.close();
     incarnation++;
-    gate = newGate(setup, agenda);
+    gate = newGate(setup, scheduler);
     gate.updateHoldings(holdings, Set.copyOf(holdings.stream().map(Holding::target).toList()));
   }
 
@@ -62,17 +62,17 @@
   }
 
   ZoneSummary summary(long nowMillis) {
-    GateStats numbers = gate.stats();
+    GateStats stats = gate.stats();
     return new ZoneSummary(
         zone,
         Setup.CUSTOMER,
         Setup.SERVICE,
         nowMillis,
-        numbers.usableSlots(),
-        numbers.busySlots(),
-        numbers.queuedCount(),
-        numbers.admittedPerSecond(),
-        numbers.ceilingPerSecond(),
-        numbers.offeredPerSecond());
+        stats.usableSlots(),
+        stats.busySlots(),
+        stats.queuedCount(),
+        stats.admittedPerSecond(),
+        stats.ceilingPerSecond(),
+        stats.offeredPerSecond());
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/LookUpSpeed.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/LookUpSpeed.java
@@ -32,57 +32,64 @@
     ClusterState state = new ClusterState(Map.of("c", contract), views(contract, -1), List.of());
     LookUpTable table = LookUpTable.build(state, SteeringInputs.at(0));
     for (int i = 0; i < 3; i++) {
-      measure(table, LOOK_UPS / 4);
+      nanosPerLookUp(table, LOOK_UPS / 4);
     }
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     long before = threads.getCurrentThreadAllocatedBytes();
-    double nanos = measure(table, LOOK_UPS);
+    double nanos = nanosPerLookUp(table, LOOK_UPS);
     double bytes = (double) (threads.getCurrentThreadAllocatedBytes() - before) / LOOK_UPS;
-    Report.line("%d look-ups: %.1f ns each, %.3f bytes allocated each", LOOK_UPS, nanos, bytes);
-    Report.line("  first build %.0f ms", build(state, SteeringInputs.at(0)));
-    Report.line("  rebuild, nothing changed %.0f ms", build(state, SteeringInputs.after(table, 0)));
-    ClusterState lost = new ClusterState(Map.of("c", contract), views(contract, 5), List.of());
-    Report.line("  rebuild, one zone lost %.0f ms", build(lost, SteeringInputs.after(table, 0)));
+    ResultPrinter.printLine(
+        "%d look-ups: %.1f ns each, %.3f bytes allocated each", LOOK_UPS, nanos, bytes);
+    ResultPrinter.printLine("  first build %.0f ms", minBuildMillis(state, SteeringInputs.at(0)));
+    ResultPrinter.printLine(
+        "  rebuild, nothing changed %.0f ms",
+        minBuildMillis(state, SteeringInputs.after(table, 0)));
+    ClusterState withoutOneZone =
+        new ClusterState(Map.of("c", contract), views(contract, 5), List.of());
+    ResultPrinter.printLine(
+        "  rebuild, one zone lost %.0f ms",
+        minBuildMillis(withoutOneZone, SteeringInputs.after(table, 0)));
     ClusterState revised =
         new ClusterState(Map.of("c", contract.atRevision(2)), views(contract, -1), List.of());
-    Report.line(
-        "  rebuild, contract revised %.0f ms", build(revised, SteeringInputs.after(table, 0)));
+    ResultPrinter.printLine(
+        "  rebuild, contract revised %.0f ms",
+        minBuildMillis(revised, SteeringInputs.after(table, 0)));
     double perSecond = 1e9 / nanos;
-    Report.end(
+    ResultPrinter.printResultAndExit(
         perSecond >= 1e6 && bytes < 1,
         "lookup: %.1f M look-ups/s on one core (aim >= 1 M/s, no allocation)",
         perSecond / 1e6);
   }
 
-  private static double build(ClusterState state, SteeringInputs inputs) {
-    long best = Long.MAX_VALUE;
+  private static double minBuildMillis(ClusterState state, SteeringInputs inputs) {
+    long minNanos = Long.MAX_VALUE;
     for (int i = 0; i < 5; i++) {
       long start = System.nanoTime();
       LookUpTable built = LookUpTable.build(state, inputs);
-      best = Math.min(best, System.nanoTime() - start);
+      minNanos = Math.min(minNanos, System.nanoTime() - start);
       if (built.lookUp("c", "s0", 1, 1) == null) {
         throw new IllegalStateException("the table has no route for block 1 of s0");
       }
     }
-    return best / 1e6;
+    return minNanos / 1e6;
   }
 
-  private static double measure(LookUpTable table, int count) {
+  private static double nanosPerLookUp(LookUpTable table, int count) {
     SplittableRandom random = new SplittableRandom(1);
     String[] names = new String[SERVICES];
     for (int i = 0; i < SERVICES; i++) {
       names[i] = "s" + i;
     }
-    long found = 0;
+    long foundCount = 0;
     long start = System.nanoTime();
     for (int i = 0; i < count; i++) {
       long bits = random.nextLong();
       int block = (int) ((bits >>> 8) % BLOCKS);
-      found += table.lookUp("c", names[i % SERVICES], block, bits) == null ? 0 : 1;
+      foundCount += table.lookUp("c", names[i % SERVICES], block, bits) == null ? 0 : 1;
     }
     long nanos = System.nanoTime() - start;
-    if (found != count) {
-      throw new IllegalStateException(count - found + " look-ups found no route");
+    if (foundCount != count) {
+      throw new IllegalStateException(count - foundCount + " look-ups found no route");
     }
     return (double) nanos / count;
   }
@@ -104,20 +111,20 @@
     Contract.ShiftCap cap = new Contract.ShiftCap(0.2, Duration.ofSeconds(10));
     List<Contract.Service> services = new ArrayList<>();
     for (int i = 0; i < SERVICES; i++) {
-      Contract.Service like = Setup.today(1).service();
+      Contract.Service template = Setup.typical(1).service();
       services.add(
           new Contract.Service(
               "s" + i,
-              like.requestClass(),
+              template.requestClass(),
               true,
               2 * ZONES,
               3,
               330,
               100,
               8,
-              like.queueWait(),
-              like.longestDeadline(),
-              like.drainLimit(),
+              template.queueWait(),
+              template.longestDeadline(),
+              template.drainLimit(),
               0.1,
               cap,
               cap));
--- /dev/null
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/OscillationCounter.java
@@ -0,0 +1,36 @@
+package org.sageladder.bench.policy;
+
+/** Counts how often the part of callers sent away turns from growing to shrinking or back. */
+final class OscillationCounter {
+  private static final double MIN_CHANGE = 1.0 / 32;
+
+  private final double[][] lastExtreme;
+  private final int[][] direction;
+  private int reversalCount;
+
+  OscillationCounter(int regions, int vms) {
+    this.lastExtreme = new double[vms][regions];
+    this.direction = new int[vms][regions];
+  }
+
+  void recordSample(int vm, double[] remoteFractions) {
+    for (int region = 0; region < remoteFractions.length; region++) {
+      double change = remoteFractions[region] - lastExtreme[vm][region];
+      int currentDirection = direction[vm][region];
+      if (currentDirection == 0
+          ? Math.abs(change) >= MIN_CHANGE
+          : change * currentDirection <= -MIN_CHANGE) {
+        reversalCount += currentDirection == 0 ? 0 : 1;
+        direction[vm][region] = change > 0 ? 1 : -1;
+        lastExtreme[vm][region] = remoteFractions[region];
+      } else if (change * currentDirection > 0) {
+        lastExtreme[vm][region] = remoteFractions[region];
+      }
+    }
+  }
+
+  /** Turns of at least a 32nd, over all entry VMs and regions. */
+  int reversalCount() {
+    return reversalCount;
+  }
+}
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Retries.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Retries.java
@@ -10,63 +10,70 @@
 
 /** What targets see of an overload in which half of all work fails, with and without a budget. */
 public final class Retries {
-  private static final int MOST_TRIES = 3;
+  private static final int MAX_ATTEMPTS = 3;
 
-  private final Setup setup = Setup.today(1);
-  private final Agenda agenda = new Agenda();
+  private final Setup setup = Setup.typical(1);
+  private final VirtualScheduler scheduler = new VirtualScheduler();
   private final Random random = new Random(1);
-  private final boolean bounded;
+  private final boolean usesRetryBudget;
   private final ServiceGate gate;
-  private long firstTries;
-  private long sent;
+  private long firstAttempts;
+  private long sentAttempts;
 
-  private Retries(boolean bounded) {
-    this.bounded = bounded;
+  private Retries(boolean usesRetryBudget) {
+    this.usesRetryBudget = usesRetryBudget;
     this.gate =
         ServiceGate.create(
-            Setup.CUSTOMER, setup.service(), agenda.time(), agenda, EventSink.none());
-    EntryVm vm = new EntryVm(setup, agenda, 0, "r0z0", 0);
-    EntryVm other = new EntryVm(setup, agenda, 0, "r0z0", 1);
+            Setup.CUSTOMER, setup.service(), scheduler.time(), scheduler, EventSink.none());
+    EntryVm vm = new EntryVm(setup, scheduler, 0, "r0z0", 0);
+    EntryVm other = new EntryVm(setup, scheduler, 0, "r0z0", 1);
     gate.updateHoldings(List.of(vm.holdings.get(0), other.holdings.get(0)));
   }
 
   /** Runs both and compares. */
   public static void main(String[] arguments) {
-    double without = new Retries(false).run();
-    double with = new Retries(true).run();
-    Report.line("half of all work is lost, every loss wants up to %d tries", MOST_TRIES);
-    Report.line("  sent to targets for each admitted request, unbounded: %.3f", without);
-    Report.end(with <= 1.1, "retries: %.3f sent for each admitted (aim <= 1.1)", with);
+    double sentPerRequestUnbounded = new Retries(false).run();
+    double sentPerRequestWithBudget = new Retries(true).run();
+    ResultPrinter.printLine(
+        "half of all work is lost, every loss wants up to %d tries", MAX_ATTEMPTS);
+    ResultPrinter.printLine(
+        "  sent to targets for each admitted request, unbounded: %.3f", sentPerRequestUnbounded);
+    ResultPrinter.printResultAndExit(
+        sentPerRequestWithBudget <= 1.1,
+        "retries: %.3f sent for each admitted (aim <= 1.1)",
+        sentPerRequestWithBudget);
   }
 
   private double run() {
-    for (int tick = 0; tick < 120 * Arrivals.TICKS; tick++) {
+    for (int tick = 0; tick < 120 * Arrivals.TICKS_PER_SECOND; tick++) {
       for (int i = 0; i < 4; i++) {
-        ask("", 1);
+        startAttempt("", 1);
       }
-      agenda.advance(Arrivals.TICK);
+      scheduler.advance(Arrivals.TICK);
     }
-    return (double) sent / firstTries;
+    return (double) sentAttempts / firstAttempts;
   }
 
-  private void ask(String avoid, int number) {
-    long deadline = agenda.time().nanos() + Duration.ofSeconds(5).toNanos();
+  private void startAttempt(String avoidedTarget, int attemptNumber) {
+    long deadline = scheduler.time().nanos() + Duration.ofSeconds(5).toNanos();
     gate.request(
-        new AdmissionRequest("", deadline, avoid, ""),
+        new AdmissionRequest("", deadline, avoidedTarget, ""),
         admission -> {
-          if (admission instanceof Admission.Admitted yes) {
-            sent++;
-            firstTries += number == 1 ? 1 : 0;
-            agenda.runAfter(Arrivals.serviceTime(setup, random), () -> finish(yes.slot(), number));
+          if (admission instanceof Admission.Admitted admitted) {
+            sentAttempts++;
+            firstAttempts += attemptNumber == 1 ? 1 : 0;
+            scheduler.runAfter(
+                Arrivals.drawServiceTime(setup, random),
+                () -> finish(admitted.slot(), attemptNumber));
           }
         });
   }
 
-  private void finish(Admission.Slot slot, int number) {
-    boolean lost = random.nextBoolean();
-    slot.release(lost ? Admission.Completion.LOST : Admission.Completion.ANSWERED);
-    if (lost && number < MOST_TRIES && (!bounded || gate.tryAcquireRetry())) {
-      ask(slot.target().target(), number + 1);
+  private void finish(Admission.Slot slot, int attemptNumber) {
+    boolean isLost = random.nextBoolean();
+    slot.release(isLost ? Admission.Completion.LOST : Admission.Completion.ANSWERED);
+    if (isLost && attemptNumber < MAX_ATTEMPTS && (!usesRetryBudget || gate.tryAcquireRetry())) {
+      startAttempt(slot.target().target(), attemptNumber + 1);
     }
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Setup.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Setup.java
@@ -9,168 +9,174 @@
 /**
  * Sizes and delays of one run: by default those of one service of the customers of today.
  *
- * @param gain of a region, as a fraction of its capacity in a window
+ * @param regionGainFraction of a region, as a fraction of its capacity in a window
  * @param targetGainFraction the same of a target
- * @param readingDelayMillis age of what one region hears of another
- * @param readingLoss part of the readings that never arrive, 0 to 1
+ * @param summaryDelayMillis age of what one region hears of another
+ * @param summaryLossProbability part of the readings that never arrive, 0 to 1
  */
 record Setup(
-    int regions,
+    int regionCount,
     int zonesPerRegion,
     int vmsPerZone,
     int targetsPerVm,
-    int slots,
-    double meanMillis,
-    double gain,
+    int slotsPerTarget,
+    double meanServiceMillis,
+    double regionGainFraction,
     double targetGainFraction,
     int windowSeconds,
-    long readingDelayMillis,
-    double readingLoss,
+    long summaryDelayMillis,
+    double summaryLossProbability,
     long seed) {
   static final String CUSTOMER = "c";
   static final String SERVICE = "s";
 
-  static Setup today(long seed) {
+  static Setup typical(long seed) {
     return new Setup(3, 2, 2, 1, 3, 100, 0.2, 0.2, 10, 500, 0, seed);
   }
 
-  Setup withDelay(long millis) {
+  Setup withSummaryDelay(long millis) {
     return new Setup(
-        regions,
+        regionCount,
         zonesPerRegion,
         vmsPerZone,
         targetsPerVm,
-        slots,
-        meanMillis,
-        gain,
+        slotsPerTarget,
+        meanServiceMillis,
+        regionGainFraction,
         targetGainFraction,
         windowSeconds,
         millis,
-        readingLoss,
+        summaryLossProbability,
         seed);
   }
 
-  Setup withLoss(double loss) {
+  Setup withSummaryLoss(double probability) {
     return new Setup(
-        regions,
+        regionCount,
         zonesPerRegion,
         vmsPerZone,
         targetsPerVm,
-        slots,
-        meanMillis,
-        gain,
+        slotsPerTarget,
+        meanServiceMillis,
+        regionGainFraction,
         targetGainFraction,
         windowSeconds,
-        readingDelayMillis,
-        loss,
+        summaryDelayMillis,
+        probability,
         seed);
   }
 
-  Setup withCap(double newGain, int newWindowSeconds) {
+  Setup withShiftCaps(double newGainFraction, int newWindowSeconds) {
     return new Setup(
-        regions,
+        regionCount,
         zonesPerRegion,
         vmsPerZone,
         targetsPerVm,
-        slots,
-        meanMillis,
-        newGain,
-        newGain,
+        slotsPerTarget,
+        meanServiceMillis,
+        newGainFraction,
+        newGainFraction,
         newWindowSeconds,
-        readingDelayMillis,
-        readingLoss,
+        summaryDelayMillis,
+        summaryLossProbability,
         seed);
   }
 
   /** Targets that may grow faster than their region's share, so that only the shares bind. */
-  Setup withTargetGain(double newGain) {
+  Setup withTargetGainFraction(double newGainFraction) {
     return new Setup(
-        regions,
+        regionCount,
         zonesPerRegion,
         vmsPerZone,
         targetsPerVm,
-        slots,
-        meanMillis,
-        gain,
-        newGain,
+        slotsPerTarget,
+        meanServiceMillis,
+        regionGainFraction,
+        newGainFraction,
         windowSeconds,
-        readingDelayMillis,
-        readingLoss,
+        summaryDelayMillis,
+        summaryLossProbability,
         seed);
   }
 
   /** The same targets in each region, held by another number of gates. */
   Setup withGates(int newZones, int newVmsPerZone, int newTargetsPerVm) {
     return new Setup(
-        regions,
+        regionCount,
         newZones,
         newVmsPerZone,
         newTargetsPerVm,
-        slots,
-        meanMillis,
-        gain,
+        slotsPerTarget,
+        meanServiceMillis,
+        regionGainFraction,
         targetGainFraction,
         windowSeconds,
-        readingDelayMillis,
-        readingLoss,
+        summaryDelayMillis,
+        summaryLossProbability,
         seed);
   }
 
-  int targets() {
-    return regions * zonesPerRegion * vmsPerZone * targetsPerVm;
+  int targetCount() {
+    return regionCount * zonesPerRegion * vmsPerZone * targetsPerVm;
   }
 
-  double targetCapacity() {
-    return slots * 1000 / meanMillis;
+  double targetCapacityPerSecond() {
+    return slotsPerTarget * 1000 / meanServiceMillis;
   }
 
-  double regionCapacity() {
-    return targetCapacity() * zonesPerRegion * vmsPerZone * targetsPerVm;
+  double regionCapacityPerSecond() {
+    return targetCapacityPerSecond() * zonesPerRegion * vmsPerZone * targetsPerVm;
   }
 
   /** Requests by which a window of one target may outgrow the window before. */
-  int targetGain() {
-    return Math.max(1, (int) (targetGainFraction * targetCapacity() * windowSeconds));
+  int targetGainRequests() {
+    return Math.max(1, (int) (targetGainFraction * targetCapacityPerSecond() * windowSeconds));
   }
 
   /** Requests by which a window of one region may outgrow the window before. */
-  int regionGain() {
-    return Math.max(1, (int) (gain * regionCapacity() * windowSeconds));
+  int regionGainRequests() {
+    return Math.max(1, (int) (regionGainFraction * regionCapacityPerSecond() * windowSeconds));
   }
 
   Contract contract() {
-    List<Contract.Region> all = new ArrayList<>();
+    List<Contract.Region> contractRegions = new ArrayList<>();
     List<Contract.ClientBlocks> blocks = new ArrayList<>();
-    for (int region = 0; region < regions; region++) {
+    for (int region = 0; region < regionCount; region++) {
       List<String> zones = new ArrayList<>();
       for (int zone = 0; zone < zonesPerRegion; zone++) {
         zones.add("r" + region + "z" + zone);
       }
-      all.add(new Contract.Region("r" + region, zones));
+      contractRegions.add(new Contract.Region("r" + region, zones));
       blocks.add(new Contract.ClientBlocks(region, region, "r" + region));
     }
     return new Contract(
-        CUSTOMER, 1, all, new Contract.Delays(1, 20, 1), blocks, List.of(), List.of(service()));
+        CUSTOMER,
+        1,
+        contractRegions,
+        new Contract.Delays(1, 20, 1),
+        blocks,
+        List.of(),
+        List.of(service()));
   }
 
   Contract.Service service() {
     Duration window = Duration.ofSeconds(windowSeconds);
-    Contract.ShiftCap cap = new Contract.ShiftCap(gain, window);
+    Contract.ShiftCap regionCap = new Contract.ShiftCap(regionGainFraction, window);
     Contract.ShiftCap targetCap = new Contract.ShiftCap(targetGainFraction, window);
     return new Contract.Service(
         SERVICE,
         RequestClass.INTERACTIVE,
         true,
-        targets(),
-        slots,
+        targetCount(),
+        slotsPerTarget,
         330,
-        meanMillis,
+        meanServiceMillis,
         8,
         Duration.ofSeconds(1),
         Duration.ofSeconds(10),
         Duration.ofSeconds(30),
         0.1,
-        cap,
+        regionCap,
         targetCap);
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Shares.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Shares.java
@@ -8,45 +8,51 @@
  * capacity, so that only the shares bind.
  */
 public final class Shares {
-  private static final double REGION_GAIN = 0.2;
-  private static final double MOST_LOST = 0.02;
+  private static final double REGION_GAIN_FRACTION = 0.2;
+  private static final double MAX_LOST_FRACTION = 0.02;
 
   private Shares() {}
 
   /** Runs the comparison; {@code --full} for more seeds. */
   public static void main(String[] arguments) {
-    int seeds = Report.isFull(arguments) ? 10 : 3;
-    double today = lost("today: 4 gates of 1 target a region", 2, 2, 1, 60, seeds);
-    double large = lost("96 gates of 1 target a region", 4, 24, 1, 30, 1);
-    double worst = Math.max(today, large);
-    Report.end(
-        worst <= MOST_LOST,
+    int seeds = ResultPrinter.isFullRun(arguments) ? 10 : 3;
+    double today = maxLostFraction("today: 4 gates of 1 target a region", 2, 2, 1, 60, seeds);
+    double large = maxLostFraction("96 gates of 1 target a region", 4, 24, 1, 30, 1);
+    double maxLost = Math.max(today, large);
+    ResultPrinter.printResultAndExit(
+        maxLost <= MAX_LOST_FRACTION,
         "shares: %.1f %% of the load lost by static shares in the worst pattern (aim <= %.0f %%)",
-        100 * worst,
-        100 * MOST_LOST);
+        100 * maxLost,
+        100 * MAX_LOST_FRACTION);
   }
 
-  private static double lost(
-      String name, int zones, int vms, int targetsPerVm, int seconds, int seeds) {
-    double worst = 0;
+  private static double maxLostFraction(
+      String name, int zonesPerRegion, int vmsPerZone, int targetsPerVm, int seconds, int seeds) {
+    double maxLost = 0;
     for (String pattern : new String[] {"steady 90 %", "surge x6 at 20 s", "swinging, 40 s"}) {
-      double shares = 0;
-      double whole = 0;
+      double servedWithShares = 0;
+      double servedByOneGate = 0;
       for (int seed = 1; seed <= seeds; seed++) {
-        Setup many =
-            Setup.today(seed)
-                .withCap(REGION_GAIN, 10)
-                .withTargetGain(1)
-                .withGates(zones, vms, targetsPerVm);
-        Setup one = many.withGates(1, 1, zones * vms * targetsPerVm);
-        Demand demand = demand(pattern, many);
-        shares += World.run(many, demand, World.Policy.STEERED, seconds).servedTotal();
-        whole += World.run(one, demand, World.Policy.STEERED, seconds).servedTotal();
+        Setup manyGates =
+            Setup.typical(seed)
+                .withShiftCaps(REGION_GAIN_FRACTION, 10)
+                .withTargetGainFraction(1)
+                .withGates(zonesPerRegion, vmsPerZone, targetsPerVm);
+        Setup oneGate = manyGates.withGates(1, 1, zonesPerRegion * vmsPerZone * targetsPerVm);
+        Demand demand = demand(pattern, manyGates);
+        servedWithShares +=
+            ClusterSimulation.run(manyGates, demand, ClusterSimulation.Policy.STEERED, seconds)
+                .servedCount();
+        servedByOneGate +=
+            ClusterSimulation.run(oneGate, demand, ClusterSimulation.Policy.STEERED, seconds)
+                .servedCount();
       }
-      Report.line("%s, %s: shares serve %.1f %% of the whole", name, pattern, 100 * shares / whole);
-      worst = Math.max(worst, 1 - shares / whole);
+      ResultPrinter.printLine(
+          "%s, %s: shares serve %.1f %% of the whole",
+          name, pattern, 100 * servedWithShares / servedByOneGate);
+      maxLost = Math.max(maxLost, 1 - servedWithShares / servedByOneGate);
     }
-    return worst;
+    return maxLost;
   }
 
   private static Demand demand(String pattern, Setup setup) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Surge.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Surge.java
@@ -2,50 +2,53 @@
 
 /** Ten times the demand on one region within a second, with readings 5 s late. */
 public final class Surge {
-  private static final World.Policy[] POLICIES = {World.Policy.STEERED, World.Policy.IDLE_SLOTS};
+  private static final ClusterSimulation.Policy[] POLICIES = {
+    ClusterSimulation.Policy.STEERED, ClusterSimulation.Policy.IDLE_SLOTS
+  };
 
   private Surge() {}
 
   /** Runs the surge; {@code --full} for more seeds. */
   public static void main(String[] arguments) {
-    int seeds = Report.isFull(arguments) ? 10 : 3;
+    int seeds = ResultPrinter.isFullRun(arguments) ? 10 : 3;
     int seconds = 180;
-    int[] turns = new int[POLICIES.length];
-    long faults = 0;
+    int[] reversals = new int[POLICIES.length];
+    long violations = 0;
     double[] served = new double[POLICIES.length];
-    double central = 0;
+    double centralServed = 0;
     for (int seed = 1; seed <= seeds; seed++) {
-      Setup setup = Setup.today(seed).withDelay(5_000);
+      Setup setup = Setup.typical(seed).withSummaryDelay(5_000);
       Demand demand = Demand.surge(setup, 0.15, 10, 60);
-      central += NaiveCentral.run(setup, demand, seconds).servedTotal();
+      centralServed += NaiveCentralPolicy.run(setup, demand, seconds).servedCount();
       for (int i = 0; i < POLICIES.length; i++) {
-        World world = new World(setup, demand, POLICIES[i]);
-        world.run(seconds);
-        turns[i] += world.oscillation().turns();
-        served[i] += world.tally().servedTotal();
-        faults += faults(world);
+        ClusterSimulation simulation = new ClusterSimulation(setup, demand, POLICIES[i]);
+        simulation.run(seconds);
+        reversals[i] += simulation.oscillationCounter().reversalCount();
+        served[i] += simulation.admissionLog().servedCount();
+        violations += violationCount(simulation);
       }
     }
-    Report.line(
+    ResultPrinter.printLine(
         "%d seeds, %d s each, demand x10 on region 0 at 60 s, readings 5 s late", seeds, seconds);
     for (int i = 0; i < POLICIES.length; i++) {
-      Report.line(
+      ResultPrinter.printLine(
           "  %-10s serves %5.1f %% of naive central, weights turn %d times",
-          POLICIES[i], 100 * served[i] / central, turns[i]);
+          POLICIES[i], 100 * served[i] / centralServed, reversals[i]);
     }
-    Report.line("  regions over capacity, targets over slots, caps broken: %d", faults);
-    Report.end(
-        faults == 0 && turns[0] < turns[1],
+    ResultPrinter.printLine(
+        "  regions over capacity, targets over slots, caps broken: %d", violations);
+    ResultPrinter.printResultAndExit(
+        violations == 0 && reversals[0] < reversals[1],
         "surge: %d limits broken, %d weight turns against %d of the first policy (aim 0 broken, fewer turns)",
-        faults,
-        turns[0],
-        turns[1]);
+        violations,
+        reversals[0],
+        reversals[1]);
   }
 
-  private static long faults(World world) {
-    Tally tally = world.tally();
-    return tally.slotsBroken()
-        + tally.capsBroken(world.nowNanos())
-        + tally.regionsOverCapacity(world.nowNanos());
+  private static long violationCount(ClusterSimulation simulation) {
+    AdmissionLog admissionLog = simulation.admissionLog();
+    return admissionLog.slotViolationCount()
+        + admissionLog.capViolationCount(simulation.nowNanos())
+        + admissionLog.overCapacityWindowCount(simulation.nowNanos());
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Agenda.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/VirtualScheduler.java
@@ -7,11 +7,11 @@
 import org.sageladder.core.time.VirtualTime;
 
 /** Tasks in order of their time on a virtual clock. */
-final class Agenda implements Scheduler {
+final class VirtualScheduler implements Scheduler {
   private final VirtualTime time = VirtualTime.startingAt(1_000_000_000L);
   private final PriorityQueue<Task> tasks =
       new PriorityQueue<>(Comparator.comparingLong(Task::dueNanos).thenComparing(Task::number));
-  private long number;
+  private long nextTaskNumber;
 
   private record Task(long dueNanos, long number, Runnable action) {}
 
@@ -25,7 +25,7 @@
 
   @Override
   public void runAfter(Duration delay, Runnable task) {
-    tasks.add(new Task(time.nanos() + delay.toNanos(), number++, task));
+    tasks.add(new Task(time.nanos() + delay.toNanos(), nextTaskNumber++, task));
   }
 
   void advance(Duration step) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/Caller.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/Caller.java
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Sends one request; {@link Reply#isLost} where no whole answer came in time.
+   * Sends one request; {@link Reply#hasNoAnswer} where no whole answer came in time.
    *
    * @param permit sealed permit, or empty
    */
@@ -47,7 +47,7 @@
       byte[] body,
       String permit,
       Duration deadline,
-      Duration patience)
+      Duration timeout)
       throws InterruptedException {
     HttpRequest.Builder request =
         HttpRequest.newBuilder(
@@ -59,7 +59,7 @@
                         + "/"
                         + service
                         + path))
-            .timeout(patience)
+            .timeout(timeout)
             .header("Sageladder-Deadline-Millis", Long.toString(deadline.toMillis()))
             .method(
                 method,
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/ClassArchive.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/ClassArchive.java
@@ -11,8 +11,9 @@
  * shares the memory of the classes between them.
  */
 public final class ClassArchive {
-  private static final long STOP_SECONDS = 30;
-  private static final List<String> QUIET = List.of("-Xlog:cds=off", "-Xlog:cds+dynamic=off");
+  private static final long MAX_STOP_SECONDS = 30;
+  private static final List<String> QUIET_OPTIONS =
+      List.of("-Xlog:cds=off", "-Xlog:cds+dynamic=off");
 
   private ClassArchive() {}
 
@@ -20,34 +21,35 @@
    * The options {@code probe} for processes that use this build's archive, which is made by running
    * {@code probe} once; unchanged where none can be made, as for classes that are not in jars.
    */
-  public static EntryOptions use(EntryOptions probe) throws IOException, InterruptedException {
+  public static EntryOptions withArchive(EntryOptions probe)
+      throws IOException, InterruptedException {
     Path jar = Path.of(EntryProcess.classPath().split(File.pathSeparator)[0]);
     Path jars = jar.toAbsolutePath().getParent();
     if (jars == null || jars.getParent() == null || !jar.toString().endsWith(".jar")) {
       return probe;
     }
     Path archive = jars.resolveSibling("entry-classes.jsa");
-    if (!Files.exists(archive) || !isNewer(archive, jars)) {
+    if (!Files.exists(archive) || !isNewerThanJars(archive, jars)) {
       Files.deleteIfExists(archive);
-      make(archive, probe);
+      createArchive(archive, probe);
     }
     return Files.exists(archive)
-        ? probe.jvmOptions(QUIET).jvmOptions(List.of("-XX:SharedArchiveFile=" + archive))
+        ? probe.jvmOptions(QUIET_OPTIONS).jvmOptions(List.of("-XX:SharedArchiveFile=" + archive))
         : probe;
   }
 
-  private static void make(Path archive, EntryOptions probe)
+  private static void createArchive(Path archive, EntryOptions probe)
       throws IOException, InterruptedException {
     EntryOptions options =
-        probe.jvmOptions(QUIET).jvmOptions(List.of("-XX:ArchiveClassesAtExit=" + archive));
+        probe.jvmOptions(QUIET_OPTIONS).jvmOptions(List.of("-XX:ArchiveClassesAtExit=" + archive));
     try (RunFolder folder = RunFolder.create("sageladder-archive");
         EntryProcess process = EntryProcess.start(options, folder.path())) {
       process.terminate();
-      process.awaitEnd(STOP_SECONDS);
+      process.awaitEnd(MAX_STOP_SECONDS);
     }
   }
 
-  private static boolean isNewer(Path archive, Path jars) throws IOException {
+  private static boolean isNewerThanJars(Path archive, Path jars) throws IOException {
     try (var files = Files.list(jars)) {
       for (Path jar : (Iterable<Path>) files::iterator) {
         if (Files.getLastModifiedTime(jar).compareTo(Files.getLastModifiedTime(archive)) > 0) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/ClusterPlan.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/ClusterPlan.java
@@ -19,7 +19,7 @@
  * @param targetsPerZone targets of each service in each of those
  * @param heapMegabytes heap of each entry VM's process
  * @param entrySettings YAML added to each entry VM's settings
- * @param targets changes the options of each target
+ * @param targetCustomizer changes the options of each target
  */
 public record ClusterPlan(
     Contract contract,
@@ -28,7 +28,7 @@
     int targetsPerZone,
     int heapMegabytes,
     String entrySettings,
-    UnaryOperator<TargetOptions> targets) {
+    UnaryOperator<TargetOptions> targetCustomizer) {
 
   /** Copies the list, so that the plan cannot change. */
   public ClusterPlan {
@@ -41,37 +41,49 @@
   }
 
   /** The same plan in these zones only. */
-  public ClusterPlan zones(List<String> some) {
+  public ClusterPlan zones(List<String> zones) {
     return new ClusterPlan(
-        contract, some, entriesPerZone, targetsPerZone, heapMegabytes, entrySettings, targets);
+        contract,
+        zones,
+        entriesPerZone,
+        targetsPerZone,
+        heapMegabytes,
+        entrySettings,
+        targetCustomizer);
   }
 
   /** The same plan with that many entry VMs in each zone. */
   public ClusterPlan entriesPerZone(int entries) {
     return new ClusterPlan(
-        contract, zones, entries, targetsPerZone, heapMegabytes, entrySettings, targets);
+        contract, zones, entries, targetsPerZone, heapMegabytes, entrySettings, targetCustomizer);
   }
 
   /** The same plan with that many targets of each service in each zone. */
   public ClusterPlan targetsPerZone(int count) {
     return new ClusterPlan(
-        contract, zones, entriesPerZone, count, heapMegabytes, entrySettings, targets);
+        contract, zones, entriesPerZone, count, heapMegabytes, entrySettings, targetCustomizer);
   }
 
   /** The same plan with that heap. */
   public ClusterPlan heapMegabytes(int megabytes) {
     return new ClusterPlan(
-        contract, zones, entriesPerZone, targetsPerZone, megabytes, entrySettings, targets);
+        contract,
+        zones,
+        entriesPerZone,
+        targetsPerZone,
+        megabytes,
+        entrySettings,
+        targetCustomizer);
   }
 
   /** The same plan with more lines of YAML in each entry VM's settings. */
   public ClusterPlan entrySettings(String yaml) {
     return new ClusterPlan(
-        contract, zones, entriesPerZone, targetsPerZone, heapMegabytes, yaml, targets);
+        contract, zones, entriesPerZone, targetsPerZone, heapMegabytes, yaml, targetCustomizer);
   }
 
   /** The same plan with other targets. */
-  public ClusterPlan targets(UnaryOperator<TargetOptions> change) {
+  public ClusterPlan targetCustomizer(UnaryOperator<TargetOptions> change) {
     return new ClusterPlan(
         contract, zones, entriesPerZone, targetsPerZone, heapMegabytes, entrySettings, change);
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/EntryOptions.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/EntryOptions.java
@@ -17,9 +17,9 @@
  * @param vm name of the entry VM
  * @param customer customer it belongs to
  * @param zone its availability zone
- * @param platform address of the store and of the list of VMs
+ * @param platformUri address of the store and of the list of VMs
  * @param storeTimeout longest wait for the store, as in a settings file
- * @param listEvery how often it reads the list, as in a settings file
+ * @param listInterval how often it reads the list, as in a settings file
  * @param heapMegabytes largest heap
  * @param jvmOptions options of the JVM besides the usual ones
  * @param settings YAML added to the settings, lines that end with a line feed
@@ -28,13 +28,13 @@
     String vm,
     String customer,
     String zone,
-    URI platform,
+    URI platformUri,
     String storeTimeout,
-    String listEvery,
+    String listInterval,
     int heapMegabytes,
     List<String> jvmOptions,
     String settings) {
-  private static final int HEAP_MEGABYTES = 48;
+  private static final int DEFAULT_HEAP_MEGABYTES = 48;
 
   /** Copies the list, so that the options cannot change. */
   public EntryOptions {
@@ -44,7 +44,7 @@
   /** Waits 1 s for the store, reads the list every 200 ms; 48 MB of heap. */
   public static EntryOptions of(String vm, String customer, String zone, URI platform) {
     return new EntryOptions(
-        vm, customer, zone, platform, "1s", "200ms", HEAP_MEGABYTES, List.of(), "");
+        vm, customer, zone, platform, "1s", "200ms", DEFAULT_HEAP_MEGABYTES, List.of(), "");
   }
 
   /** The same options for another entry VM. */
@@ -53,9 +53,9 @@
         other,
         customer,
         otherZone,
-        platform,
+        platformUri,
         storeTimeout,
-        listEvery,
+        listInterval,
         heapMegabytes,
         jvmOptions,
         settings);
@@ -64,19 +64,27 @@
   /** The same options with that longest wait for the store. */
   public EntryOptions storeTimeout(String time) {
     return new EntryOptions(
-        vm, customer, zone, platform, time, listEvery, heapMegabytes, jvmOptions, settings);
+        vm, customer, zone, platformUri, time, listInterval, heapMegabytes, jvmOptions, settings);
   }
 
   /** The same options with that time between two readings of the list. */
-  public EntryOptions listEvery(String time) {
+  public EntryOptions listInterval(String time) {
     return new EntryOptions(
-        vm, customer, zone, platform, storeTimeout, time, heapMegabytes, jvmOptions, settings);
+        vm, customer, zone, platformUri, storeTimeout, time, heapMegabytes, jvmOptions, settings);
   }
 
   /** The same options with that heap. */
   public EntryOptions heapMegabytes(int megabytes) {
     return new EntryOptions(
-        vm, customer, zone, platform, storeTimeout, listEvery, megabytes, jvmOptions, settings);
+        vm,
+        customer,
+        zone,
+        platformUri,
+        storeTimeout,
+        listInterval,
+        megabytes,
+        jvmOptions,
+        settings);
   }
 
   /** The same options with more options of the JVM. */
@@ -84,7 +92,7 @@
     List<String> all = new ArrayList<>(jvmOptions);
     all.addAll(more);
     return new EntryOptions(
-        vm, customer, zone, platform, storeTimeout, listEvery, heapMegabytes, all, settings);
+        vm, customer, zone, platformUri, storeTimeout, listInterval, heapMegabytes, all, settings);
   }
 
   /** The same options with more YAML in the settings. */
@@ -93,16 +101,16 @@
         vm,
         customer,
         zone,
-        platform,
+        platformUri,
         storeTimeout,
-        listEvery,
+        listInterval,
         heapMegabytes,
         jvmOptions,
         settings + yaml);
   }
 
   /** The settings file's text; port 0 is one that the process chooses. */
-  String yaml(int callersPort, int innerPort) {
+  String toYaml(int callersPort, int innerPort) {
     return String.join(
         "\n",
         "vm: " + vm,
@@ -110,8 +118,8 @@
         "zone: " + zone,
         "host: " + StandIns.HOST,
         "ports: {callers: " + callersPort + ", inner: " + innerPort + ", operators: 0}",
-        "store: {uri: '" + platform + "', timeout: " + storeTimeout + "}",
-        "vmList: {uri: '" + platform + "', every: " + listEvery + "}",
+        "store: {uri: '" + platformUri + "', timeout: " + storeTimeout + "}",
+        "vmList: {uri: '" + platformUri + "', every: " + listInterval + "}",
         settings);
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/EntryProcess.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/EntryProcess.java
@@ -25,8 +25,8 @@
  * }</pre>
  */
 public final class EntryProcess implements AutoCloseable {
-  private static final long KILL_SECONDS = 10;
-  private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
+  private static final long MAX_KILL_SECONDS = 10;
+  private static final Set<Process> STARTED = ConcurrentHashMap.newKeySet();
 
   static {
     // A bench that exits or is ended must not leave its daemons behind.
@@ -43,11 +43,11 @@
     this.options = options;
     this.settings = folder.resolve(options.vm() + ".yaml");
     this.log = folder.resolve(options.vm() + ".log");
-    this.process = run();
+    this.process = startProcess();
   }
 
   private static void killAll() {
-    RUNNING.forEach(Process::destroyForcibly);
+    STARTED.forEach(Process::destroyForcibly);
   }
 
   /**
@@ -64,8 +64,8 @@
     return new EntryProcess(options, folder);
   }
 
-  private Process run() throws IOException {
-    Files.writeString(settings, options.yaml(callersPort(), innerPort()));
+  private Process startProcess() throws IOException {
+    Files.writeString(settings, options.toYaml(callersPort(), innerPort()));
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.add("-XX:+UseSerialGC");
@@ -81,8 +81,8 @@
         new ProcessBuilder(command)
             .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
             .start();
-    RUNNING.removeIf(other -> !other.isAlive());
-    RUNNING.add(started);
+    STARTED.removeIf(other -> !other.isAlive());
+    STARTED.add(started);
     return started;
   }
 
@@ -96,7 +96,7 @@
     BufferedReader out = process.inputReader(StandardCharsets.UTF_8);
     for (String line = out.readLine(); line != null; line = out.readLine()) {
       if (line.startsWith("ready ")) {
-        ports = ports(line);
+        ports = parsePorts(line);
         return;
       }
     }
@@ -104,7 +104,7 @@
         "entry VM " + vm() + " ended before it was ready; its log is\n" + Files.readString(log));
   }
 
-  private static Map<String, Integer> ports(String readyLine) {
+  private static Map<String, Integer> parsePorts(String readyLine) {
     Map<String, Integer> ports = new HashMap<>();
     for (String word : readyLine.split(" ", -1)) {
       int equals = word.indexOf('=');
@@ -117,7 +117,7 @@
 
   /** Starts the daemon anew after its end, on the same ports for callers and the inner protocol. */
   public void restart() throws IOException {
-    process = run();
+    process = startProcess();
     awaitReady();
   }
 
@@ -137,21 +137,21 @@
   }
 
   /** What an ended daemon printed last of itself: how its planned stop went. */
-  public String lastWords() throws IOException {
+  public String lastOutputLine() throws IOException {
     return process.inputReader(StandardCharsets.UTF_8).lines().reduce("", (first, last) -> last);
   }
 
   /** SIGSTOP: the process stands still, as by a hypervisor's doing, and does not know it. */
   public void pause() throws IOException, InterruptedException {
-    signal("STOP");
+    sendSignal("STOP");
   }
 
   /** SIGCONT: a paused process goes on. */
   public void resume() throws IOException, InterruptedException {
-    signal("CONT");
+    sendSignal("CONT");
   }
 
-  private void signal(String name) throws IOException, InterruptedException {
+  private void sendSignal(String name) throws IOException, InterruptedException {
     int exit = new ProcessBuilder("kill", "-" + name, String.valueOf(pid())).start().waitFor();
     if (exit != 0) {
       throw new IOException("cannot send " + name + " to process " + pid());
@@ -212,7 +212,7 @@
   public void close() {
     process.destroyForcibly();
     try {
-      process.waitFor(KILL_SECONDS, TimeUnit.SECONDS);
+      process.waitFor(MAX_KILL_SECONDS, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/ProcessCluster.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/ProcessCluster.java
@@ -69,17 +69,17 @@
   }
 
   private void startTarget(String zone, Contract.Service service, String id) throws IOException {
-    TargetOptions usual =
+    TargetOptions options =
         TargetOptions.create(id)
             .slots(service.slotsPerTarget())
             .queue(service.slotsPerTarget())
             .serviceTime(ServiceTime.exponential(service.meanServiceMillis()))
             .seed(id.hashCode());
-    standIns.startTarget(plan.targets().apply(usual), service.name(), zone);
+    standIns.startTarget(plan.targetCustomizer().apply(options), service.name(), zone);
   }
 
   private void startEntries() throws IOException {
-    List<Starting> starting = new ArrayList<>();
+    List<StartingEntry> starting = new ArrayList<>();
     try {
       for (String zone : plan.zones()) {
         for (int i = 1; i <= plan.entriesPerZone(); i++) {
@@ -89,44 +89,44 @@
     } finally {
       starting.forEach(one -> entries.add(one.entry()));
     }
-    for (Starting one : starting) {
-      ready(one);
+    for (StartingEntry one : starting) {
+      awaitReadyAndList(one);
     }
   }
 
   /** A process that has been started and may not listen yet. */
-  private record Starting(EntryProcess entry, long incarnation) {}
+  private record StartingEntry(EntryProcess entry, long incarnation) {}
 
-  private Starting launch(String vm, String zone) throws IOException {
+  private StartingEntry launch(String vm, String zone) throws IOException {
     lastIncarnation++;
     EntryOptions options =
         EntryOptions.of(vm, plan.contract().customer(), zone, standIns.store().address())
-            .listEvery("250ms")
+            .listInterval("250ms")
             .heapMegabytes(plan.heapMegabytes())
             .settings("incarnation: {source: fixed, number: " + lastIncarnation + "}\n")
-            .settings(seeds())
+            .settings(seedSettings())
             .settings(plan.entrySettings());
-    return new Starting(EntryProcess.launch(options, directory), lastIncarnation);
+    return new StartingEntry(EntryProcess.launch(options, directory), lastIncarnation);
   }
 
-  private String seeds() {
+  private String seedSettings() {
     if (entries.isEmpty()) {
       return "";
     }
     return "seeds: ['" + StandIns.HOST + ":" + entries.get(0).innerPort() + "']\n";
   }
 
-  private void ready(Starting one) throws IOException {
-    one.entry().awaitReady();
-    standIns.listEntry(one.entry(), one.incarnation(), false);
+  private void awaitReadyAndList(StartingEntry starting) throws IOException {
+    starting.entry().awaitReady();
+    standIns.listEntry(starting.entry(), starting.incarnation(), false);
   }
 
   /** Starts one more entry VM in {@code zone} and adds it to the platform's list. */
   public EntryProcess addEntry(String vm, String zone) throws IOException {
-    Starting one = launch(vm, zone);
-    entries.add(one.entry());
-    ready(one);
-    return one.entry();
+    StartingEntry starting = launch(vm, zone);
+    entries.add(starting.entry());
+    awaitReadyAndList(starting);
+    return starting.entry();
   }
 
   /** Takes an entry VM off the platform's list, as the platform does some time after its end. */
@@ -155,24 +155,24 @@
   }
 
   /** The entry VMs whose processes have not ended, in the order they were started. */
-  public List<EntryProcess> running() {
+  public List<EntryProcess> runningEntries() {
     return entries.stream().filter(EntryProcess::isAlive).toList();
   }
 
   /** Addresses for callers of the entry VMs that run. */
   public List<String> callersAddresses() {
-    return running().stream().map(EntryProcess::callersAddress).toList();
+    return runningEntries().stream().map(EntryProcess::callersAddress).toList();
   }
 
   /** How often each request was started, over all targets. */
-  public Map<String, Integer> executions() {
-    Map<String, Integer> sum = new TreeMap<>();
+  public Map<String, Integer> executionCounts() {
+    Map<String, Integer> counts = new TreeMap<>();
     for (TargetServer target : targets()) {
       for (String key : target.executions().keys()) {
-        sum.merge(key, target.executions().count(key), Integer::sum);
+        counts.merge(key, target.executions().count(key), Integer::sum);
       }
     }
-    return sum;
+    return counts;
   }
 
   /**
@@ -180,19 +180,19 @@
    *
    * @throws IOException where that is not so within {@code limit}
    */
-  public void awaitServing(Duration limit) throws IOException, InterruptedException {
-    long giveUp = System.nanoTime() + limit.toNanos();
+  public void awaitServing(Duration timeout) throws IOException, InterruptedException {
+    long deadline = System.nanoTime() + timeout.toNanos();
     for (EntryProcess entry : entries) {
-      while (entry.isAlive() && !serves(entry)) {
-        if (System.nanoTime() > giveUp) {
-          throw new IOException(entry.vm() + " does not serve after " + limit);
+      while (entry.isAlive() && !servesAllServices(entry)) {
+        if (System.nanoTime() > deadline) {
+          throw new IOException(entry.vm() + " does not serve after " + timeout);
         }
         Thread.sleep(POLL_MILLIS);
       }
     }
   }
 
-  private boolean serves(EntryProcess entry) throws InterruptedException {
+  private boolean servesAllServices(EntryProcess entry) throws InterruptedException {
     for (Contract.Service service : plan.contract().services()) {
       String query =
           "/v1/look-up?block=0&contract="
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/Reply.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/Reply.java
@@ -11,8 +11,8 @@
     String outcome,
     String permit,
     byte[] body,
-    long checksum,
-    boolean lookUpAgain,
+    long echoedChecksum,
+    boolean shouldLookUpAgain,
     long retryAfterMillis) {
   /** No connection could be made, so nothing was sent. */
   public static final Reply REFUSED = new Reply(0, "refused", "", "", new byte[0], -1, false, 0);
@@ -40,7 +40,7 @@
   }
 
   /** True where no whole answer came. */
-  public boolean isLost() {
+  public boolean hasNoAnswer() {
     return status == 0;
   }
 
@@ -55,13 +55,13 @@
   }
 
   /** True where the answer says that the request was not run. */
-  public boolean notRun() {
+  public boolean isNotRun() {
     return outcome.equals("not-run");
   }
 
   /** True where this is the target's whole answer to the request with that checksum. */
   public boolean isAnswerTo(long requestChecksum, long length) {
-    if (checksum != requestChecksum || body.length != length) {
+    if (echoedChecksum != requestChecksum || body.length != length) {
       return false;
     }
     AnswerPattern.Checker checker = AnswerPattern.checker(requestChecksum);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/StandIns.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/StandIns.java
@@ -32,7 +32,7 @@
   private final String customer;
   private final StoreServer store;
   private final Map<String, TargetServer> targets = new LinkedHashMap<>();
-  private final Map<String, ListedVm> lines = new LinkedHashMap<>();
+  private final Map<String, ListedVm> listedVms = new LinkedHashMap<>();
 
   private StandIns(String customer) throws IOException {
     this.customer = customer;
@@ -54,7 +54,7 @@
   public TargetServer startTarget(TargetOptions options, String service, String zone)
       throws IOException {
     TargetServer target = TargetServer.start(options);
-    synchronized (lines) {
+    synchronized (listedVms) {
       targets.put(options.id(), target);
     }
     listTarget(options.id(), service, zone, target.port(), target.incarnation());
@@ -63,24 +63,24 @@
 
   /** Puts a target on the list, one that need not exist. */
   public void listTarget(String id, String service, String zone, int port, long incarnation) {
-    list(
+    putListed(
         new ListedVm(
             VmRole.TARGET, id, customer, service, zone, HOST, port, 0, incarnation, false));
   }
 
   /** Marks a target on the list as leaving, or as returned with a new incarnation. */
   public void listTarget(String id, long incarnation, boolean leaving) {
-    ListedVm line = line(id);
-    list(
+    ListedVm vm = listedVm(id);
+    putListed(
         new ListedVm(
-            line.role(),
+            vm.role(),
             id,
             customer,
-            line.service(),
-            line.zone(),
-            line.host(),
-            line.port(),
-            line.innerPort(),
+            vm.service(),
+            vm.zone(),
+            vm.host(),
+            vm.port(),
+            vm.innerPort(),
             incarnation,
             leaving));
   }
@@ -91,7 +91,7 @@
    * @param incarnation 0 where the platform does not know
    */
   public void listEntry(EntryProcess entry, long incarnation, boolean leaving) {
-    list(
+    putListed(
         new ListedVm(
             VmRole.ENTRY,
             entry.vm(),
@@ -105,11 +105,11 @@
             leaving));
   }
 
-  private void list(ListedVm line) {
-    synchronized (lines) {
-      lines.put(line.id(), line);
+  private void putListed(ListedVm vm) {
+    synchronized (listedVms) {
+      listedVms.put(vm.id(), vm);
     }
-    store.putVm(line);
+    store.putVm(vm);
   }
 
   /** Takes a VM off the list, as the platform does some time after its end. */
@@ -119,16 +119,17 @@
 
   /** Puts a VM back on the list as it was. */
   public void relist(String id) {
-    store.putVm(line(id));
+    store.putVm(listedVm(id));
   }
 
-  private ListedVm line(String id) {
-    synchronized (lines) {
-      ListedVm line = lines.get(id);
-      if (line == null) {
-        throw new IllegalArgumentException("no VM " + id + " was listed, only " + lines.keySet());
+  private ListedVm listedVm(String id) {
+    synchronized (listedVms) {
+      ListedVm vm = listedVms.get(id);
+      if (vm == null) {
+        throw new IllegalArgumentException(
+            "no VM " + id + " was listed, only " + listedVms.keySet());
       }
-      return line;
+      return vm;
     }
   }
 
@@ -139,7 +140,7 @@
 
   /** All targets in the order they were started. */
   public List<TargetServer> targets() {
-    synchronized (lines) {
+    synchronized (listedVms) {
       return List.copyOf(targets.values());
     }
   }
@@ -154,14 +155,14 @@
     return targetsWhere(line -> line.zone().equals(zone));
   }
 
-  private List<TargetServer> targetsWhere(Predicate<ListedVm> wanted) {
-    List<TargetServer> some = new ArrayList<>();
+  private List<TargetServer> targetsWhere(Predicate<ListedVm> condition) {
+    List<TargetServer> matching = new ArrayList<>();
     for (TargetServer target : targets()) {
-      if (wanted.test(line(target.options().id()))) {
-        some.add(target);
+      if (condition.test(listedVm(target.options().id()))) {
+        matching.add(target);
       }
     }
-    return some;
+    return matching;
   }
 
   @Override
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/TestBed.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/TestBed.java
@@ -106,7 +106,7 @@
               .settings("callerLimits: {workers: 2}\n");
       EntryProcess entry = EntryProcess.start(options, folder.path());
       entries.add(entry);
-      list(entry, false);
+      listEntry(entry, false);
     }
   }
 
@@ -115,7 +115,7 @@
   }
 
   /** Puts an entry VM on the platform's list, as live or leaving. */
-  public void list(EntryProcess entry, boolean leaving) {
+  public void listEntry(EntryProcess entry, boolean leaving) {
     standIns.listEntry(entry, 0, leaving);
   }
 
@@ -145,7 +145,7 @@
   }
 
   /** The last lines of all logs, for a run that failed. */
-  public String logs() throws IOException {
+  public String logTails() throws IOException {
     StringBuilder text = new StringBuilder();
     for (EntryProcess entry : entries) {
       if (Files.exists(entry.log())) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/recovery/RecoveryBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/recovery/RecoveryBench.java
@@ -38,94 +38,99 @@
   private static final int HEAP_MEGABYTES = 64;
   private static final int REQUESTS_PER_SECOND = 300;
   private static final int CALLERS = 128;
-  private static final long CALM_MILLIS = 1_000;
+  private static final long MIN_CALM_MILLIS = 1_000;
   private static final long WARM_UP_MILLIS = 15_000;
   private static final long SAMPLE_MILLIS = 100;
-  private static final long TAKE_OVER_MILLIS = 20_000;
+  private static final long TAKEOVER_LOAD_MILLIS = 20_000;
   private static final double AIM_SECONDS = 10;
-  private static final double AIM_TAKE_OVER_SECONDS = 15;
+  private static final double AIM_TAKEOVER_SECONDS = 15;
   // Small enough that the lost zone's callers cannot all go to one place at once.
-  private static final double CAP_GAIN = 0.1;
+  private static final double CAP_GAIN_FRACTION = 0.1;
   private static final Duration DEADLINE = Duration.ofSeconds(2);
 
   private final Contract contract = contract();
-  private final ShiftCapCheck caps = new ShiftCapCheck();
+  private final ShiftCapCheck capCheck = new ShiftCapCheck();
   private final SageladderClient client;
   private final Queue<Outcome> outcomes = new ConcurrentLinkedQueue<>();
-  private final AtomicInteger next = new AtomicInteger();
+  private final AtomicInteger nextRequest = new AtomicInteger();
   private final long startNanos = System.nanoTime();
 
   private RecoveryBench(SageladderClient client) {
     this.client = client;
   }
 
-  private record Outcome(long dueMillis, long endMillis, boolean whole, String name) {}
+  private record Outcome(long dueMillis, long endMillis, boolean isWhole, String name) {}
 
   /** Takes {@code --full} for a store outage of ten minutes instead of fifteen seconds. */
   public static void main(String[] args) throws Exception {
     long outageMillis = List.of(args).contains("--full") ? 600_000 : 15_000;
     FleetOptions options = new FleetOptions(contract(), VMS_PER_ZONE, HEAP_MEGABYTES, true);
-    long refused;
-    double recovered;
-    double takenOver;
-    double capUsed;
+    long failedInOutage;
+    double recoverySeconds;
+    double takeoverSeconds;
+    double capUsage;
     try (Fleet fleet = Fleet.start(options)) {
-      List<String> seeds = fleet.vms().stream().map(FleetVm::callers).toList();
+      List<String> seeds = fleet.vms().stream().map(FleetVm::callersAddress).toList();
       try (SageladderClient client = SageladderClient.start(ClientOptions.seeds(seeds))) {
         RecoveryBench bench = new RecoveryBench(client);
         ScheduledExecutorService sampler = Executors.newSingleThreadScheduledExecutor();
         ScheduledFuture<?> unused =
             sampler.scheduleAtFixedRate(
-                () -> bench.caps.sample(fleet.started()), 0, SAMPLE_MILLIS, TimeUnit.MILLISECONDS);
-        bench.load(WARM_UP_MILLIS);
-        bench.summary("before", 0, bench.now());
-        refused = bench.outage(fleet, outageMillis);
-        recovered = bench.lostZone(fleet);
-        takenOver = bench.lostEntryVms(fleet);
+                () -> bench.capCheck.recordSample(fleet.startedRequestCounts()),
+                0,
+                SAMPLE_MILLIS,
+                TimeUnit.MILLISECONDS);
+        bench.runLoad(WARM_UP_MILLIS);
+        bench.printSummary("before", 0, bench.elapsedMillis());
+        failedInOutage = bench.countFailuresInOutage(fleet, outageMillis);
+        recoverySeconds = bench.measureZoneRecoverySeconds(fleet);
+        takeoverSeconds = bench.measureTakeoverSeconds(fleet);
         sampler.shutdownNow();
-        capUsed = bench.capUsed();
+        capUsage = bench.maxCapUsage();
       }
     }
-    System.out.printf("requests not answered whole in the store outage: %d (aim = 0)%n", refused);
     System.out.printf(
-        "gain allowed by the caps that was used at most: %.0f %% (aim <= 100)%n", 100 * capUsed);
+        "requests not answered whole in the store outage: %d (aim = 0)%n", failedInOutage);
+    System.out.printf(
+        "gain allowed by the caps that was used at most: %.0f %% (aim <= 100)%n", 100 * capUsage);
     System.out.printf(
         "targets without entry VMs of their zone work again after %.1f s (aim <= %.0f s)%n",
-        takenOver, AIM_TAKE_OVER_SECONDS);
+        takeoverSeconds, AIM_TAKEOVER_SECONDS);
     System.out.printf(
         "recovery: %.1f s until callers of a lost zone are all answered (aim <= %.0f s)%n",
-        recovered, AIM_SECONDS);
-    boolean good = refused == 0 && recovered <= AIM_SECONDS && capUsed <= 1;
-    System.exit(good && takenOver <= AIM_TAKE_OVER_SECONDS ? 0 : 1);
+        recoverySeconds, AIM_SECONDS);
+    boolean hasPassed = failedInOutage == 0 && recoverySeconds <= AIM_SECONDS && capUsage <= 1;
+    System.exit(hasPassed && takeoverSeconds <= AIM_TAKEOVER_SECONDS ? 0 : 1);
   }
 
   private static Contract contract() {
     Contract plain = Contracts.of(ZONES, TARGETS, 100);
-    Contract.ShiftCap cap = new Contract.ShiftCap(CAP_GAIN, Duration.ofSeconds(5));
+    Contract.ShiftCap cap = new Contract.ShiftCap(CAP_GAIN_FRACTION, Duration.ofSeconds(5));
     return plain.withServices(service -> service.withShiftCaps(cap, cap));
   }
 
   /** Largest share of the gain allowed toward any target or region over the whole run. */
-  private double capUsed() {
+  private double maxCapUsage() {
     Contract.Service service = contract.services().get(0);
-    List<ShiftCapCheck.Used> all = new ArrayList<>();
+    List<ShiftCapCheck.CapUsage> usages = new ArrayList<>();
     for (int target = 0; target < TARGETS; target++) {
       String id = "search-" + target;
-      all.add(caps.used(id, List.of(id), service.targetShiftCap(), service.targetCapacity()));
+      usages.add(
+          capCheck.maxUsage(id, List.of(id), service.targetShiftCap(), service.targetCapacity()));
     }
     for (Contract.Region region : contract.regions()) {
       List<String> targets =
           region.zones().stream().flatMap(zone -> targets(zone).stream()).toList();
       double capacity = targets.size() * service.targetCapacity();
-      all.add(caps.used(region.name(), targets, service.regionShiftCap(), capacity));
+      usages.add(capCheck.maxUsage(region.name(), targets, service.regionShiftCap(), capacity));
     }
-    all.sort(Comparator.comparingDouble(ShiftCapCheck.Used::share).reversed());
-    for (ShiftCapCheck.Used used : all.subList(0, 3)) {
+    usages.sort(Comparator.comparingDouble(ShiftCapCheck.CapUsage::fraction).reversed());
+    for (ShiftCapCheck.CapUsage usage : usages.subList(0, 3)) {
       System.out.printf(
           "  %.0f %% of the gain allowed toward %s, %.1f s into the run%n",
-          100 * used.share(), used.place(), (used.nanos() - startNanos) / 1e9);
+          100 * usage.fraction(), usage.scope(), (usage.nanos() - startNanos) / 1e9);
     }
-    return all.get(0).share();
+    return usages.get(0).fraction();
   }
 
   private static List<String> targets(String zone) {
@@ -135,84 +140,85 @@
         .toList();
   }
 
-  private double lostEntryVms(Fleet fleet) throws InterruptedException {
+  private double measureTakeoverSeconds(Fleet fleet) throws InterruptedException {
     String zone = Contracts.zone(ZONES - 1);
-    long from = now();
-    fleet.loseEntryVms(zone);
-    long lost = System.nanoTime();
-    load(TAKE_OVER_MILLIS);
-    summary("entry VMs lost", from, now());
+    long from = elapsedMillis();
+    fleet.killEntryVms(zone);
+    long lostNanos = System.nanoTime();
+    runLoad(TAKEOVER_LOAD_MILLIS);
+    printSummary("entry VMs lost", from, elapsedMillis());
     // What the ended VMs had sent is started within the first half second.
-    long settled = lost + TimeUnit.MILLISECONDS.toNanos(500);
-    long first = caps.firstStartAfter(settled, targets(zone));
-    return first < 0 ? Double.POSITIVE_INFINITY : (first - lost) / 1e9;
+    long settled = lostNanos + TimeUnit.MILLISECONDS.toNanos(500);
+    long first = capCheck.firstStartAfter(settled, targets(zone));
+    return first < 0 ? Double.POSITIVE_INFINITY : (first - lostNanos) / 1e9;
   }
 
-  private long outage(Fleet fleet, long millis) throws InterruptedException {
-    long from = now();
+  private long countFailuresInOutage(Fleet fleet, long millis) throws InterruptedException {
+    long from = elapsedMillis();
     fleet.store().setFaults(StoreFaults.none().withDown(true));
-    load(millis);
+    runLoad(millis);
     fleet.store().setFaults(StoreFaults.none());
-    long to = now();
-    load(4_000);
-    summary("store down " + millis / 1_000 + " s", from, to);
+    long to = elapsedMillis();
+    runLoad(4_000);
+    printSummary("store down " + millis / 1_000 + " s", from, to);
     return outcomes.stream()
-        .filter(each -> each.dueMillis() >= from && each.dueMillis() < to && !each.whole())
+        .filter(each -> each.dueMillis() >= from && each.dueMillis() < to && !each.isWhole())
         .count();
   }
 
-  private double lostZone(Fleet fleet) throws InterruptedException {
+  private double measureZoneRecoverySeconds(Fleet fleet) throws InterruptedException {
     ScheduledExecutorService killer = Executors.newSingleThreadScheduledExecutor();
-    long at = now() + 500;
-    ScheduledFuture<?> unused = killer.schedule(() -> lose(fleet), 500, TimeUnit.MILLISECONDS);
-    load(25_000);
+    long lostAtMillis = elapsedMillis() + 500;
+    ScheduledFuture<?> unused = killer.schedule(() -> killZone(fleet), 500, TimeUnit.MILLISECONDS);
+    runLoad(25_000);
     killer.shutdown();
-    summary("zone lost", at, now());
-    long lastBad =
+    printSummary("zone lost", lostAtMillis, elapsedMillis());
+    long lastFailureMillis =
         outcomes.stream()
-            .filter(each -> each.dueMillis() >= at && !each.whole())
+            .filter(each -> each.dueMillis() >= lostAtMillis && !each.isWhole())
             .mapToLong(Outcome::dueMillis)
             .max()
-            .orElse(at);
-    if (now() - lastBad < DEADLINE.toMillis() + CALM_MILLIS) {
+            .orElse(lostAtMillis);
+    if (elapsedMillis() - lastFailureMillis < DEADLINE.toMillis() + MIN_CALM_MILLIS) {
       return Double.POSITIVE_INFINITY;
     }
-    return (lastBad - at) / 1e3;
+    return (lastFailureMillis - lostAtMillis) / 1e3;
   }
 
-  private static void lose(Fleet fleet) {
+  private static void killZone(Fleet fleet) {
     try {
-      fleet.loseZone(Contracts.zone(0));
+      fleet.killZone(Contracts.zone(0));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
   /** Callers of all regions in turn, at a rate that does not wait for answers. */
-  private void load(long millis) throws InterruptedException {
+  private void runLoad(long millis) throws InterruptedException {
     ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
     ExecutorService callers = Executors.newFixedThreadPool(CALLERS);
-    ScheduledFuture<?> stream =
+    ScheduledFuture<?> arrivals =
         clock.scheduleAtFixedRate(
-            () -> due(callers), 0, 1_000_000 / REQUESTS_PER_SECOND, TimeUnit.MICROSECONDS);
+            () -> startRequest(callers), 0, 1_000_000 / REQUESTS_PER_SECOND, TimeUnit.MICROSECONDS);
     Thread.sleep(millis);
-    stream.cancel(false);
+    arrivals.cancel(false);
     clock.shutdown();
     callers.shutdown();
     callers.awaitTermination(2 * DEADLINE.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  private void due(ExecutorService callers) {
-    long dueMillis = now();
+  private void startRequest(ExecutorService callers) {
+    long dueMillis = elapsedMillis();
     Contract.ClientBlocks range =
-        contract.clientBlocks().get(next.getAndIncrement() % contract.clientBlocks().size());
+        contract.clientBlocks().get(nextRequest.getAndIncrement() % contract.clientBlocks().size());
     Request request =
         Request.get(contract.customer(), "search", range.first(), "/item").deadline(DEADLINE);
     callers.execute(
         () -> {
           Answer answer = client.send(request);
           outcomes.add(
-              new Outcome(dueMillis, now(), answer instanceof Answer.Complete, name(answer)));
+              new Outcome(
+                  dueMillis, elapsedMillis(), answer instanceof Answer.Complete, name(answer)));
         });
   }
 
@@ -226,7 +232,7 @@
     return answer instanceof Answer.Complete ? "whole" : "other";
   }
 
-  private void summary(String what, long from, long to) {
+  private void printSummary(String phase, long from, long to) {
     Map<String, Integer> names = new TreeMap<>();
     long slowest = 0;
     for (Outcome each : outcomes) {
@@ -236,10 +242,10 @@
       }
     }
     System.out.printf(
-        "%5.1f to %5.1f s, %-16s %s, slowest %d ms%n", from / 1e3, to / 1e3, what, names, slowest);
+        "%5.1f to %5.1f s, %-16s %s, slowest %d ms%n", from / 1e3, to / 1e3, phase, names, slowest);
   }
 
-  private long now() {
+  private long elapsedMillis() {
     return (System.nanoTime() - startNanos) / 1_000_000;
   }
 }
