--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/BackgroundMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/BackgroundMain.java
@@ -74,14 +74,14 @@
     ExecutorService listing = Executors.newSingleThreadExecutor();
     Future<Histogram> listingDuringPulls = listing.submit(() -> listUntilStopped());
     long start = System.nanoTime();
-    PeriodicFaultInjector faults = PeriodicFaultInjector.start(bed);
+    PeriodicFaultInjector injector = PeriodicFaultInjector.start(bed);
     List<String> seeds =
         bed.entries().stream().map(entry -> "127.0.0.1:" + entry.callersPort()).toList();
     try (SageladderClient client = SageladderClient.start(ClientOptions.seeds(seeds))) {
       pullAll(client, count);
     }
     long seconds = Math.max(1, (System.nanoTime() - start) / 1_000_000_000);
-    faults.stop();
+    injector.stop();
     isStopped = true;
     Histogram loadedMillis = listingDuringPulls.get();
     listing.shutdown();
@@ -97,7 +97,7 @@
             + ", begun anew as a whole "
             + restartCount
             + "; faults "
-            + faults.countsByFault());
+            + injector.countsByFault());
     System.out.println(
         "pull from first try to whole: p50 "
             + pullMillis.getValueAtPercentile(50)
--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/PeriodicFaultInjector.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/PeriodicFaultInjector.java
@@ -23,9 +23,9 @@
   }
 
   static PeriodicFaultInjector start(TestBed bed) {
-    PeriodicFaultInjector faults = new PeriodicFaultInjector(bed);
-    faults.thread.start();
-    return faults;
+    PeriodicFaultInjector injector = new PeriodicFaultInjector(bed);
+    injector.thread.start();
+    return injector;
   }
 
   /** Waits until what has begun is undone again. */
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/Slope.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/Slope.java
@@ -30,14 +30,17 @@
       largestValue = Math.max(largestValue, Math.abs(point.value()));
     }
     double perUnit = covariance / variance;
-    double atZero = meanValue - perUnit * meanSize;
+    double intercept = meanValue - perUnit * meanSize;
     double maxDeviation = 0;
     for (Point point : points) {
       maxDeviation =
-          Math.max(maxDeviation, Math.abs(atZero + perUnit * point.size() - point.value()));
+          Math.max(maxDeviation, Math.abs(intercept + perUnit * point.size() - point.value()));
     }
     return new Slope(
-        perUnit, atZero, largestValue == 0 ? 0 : maxDeviation / largestValue, List.copyOf(points));
+        perUnit,
+        intercept,
+        largestValue == 0 ? 0 : maxDeviation / largestValue,
+        List.copyOf(points));
   }
 
   /** The value that the line gives at {@code size}. */
--- a/sageladder-bench/src/main/java/org/sageladder/bench/controlcost/ProcessorTimes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/controlcost/ProcessorTimes.java
@@ -35,11 +35,11 @@
     Map<ThreadKey, Long> threads = new HashMap<>();
     for (long process : ProcessHandle.current().children().map(ProcessHandle::pid).toList()) {
       Path tasks = Path.of("/proc", Long.toString(process), "task");
-      List<Path> each;
-      try (Stream<Path> listed = Files.list(tasks)) {
-        each = listed.toList();
+      List<Path> taskPaths;
+      try (Stream<Path> paths = Files.list(tasks)) {
+        taskPaths = paths.toList();
       }
-      for (Path task : each) {
+      for (Path task : taskPaths) {
         add(process, task, threads);
       }
     }
@@ -61,20 +61,21 @@
   /** What was used since {@code before}; time of threads that ended meanwhile is not seen. */
   CoreShares since(ProcessorTimes before) {
     double percentPerNano = 100.0 / (takenNanos - before.takenNanos);
-    Map<Long, Double> working = new HashMap<>();
-    double compiling = 0;
+    Map<Long, Double> percentByProcess = new HashMap<>();
+    double compilerPercent = 0;
     for (Map.Entry<ThreadKey, Long> entry : nanosByThread.entrySet()) {
       ThreadKey thread = entry.getKey();
-      long used = entry.getValue() - before.nanosByThread.getOrDefault(thread, 0L);
+      long usedNanos = entry.getValue() - before.nanosByThread.getOrDefault(thread, 0L);
       if (thread.name().contains(COMPILER_THREAD_NAME)) {
-        compiling += used * percentPerNano;
+        compilerPercent += usedNanos * percentPerNano;
       } else {
-        working.merge(thread.process(), used * percentPerNano, Double::sum);
+        percentByProcess.merge(thread.process(), usedNanos * percentPerNano, Double::sum);
       }
     }
-    double sum = working.values().stream().mapToDouble(Double::doubleValue).sum();
-    double max = working.values().stream().mapToDouble(Double::doubleValue).max().orElse(0);
-    int processes = Math.max(1, working.size());
-    return new CoreShares(sum / processes, max, compiling / processes);
+    double sum = percentByProcess.values().stream().mapToDouble(Double::doubleValue).sum();
+    double max =
+        percentByProcess.values().stream().mapToDouble(Double::doubleValue).max().orElse(0);
+    int processes = Math.max(1, percentByProcess.size());
+    return new CoreShares(sum / processes, max, compilerPercent / processes);
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/DrainMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/DrainMain.java
@@ -46,7 +46,7 @@
               () -> {
                 try {
                   for (int i = 0; i < entryStopCount; i++) {
-                    entryStops.stop(i % ENTRIES);
+                    entryStops.stopEntry(i % ENTRIES);
                   }
                 } catch (Exception e) {
                   throw new IllegalStateException("an entry VM could not be stopped", e);
@@ -54,14 +54,14 @@
               });
       stopThread.start();
       for (int i = 0; i < targetStopCount; i++) {
-        refusingTargets.stop(i % bed.targets().size(), false);
-        listedTargets.stop((i + 5) % bed.targets().size(), true);
+        refusingTargets.stopTarget(i % bed.targets().size(), false);
+        listedTargets.stopTarget((i + 5) % bed.targets().size(), true);
       }
       stopThread.join();
       cutPlanned = load.cutCount();
       System.out.println("requests by end: " + load.counts());
       for (int i = 0; i < Math.max(2, entryStopCount / 8); i++) {
-        entryKills.kill(i % ENTRIES);
+        entryKills.killEntry(i % ENTRIES);
       }
       cutKilled = load.cutCount() - cutPlanned;
     }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/EntryStops.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/EntryStops.java
@@ -23,7 +23,7 @@
     this.bed = bed;
   }
 
-  void stop(int number) throws IOException, InterruptedException {
+  void stopEntry(int number) throws IOException, InterruptedException {
     EntryProcess entry = bed.entries().get(number);
     String work = "handed" + stopCount;
     String permit = bid(entry, work, "").permit();
@@ -63,7 +63,7 @@
   }
 
   /** The baseline: the process is ended at once. */
-  void kill(int number) throws IOException, InterruptedException {
+  void killEntry(int number) throws IOException, InterruptedException {
     EntryProcess entry = bed.entries().get(number);
     bed.listEntry(entry, true);
     entry.kill();
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/SteadyLoad.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/SteadyLoad.java
@@ -45,20 +45,20 @@
   private void runCaller(int seed, int pauseMillis) {
     SplittableRandom random = new SplittableRandom(seed);
     Caller caller = Caller.create();
-    List<Integer> entries = List.of();
+    List<Integer> ports = List.of();
     long lookedUpAtNanos = 0;
     try {
       while (!isClosed) {
         boolean isBid = random.nextInt(10) < 3;
-        if (entries.isEmpty() || System.nanoTime() - lookedUpAtNanos > LOOK_UP_TTL_NANOS) {
-          entries = lookUp(caller, random);
+        if (ports.isEmpty() || System.nanoTime() - lookedUpAtNanos > LOOK_UP_TTL_NANOS) {
+          ports = lookUp(caller, random);
           lookedUpAtNanos = System.nanoTime();
         }
         String key = "d" + nextKey.getAndIncrement();
-        Reply reply = isBid ? sendBid(caller, entries, key) : sendListing(caller, entries, key);
+        Reply reply = isBid ? sendBid(caller, ports, key) : sendListing(caller, ports, key);
         count(reply);
         if (reply.shouldLookUpAgain()) {
-          entries = List.of();
+          ports = List.of();
         }
         Thread.sleep(random.nextInt(2 * pauseMillis + 1));
       }
@@ -79,19 +79,19 @@
     return List.of();
   }
 
-  private static Reply sendListing(Caller caller, List<Integer> entries, String key)
+  private static Reply sendListing(Caller caller, List<Integer> ports, String key)
       throws InterruptedException {
     String path = "/lots?answerBytes=" + ANSWER_BYTES + "&work=" + key;
-    return sendToFirstReachable(caller, entries, "GET", "listings", path, new byte[0], "");
+    return sendToFirstReachable(caller, ports, "GET", "listings", path, new byte[0], "");
   }
 
-  private static Reply sendBid(Caller caller, List<Integer> entries, String key)
+  private static Reply sendBid(Caller caller, List<Integer> ports, String key)
       throws InterruptedException {
     String path = "/lots/7?answerBytes=" + ANSWER_BYTES + "&work=" + key;
     byte[] body = key.getBytes(StandardCharsets.UTF_8);
-    Reply reply = sendToFirstReachable(caller, entries, "POST", "bids", path, body, "");
+    Reply reply = sendToFirstReachable(caller, ports, "POST", "bids", path, body, "");
     for (int i = 0; i < 10 && !reply.permit().isEmpty(); i++) {
-      reply = sendToFirstReachable(caller, entries, "POST", "bids", path, body, reply.permit());
+      reply = sendToFirstReachable(caller, ports, "POST", "bids", path, body, reply.permit());
     }
     return reply;
   }
@@ -99,7 +99,7 @@
   /** The first entry VM that takes a connection answers; others are fallbacks. */
   private static Reply sendToFirstReachable(
       Caller caller,
-      List<Integer> entries,
+      List<Integer> ports,
       String method,
       String service,
       String path,
@@ -107,7 +107,7 @@
       String permit)
       throws InterruptedException {
     Reply reply = Reply.REFUSED;
-    for (int port : entries) {
+    for (int port : ports) {
       reply = caller.send(port, method, service, path, body, permit, DEADLINE, CLIENT_TIMEOUT);
       if (!reply.isRefused()) {
         boolean isWhole = reply.isAnswerTo(RequestChecksum.of(method, path, body), ANSWER_BYTES);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/TargetStops.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/TargetStops.java
@@ -20,7 +20,7 @@
   }
 
   /** One stop; {@code announced} on the platform's list, else shown by the target alone. */
-  void stop(int number, boolean isListed) throws InterruptedException {
+  void stopTarget(int number, boolean isListed) throws InterruptedException {
     TargetServer target = bed.targets().get(number);
     long incarnation = target.incarnation();
     long startNanos = System.nanoTime();
@@ -29,25 +29,25 @@
     } else {
       target.drain();
     }
-    long lastStart = startNanos;
-    long lastBusy = startNanos;
+    long lastStartNanos = startNanos;
+    long lastBusyNanos = startNanos;
     long started = target.executions().total();
-    while (System.nanoTime() - lastBusy < IDLE_NANOS
+    while (System.nanoTime() - lastBusyNanos < IDLE_NANOS
         && System.nanoTime() - startNanos < MAX_STOP_NANOS) {
       Thread.sleep(1);
       long now = System.nanoTime();
       if (target.executions().total() != started) {
         started = target.executions().total();
-        lastStart = now;
+        lastStartNanos = now;
       }
       if (target.busySlotCount() > 0) {
-        lastBusy = now;
+        lastBusyNanos = now;
       }
     }
     stopCount++;
-    long lastStartMillis = (lastStart - startNanos) / 1_000_000;
+    long lastStartMillis = (lastStartNanos - startNanos) / 1_000_000;
     millisToLastNewRequest.recordValue(lastStartMillis);
-    millisToIdle.recordValue((lastBusy - startNanos) / 1_000_000);
+    millisToIdle.recordValue((lastBusyNanos - startNanos) / 1_000_000);
     lateCount += lastStartMillis > 3_000 ? 1 : 0;
     target.restart();
     bed.listTarget(number, target.incarnation(), false);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Fleet.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Fleet.java
@@ -92,14 +92,14 @@
     listTargets();
     EntryOptions baseOptions = ClassArchive.withArchive(entryOptions());
     ExecutorService starters = Executors.newFixedThreadPool(MAX_PARALLEL_STARTS);
-    List<Future<?>> starts = new ArrayList<>();
+    List<Future<?>> pendingStarts = new ArrayList<>();
     for (String zone : options.contract().zones()) {
       for (int i = 0; i < options.vmsPerZone(); i++) {
         String name = zone + "-vm-" + i;
-        starts.add(starters.submit(() -> startVm(baseOptions.vm(name, zone))));
+        pendingStarts.add(starters.submit(() -> startVm(baseOptions.vm(name, zone))));
       }
     }
-    for (Future<?> start : starts) {
+    for (Future<?> start : pendingStarts) {
       try {
         start.get();
       } catch (java.util.concurrent.ExecutionException e) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/FleetVm.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/FleetVm.java
@@ -117,7 +117,12 @@
 
   /** Processor time used by the process so far. */
   public long cpuMillis() {
-    return process.handle().info().totalCpuDuration().map(java.time.Duration::toMillis).orElse(0L);
+    return process
+        .processHandle()
+        .info()
+        .totalCpuDuration()
+        .map(java.time.Duration::toMillis)
+        .orElse(0L);
   }
 
   /** Resident memory of the process in kilobytes. */
--- a/sageladder-bench/src/main/java/org/sageladder/bench/path/PathMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/path/PathMain.java
@@ -128,7 +128,7 @@
                 java.time.Duration.ofSeconds(10),
                 java.time.Duration.ofMinutes(1),
                 1L << 30));
-    long before = usedHeapBytes();
+    long beforeMint = usedHeapBytes();
     List<Permit> usedPermits = new ArrayList<>();
     for (int i = 0; i < PERMITS; i++) {
       Permit permit = permitHome.mint(TestBed.CUSTOMER, "bids", i / 20L).orElseThrow();
@@ -150,7 +150,7 @@
     long permitCount = permitHome.retainedCount(PERMITS / 20L);
     return String.format(
         "permits: %d live ones take %.1f MB; answers of 200 bytes to 100,000 of them %.1f MB more",
-        permitCount, (afterMint - before) / 1e6, (afterAnswers - afterMint) / 1e6);
+        permitCount, (afterMint - beforeMint) / 1e6, (afterAnswers - afterMint) / 1e6);
   }
 
   private static long usedHeapBytes() {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/AdmissionLog.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/AdmissionLog.java
@@ -69,8 +69,8 @@
 
   private static int windowCount(Map<Long, Integer> counts, long end) {
     int count = 0;
-    for (int back = 0; back < STEPS_PER_WINDOW; back++) {
-      count += counts.getOrDefault(end - back, 0);
+    for (int offset = 0; offset < STEPS_PER_WINDOW; offset++) {
+      count += counts.getOrDefault(end - offset, 0);
     }
     return count;
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/RandomRun.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/RandomRun.java
@@ -6,9 +6,9 @@
  * One random run of the distributed policy, with or without faults.
  *
  * @param setup random caps, delays and, with faults, losses
- * @param randomDemand random pattern
+ * @param demand random pattern
  */
-record RandomRun(Setup setup, Demand randomDemand, int seconds, boolean hasFaults) {
+record RandomRun(Setup setup, Demand demand, int seconds, boolean hasFaults) {
   static RandomRun of(long seed, int seconds, boolean hasFaults) {
     Random random = new Random(seed);
     Setup setup =
@@ -16,10 +16,10 @@
             .withShiftCaps(0.1 + 0.3 * random.nextDouble(), 5 * (1 + random.nextInt(2)))
             .withSummaryDelay(500L * (1 + random.nextInt(hasFaults ? 10 : 4)))
             .withSummaryLoss(hasFaults ? 0.5 * random.nextDouble() : 0);
-    return new RandomRun(setup, randomDemand(setup, random), seconds, hasFaults);
+    return new RandomRun(setup, drawDemand(setup, random), seconds, hasFaults);
   }
 
-  private static Demand randomDemand(Setup setup, Random random) {
+  private static Demand drawDemand(Setup setup, Random random) {
     double baseLoadFraction = 0.3 + 0.4 * random.nextDouble();
     return switch (random.nextInt(3)) {
       case 0 -> Demand.steady(setup, baseLoadFraction);
@@ -30,7 +30,7 @@
 
   ClusterSimulation runDistributed() {
     ClusterSimulation simulation =
-        new ClusterSimulation(setup, randomDemand, ClusterSimulation.Policy.STEERED);
+        new ClusterSimulation(setup, demand, ClusterSimulation.Policy.STEERED);
     Random random = new Random(setup.seed() + 99);
     for (int elapsedSeconds = 0; elapsedSeconds < seconds; elapsedSeconds += 10) {
       if (hasFaults) {
@@ -50,6 +50,6 @@
   }
 
   AdmissionLog runCentral() {
-    return NaiveCentralPolicy.run(setup, randomDemand, seconds);
+    return NaiveCentralPolicy.run(setup, demand, seconds);
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Shares.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Shares.java
@@ -16,9 +16,10 @@
   /** Runs the comparison; {@code --full} for more seeds. */
   public static void main(String[] arguments) {
     int seeds = ResultPrinter.isFullRun(arguments) ? 10 : 3;
-    double today = maxLostFraction("today: 4 gates of 1 target a region", 2, 2, 1, 60, seeds);
-    double large = maxLostFraction("96 gates of 1 target a region", 4, 24, 1, 30, 1);
-    double maxLost = Math.max(today, large);
+    double lostAtCurrentSize =
+        maxLostFraction("today: 4 gates of 1 target a region", 2, 2, 1, 60, seeds);
+    double lostAtLargeSize = maxLostFraction("96 gates of 1 target a region", 4, 24, 1, 30, 1);
+    double maxLost = Math.max(lostAtCurrentSize, lostAtLargeSize);
     ResultPrinter.printResultAndExit(
         maxLost <= MAX_LOST_FRACTION,
         "shares: %.1f %% of the load lost by static shares in the worst pattern (aim <= %.0f %%)",
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/EntryProcess.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/EntryProcess.java
@@ -199,7 +199,7 @@
   }
 
   /** The process itself, for what the system tells of it. */
-  public ProcessHandle handle() {
+  public ProcessHandle processHandle() {
     return process.toHandle();
   }
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/ProcessCluster.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/ProcessCluster.java
@@ -79,18 +79,18 @@
   }
 
   private void startEntries() throws IOException {
-    List<StartingEntry> starting = new ArrayList<>();
+    List<StartingEntry> startingEntries = new ArrayList<>();
     try {
       for (String zone : plan.zones()) {
         for (int i = 1; i <= plan.entriesPerZone(); i++) {
-          starting.add(launch("entry-" + zone + "-" + i, zone));
+          startingEntries.add(launch("entry-" + zone + "-" + i, zone));
         }
       }
     } finally {
-      starting.forEach(one -> entries.add(one.entry()));
+      startingEntries.forEach(startingEntry -> entries.add(startingEntry.entry()));
     }
-    for (StartingEntry one : starting) {
-      awaitReadyAndList(one);
+    for (StartingEntry startingEntry : startingEntries) {
+      awaitReadyAndList(startingEntry);
     }
   }
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/StandIns.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/StandIns.java
@@ -69,7 +69,7 @@
   }
 
   /** Marks a target on the list as leaving, or as returned with a new incarnation. */
-  public void listTarget(String id, long incarnation, boolean leaving) {
+  public void listTarget(String id, long incarnation, boolean isDraining) {
     ListedVm vm = listedVm(id);
     putListed(
         new ListedVm(
@@ -82,7 +82,7 @@
             vm.port(),
             vm.innerPort(),
             incarnation,
-            leaving));
+            isDraining));
   }
 
   /**
@@ -90,7 +90,7 @@
    *
    * @param incarnation 0 where the platform does not know
    */
-  public void listEntry(EntryProcess entry, long incarnation, boolean leaving) {
+  public void listEntry(EntryProcess entry, long incarnation, boolean isDraining) {
     putListed(
         new ListedVm(
             VmRole.ENTRY,
@@ -102,7 +102,7 @@
             entry.callersPort(),
             entry.innerPort(),
             incarnation,
-            leaving));
+            isDraining));
   }
 
   private void putListed(ListedVm vm) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/TestBed.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/TestBed.java
@@ -115,13 +115,13 @@
   }
 
   /** Puts an entry VM on the platform's list, as live or leaving. */
-  public void listEntry(EntryProcess entry, boolean leaving) {
-    standIns.listEntry(entry, 0, leaving);
+  public void listEntry(EntryProcess entry, boolean isDraining) {
+    standIns.listEntry(entry, 0, isDraining);
   }
 
   /** Marks a target on the list as leaving, or as returned with a new incarnation. */
-  public void listTarget(int number, long incarnation, boolean leaving) {
-    standIns.listTarget(targets().get(number).options().id(), incarnation, leaving);
+  public void listTarget(int number, long incarnation, boolean isDraining) {
+    standIns.listTarget(targets().get(number).options().id(), incarnation, isDraining);
   }
 
   /** The store stand-in. */
--- a/sageladder-bench/src/main/java/org/sageladder/bench/recovery/ShiftCapCheck.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/recovery/ShiftCapCheck.java
@@ -44,14 +44,14 @@
     double allowedGain = cap.gainFraction() * capacityPerSecond * window / 1e9;
     CapUsage maxUsage = new CapUsage(0, scope, System.nanoTime());
     for (Sample end : samples) {
-      Sample middle = atOrAfter(end.nanos() - window);
-      Sample start = atOrBefore(end.nanos() - 2 * window);
-      if (start == null) {
+      Sample windowStart = atOrAfter(end.nanos() - window);
+      Sample precedingStart = atOrBefore(end.nanos() - 2 * window);
+      if (precedingStart == null) {
         continue;
       }
-      long recent = count.applyAsLong(end) - count.applyAsLong(middle);
-      long before = count.applyAsLong(middle) - count.applyAsLong(start);
-      double gain = recent - before - SLACK_FRACTION * allowedGain - SLACK_REQUESTS;
+      long recent = count.applyAsLong(end) - count.applyAsLong(windowStart);
+      long preceding = count.applyAsLong(windowStart) - count.applyAsLong(precedingStart);
+      double gain = recent - preceding - SLACK_FRACTION * allowedGain - SLACK_REQUESTS;
       if (gain / allowedGain > maxUsage.fraction()) {
         maxUsage = new CapUsage(gain / allowedGain, scope, end.nanos());
       }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/reverts/RevertsBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/reverts/RevertsBench.java
@@ -47,8 +47,8 @@
   public static void main(String[] args) throws Exception {
     List<String> options = List.of(args);
     int changes = options.contains("--full") ? 5 * CHANGES : CHANGES;
-    int at = options.indexOf("--seed");
-    long seed = at < 0 ? 20261202 : Long.parseLong(options.get(at + 1));
+    int seedIndex = options.indexOf("--seed");
+    long seed = seedIndex < 0 ? 20261202 : Long.parseLong(options.get(seedIndex + 1));
     int reverts;
     int accepted;
     try (Fleet fleet = Fleet.start(new FleetOptions(contract(0), VMS_PER_ZONE, HEAP_MEGABYTES))) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/spread/SpreadBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/spread/SpreadBench.java
@@ -144,10 +144,10 @@
     return new Histogram(60_000_000L, 3);
   }
 
-  private static double report(String what, Histogram times) {
+  private static double report(String phase, Histogram times) {
     System.out.printf(
         "%-28s p50 %7.3f s, p99 %7.3f s, max %7.3f s (%d samples)%n",
-        what,
+        phase,
         times.getValueAtPercentile(50) / 1e6,
         times.getValueAtPercentile(99) / 1e6,
         times.getMaxValue() / 1e6,
--- a/sageladder-bench/src/main/java/org/sageladder/bench/storecalls/StoreCallsBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/storecalls/StoreCallsBench.java
@@ -29,7 +29,7 @@
   private static final double MAX_PLATFORM_READS_PER_SECOND = 2_000;
   private static final double AIM_PERCENT = 50;
   // Entry VMs that poll four times a second, each with one read and one fetch of the list.
-  private static final double POLLING_READS_PER_SECOND = 8;
+  private static final double POLLING_READS_PER_SECOND_PER_VM = 8;
   private static final List<String> READ_CALLS = List.of("read", "list", "watch", "vms");
 
   private StoreCallsBench() {}
@@ -40,22 +40,24 @@
   /** Takes {@code --full} for longer measurements. */
   public static void main(String[] args) throws Exception {
     long millis = List.of(args).contains("--full") ? 120_000 : 15_000;
-    CallRates few = measure(FEW_ZONES, millis);
-    CallRates many = measure(MANY_ZONES, millis);
-    double readsPerZone = (many.readsPerSecond() - few.readsPerSecond()) / (MANY_ZONES - FEW_ZONES);
+    CallRates fewZones = measure(FEW_ZONES, millis);
+    CallRates manyZones = measure(MANY_ZONES, millis);
+    double readsPerZone =
+        (manyZones.readsPerSecond() - fewZones.readsPerSecond()) / (MANY_ZONES - FEW_ZONES);
     double writesPerZone =
-        (many.writesPerSecond() - few.writesPerSecond()) / (MANY_ZONES - FEW_ZONES);
-    double perVm = few.callsPerNonRelay();
+        (manyZones.writesPerSecond() - fewZones.writesPerSecond()) / (MANY_ZONES - FEW_ZONES);
+    double callsPerVm = fewZones.callsPerNonRelay();
     System.out.printf(
         "slope with zones at %d entry VMs: %.2f reads and %.2f writes a second for each zone%n",
         VMS, readsPerZone, writesPerZone);
-    System.out.printf("slope with entry VMs at fixed zones: %.4f calls a second for each%n", perVm);
-    double reads = readsPerZone * TARGET_ZONES + perVm * TARGET_VMS;
+    System.out.printf(
+        "slope with entry VMs at fixed zones: %.4f calls a second for each%n", callsPerVm);
+    double reads = readsPerZone * TARGET_ZONES + callsPerVm * TARGET_VMS;
     double writes = writesPerZone * TARGET_ZONES;
     System.out.printf(
         "worked out for %d zones and %d entry VMs: %.0f reads and %.0f writes a second;"
             + " polling by each entry VM: %.0f reads%n",
-        TARGET_ZONES, TARGET_VMS, reads, writes, POLLING_READS_PER_SECOND * TARGET_VMS);
+        TARGET_ZONES, TARGET_VMS, reads, writes, POLLING_READS_PER_SECOND_PER_VM * TARGET_VMS);
     double percent =
         100
             * Math.max(
--- a/sageladder-bench/src/main/java/org/sageladder/bench/timeline/TimelineCost.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/timeline/TimelineCost.java
@@ -62,7 +62,7 @@
   /** Measures with one thread and with four; {@code --full} measures longer. */
   public static void main(String[] args) throws RunnerException {
     boolean full = args.length > 0 && args[0].equals("--full");
-    double worst = 0;
+    double builtDetailNanos = 0;
     for (int threads : new int[] {1, 4}) {
       for (RunResult result : run(threads, full)) {
         String name = result.getPrimaryResult().getLabel();
@@ -75,13 +75,16 @@
             nanos,
             result.getPrimaryResult().getScoreError());
         if (threads == 1 && name.equals("builtDetail")) {
-          worst = nanos;
+          builtDetailNanos = nanos;
         }
       }
     }
     System.out.printf(
-        Locale.ROOT, "timeline-cost: %.1f ns (aim at most %.0f ns an event)%n", worst, AIM_NANOS);
-    System.exit(worst > 0 && worst <= AIM_NANOS ? 0 : 1);
+        Locale.ROOT,
+        "timeline-cost: %.1f ns (aim at most %.0f ns an event)%n",
+        builtDetailNanos,
+        AIM_NANOS);
+    System.exit(builtDetailNanos > 0 && builtDetailNanos <= AIM_NANOS ? 0 : 1);
   }
 
   private static Collection<RunResult> run(int threads, boolean full) throws RunnerException {
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/CallersPortTest.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/CallersPortTest.java
@@ -68,19 +68,19 @@
 
   /** Sends {@code request} while another connection has a good request under way. */
   private static String answerDuringOtherRequest(String request) throws Exception {
-    try (Socket good = connect();
-        Socket bad = connect()) {
-      write(good, LISTING + "\r\nHost: e\r\n" + DEADLINE + "\r\n\r\n");
+    try (Socket validConnection = connect();
+        Socket connection = connect()) {
+      write(validConnection, LISTING + "\r\nHost: e\r\n" + DEADLINE + "\r\n\r\n");
       String answer;
       try {
-        write(bad, request);
-        answer = readHead(bad);
+        write(connection, request);
+        answer = readHead(connection);
       } catch (IOException e) {
         throw new IOException("no answer to the bad request", e);
       }
-      String goodAnswer = readHead(good);
-      assertTrue(goodAnswer.startsWith("HTTP/1.1 200 "), goodAnswer);
-      assertTrue(goodAnswer.contains("Sageladder-Result: 0 OK"), goodAnswer);
+      String validAnswer = readHead(validConnection);
+      assertTrue(validAnswer.startsWith("HTTP/1.1 200 "), validAnswer);
+      assertTrue(validAnswer.contains("Sageladder-Result: 0 OK"), validAnswer);
       return answer;
     }
   }
@@ -101,7 +101,7 @@
     "look-up of a bad block, /v1/look-up?contract=kalnins-dauge&service=bid&block=-1, 400, "
         + "21 UNKNOWN_BLOCK",
   })
-  void badPathIsRefusedWithItsResultCode(String what, String path, int status, String result)
+  void badPathIsRefusedWithItsResultCode(String description, String path, int status, String result)
       throws Exception {
     String answer =
         answerDuringOtherRequest(
@@ -116,8 +116,8 @@
     "deadline of nothing, Sageladder-Deadline-Millis: 0, 400, 16 DEADLINE_INVALID",
     "deadline above the contract's, Sageladder-Deadline-Millis: 99999999, 400, 16 DEADLINE_INVALID",
   })
-  void badDeadlineIsRefusedWithItsResultCode(String what, String header, int status, String result)
-      throws Exception {
+  void badDeadlineIsRefusedWithItsResultCode(
+      String description, String header, int status, String result) throws Exception {
     assertRefused(
         status,
         result,
@@ -172,7 +172,7 @@
     "too long, 99999999999999999999",
     "above the settings, 2000000000"
   })
-  void badContentLengthIsRefused(String what, String length) throws Exception {
+  void badContentLengthIsRefused(String description, String length) throws Exception {
     String answer =
         answerDuringOtherRequest(
             "POST /v1/request/kalnins-dauge/lot-listing/lots HTTP/1.1\r\nHost: e\r\n"
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/HostileCallersProperties.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/HostileCallersProperties.java
@@ -57,7 +57,7 @@
 
   private static RunFolder folder;
   private static ProcessCluster cluster;
-  private static Socket good;
+  private static Socket validConnection;
 
   @BeforeContainer
   static void start() throws Exception {
@@ -68,12 +68,12 @@
             .targetCustomizer(target -> target.serviceTime(ServiceTime.fixed(0)));
     cluster = ProcessCluster.start(plan, folder.path());
     cluster.awaitServing(Duration.ofMinutes(2));
-    good = connect();
+    validConnection = connect();
   }
 
   @AfterContainer
   static void stop() throws IOException {
-    good.close();
+    validConnection.close();
     cluster.close();
     folder.close();
   }
@@ -94,29 +94,32 @@
   // One byte of a good request is damaged, or its tail is missing.
   @Property(tries = 300, seed = "20261202")
   void corruptedRequestGetsAResultCode(
-      @ForAll @IntRange(max = 1) int which, @ForAll int at, @ForAll byte with, @ForAll boolean cut)
+      @ForAll @IntRange(max = 1) int pathIndex,
+      @ForAll int position,
+      @ForAll byte replacement,
+      @ForAll boolean isTruncated)
       throws Exception {
     byte[] request =
         ("GET "
-                + PATHS.get(which)
+                + PATHS.get(pathIndex)
                 + " HTTP/1.1\r\nHost: e\r\nSageladder-Deadline-Millis: 300000"
                 + END)
             .getBytes(StandardCharsets.ISO_8859_1);
-    int place = Math.floorMod(at, request.length);
-    request[place] = with;
-    assertAnsweredWithResultCode(cut ? Arrays.copyOf(request, place) : request);
+    int index = Math.floorMod(position, request.length);
+    request[index] = replacement;
+    assertAnsweredWithResultCode(isTruncated ? Arrays.copyOf(request, index) : request);
   }
 
   // A caller, or somebody who plays one, puts any text into a header that the entry VM reads. A bid
   // must not run by it, as no permit can be guessed.
   @Property(tries = 200, seed = "20261202")
   void arbitraryHeaderValueGetsAResultCodeWithoutExecution(
-      @ForAll @IntRange(max = 8) int which,
+      @ForAll @IntRange(max = 8) int headerIndex,
       @ForAll @CharRange(from = ' ', to = 'ÿ') @StringLength(max = 600) String value)
       throws Exception {
     String request =
         "POST /v1/request/kalnins-dauge/bid/bids?work=hostile HTTP/1.1\r\n"
-            + HEADERS.get(which)
+            + HEADERS.get(headerIndex)
             + ": "
             + value
             + "\r\nHost: e\r\nSageladder-Deadline-Millis: 300000"
@@ -127,33 +130,35 @@
 
   /** Sends the bytes and what makes the entry VM answer if they left it waiting for more. */
   private static void assertAnsweredWithResultCode(byte[] bytes) throws IOException {
-    try (Socket bad = connect()) {
+    try (Socket connection = connect()) {
       // In one piece: the port may answer and close before it has read all.
       ByteArrayOutputStream request = new ByteArrayOutputStream();
       request.writeBytes(bytes);
       request.writeBytes(COMPLETION.getBytes(StandardCharsets.US_ASCII));
-      bad.getOutputStream().write(request.toByteArray());
-      String answer = readHead(bad);
-      assertResultCodeMatchesStatus(answer.startsWith(CONTINUE) ? readHead(bad) : answer);
+      connection.getOutputStream().write(request.toByteArray());
+      String answer = readHead(connection);
+      assertResultCodeMatchesStatus(answer.startsWith(CONTINUE) ? readHead(connection) : answer);
     }
-    good.getOutputStream()
+    validConnection
+        .getOutputStream()
         .write(
             ("GET " + PATHS.get(1) + " HTTP/1.1\r\nHost: e" + END)
                 .getBytes(StandardCharsets.US_ASCII));
-    String answer = readHead(good);
+    String answer = readHead(validConnection);
     assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
     int length = Integer.parseInt(answer.replaceAll("(?s).*Content-Length: (\\d+).*", "$1"));
-    assertEquals(length, good.getInputStream().readNBytes(length).length);
+    assertEquals(length, validConnection.getInputStream().readNBytes(length).length);
   }
 
   private static void assertResultCodeMatchesStatus(String answer) {
-    Matcher parts = ANSWER.matcher(answer);
-    assertTrue(parts.find(), answer);
-    ResultCode code = ResultCode.valueOf(parts.group(3));
-    assertEquals(code.number(), Integer.parseInt(parts.group(2)), answer);
-    int status = Integer.parseInt(parts.group(1));
-    boolean otherVersion = code == ResultCode.MALFORMED_REQUEST && status == VERSION_NOT_SUPPORTED;
-    assertTrue(status == code.httpStatus() || otherVersion, answer);
+    Matcher matcher = ANSWER.matcher(answer);
+    assertTrue(matcher.find(), answer);
+    ResultCode code = ResultCode.valueOf(matcher.group(3));
+    assertEquals(code.number(), Integer.parseInt(matcher.group(2)), answer);
+    int status = Integer.parseInt(matcher.group(1));
+    boolean isUnsupportedVersion =
+        code == ResultCode.MALFORMED_REQUEST && status == VERSION_NOT_SUPPORTED;
+    assertTrue(status == code.httpStatus() || isUnsupportedVersion, answer);
   }
 
   private static String readHead(Socket socket) throws IOException {
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/WholeProcessTest.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/WholeProcessTest.java
@@ -42,7 +42,7 @@
 @Timeout(value = 300, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class WholeProcessTest {
   private static final String CUSTOMER = "kalnins-dauge";
-  private static final Duration START_LIMIT = Duration.ofMinutes(2);
+  private static final Duration START_TIMEOUT = Duration.ofMinutes(2);
   private static final Duration DEADLINE = LongTimeoutContract.DEADLINE;
   private static final int THREADS = 8;
 
@@ -69,7 +69,7 @@
 
   @BeforeEach
   void start() throws Exception {
-    cluster.awaitServing(START_LIMIT);
+    cluster.awaitServing(START_TIMEOUT);
     client = SageladderClient.start(ClientOptions.seeds(cluster.callersAddresses()));
   }
 
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/Workload.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/Workload.java
@@ -80,9 +80,9 @@
     long checksum = RequestChecksum.of("POST", path, body);
     AnswerPattern.Checker checker = AnswerPattern.checker(checksum);
     checker.add(ByteBuffer.wrap(whole.body()));
-    boolean echoed =
+    boolean hasMatchingChecksum =
         whole.header("Request-Checksum").filter(String.valueOf(checksum)::equals).isPresent();
     return whole.status() != 200
-        || (echoed && checker.matches() && checker.length() == answerBytes);
+        || (hasMatchingChecksum && checker.matches() && checker.length() == answerBytes);
   }
 }
