--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/EntryBuild.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/EntryBuild.java
@@ -5,24 +5,24 @@
 import org.sageladder.entry.settings.EntrySettings;
 import org.sageladder.platform.settings.SettingsException;
 
-/** Starts entry daemons of one build. */
+/** A build whose entry daemons can be started in this process. */
 @FunctionalInterface
 public interface EntryBuild {
   /**
    * Starts a daemon.
    *
-   * @param name names the settings in errors
-   * @param settingsYaml its settings
+   * @param name name of the settings in error messages
+   * @param settingsYaml settings of the daemon
    */
   EntryVm start(String name, String settingsYaml)
       throws IOException, InterruptedException, SettingsException;
 
-  /** The build that runs here. */
+  /** The build of this process. */
   static EntryBuild current() {
     return (name, yaml) -> new CurrentBuildVm(EntryDaemon.start(EntrySettings.parse(name, yaml)));
   }
 
-  /** A daemon of the build that runs here. */
+  /** A daemon of the build of this process. */
   record CurrentBuildVm(EntryDaemon daemon) implements EntryVm {
     @Override
     public int callersPort() {
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/EntryVm.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/EntryVm.java
@@ -2,22 +2,24 @@
 
 /** An entry daemon in this process, of this build or of another one. */
 public interface EntryVm extends AutoCloseable {
-  /** Port on which callers are served. */
+  /** Port for callers. */
   int callersPort();
 
-  /** Port on which the other entry VMs are heard. */
+  /** Port for messages from other entry VMs. */
   int innerPort();
 
-  /** Port on which operators are served. */
+  /** Port for operators. */
   int operatorsPort();
 
-  /** True once a contract is in force and at least {@code members} entry VMs are seen. */
+  /**
+   * Returns true once a contract is in force and at least {@code members} entry VMs are visible.
+   */
   boolean isServing(int members);
 
-  /** Stops as planned and waits until nothing is in flight. */
+  /** Stops gracefully and waits until no request is in flight. */
   void stop() throws InterruptedException;
 
-  /** Ends at once. */
+  /** Stops immediately. */
   @Override
   void close();
 }
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperiment.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperiment.java
@@ -29,7 +29,7 @@
 import org.sageladder.tools.load.SystemUnderTest;
 import org.sageladder.tools.load.TargetView;
 
-/** The whole system in this process as an experiment sees it. */
+/** Gives an experiment access to the whole system in this process. */
 final class LocalExperiment implements SystemUnderTest {
   private static final Duration TIMEOUT = Duration.ofSeconds(2);
   private static final JsonMapper JSON = new JsonMapper();
@@ -56,7 +56,7 @@
         experiment.listedVms.put(vm.id(), vm);
       }
     } catch (StoreException e) {
-      throw new IOException("the list of VMs cannot be read: " + e.getMessage(), e);
+      throw new IOException("cannot read the list of VMs: " + e.getMessage(), e);
     }
     for (ListedVm vm : experiment.listedVms.values()) {
       TargetServer server = system.targets().get(vm.id());
@@ -152,7 +152,7 @@
         return vm;
       }
     }
-    throw new IOException("no " + role + " is left in the chosen zone and service");
+    throw new IOException("no running " + role + " in the chosen zone and service");
   }
 
   private String killEntry(ListedVm vm) {
@@ -179,8 +179,8 @@
   }
 
   /**
-   * Only the list tells of the end: the target itself goes on taking work, so that what it gets
-   * after the sign shows whether the gates heed the list.
+   * Announces the drain only in the list of VMs. The target itself still accepts work, so that the
+   * requests it receives afterwards show whether the gates follow the list.
    */
   private String announceDrain(ListedVm vm) {
     markLeaving(vm);
@@ -222,7 +222,7 @@
   private TargetServer targetServer(ListedVm vm) throws IOException {
     TargetServer server = system.targets().get(vm.id());
     if (server == null) {
-      throw new IOException("no target '" + vm.id() + "' runs here");
+      throw new IOException("target '" + vm.id() + "' does not run in this process");
     }
     return server;
   }
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperimentProvider.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperimentProvider.java
@@ -9,11 +9,14 @@
 import org.sageladder.standin.store.StoreServer;
 import org.sageladder.tools.load.SystemUnderTest;
 
-/** Starts the whole system in this process for {@code sageladder-load}; found as a service. */
+/**
+ * Starts the whole system in this process for {@code sageladder-load}; loaded by {@link
+ * java.util.ServiceLoader}.
+ */
 public final class LocalExperimentProvider implements SystemUnderTest.Provider {
   private final EntryBuild build;
 
-  /** Starts entry VMs of this build. */
+  /** Creates a provider that starts entry VMs of this build. */
   public LocalExperimentProvider() {
     this(EntryBuild.current());
   }
@@ -37,7 +40,7 @@
       return LocalExperiment.of(store, system);
     } catch (StoreException | SettingsException e) {
       store.close();
-      throw new IOException("the system did not start: " + e.getMessage(), e);
+      throw new IOException("the system failed to start: " + e.getMessage(), e);
     }
   }
 }
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalLoad.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalLoad.java
@@ -24,10 +24,10 @@
 import org.sageladder.core.contract.Contract;
 
 /**
- * Callers of one customer at a steady rate, through the callers' library.
+ * Generates open-loop load for one customer at a constant rate, through the client library.
  *
- * <p>The rate does not wait for answers, and latency counts from when a request was due, so a slow
- * system shows as slow instead of as less load.
+ * <p>The rate does not depend on responses, and latency is measured from the scheduled send time.
+ * This avoids coordinated omission: a slow system shows up as high latency, not as lower load.
  */
 final class LocalLoad implements AutoCloseable {
   private static final int CALLER_THREADS = 256;
@@ -53,12 +53,18 @@
     this.random = new Random(seed);
   }
 
-  /** Callers that know the entry VMs at {@code addresses}; {@code seed} draws their blocks. */
+  /**
+   * Creates callers that connect to the entry VMs at {@code addresses}; {@code seed} determines the
+   * client blocks of their requests.
+   */
   static LocalLoad create(Contract contract, List<String> addresses, long seed) {
     return new LocalLoad(contract, SageladderClient.start(ClientOptions.seeds(addresses)), seed);
   }
 
-  /** Sends at a fraction of the whole capacity for a while, then waits for the last answers. */
+  /**
+   * Sends requests at a fraction of the total capacity for {@code duration}, then waits for the
+   * outstanding responses.
+   */
   void run(double fractionOfCapacity, Duration duration) throws InterruptedException {
     List<Future<?>> streams = new ArrayList<>();
     for (Contract.Service service : contract.services()) {
@@ -74,8 +80,8 @@
     Thread.sleep(duration.toMillis());
     streams.forEach(stream -> stream.cancel(false));
     callers.shutdown();
-    long grace = 2 * MAX_DEADLINE.toMillis();
-    if (!callers.awaitTermination(grace, TimeUnit.MILLISECONDS)) {
+    long graceMillis = 2 * MAX_DEADLINE.toMillis();
+    if (!callers.awaitTermination(graceMillis, TimeUnit.MILLISECONDS)) {
       callers.shutdownNow();
     }
   }
@@ -145,14 +151,14 @@
     return latency;
   }
 
-  /** How requests ended, by name. */
+  /** Number of requests by name of their result. */
   Map<String, Long> resultCounts() {
     Map<String, Long> sums = new TreeMap<>();
     resultCounts.forEach((name, count) -> sums.put(name, count.sum()));
     return sums;
   }
 
-  /** What the first answer of that name said of its reason; empty for whole answers. */
+  /** Reason that the first result with that name gave; empty for complete responses. */
   String firstDetail(String name) {
     return firstDetails.getOrDefault(name, "");
   }
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalMain.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalMain.java
@@ -24,9 +24,9 @@
 import org.sageladder.standin.target.TargetServer;
 
 /**
- * The command {@code sageladder-local}: runs every given contract's whole system for a short while,
- * ends one entry VM and drains one target on the way, and tells what callers saw; then plays a day
- * of each user on the platform's stand-ins, on virtual time.
+ * The command {@code sageladder-local}: runs the whole system of each given contract under load for
+ * a short time, kills one entry VM and drains one target meanwhile, and reports the results that
+ * callers saw. It then simulates a day of each user's deployment on virtual time.
  */
 public final class LocalMain {
   private static final int ENTRIES_PER_ZONE = 1;
@@ -34,7 +34,7 @@
 
   private LocalMain() {}
 
-  /** Exits 0 only where every request got an answer. */
+  /** Exits with 0 only if every request received a response and no rule was violated. */
   public static void main(String[] args) throws Exception {
     Options options = new Options();
     options.addOption(
@@ -42,7 +42,7 @@
             .longOpt("seconds")
             .hasArg()
             .argName("N")
-            .desc("how long to send requests (default 4)")
+            .desc("duration of the load in seconds (default 4)")
             .get());
     options.addOption(
         Option.builder()
@@ -56,7 +56,7 @@
             .longOpt("contracts")
             .hasArg()
             .argName("DIR")
-            .desc("where the contracts are that are run when none is named (default contracts)")
+            .desc("directory of the contracts to run if none is given (default contracts)")
             .get());
     options.addOption(Option.builder().longOpt("help").desc("print this and exit").get());
     CommandLine line;
@@ -80,12 +80,12 @@
     if (files.isEmpty()) {
       files = listContracts(Path.of(line.getOptionValue("contracts", "contracts")));
     }
-    boolean allAnswered = !files.isEmpty();
+    boolean succeeded = !files.isEmpty();
     for (Path file : files) {
-      allAnswered &= run(file, duration, load, System.out);
+      succeeded &= run(file, duration, load, System.out);
     }
-    allAnswered &= PlatformDays.run(System.out);
-    System.exit((allAnswered ? ExitCode.OK : ExitCode.VERDICT_FAILED).status());
+    succeeded &= PlatformDays.run(System.out);
+    System.exit((succeeded ? ExitCode.OK : ExitCode.VERDICT_FAILED).status());
   }
 
   private static void printHelp(Options options, PrintStream out) {
@@ -121,7 +121,9 @@
     }
   }
 
-  /** Lets the caps on shifts climb from a cold start, which is not what the run is to show. */
+  /**
+   * Lets the shift caps rise from their cold-start values, so that the run does not measure this.
+   */
   private static void warmUp(Contract contract, LocalSystem system, double load)
       throws InterruptedException {
     try (LocalLoad callers = LocalLoad.create(contract, system.callerAddresses(), 2)) {
@@ -144,7 +146,7 @@
         contract.zones().size(),
         system.targets().size(),
         duration.toSeconds());
-    out.printf("  requests   %d sent, %d answered%n", callers.sentCount(), callers.endedCount());
+    out.printf("  requests   %d sent, %d completed%n", callers.sentCount(), callers.endedCount());
     for (Map.Entry<String, Long> result : callers.resultCounts().entrySet()) {
       String example = callers.firstDetail(result.getKey());
       out.printf(
@@ -159,18 +161,18 @@
         latency.getMaxValue() / 1000.0);
     out.printf(
         "  headroom   %.0f %% of slots free at the busiest sample%n", events.minHeadroom() * 100);
-    out.printf("  entry VM   %s ended mid-run%n", events.killedEntry());
+    out.printf("  entry VM   %s killed mid-run%n", events.killedEntry());
     out.printf(
-        "  drain      %s idle %d ms after its sign%n",
+        "  drain      %s idle %d ms after the drain was announced%n",
         events.drainedTarget(), events.drainMillis());
     long missing = callers.sentCount() - callers.endedCount();
     if (missing > 0) {
-      out.printf("  MISSING    %d requests without any answer%n", missing);
+      out.printf("  MISSING    %d requests without any response%n", missing);
     }
     return missing == 0 && callers.sentCount() > 0;
   }
 
-  /** What happens to the system while it carries load, and what is sampled of it. */
+  /** Injects events into the system while it is under load, and samples its headroom. */
   private static final class LoadEvents {
     private final LocalSystem system;
     private volatile double minHeadroom = 1;
@@ -210,9 +212,9 @@
       drainMillis = (System.nanoTime() - start) / 1_000_000;
     }
 
-    private void sampleHeadroom(Duration span) throws InterruptedException {
-      long until = System.nanoTime() + span.toNanos();
-      while (System.nanoTime() < until) {
+    private void sampleHeadroom(Duration period) throws InterruptedException {
+      long endNanos = System.nanoTime() + period.toNanos();
+      while (System.nanoTime() < endNanos) {
         int busy = 0;
         int slots = 0;
         for (TargetServer target : system.targets().values()) {
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalSystem.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalSystem.java
@@ -22,7 +22,7 @@
 import org.sageladder.standin.target.TargetServer;
 
 /**
- * One customer's whole system on loopback: store, targets and entry VMs, all on ephemeral ports.
+ * The whole system of one customer on loopback: store, targets and entry VMs on ephemeral ports.
  *
  * <pre>{@code
  * try (StoreServer store = StoreServer.start("127.0.0.1", 0);
@@ -50,14 +50,14 @@
   }
 
   /**
-   * Applies {@code contract} and starts its targets and {@code entriesPerZone} entry VMs a zone.
+   * Applies {@code contract} and starts its targets and {@code entriesPerZone} entry VMs per zone.
    */
   public static LocalSystem start(StoreServer store, Contract contract, int entriesPerZone)
       throws IOException, InterruptedException, StoreException, SettingsException {
     return start(store, contract, entriesPerZone, EntryBuild.current());
   }
 
-  /** As above, with the entry daemons of {@code build}. */
+  /** Like {@link #start(StoreServer, Contract, int)}, with the entry daemons of {@code build}. */
   public static LocalSystem start(
       StoreServer store, Contract contract, int entriesPerZone, EntryBuild build)
       throws IOException, InterruptedException, StoreException, SettingsException {
@@ -79,7 +79,7 @@
           client.compareAndSet(
               key, 0, new StoredContract("local", "sageladder-local", contract).toBytes(), null);
       if (!(result instanceof WriteResult.Written)) {
-        throw new IllegalStateException("the store already has " + key);
+        throw new IllegalStateException("the store already contains " + key);
       }
     }
   }
@@ -114,7 +114,7 @@
         .serviceTime(ServiceTime.fixed(service.meanServiceMillis()));
   }
 
-  /** Starts entry VM {@code number} of a zone and puts it on the list; returns its name. */
+  /** Starts entry VM {@code number} of a zone and adds it to the list of VMs; returns its name. */
   public String startEntry(String zone, int number)
       throws IOException, InterruptedException, SettingsException {
     String vm = contract.customer() + "-entry-" + zone + "-" + number;
@@ -156,13 +156,13 @@
     store.putVm(vm);
   }
 
-  /** Waits until every entry VM has the contract in force and sees all entry VMs. */
+  /** Waits until the contract is in force at every entry VM and all entry VMs see each other. */
   public void awaitReady() throws InterruptedException, IOException {
-    long until = System.currentTimeMillis() + READY_TIMEOUT_MILLIS;
+    long deadlineMillis = System.currentTimeMillis() + READY_TIMEOUT_MILLIS;
     List<String> waiting = new ArrayList<>(entries.keySet());
     while (!waiting.isEmpty()) {
       waiting.removeIf(vm -> entries.get(vm).isServing(entries.size()));
-      if (System.currentTimeMillis() > until) {
+      if (System.currentTimeMillis() > deadlineMillis) {
         throw new IOException("not ready after " + READY_TIMEOUT_MILLIS + " ms: " + waiting);
       }
       Thread.sleep(20);
@@ -174,7 +174,7 @@
     return contract;
   }
 
-  /** The entry VMs that run, by name. */
+  /** The running entry VMs, by name. */
   public Map<String, EntryVm> entries() {
     return Map.copyOf(entries);
   }
@@ -184,12 +184,15 @@
     return Map.copyOf(targets);
   }
 
-  /** Callers' addresses of the entry VMs that run. */
+  /** Addresses of the running entry VMs for callers. */
   public List<String> callerAddresses() {
     return entries.values().stream().map(daemon -> HOST + ":" + daemon.callersPort()).toList();
   }
 
-  /** Ends an entry VM at once, with whatever it carries; the list goes on naming it for a while. */
+  /**
+   * Stops an entry VM immediately, with its in-flight requests; the list of VMs may still contain
+   * it for a short time.
+   */
   public void killEntry(String vm) {
     EntryVm daemon = entries.remove(vm);
     if (daemon != null) {
@@ -198,12 +201,13 @@
     }
   }
 
-  /** Announces the end of a target in the list and tells the target to drain. */
+  /** Makes a target drain and announces this in the list of VMs. */
   public void drainTarget(String id) {
     ListedVm vm = listedVms.get(id);
     TargetServer target = targets.get(id);
     if (vm == null || target == null) {
-      throw new IllegalArgumentException("no target '" + id + "'; there are " + targets.keySet());
+      throw new IllegalArgumentException(
+          "no target '" + id + "'; the targets are " + targets.keySet());
     }
     target.drain();
     publishVm(vm.asLeaving());
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/OtherBuild.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/OtherBuild.java
@@ -13,11 +13,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Entry daemons of another build, such as that of the commit before, in this process.
+ * Starts entry daemons of another build, such as that of the previous commit, in this process.
  *
- * <p>Their classes come from that build's jars through a class loader of their own that knows
- * nothing of this build's, so both run side by side under the same conditions and no process has to
- * start another. Only the few methods below are called, by name.
+ * <p>Their classes are loaded from that build's jars by a separate class loader that does not see
+ * the classes of this build. Both builds therefore run side by side under the same conditions
+ * without a second process. Only the methods below are called, by reflection.
  */
 final class OtherBuild implements EntryBuild {
   private static final String DAEMON_CLASS = "org.sageladder.entry.EntryDaemon";
@@ -34,10 +34,10 @@
   }
 
   /**
-   * The build whose jars are in {@code directory}, as {@code bin/build} leaves them in {@code
+   * Loads the build whose jars are in {@code directory}; {@code bin/build} puts them into {@code
    * sageladder-dist/target/lib}.
    *
-   * @throws IOException where there are none or they hold no entry daemon
+   * @throws IOException if there are no jars or they contain no entry daemon
    */
   static OtherBuild of(Path directory) throws IOException {
     List<URL> jars = new ArrayList<>();
@@ -46,7 +46,7 @@
         jars.add(jar.toUri().toURL());
       }
     }
-    // Never closed: its daemons' threads load classes until the process ends.
+    // Never closed: threads of the daemons load classes until the process ends.
     URLClassLoader loader =
         new URLClassLoader(
             "other-build", jars.toArray(new URL[0]), ClassLoader.getPlatformClassLoader());
@@ -57,7 +57,7 @@
       throw new IOException(
           "'"
               + directory
-              + "' holds no build of sageladder ("
+              + "' contains no build of sageladder ("
               + jars.size()
               + " jars); give the directory of its jars, such as sageladder-dist/target/lib",
           e);
@@ -75,7 +75,7 @@
     try {
       return type.getMethod(name, parameters);
     } catch (NoSuchMethodException e) {
-      throw new IOException("the build in '" + directory + "' is too different: " + e, e);
+      throw new IOException("the build in '" + directory + "' is incompatible: " + e, e);
     }
   }
 
@@ -84,13 +84,13 @@
     try {
       return method.invoke(receiver, arguments);
     } catch (InvocationTargetException e) {
-      throw new IOException(method.getName() + " in the other build: " + e.getCause(), e);
+      throw new IOException(method.getName() + " failed in the other build: " + e.getCause(), e);
     } catch (IllegalAccessException e) {
       throw new IOException(method + " cannot be called", e);
     }
   }
 
-  /** A daemon whose class this build does not know. */
+  /** A daemon whose class belongs to the other build, called by reflection. */
   private final class OtherBuildVm implements EntryVm {
     private final Object vm;
 
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/PlatformDays.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/PlatformDays.java
@@ -12,9 +12,9 @@
 import org.sageladder.scenario.Scenario.ScheduledTrouble;
 
 /**
- * The way of a request on the users' platform, from the store and a look-up to a target and back:
- * the real entry VMs before stand-ins of the platform, thirty seconds of virtual time for each
- * user, with an entry VM killed, targets replaced and the store silent on the way.
+ * Simulates the deployments of users on the platform: the real entry VMs run against stand-ins of
+ * the platform for thirty seconds of virtual time per user. Meanwhile an entry VM is killed,
+ * targets are replaced, and the store stops responding.
  */
 final class PlatformDays {
   private static final long SEED = 1;
@@ -27,13 +27,13 @@
 
   private PlatformDays() {}
 
-  /** Plays them; true where no rule of the platform broke. */
+  /** Runs the simulations; returns true if no rule of the platform was violated. */
   static boolean run(PrintStream out) {
-    Map<String, Deployment> users = new LinkedHashMap<>();
-    users.put("kalnins-dauge", Deployment.stamps());
-    users.put("kannelkoda", Deployment.archive());
-    boolean kept = true;
-    for (Map.Entry<String, Deployment> user : users.entrySet()) {
+    Map<String, Deployment> deploymentsByUser = new LinkedHashMap<>();
+    deploymentsByUser.put("kalnins-dauge", Deployment.stamps());
+    deploymentsByUser.put("kannelkoda", Deployment.archive());
+    boolean allKept = true;
+    for (Map.Entry<String, Deployment> user : deploymentsByUser.entrySet()) {
       Outcome outcome = new Scenario(SEED, TROUBLES).run(user.getValue(), LogSource.none());
       out.printf(
           Locale.ROOT,
@@ -44,8 +44,8 @@
           100 * outcome.day().creditFraction(),
           outcome.violations().isEmpty() ? "no rule broken" : "RULES BROKEN");
       outcome.violations().forEach(line -> out.println("  " + line));
-      kept &= outcome.violations().isEmpty();
+      allKept &= outcome.violations().isEmpty();
     }
-    return kept;
+    return allKept;
   }
 }
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/package-info.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/package-info.java
@@ -1,4 +1,4 @@
-/** The whole system with stand-ins of the platform and the targets, in one process. */
+/** Runs the whole system in one process, with stand-ins for the platform and the targets. */
 @NullMarked
 package org.sageladder.assembly;
 
--- a/sageladder-assembly/src/test/java/org/sageladder/assembly/OtherBuildTest.java
+++ b/sageladder-assembly/src/test/java/org/sageladder/assembly/OtherBuildTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class OtherBuildTest {
-  // Story: a comparison with the commit before shows no difference at all. Cause: the class loader
-  // fell back to this build's classes where the other one's were not found.
+  // Guards against a comparison of two builds that silently compares this build with itself: the
+  // class loader fell back to this build's classes if it did not find those of the other build.
   @Test
   void directoryWithoutBuildIsRefusedAndNotReplacedByThisBuild(@TempDir Path empty) {
     IOException refused = assertThrows(IOException.class, () -> OtherBuild.of(empty));
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Deployment.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Deployment.java
@@ -19,15 +19,15 @@
 import org.sageladder.standin.platform.TargetTraits;
 
 /**
- * A deployment: zones, entry VMs, services with their targets, kinds of request.
+ * A deployment: its zones, entry VMs, services with their targets, routes and traffic.
  *
- * @param regionByZone region of each zone, in the order of zones
- * @param entryVmsByZone entry VMs in each zone
+ * @param regionByZone region of each zone; its iteration order is the order of the zones
+ * @param entryVmsByZone number of entry VMs in each zone
  * @param services the services
- * @param routes the operator's first routes
- * @param callerKinds what callers send
+ * @param routes routes of the initial configuration
+ * @param callerKinds kinds of request that callers send
  * @param networkDelays delays between hosts
- * @param tenants workspaces with API keys; empty where requests bear none
+ * @param tenants workspaces with API keys; empty if requests carry no API key
  */
 public record Deployment(
     Map<String, String> regionByZone,
@@ -48,19 +48,19 @@
     this(regionByZone, entryVmsByZone, services, routes, callerKinds, networkDelays, List.of());
   }
 
-  /** Name of the host that callers name. */
+  /** Host name that callers send. */
   static final String HOST = "shop.example";
 
-  /** Objects of each kind of request on a small deployment. */
+  /** Number of objects that each kind of request asks for on a small deployment. */
   private static final int SMALL_OBJECT_COUNT = 24;
 
-  /** Workspaces of the deployment that has some. */
+  /** Number of workspaces in {@link #workspaces()}. */
   private static final int WORKSPACE_COUNT = 20;
 
-  /** Each so many days the listing is played. */
+  /** One in this many seeds simulates {@link #listing()}. */
   private static final long LISTING_SEED_INTERVAL = 4;
 
-  /** What a kind of request and its route say beside their names. */
+  /** Parameters shared by a route and the kind of request that uses it. */
   private record Workload(
       String service,
       double requestsPerSecond,
@@ -71,15 +71,15 @@
   /**
    * A service.
    *
-   * @param targetsByZone its targets in each zone
-   * @param traits what they are like
+   * @param targetsByZone number of targets in each zone
+   * @param traits capacity and timing of its targets
    */
   public record Service(String name, Map<String, Integer> targetsByZone, TargetTraits traits) {}
 
   /**
-   * A small auction house: three regions of two zones, six entry VMs, searches, bids that must not
-   * repeat, long pulls behind one another. The slots bear it where most runs are of remembered
-   * objects.
+   * A small auction house: three regions of two zones and six entry VMs. Callers send searches,
+   * bids that must not run twice, and long pipelined pulls. The slots suffice only while most runs
+   * are of cached objects.
    */
   public static Deployment auction() {
     Map<String, String> zones = twoZonesPerRegion("north", "south", "west");
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Short look-ups of a busy listing on few targets: each gets more than a cold one bears, so that
-   * cold starts are what matters.
+   * Short look-ups of a busy listing on few targets. Each target gets more requests than a cold
+   * target can handle, so the day depends mainly on how cold starts are handled.
    */
   public static Deployment listing() {
     Map<String, String> zones = twoZonesPerRegion("north", "south", "west");
@@ -127,8 +127,8 @@
   }
 
   /**
-   * Kalnins and Dauge as their sheet has it: twelve entry VMs, 46 targets that lie unevenly, slots
-   * that bear the load only where objects are remembered.
+   * Kalnins and Dauge according to their specification: twelve entry VMs and 46 targets, unevenly
+   * distributed. The slots suffice only while objects are cached.
    */
   public static Deployment stamps() {
     Map<String, String> zones = twoZonesPerRegion("riga", "liepaja", "daugavpils");
@@ -165,7 +165,10 @@
         OneWayDelays.standard());
   }
 
-  /** The archive of Kannelkoda as its sheet has it: eight entry VMs, 38 targets, far regions. */
+  /**
+   * The archive of Kannelkoda according to its specification: eight entry VMs and 38 targets in
+   * regions that are far apart.
+   */
   public static Deployment archive() {
     Map<String, String> zones = twoZonesPerRegion("tallinn", "tartu", "parnu");
     TargetTraits traits = TargetTraits.standard();
@@ -202,7 +205,10 @@
         new OneWayDelays(100, 900, 55_000, 8_000));
   }
 
-  /** The Guild's bookings as its sheet has them: twelve entry VMs, 44 targets, few near Cairo. */
+  /**
+   * The Guild's bookings according to its specification: twelve entry VMs and 44 targets, of which
+   * few are near Cairo.
+   */
   public static Deployment bookings() {
     Map<String, String> zones = twoZonesPerRegion("cairo", "alex", "upper-egypt");
     Map<String, Integer> smallCounts = countByZone(zones, 1, 1, 2, 2, 3, 3);
@@ -246,8 +252,8 @@
   }
 
   /**
-   * Kalnins and Dauge grown: eighty-five entry VMs in nine zones, 324 targets. Riga has a tenth of
-   * the slots for a third of the traffic.
+   * Kalnins and Dauge at a larger scale: 85 entry VMs in nine zones and 324 targets. Riga has a
+   * tenth of the slots for a third of the traffic.
    */
   public static Deployment grown() {
     Map<String, String> zones = new LinkedHashMap<>();
@@ -299,7 +305,7 @@
         OneWayDelays.standard());
   }
 
-  /** The small auction house with four entry VMs in each zone, of which one reads the store. */
+  /** {@link #auction()} with four entry VMs in each zone, one of which reads the store. */
   public static Deployment relayed() {
     Deployment auction = auction();
     return new Deployment(
@@ -312,8 +318,8 @@
   }
 
   /**
-   * The small auction house with two entry VMs in each zone and twenty workspaces, one of them
-   * large, one bound to a region, all with quotas of about 1.6 times their usual requests.
+   * {@link #auction()} with two entry VMs in each zone and twenty workspaces: one is large, one is
+   * restricted to a region, and all have quotas of about 1.6 times their usual request rate.
    */
   public static Deployment workspaces() {
     Deployment auction = auction();
@@ -322,8 +328,8 @@
     List<Tenant> tenants = new ArrayList<>();
     for (int i = 0; i < WORKSPACE_COUNT; i++) {
       double weight = i == 0 ? WORKSPACE_COUNT : 1;
-      double usual = perSecond * weight / (2 * WORKSPACE_COUNT - 1);
-      double quota = Math.ceil(1.6 * usual);
+      double usualRate = perSecond * weight / (2 * WORKSPACE_COUNT - 1);
+      double quota = Math.ceil(1.6 * usualRate);
       Set<String> regions = i == 1 ? Set.of("north") : Set.of();
       tenants.add(
           new Tenant(
@@ -341,7 +347,7 @@
         tenants);
   }
 
-  /** The deployment of a name, as the command takes it. */
+  /** The deployment of that name, as accepted by the {@code --deployment} option. */
   static Optional<Deployment> named(String name) {
     return switch (name) {
       case "auction" -> Optional.of(auction());
@@ -356,12 +362,12 @@
     };
   }
 
-  /** One of the small deployments, by the number of a day. */
+  /** One of the small deployments, chosen by the seed of the day. */
   public static Deployment forSeed(long seed) {
     return seed % LISTING_SEED_INTERVAL == 0 ? listing() : auction();
   }
 
-  /** The same with {@code factor} times as many requests. */
+  /** The same deployment with {@code factor} times the request rate. */
   Deployment withRateFactor(double factor) {
     List<RequestProfile> scaledKinds =
         callerKinds.stream().map(kind -> kind.withRateFactor(factor)).toList();
@@ -369,7 +375,7 @@
         regionByZone, entryVmsByZone, services, routes, scaledKinds, networkDelays, tenants);
   }
 
-  /** What the operator says of the services. */
+  /** The services as they appear in the configuration. */
   List<ServiceRule> serviceRules() {
     return services.stream()
         .map(
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
@@ -18,18 +18,19 @@
 import org.sageladder.standin.platform.StorePort;
 
 /**
- * All processes of a deployment on one virtual loop, and what can be done to them.
+ * All simulated processes of a deployment on one virtual loop, with the operations that troubles
+ * apply to them.
  *
  * <pre>{@code
  * Fleet fleet = Fleet.start(Deployment.auction(), 7, log);
  * fleet.runFor(20_000);
  * fleet.entries().get(0).kill();
  * fleet.runFor(10_000);
- * fleet.end(); // its day is complete
+ * SimulatedDay day = fleet.finish();
  * }</pre>
  */
 public final class Fleet {
-  /** Time between the start of the machines and that of the traffic. */
+  /** Time between the start of the hosts and the start of the traffic. */
   private static final long START_UP_MILLIS = 3_000;
 
   private static final long TARGET_START_DELAY_MILLIS = 500;
@@ -42,13 +43,13 @@
   private long configurationVersion = 4;
   private int targetHostCount;
 
-  /** Where the lines of an entry VM go. */
+  /** Provides the log sink of each entry VM. */
   @FunctionalInterface
   public interface LogSource {
-    /** The sink of the VM of that name; {@code fleetMillis} is the fleet's clock. */
+    /** The sink of the VM with that name; {@code clockMillis} is the fleet's clock. */
     EventSink sinkOf(String vm, java.util.function.LongSupplier clockMillis);
 
-    /** Lines are forgotten. */
+    /** Discards all log lines. */
     static LogSource none() {
       return (vm, clock) -> EventSink.none();
     }
@@ -59,12 +60,12 @@
     this.tenants = new Tenants(context.deployment().tenants());
   }
 
-  /** Starts all machines, lets them find each other, and starts the traffic. */
+  /** Starts all hosts, waits until they have discovered each other, and starts the traffic. */
   public static Fleet start(Deployment deployment, long seed, LogSource logs) {
     Fleet fleet = new Fleet(new FleetContext(deployment, seed, logs));
     fleet.startEntries();
     fleet.writeConfiguration(deployment.routes());
-    // Targets start with the entry VMs and register a moment after these have read the store.
+    // Targets register shortly after the entry VMs have read the store for the first time.
     fleet.runFor(TARGET_START_DELAY_MILLIS);
     fleet.startTargets();
     fleet.runFor(START_UP_MILLIS - TARGET_START_DELAY_MILLIS);
@@ -125,7 +126,7 @@
     tenants.all().forEach(each -> context.day().putWorkspace(each.workspace()));
   }
 
-  /** Look-up ports, those of the zone first, then those of its region. */
+  /** Look-up addresses of all entry VMs: those in the zone first, then those in its region. */
   private List<String> lookUpAddresses(String zone) {
     String region = context.deployment().regionByZone().getOrDefault(zone, "");
     return entries.stream()
@@ -141,31 +142,31 @@
         .toList();
   }
 
-  /** Lets time pass. */
+  /** Advances virtual time by {@code millis}. */
   public void runFor(long millis) {
     context.loop().runFor(millis);
   }
 
-  /** Milliseconds since the start of the machines. */
+  /** Virtual time since the start of the hosts, in milliseconds. */
   public long nowMillis() {
     return context.loop().nowMillis();
   }
 
-  /** Calls {@code task} after {@code millis}. */
+  /** Runs {@code task} after {@code millis} of virtual time. */
   public void runAfter(long millis, Runnable task) {
     context.runAfter(millis, task);
   }
 
-  /** Stops the traffic, lets what is under way end, and completes the parts.day(). */
+  /** Stops the traffic, waits until in-flight requests have ended, and returns the complete day. */
   public SimulatedDay finish() {
     callers.forEach(CallersStandIn::stop);
     context.day().endMillis(nowMillis());
-    long longest =
+    long maxDeadlineMillis =
         context.deployment().callerKinds().stream()
             .mapToLong(kind -> kind.deadlineMillis())
             .max()
             .orElse(0);
-    runFor(longest + 1_000);
+    runFor(maxDeadlineMillis + 1_000);
     return context.day();
   }
 
@@ -174,32 +175,32 @@
     return context.day();
   }
 
-  /** The entry VMs, by zone. */
+  /** The entry VMs, ordered by zone. */
   public List<FleetEntry> entries() {
     return entries;
   }
 
-  /** The targets that live, by their hosts. */
+  /** The targets whose process is running. */
   public List<FleetTarget> runningTargets() {
     return context.targets().values().stream().filter(FleetTarget::isRunning).toList();
   }
 
-  /** The callers, by zone. */
+  /** The callers, one group per zone. */
   public List<CallersStandIn> callers() {
     return callers;
   }
 
-  /** The network between all of them. */
+  /** The network between all hosts. */
   public SimulatedNetwork network() {
     return context.network();
   }
 
-  /** The store's port, which can go wrong. */
+  /** The store's port, at which faults can be injected. */
   public StorePort storePort() {
     return context.storePort();
   }
 
-  /** What the store keeps. */
+  /** The contents of the store. */
   public StoreModel store() {
     return context.store();
   }
@@ -209,7 +210,7 @@
     return context.storeHost();
   }
 
-  /** The deployment as it was at the start. */
+  /** The initial deployment. */
   public Deployment deployment() {
     return context.deployment();
   }
@@ -219,15 +220,12 @@
     return List.copyOf(routes.values());
   }
 
-  /**
-   * The workspaces as they are now; a change is in the configuration with {@link
-   * #writeConfiguration}.
-   */
+  /** The current tenants; call {@link #writeConfiguration} to publish changes to them. */
   public Tenants tenants() {
     return tenants;
   }
 
-  /** Writes a newer configuration with these routes. */
+  /** Writes a newer configuration with these routes to the store. */
   public void writeConfiguration(List<RouteRule> newRoutes) {
     configurationVersion += 3;
     String text =
@@ -249,22 +247,25 @@
         });
   }
 
-  /** Adds a route to those in force, once by its name, and callers who send {@code kind} on it. */
+  /**
+   * Adds a route, or replaces the one with the same name, and makes callers send {@code kind} on
+   * it.
+   */
   public void addRoute(RouteRule added, RequestProfile kind) {
-    List<RouteRule> all = new ArrayList<>(routes());
-    all.removeIf(route -> route.name().equals(added.name()));
-    all.add(added);
-    writeConfiguration(all);
+    List<RouteRule> updated = new ArrayList<>(routes());
+    updated.removeIf(route -> route.name().equals(added.name()));
+    updated.add(added);
+    writeConfiguration(updated);
     callers.forEach(each -> each.addProfile(kind, 1.0 / callers.size()));
   }
 
-  /** Empties a zone. */
+  /** Evacuates a zone. */
   public void evacuate(String zone) {
     var unused = context.store().put("op/evacuate/" + zone, PlatformTexts.base64("{}"), 0);
     context.day().ledger().recordEvent(PlatformEvent.Kind.ZONE_EMPTIED, zone, nowMillis());
   }
 
-  /** Takes an emptied zone back; its targets are cold. */
+  /** Puts an evacuated zone back into service; its targets are cold. */
   public void endEvacuation(String zone) {
     runningTargets().stream()
         .filter(target -> target.host().zone().equals(zone))
@@ -273,7 +274,7 @@
     context.day().ledger().recordEvent(PlatformEvent.Kind.ZONE_TAKEN_BACK, zone, nowMillis());
   }
 
-  /** Adds a target on a host of its own, cold as after any start during traffic. */
+  /** Adds a target on a new host; it is cold, like every target that starts during traffic. */
   public void addColdTarget(Service service, String zone) {
     addTarget(service, zone, service.traits().coldMillis());
   }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetContext.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetContext.java
@@ -11,7 +11,7 @@
 import org.sageladder.standin.platform.StoreModel;
 import org.sageladder.standin.platform.StorePort;
 
-/** What the machines of a fleet share: the clock, the network, the store, the day. */
+/** State shared by the hosts of a fleet: clock, network, store and the recorded day. */
 final class FleetContext {
   static final int STORE_PORT = 8384;
 
@@ -79,12 +79,12 @@
     return storePort;
   }
 
-  /** Targets by the IP numbers of their hosts. */
+  /** Targets by the IP address of their host. */
   Map<String, FleetTarget> targets() {
     return targets;
   }
 
-  /** Id of the next start of a target. */
+  /** A new id for a target that starts. */
   String nextTargetId() {
     lastTargetId++;
     return "t-" + lastTargetId;
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetEntry.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetEntry.java
@@ -6,12 +6,12 @@
 import org.sageladder.standin.network.SimulatedHost;
 import org.sageladder.standin.platform.PlatformTexts;
 
-/** One entry VM: its machine and the process on it. */
+/** An entry VM: its host and the process on the host. */
 public final class FleetEntry {
-  /** Callers', readiness', look-ups' and metrics' port. */
+  /** Ports for callers, readiness checks, look-ups and metrics, in this order. */
   private static final List<Integer> PORTS = List.of(8381, 8388, 8383, 7200);
 
-  /** The platform starts an ended process again after this time. */
+  /** The platform restarts a process that has ended after this time. */
   private static final long RESTART_DELAY_MILLIS = 500;
 
   private final FleetContext context;
@@ -26,12 +26,12 @@
     this.host = host;
   }
 
-  /** Its machine. */
+  /** Its host. */
   public SimulatedHost host() {
     return host;
   }
 
-  /** Where callers connect. */
+  /** Port to which callers connect. */
   public int callersPort() {
     return PORTS.get(0);
   }
@@ -54,14 +54,14 @@
             () -> 0);
   }
 
-  /** Ends its process at once; it is started again. */
+  /** Kills its process; the platform restarts it. */
   public void kill() {
     host.kill();
     running = false;
     scheduleStart(RESTART_DELAY_MILLIS);
   }
 
-  /** Takes its power for {@code millis}. */
+  /** Powers its host off for {@code millis}. */
   public void powerOff(long millis) {
     context.network().powerOff(host);
     running = false;
@@ -69,13 +69,13 @@
     scheduleStart(millis);
   }
 
-  /** Lets it stand still for {@code millis}. */
+  /** Suspends its host for {@code millis}. */
   public void suspend(long millis) {
     host.suspend();
     context.runAfter(millis, host::resume);
   }
 
-  /** Stops it as planned, and starts it again. */
+  /** Stops its process gracefully, within the grace time, and restarts it. */
   public void stopAndRestart() {
     PlatformEntry stopping = process;
     Runnable end =
@@ -88,7 +88,7 @@
     context.runAfter(context.day().bounds().graceMillis(), end);
   }
 
-  /** Address of its look-ups. */
+  /** Address of its look-up port. */
   String lookUpAddress() {
     return host.ip() + ':' + PORTS.get(2);
   }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetTarget.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/FleetTarget.java
@@ -10,18 +10,18 @@
 import org.sageladder.standin.platform.ServerPort;
 import org.sageladder.standin.platform.TargetStandIn;
 
-/** One target: its machine, the process on it, and its entry in the parts.store(). */
+/** A target: its host, the process on the host, and its entry in the store. */
 public final class FleetTarget {
   private static final int PORT = 9000;
   private static final long HEARTBEAT_MILLIS = 1_500;
 
-  /** Missed heartbeats after which the platform removes a target's entry. */
+  /** The platform removes a target's entry once more heartbeats than this were missed. */
   private static final int MAX_MISSED_HEARTBEATS = 3;
 
-  /** A crashed target is back, cold, after this time and its cold time. */
+  /** Time, in addition to its cold time, after which a crashed target has restarted, cold. */
   private static final long RESTART_DELAY_MILLIS = 500;
 
-  /** A target that leaves goes on serving for this long beyond the drain time. */
+  /** A draining target goes on serving for this long after the drain time. */
   private static final long SERVING_AFTER_DRAIN_MILLIS = 1_500;
 
   private final FleetContext context;
@@ -40,12 +40,12 @@
     this.host = host;
   }
 
-  /** Its machine. */
+  /** Its host. */
   public SimulatedHost host() {
     return host;
   }
 
-  /** What runs there. */
+  /** The process on its host. */
   public TargetStandIn process() {
     return process;
   }
@@ -55,7 +55,7 @@
     return service;
   }
 
-  /** Ledgers tell starts of a target apart, also those under the same id. */
+  /** The ledger records each incarnation of a target separately, even if its id is the same. */
   private String incarnationName() {
     return process.facts().incarnation().toString();
   }
@@ -97,7 +97,7 @@
     scheduleExpiryCheck(id);
   }
 
-  /** A heartbeat, where it reaches the parts.store(). */
+  /** Sends a heartbeat, and writes the target's entry if the heartbeat reaches the store. */
   private void sendHeartbeat() {
     boolean isDelivered =
         context.storePort().acceptsReports(host.ip())
@@ -122,7 +122,7 @@
     var unused = context.store().put(key, PlatformTexts.base64(entry), 0);
   }
 
-  /** The platform removes the entry of a target that is silent. */
+  /** Removes the target's entry, as the platform does, once heartbeats are missing. */
   private void scheduleExpiryCheck(String targetId) {
     context.runAfter(
         HEARTBEAT_MILLIS,
@@ -152,17 +152,17 @@
     }
   }
 
-  /** Crashes; it is back, cold, as a new incarnation after {@code millis}. */
+  /** Crashes, and restarts cold under a new id after {@code downMillis}. */
   public void crash(long downMillis) {
     killProcess();
     context.runAfter(downMillis, () -> start(service.traits().coldMillis()));
   }
 
-  /** Crashes; it is back, cold, under the id that it had, and knows nothing of before. */
+  /** Crashes, and restarts cold under the same id, without any of its former state. */
   public void crashAndRestartWithSameId(long downMillis) {
-    String former = id;
+    String sameId = id;
     killProcess();
-    context.runAfter(downMillis, () -> start(former, service.traits().coldMillis()));
+    context.runAfter(downMillis, () -> start(sameId, service.traits().coldMillis()));
   }
 
   /** True while its process runs. */
@@ -176,9 +176,9 @@
   }
 
   /**
-   * Leaves as planned and ends later.
+   * Takes the target out of service gracefully and stops its process after the drain time.
    *
-   * @param isAnnounced false where it never says so: its entry is just removed
+   * @param isAnnounced false if the target never announces it and its entry is simply removed
    */
   public void leave(boolean isAnnounced) {
     if (isAnnounced) {
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/LogLines.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/LogLines.java
@@ -5,11 +5,11 @@
 import org.sageladder.scenario.Fleet.LogSource;
 import org.sageladder.standin.platform.Ledger;
 
-/** Lines of all entry VMs in one list, as they happen. */
+/** Collects the log lines of all entry VMs in one list. */
 final class LogLines {
   private LogLines() {}
 
-  /** Adds what reached targets, and puts all lines in order. */
+  /** Adds a line for each request that reached a target, and sorts all lines by time. */
   static void addArrivals(SimulatedDay day, List<String> lines) {
     for (Ledger.Arrival arrival : day.ledger().arrivals()) {
       lines.add(
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/ScenarioMain.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/ScenarioMain.java
@@ -18,8 +18,8 @@
 import org.sageladder.scenario.trouble.Troubles;
 
 /**
- * The command {@code sageladder-days}: plays days with troubles drawn from seeds, and says which
- * rules broke.
+ * The command {@code sageladder-days}: simulates one day per seed with troubles chosen by the seed,
+ * and reports which rules were violated.
  *
  * <pre>{@code
  * sageladder-days --seeds 1..50
@@ -28,7 +28,8 @@
  * sageladder-days --deployment stamps --trouble none --windows --seeds 1
  * }</pre>
  *
- * <p>Exit codes: 0 where no rule broke, 1 where one did, 2 where the command line cannot be used.
+ * <p>Exit codes: 0 if no rule was violated, 1 if a rule was violated, 2 if the command line is
+ * invalid.
  */
 public final class ScenarioMain {
   private static final int EXIT_RULE_VIOLATED = 1;
@@ -49,7 +50,7 @@
     }
   }
 
-  /** What is played for each seed, and what is told of it. */
+  /** What to simulate for each seed, and what to report. */
   private record RunOptions(
       @Nullable Deployment deployment,
       @Nullable String trouble,
@@ -60,21 +61,25 @@
 
   private ScenarioMain() {}
 
-  /** Plays what the command line says. */
+  /** Runs the simulations that the command line asks for. */
   public static void main(String[] arguments) throws IOException {
     Options options = new Options();
-    addOption(options, "seeds", "N|FIRST..LAST", "days to play (default 1..20)");
-    addOption(options, "trouble", "NAME", "this trouble alone, or none, in place of drawn ones");
+    addOption(options, "seeds", "N|FIRST..LAST", "seeds of the days to simulate (default 1..20)");
+    addOption(
+        options, "trouble", "NAME", "inject only this trouble, or none, instead of random ones");
     addOption(
         options,
         "deployment",
         "NAME",
         "auction, listing, stamps, archive, bookings or grown (default by seed)");
     options.addOption(
-        Option.builder().longOpt("windows").desc("what callers got in each two seconds").get());
-    addOption(options, "length", "MILLIS", "how long the traffic lasts (default 30000)");
-    addOption(options, "pace", "FACTOR", "that many times as many requests (default 1)");
-    addOption(options, "log", "FILE", "where all entry VMs' lines go, by time");
+        Option.builder()
+            .longOpt("windows")
+            .desc("print results per two seconds, route and zone")
+            .get());
+    addOption(options, "length", "MILLIS", "duration of the traffic (default 30000)");
+    addOption(options, "pace", "FACTOR", "factor on the request rate (default 1)");
+    addOption(options, "log", "FILE", "write the log lines of all entry VMs here, by time");
     options.addOption(Option.builder().longOpt("help").desc("print this and exit").get());
     try {
       CommandLine line = new DefaultParser().parse(options, arguments);
@@ -83,7 +88,7 @@
         System.exit(0);
       }
       SeedRange seeds = SeedRange.parse(line.getOptionValue("seeds", "1..20"));
-      RunOptions plan =
+      RunOptions chosenOptions =
           new RunOptions(
               parseDeployment(line.getOptionValue("deployment")),
               parseTrouble(line.getOptionValue("trouble")),
@@ -91,7 +96,7 @@
               parseRateFactor(line.getOptionValue("pace", "1")),
               parseTrafficMillis(line.getOptionValue("length")),
               line.hasOption("windows"));
-      System.exit(runSeeds(seeds, plan) ? 0 : EXIT_RULE_VIOLATED);
+      System.exit(runSeeds(seeds, chosenOptions) ? 0 : EXIT_RULE_VIOLATED);
     } catch (ParseException e) {
       System.err.println("sageladder-days: " + e.getMessage());
       System.exit(EXIT_USAGE);
@@ -155,31 +160,32 @@
     throw new ParseException("--length is '" + text + "'; accepted is 100 to 9999999, in ms");
   }
 
-  private static boolean runSeeds(SeedRange seeds, RunOptions plan) throws IOException {
-    int broken = 0;
+  private static boolean runSeeds(SeedRange seeds, RunOptions options) throws IOException {
+    int violatedDays = 0;
     List<String> lines = new ArrayList<>();
     Fleet.LogSource logs =
-        plan.logFile() == null ? Fleet.LogSource.none() : LogLines.appendTo(lines);
+        options.logFile() == null ? Fleet.LogSource.none() : LogLines.appendTo(lines);
     for (long seed = seeds.first(); seed <= seeds.last(); seed++) {
-      Deployment known = plan.deployment();
-      Deployment deployment = known == null ? Deployment.forSeed(seed) : known;
+      Deployment chosen = options.deployment();
+      Deployment deployment = chosen == null ? Deployment.forSeed(seed) : chosen;
       Outcome outcome =
-          createScenario(seed, plan.trouble())
-              .runFor(plan.trafficMillis(), deployment.withRateFactor(plan.rateFactor()), logs);
+          createScenario(seed, options.trouble())
+              .runFor(
+                  options.trafficMillis(), deployment.withRateFactor(options.rateFactor()), logs);
       printOutcome(outcome, System.out);
-      if (plan.printsWindows()) {
+      if (options.printsWindows()) {
         TrafficReport.of(outcome.day(), deployment).print(System.out);
       }
-      if (plan.logFile() != null) {
+      if (options.logFile() != null) {
         LogLines.addArrivals(outcome.day(), lines);
       }
-      broken += outcome.violations().isEmpty() ? 0 : 1;
+      violatedDays += outcome.violations().isEmpty() ? 0 : 1;
     }
-    if (plan.logFile() != null) {
-      Files.write(Path.of(plan.logFile()), lines, StandardCharsets.UTF_8);
+    if (options.logFile() != null) {
+      Files.write(Path.of(options.logFile()), lines, StandardCharsets.UTF_8);
     }
-    System.out.println("days with a broken rule: " + broken);
-    return broken == 0;
+    System.out.println("days with a broken rule: " + violatedDays);
+    return violatedDays == 0;
   }
 
   private static Scenario createScenario(long seed, @Nullable String trouble) {
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/SimulatedDay.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/SimulatedDay.java
@@ -13,21 +13,23 @@
 import org.sageladder.standin.platform.PlatformBounds;
 import org.sageladder.standin.platform.TargetTraits;
 
-/** What is known of a day that was played: what was seen, and what was done to the system. */
+/**
+ * Record of a simulated day: what callers and targets observed, and which troubles were injected.
+ */
 public final class SimulatedDay {
-  /** Scope of trouble that touches every entry VM. */
+  /** Scope of trouble that affects every entry VM. */
   public static final String ALL_ENTRY_VMS = "everywhere";
 
   /**
-   * A span of trouble.
+   * A period during which a trouble is in effect.
    *
-   * @param scope IP number of the entry VM that it touches, the zone whose links it touches, or
+   * @param scope IP address of the affected entry VM, the zone whose network links are affected, or
    *     {@link #ALL_ENTRY_VMS}
    * @param isPlanned true for planned work, such as a planned stop
    */
   public record TroubleInterval(String scope, boolean isPlanned, long fromMillis, long toMillis) {}
 
-  /** An answer of a look-up: who named whom. */
+  /** Response to a look-up: the entry VM that responded and the addresses that it returned. */
   public record LookUpResponse(String answeredBy, List<String> addresses, long atMillis) {}
 
   private final Ledger ledger = new Ledger();
@@ -38,22 +40,22 @@
   private final Map<String, Workspace> workspaces = new HashMap<>();
   private long endMillis;
 
-  /** What was seen. */
+  /** What callers, targets and the operator observed. */
   public Ledger ledger() {
     return ledger;
   }
 
-  /** The bounds of the rules. */
+  /** The limits that the rules check. */
   public PlatformBounds bounds() {
     return bounds;
   }
 
-  /** Requests of callers with what became of them, in the order of their ends. */
+  /** Completed requests of callers, ordered by completion. */
   public List<CompletedRequest> requests() {
     return requests;
   }
 
-  /** When the day ended. */
+  /** When the traffic of the day stopped. */
   public long endMillis() {
     return endMillis;
   }
@@ -62,35 +64,36 @@
     endMillis = millis;
   }
 
-  /** Notes a workspace as the newest configuration has it. */
+  /** Records a workspace as defined by the newest configuration. */
   public void putWorkspace(Workspace workspace) {
     workspaces.put(workspace.name(), workspace);
   }
 
-  /** The workspaces by name, as the newest configuration has them. */
+  /** The workspaces by name, as defined by the newest configuration. */
   public Map<String, Workspace> workspaces() {
     return workspaces;
   }
 
-  /** Notes a span of trouble. */
+  /** Records a period of trouble. */
   public void recordTrouble(TroubleInterval interval) {
     troubleIntervals.add(interval);
   }
 
-  /** Notes that a configuration lets requests of {@code route} go to its services. */
+  /** Records that a configuration allows requests on {@code route} to go to its services. */
   public void allowRoute(RouteRule route) {
     Set<String> services = servicesByRoute.computeIfAbsent(route.name(), name -> new HashSet<>());
     route.services().forEach(share -> services.add(share.service()));
   }
 
-  /** Services to which any configuration of the day let the route go. */
+  /** Services that any configuration of the day allowed for the route. */
   public Set<String> allowedServices(String route) {
     return servicesByRoute.getOrDefault(route, Set.of());
   }
 
   /**
-   * True where the entry VM was in touch from {@code from} to {@code to}, and for the contact time
-   * before: no trouble of its own or of all touched it. Planned work of others does not count.
+   * Returns true if no trouble affected the entry VM between {@code fromMillis} and {@code
+   * toMillis}, nor during the contact time before. Only troubles of this VM or of all entry VMs
+   * count; planned work on other VMs does not.
    */
   public boolean isInContact(String vm, long fromMillis, long toMillis) {
     return troubleIntervals.stream()
@@ -99,8 +102,8 @@
   }
 
   /**
-   * True where a request that arrives in {@code zone} was held up by nothing but its sender: no
-   * trouble touched the links to the zone in the contact time before.
+   * Returns true if no trouble affected the network links to {@code zone} during the contact time
+   * before {@code atMillis}, so that only the sender can have delayed a request that arrives there.
    */
   public boolean areLinksHealthy(String zone, long atMillis) {
     return troubleIntervals.stream()
@@ -108,7 +111,10 @@
         .noneMatch(span -> overlaps(span, atMillis - bounds.discoveryMillis(), atMillis));
   }
 
-  /** True where nothing unplanned touched anything from {@code from} to {@code to}. */
+  /**
+   * Returns true if no unplanned trouble was in effect between {@code fromMillis} and {@code
+   * toMillis}, nor during the contact time before.
+   */
   public boolean isUndisturbed(long fromMillis, long toMillis) {
     return troubleIntervals.stream()
         .filter(span -> !span.isPlanned())
@@ -119,24 +125,27 @@
     return interval.fromMillis() <= toMillis && interval.toMillis() >= fromMillis;
   }
 
-  /** Planned work at the entry VM of that IP number. */
+  /** Planned work on the entry VM with that IP address. */
   public List<TroubleInterval> plannedIntervals(String vm) {
     return troubleIntervals.stream()
         .filter(span -> span.isPlanned() && span.scope().equals(vm))
         .toList();
   }
 
-  /** When the last trouble ended; 0 where there was none. */
+  /** When the last trouble ended; 0 if there was none. */
   public long lastTroubleEndMillis() {
     return troubleIntervals.stream().mapToLong(TroubleInterval::toMillis).max().orElse(0);
   }
 
-  /** Requests a second that a cold target of the deployment bears. */
+  /** Requests per second that a cold target can handle. */
   public double coldCapacityPerSecond() {
     return TargetTraits.standard().coldRequestsPerSecond();
   }
 
-  /** Credit earned of the credit owed, by goal and lateness, 0 to 1. */
+  /**
+   * Credit earned by successful responses as a fraction, 0 to 1, of the credit that all requests
+   * could earn. A response after its latency goal earns only a part of its credit.
+   */
   public double creditFraction() {
     double owed = 0;
     double earned = 0;
@@ -150,10 +159,10 @@
     return owed == 0 ? 0 : earned / owed;
   }
 
-  /** Part of its worth that an answer after its goal earns. */
+  /** Fraction of its credit that a response after its latency goal earns. */
   private static final double LATE_CREDIT_FRACTION = 0.2;
 
-  /** Part of the requests sent from {@code from} on that got a success. */
+  /** Fraction of the requests sent at or after {@code fromMillis} that succeeded. */
   public double successFraction(long fromMillis) {
     List<CompletedRequest> sent =
         requests.stream().filter(r -> r.startedAtMillis() >= fromMillis).toList();
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Tenants.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Tenants.java
@@ -12,17 +12,17 @@
 import org.sageladder.core.routing.Workspace;
 import org.sageladder.standin.platform.Ledger;
 
-/** The workspaces of a deployment as they are now, and whose keys its callers bear. */
+/** The current tenants of a deployment, and the API keys that its callers send. */
 public final class Tenants {
-  /** Each so many requests one bears a key that no configuration ever held. */
+  /** One in this many requests carries a key that no configuration ever contained. */
   private static final int FORGED_KEY_INTERVAL = 200;
 
   private static final String FORGED_KEY = "forged-key";
 
   /**
-   * A workspace, its keys and its part of the requests.
+   * A workspace, its API keys and its share of the requests.
    *
-   * @param weight its part; only the ratio to the others has meaning
+   * @param weight relative share of the requests; only the ratio to the other weights matters
    */
   public record Tenant(Workspace workspace, List<String> keys, double weight) {}
 
@@ -40,25 +40,25 @@
         .addAll(tenant.keys());
   }
 
-  /** The workspaces with their keys, as a configuration has them. */
+  /** The API keys of each workspace, as written to a configuration. */
   Map<Workspace, List<String>> keysByWorkspace() {
     Map<Workspace, List<String>> keys = new LinkedHashMap<>();
     tenantsByWorkspace.values().forEach(each -> keys.put(each.workspace(), each.keys()));
     return keys;
   }
 
-  /** The workspaces that there are now. */
+  /** The current tenants. */
   public List<Tenant> all() {
     return List.copyOf(tenantsByWorkspace.values());
   }
 
-  /** Multiplies a workspace's part of the requests. */
+  /** Multiplies a workspace's share of the requests by {@code factor}. */
   public void scaleWeight(String name, double factor) {
     Tenant tenant = tenantsByWorkspace.get(name);
     put(new Tenant(tenant.workspace(), tenant.keys(), tenant.weight() * factor));
   }
 
-  /** Takes one key away from a workspace; its callers go on bearing it. */
+  /** Revokes the first key of a workspace and returns it; its callers go on sending it. */
   public String revokeFirstKey(String name) {
     Tenant tenant = tenantsByWorkspace.get(name);
     List<String> remaining = new ArrayList<>(tenant.keys());
@@ -67,7 +67,7 @@
     return revoked;
   }
 
-  /** Gives a workspace another quota. */
+  /** Changes the quota of a workspace. */
   public void changeQuota(String name, Quota quota) {
     Tenant tenant = tenantsByWorkspace.get(name);
     Workspace before = tenant.workspace();
@@ -75,7 +75,10 @@
     put(new Tenant(after, tenant.keys(), tenant.weight()));
   }
 
-  /** The key of a request, drawn by the workspaces' parts; null where there are no workspaces. */
+  /**
+   * Chooses the key of a request at random, weighted by the tenants' shares; null if there are no
+   * tenants.
+   */
   Ledger.@Nullable Credential drawBearer(Random random) {
     if (tenantsByWorkspace.isEmpty()) {
       return null;
@@ -83,11 +86,11 @@
     if (random.nextInt(FORGED_KEY_INTERVAL) == 0) {
       return new Ledger.Credential("", FORGED_KEY, false);
     }
-    double sum = tenantsByWorkspace.values().stream().mapToDouble(Tenant::weight).sum();
-    double at = random.nextDouble() * sum;
+    double totalWeight = tenantsByWorkspace.values().stream().mapToDouble(Tenant::weight).sum();
+    double remainingWeight = random.nextDouble() * totalWeight;
     for (Tenant each : tenantsByWorkspace.values()) {
-      at -= each.weight();
-      if (at <= 0) {
+      remainingWeight -= each.weight();
+      if (remainingWeight <= 0) {
         return bearerOf(each, random);
       }
     }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/TrafficReport.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/TrafficReport.java
@@ -13,22 +13,22 @@
 import org.sageladder.standin.platform.Ledger;
 import org.sageladder.standin.platform.RequestProfile;
 
-/** What callers got in each two seconds of a day, and of each kind of request. */
+/** Results of a simulated day per window of two seconds, kind of request, route and zone. */
 final class TrafficReport {
   private static final long WINDOW_MILLIS = 2_000;
 
-  /** Counts of requests. */
+  /** Counts of requests by result. */
   private static final class RequestCounts {
     int sentCount;
     int inTimeCount;
     int successCount;
 
     void add(CompletedRequest request) {
-      boolean good = request.status() >= 200 && request.status() < 300;
+      boolean succeeded = request.status() >= 200 && request.status() < 300;
       sentCount++;
-      successCount += good ? 1 : 0;
+      successCount += succeeded ? 1 : 0;
       inTimeCount +=
-          good && request.durationMillis() <= request.profile().latencyGoalMillis() ? 1 : 0;
+          succeeded && request.durationMillis() <= request.profile().latencyGoalMillis() ? 1 : 0;
     }
 
     @Override
@@ -48,10 +48,10 @@
 
   private final Map<String, RunCounts> runsByRoute = new TreeMap<>();
 
-  /** A wait at a target that counts as a cause of lateness, in milliseconds. */
+  /** A wait at a target longer than this counts as the cause of a late response. */
   private static final long MIN_LATE_WAIT_MILLIS = 50;
 
-  /** Runs at targets, and why their answers were late. */
+  /** Runs at targets, and why their responses were late. */
   private static final class RunCounts {
     private final Set<String> objectTargetPairs = new HashSet<>();
     private final Set<String> objects = new HashSet<>();
@@ -61,7 +61,10 @@
     private int lateUncachedCount;
     private int lateWaitedCount;
 
-    /** Notes the request's last run, where its answer took {@code millis}. */
+    /**
+     * Counts the request if its response missed the latency goal, and why. {@code run} is the
+     * request's last run.
+     */
     void recordResponse(
         Ledger.Attempt asked, Ledger.Run run, long arrivedMillis, long latencyMillis) {
       if (latencyMillis <= asked.route().latencyGoalMillis()) {
@@ -86,7 +89,7 @@
     public String toString() {
       return String.format(
           Locale.ROOT,
-          "%6d runs, %5d of unknown objects, %.1f targets an object; %d late: %d unknown, %d waited",
+          "%6d runs, %5d uncached, %.1f targets per object; %d late: %d uncached, %d waited",
           runCount,
           uncachedCount,
           (double) objectTargetPairs.size() / objects.size(),
@@ -99,39 +102,41 @@
   private TrafficReport() {}
 
   static TrafficReport of(SimulatedDay day, Deployment deployment) {
-    TrafficReport windows = new TrafficReport();
+    TrafficReport report = new TrafficReport();
     List<String> kinds = deployment.callerKinds().stream().map(RequestProfile::route).toList();
     for (CompletedRequest request : day.requests()) {
       if (kinds.contains(request.profile().route())) {
-        long from = request.startedAtMillis() / WINDOW_MILLIS * WINDOW_MILLIS;
-        windows.byTime.computeIfAbsent(from, at -> new RequestCounts()).add(request);
-        windows
+        long startMillis = request.startedAtMillis() / WINDOW_MILLIS * WINDOW_MILLIS;
+        report.byTime.computeIfAbsent(startMillis, at -> new RequestCounts()).add(request);
+        report
             .byKind
             .computeIfAbsent(request.profile().route(), key -> new RequestCounts())
             .add(request);
-        windows.byZone.computeIfAbsent(request.zone(), key -> new RequestCounts()).add(request);
+        report.byZone.computeIfAbsent(request.zone(), key -> new RequestCounts()).add(request);
       }
     }
-    Map<String, Long> arrivals = new HashMap<>();
-    day.ledger().arrivals().forEach(arrival -> arrivals.put(arrival.id(), arrival.at()));
+    Map<String, Long> arrivalMillisById = new HashMap<>();
+    day.ledger().arrivals().forEach(arrival -> arrivalMillisById.put(arrival.id(), arrival.at()));
     for (Ledger.Attempt asked : day.ledger().attempts().values()) {
-      RunCounts ofRoute =
-          windows.runsByRoute.computeIfAbsent(asked.route().name(), key -> new RunCounts());
-      List<Ledger.Run> ofRequest = day.ledger().runs(asked.id());
-      ofRequest.forEach(run -> ofRoute.addRun(asked, run));
-      Long arrivedAt = arrivals.get(asked.id());
+      RunCounts routeRuns =
+          report.runsByRoute.computeIfAbsent(asked.route().name(), key -> new RunCounts());
+      List<Ledger.Run> requestRuns = day.ledger().runs(asked.id());
+      requestRuns.forEach(run -> routeRuns.addRun(asked, run));
+      Long arrivedMillis = arrivalMillisById.get(asked.id());
       Optional<Ledger.Answered> answer = day.ledger().answer(asked.id());
-      if (!ofRequest.isEmpty() && arrivedAt != null && answer.isPresent()) {
-        Ledger.Run last = ofRequest.get(ofRequest.size() - 1);
-        ofRoute.recordResponse(asked, last, arrivedAt, answer.get().at() - asked.sentAtMillis());
+      if (!requestRuns.isEmpty() && arrivedMillis != null && answer.isPresent()) {
+        Ledger.Run last = requestRuns.get(requestRuns.size() - 1);
+        routeRuns.recordResponse(
+            asked, last, arrivedMillis, answer.get().at() - asked.sentAtMillis());
       }
     }
-    return windows;
+    return report;
   }
 
   void print(PrintStream out) {
     out.println("  from ms       asked in time  served");
-    byTime.forEach((from, counts) -> out.printf(Locale.ROOT, "  %-12d %s%n", from, counts));
+    byTime.forEach(
+        (startMillis, counts) -> out.printf(Locale.ROOT, "  %-12d %s%n", startMillis, counts));
     byKind.forEach((kind, counts) -> out.printf(Locale.ROOT, "  %-12s %s%n", kind, counts));
     runsByRoute.forEach((kind, counts) -> out.printf(Locale.ROOT, "  %-12s %s%n", kind, counts));
     byZone.forEach((zone, counts) -> out.printf(Locale.ROOT, "  %-12s %s%n", zone, counts));
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/AddedRouteRule.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/AddedRouteRule.java
@@ -8,12 +8,14 @@
 import org.sageladder.standin.platform.CallersStandIn.CompletedRequest;
 import org.sageladder.standin.platform.Ledger.PlatformEvent;
 
-/** Routes that operators add are served as the first ones are, in calm times. */
+/**
+ * Checks that added routes are served like the initial ones while there is no unplanned trouble.
+ */
 final class AddedRouteRule {
-  /** Fewest requests on added routes that a share is taken of. */
+  /** With fewer requests on added routes than this, the success fraction is not meaningful. */
   private static final int MIN_REQUESTS = 20;
 
-  /** An added route may be served this part as often as the first ones, at the least. */
+  /** Smallest allowed success fraction of added routes, relative to that of the initial ones. */
   private static final double MIN_RELATIVE_SUCCESS = 0.25;
 
   private static final class SuccessCount {
@@ -38,36 +40,38 @@
   private AddedRouteRule() {}
 
   static List<String> underserved(SimulatedDay day) {
-    Map<String, Long> since = firstConfiguredMillis(day);
-    long first = since.values().stream().mapToLong(Long::longValue).min().orElse(0);
+    Map<String, Long> configuredMillis = firstConfiguredMillis(day);
+    long initialMillis =
+        configuredMillis.values().stream().mapToLong(Long::longValue).min().orElse(0);
     SuccessCount added = new SuccessCount();
-    SuccessCount others = new SuccessCount();
+    SuccessCount initial = new SuccessCount();
     for (CompletedRequest request : day.requests()) {
-      Long addedAt = since.get(request.profile().route());
-      if (addedAt == null
+      Long addedMillis = configuredMillis.get(request.profile().route());
+      if (addedMillis == null
           || !day.isUndisturbed(
               request.startedAtMillis(), request.startedAtMillis() + request.durationMillis())) {
         continue;
       }
-      if (addedAt == first) {
-        others.add(request);
-      } else if (request.startedAtMillis() > addedAt + day.bounds().configurationApplyMillis()) {
+      if (addedMillis == initialMillis) {
+        initial.add(request);
+      } else if (request.startedAtMillis()
+          > addedMillis + day.bounds().configurationApplyMillis()) {
         added.add(request);
       }
     }
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     if (added.requests >= MIN_REQUESTS
-        && added.fraction() < MIN_RELATIVE_SUCCESS * others.fraction()) {
-      broken.add("of added routes " + added + " are served, of the first ones " + others);
+        && added.fraction() < MIN_RELATIVE_SUCCESS * initial.fraction()) {
+      violations.add("added routes: " + added + " succeeded, initial routes: " + initial);
     }
-    return broken;
+    return violations;
   }
 
   private static Map<String, Long> firstConfiguredMillis(SimulatedDay day) {
-    Map<String, Long> since = new HashMap<>();
+    Map<String, Long> configuredMillis = new HashMap<>();
     day.ledger()
         .events(PlatformEvent.Kind.CONFIGURATION)
-        .forEach(moment -> since.merge(moment.subject(), moment.atMillis(), Math::min));
-    return since;
+        .forEach(moment -> configuredMillis.merge(moment.subject(), moment.atMillis(), Math::min));
+    return configuredMillis;
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/ArrivalRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/ArrivalRules.java
@@ -15,9 +15,9 @@
 import org.sageladder.standin.platform.Ledger.Attempt;
 import org.sageladder.standin.platform.Ledger.PlatformEvent;
 
-/** Rules on what reaches targets. */
+/** Rules on the requests that reach targets. */
 final class ArrivalRules {
-  /** Time for a caller's close to reach its target. */
+  /** Time within which the close of a caller's connection must take effect at the target. */
   private static final long CLOSE_PROPAGATION_MILLIS = 500;
 
   private static final int MAX_LATE_SENDS = 3;
@@ -26,8 +26,8 @@
 
   private ArrivalRules() {}
 
-  private static List<String> arrivalsWhere(SimulatedDay day, Predicate<Arrival> breaks) {
-    return day.ledger().arrivals().stream().filter(breaks).map(Arrival::toString).toList();
+  private static List<String> arrivalsWhere(SimulatedDay day, Predicate<Arrival> isViolation) {
+    return day.ledger().arrivals().stream().filter(isViolation).map(Arrival::toString).toList();
   }
 
   private static boolean isAccepted(Arrival arrival) {
@@ -62,42 +62,42 @@
   }
 
   static List<String> afterDrain(SimulatedDay day) {
-    Map<String, Long> left = new HashMap<>();
+    Map<String, Long> leftMillis = new HashMap<>();
     day.ledger()
         .events(PlatformEvent.Kind.TARGET_LEAVES)
-        .forEach(moment -> left.putIfAbsent(moment.subject(), moment.atMillis()));
-    // A target that lives and whose entry had lapsed has not left.
+        .forEach(moment -> leftMillis.putIfAbsent(moment.subject(), moment.atMillis()));
+    // A running target whose entry expired and was written again has not left.
     day.ledger()
         .events(PlatformEvent.Kind.TARGET_BACK)
-        .forEach(moment -> left.remove(moment.subject()));
+        .forEach(moment -> leftMillis.remove(moment.subject()));
     return arrivalsWhere(
         day,
         arrival -> {
-          Long at = left.get(arrival.target());
-          return at != null
+          Long atMillis = leftMillis.get(arrival.target());
+          return atMillis != null
               && arrival.fate() != Ledger.Fate.OTHER_TARGET
-              && arrival.at() > at + day.bounds().drainMillis()
+              && arrival.at() > atMillis + day.bounds().drainMillis()
               && day.areLinksHealthy(arrival.zone(), arrival.at())
-              && day.isInContact(arrival.from(), at, arrival.at());
+              && day.isInContact(arrival.from(), atMillis, arrival.at());
         });
   }
 
   static List<String> afterEvacuation(SimulatedDay day) {
-    List<PlatformEvent> emptied = day.ledger().events(PlatformEvent.Kind.ZONE_EMPTIED);
-    List<PlatformEvent> back = day.ledger().events(PlatformEvent.Kind.ZONE_TAKEN_BACK);
+    List<PlatformEvent> evacuations = day.ledger().events(PlatformEvent.Kind.ZONE_EMPTIED);
+    List<PlatformEvent> reopened = day.ledger().events(PlatformEvent.Kind.ZONE_TAKEN_BACK);
     return arrivalsWhere(
         day,
         arrival ->
             arrival.fate() != Ledger.Fate.OTHER_TARGET
-                && emptied.stream()
+                && evacuations.stream()
                     .filter(moment -> moment.subject().equals(arrival.zone()))
-                    .anyMatch(moment -> isDuringEvacuation(day, moment, back, arrival)));
+                    .anyMatch(moment -> isDuringEvacuation(day, moment, reopened, arrival)));
   }
 
   private static boolean isDuringEvacuation(
-      SimulatedDay day, PlatformEvent evacuated, List<PlatformEvent> back, Arrival arrival) {
-    long until =
-        back.stream()
+      SimulatedDay day, PlatformEvent evacuated, List<PlatformEvent> reopened, Arrival arrival) {
+    long reopenedMillis =
+        reopened.stream()
             .filter(
                 moment ->
                     moment.subject().equals(evacuated.subject())
@@ -106,12 +106,12 @@
             .min()
             .orElse(Long.MAX_VALUE);
     return arrival.at() > evacuated.atMillis() + day.bounds().evacuateMillis()
-        && arrival.at() < until
+        && arrival.at() < reopenedMillis
         && day.areLinksHealthy(arrival.zone(), arrival.at())
         && day.isInContact(arrival.from(), evacuated.atMillis(), arrival.at());
   }
 
-  /** A service that only an older configuration allows, after the newer one is in force. */
+  /** Requests sent to a service that only an older configuration allows. */
   static List<String> staleConfiguration(SimulatedDay day) {
     return arrivalsWhere(
         day,
@@ -120,14 +120,15 @@
           if (asked.isEmpty() || !isAccepted(arrival)) {
             return false;
           }
-          Set<String> now =
+          Set<String> allowedServices =
               asked.get().route().services().stream()
                   .map(share -> share.service())
                   .collect(Collectors.toSet());
-          long since = lastChangeMillis(day, asked.get());
-          return !now.contains(arrival.service())
-              && asked.get().sentAtMillis() > since + day.bounds().configurationApplyMillis()
-              && day.isInContact(arrival.from(), since, arrival.at());
+          long changedMillis = lastChangeMillis(day, asked.get());
+          return !allowedServices.contains(arrival.service())
+              && asked.get().sentAtMillis()
+                  > changedMillis + day.bounds().configurationApplyMillis()
+              && day.isInContact(arrival.from(), changedMillis, arrival.at());
         });
   }
 
@@ -142,9 +143,9 @@
         .orElse(0L);
   }
 
-  /** New sends for a caller that has left, and work that goes on for it. */
+  /** Requests sent, and runs continued, after their caller closed its connection. */
   static List<String> afterCallerLeft(SimulatedDay day) {
-    List<String> late =
+    List<String> lateSends =
         arrivalsWhere(
             day,
             arrival ->
@@ -153,20 +154,22 @@
                     .filter(at -> arrival.at() > at + CLOSE_PROPAGATION_MILLIS)
                     .filter(at -> day.isInContact(arrival.from(), at, arrival.at()))
                     .isPresent());
-    List<String> broken = new ArrayList<>(late.size() > MAX_LATE_SENDS ? late : List.of());
-    List<String> runOn = new ArrayList<>();
-    int[] left = {0};
+    List<String> violations =
+        new ArrayList<>(lateSends.size() > MAX_LATE_SENDS ? lateSends : List.of());
+    List<String> continuedRuns = new ArrayList<>();
+    int[] abandonedRuns = {0};
     day.ledger().runs().values().stream()
         .flatMap(List::stream)
-        .forEach(run -> countContinuedRun(day, run, left, runOn));
-    if (runOn.size() > MAX_CONTINUED_RUNS && runOn.size() > MAX_CONTINUED_RUN_FRACTION * left[0]) {
-      broken.addAll(runOn);
+        .forEach(run -> countContinuedRun(day, run, abandonedRuns, continuedRuns));
+    if (continuedRuns.size() > MAX_CONTINUED_RUNS
+        && continuedRuns.size() > MAX_CONTINUED_RUN_FRACTION * abandonedRuns[0]) {
+      violations.addAll(continuedRuns);
     }
-    return broken;
+    return violations;
   }
 
   private static void countContinuedRun(
-      SimulatedDay day, Ledger.Run run, int[] left, List<String> runOn) {
+      SimulatedDay day, Ledger.Run run, int[] abandonedRuns, List<String> continuedRuns) {
     Optional<Long> at = day.ledger().callerLeftAtMillis(run.id());
     Optional<Attempt> asked = day.ledger().attempt(run.id());
     if (at.isEmpty() || asked.isEmpty() || !asked.get().route().idempotent()) {
@@ -175,12 +178,13 @@
     if (!day.isInContact(asked.get().entryVmIp(), at.get(), at.get() + CLOSE_PROPAGATION_MILLIS)) {
       return;
     }
-    boolean ranOn =
+    boolean continued =
         run.endedAtMillis() < 0 || run.endedAtMillis() > at.get() + CLOSE_PROPAGATION_MILLIS;
-    boolean dropped = run.status() == 0 && !ranOn;
-    left[0] += ranOn || dropped ? 1 : 0;
-    if (ranOn) {
-      runOn.add(run.id() + " ran on at " + run.target() + " after its caller left");
+    boolean dropped = run.status() == 0 && !continued;
+    abandonedRuns[0] += continued || dropped ? 1 : 0;
+    if (continued) {
+      continuedRuns.add(
+          run.id() + " continued at " + run.target() + " after its caller disconnected");
     }
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/BudgetRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/BudgetRules.java
@@ -15,21 +15,21 @@
 import org.sageladder.standin.platform.Ledger.Arrival;
 import org.sageladder.standin.platform.Ledger.Attempt;
 
-/** Rules on how much reaches targets. */
+/** Rules on retries, the load on cold targets, and the number of targets per request. */
 final class BudgetRules {
   private static final long COLD_WINDOW_MILLIS = 1_000;
   private static final long DEADLINE_TOLERANCE_MILLIS = 500;
   private static final int MAX_REQUESTS_OVER_TARGET_LIMIT = 3;
   private static final int MAX_REQUESTS_OVER_DEADLINE = 20;
 
-  /** Targets that a request may crash before it reaches no further one. */
+  /** Number of targets that a request may crash before it must be kept away from further ones. */
   private static final int MAX_CRASHED_TARGETS = 3;
 
   private BudgetRules() {}
 
-  /** More than a cold target bears, in any second, over all entry VMs. */
+  /** Cold targets that received more requests in some second than they can handle. */
   static List<String> coldOverload(SimulatedDay day) {
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     Map<String, Deque<Long>> recent = new HashMap<>();
     for (Arrival arrival : day.ledger().arrivals()) {
       if (!arrival.cold() || arrival.fate() == Ledger.Fate.OTHER_TARGET) {
@@ -40,46 +40,62 @@
       while (times.peekFirst() <= arrival.at() - COLD_WINDOW_MILLIS) {
         times.removeFirst();
       }
-      double most =
+      double maxPerSecond =
           day.coldCapacityPerSecond() * day.bounds().coldRateFactor()
               + day.bounds().coldExtraRequests();
-      if (times.size() > most) {
-        broken.add(arrival.target() + " got " + times.size() + " in a second at " + arrival.at());
+      if (times.size() > maxPerSecond) {
+        violations.add(
+            arrival.target()
+                + " received "
+                + times.size()
+                + " requests in a second at "
+                + arrival.at());
       }
     }
-    return broken;
+    return violations;
   }
 
-  /** More second sends in a window than the shared budget has. */
+  /** Windows with more retries than the shared budget allows. */
   static List<String> excessRetries(SimulatedDay day) {
-    Map<String, NavigableMap<Long, Integer>> second = new HashMap<>();
-    Set<String> seen = new HashSet<>();
+    Map<String, NavigableMap<Long, Integer>> retriesByService = new HashMap<>();
+    Set<String> seenIds = new HashSet<>();
     for (Arrival arrival : day.ledger().arrivals()) {
-      if (!seen.add(arrival.id())) {
-        add(second, arrival.service(), arrival.at());
+      if (!seenIds.add(arrival.id())) {
+        add(retriesByService, arrival.service(), arrival.at());
       }
     }
-    Map<String, NavigableMap<Long, Integer>> first = requestTimesByService(day);
-    List<String> broken = new ArrayList<>();
-    second.forEach(
+    Map<String, NavigableMap<Long, Integer>> requestsByService = requestTimesByService(day);
+    List<String> violations = new ArrayList<>();
+    retriesByService.forEach(
         (service, times) -> {
-          for (long end : times.keySet()) {
-            long window = day.bounds().retryWindowMillis();
-            int repeats = count(times, end - window, end);
-            NavigableMap<Long, Integer> requests = first.getOrDefault(service, new TreeMap<>());
-            int most = count(requests, end - window, end);
-            most = Math.max(most, count(requests, end - 2 * window, end - window));
-            most = Math.max(most, count(requests, end - window * 3 / 2, end - window / 2));
-            double bound = day.bounds().retryRatio() * most + day.bounds().extraRetries();
-            if (repeats > bound) {
-              broken.add(service + " got " + repeats + " second sends in the window to " + end);
+          for (long endMillis : times.keySet()) {
+            long windowMillis = day.bounds().retryWindowMillis();
+            int retries = count(times, endMillis - windowMillis, endMillis);
+            NavigableMap<Long, Integer> requests =
+                requestsByService.getOrDefault(service, new TreeMap<>());
+            int maxRequests = count(requests, endMillis - windowMillis, endMillis);
+            maxRequests =
+                Math.max(
+                    maxRequests,
+                    count(requests, endMillis - 2 * windowMillis, endMillis - windowMillis));
+            maxRequests =
+                Math.max(
+                    maxRequests,
+                    count(
+                        requests, endMillis - windowMillis * 3 / 2, endMillis - windowMillis / 2));
+            double bound = day.bounds().retryRatio() * maxRequests + day.bounds().extraRetries();
+            if (retries > bound) {
+              violations.add(
+                  service + " received " + retries + " retries in the window to " + endMillis);
             }
           }
         });
-    return broken;
+    return violations;
   }
 
-  /** Requests on routes to each service, by when they were sent, whether they arrived or not. */
+  /**
+   * Number of requests for each service by the time they were sent, whether they arrived or not.
+   */
   private static Map<String, NavigableMap<Long, Integer>> requestTimesByService(SimulatedDay day) {
     Map<String, NavigableMap<Long, Integer>> requests = new HashMap<>();
     for (Attempt asked : day.ledger().attempts().values()) {
@@ -101,41 +117,42 @@
   }
 
   static List<String> tooManyTargets(SimulatedDay day) {
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     day.ledger()
         .runs()
         .forEach(
             (id, runs) -> {
-              int most =
+              int maxTargets =
                   day.ledger().attempt(id).map(asked -> asked.route().maxTargets()).orElse(1);
               long targets = runs.stream().map(Ledger.Run::target).distinct().count();
-              if (targets > most) {
-                broken.add(id + " ran at " + targets + " targets");
+              if (targets > maxTargets) {
+                violations.add(id + " ran at " + targets + " targets");
               }
             });
-    return broken.size() > MAX_REQUESTS_OVER_TARGET_LIMIT ? broken : List.of();
+    return violations.size() > MAX_REQUESTS_OVER_TARGET_LIMIT ? violations : List.of();
   }
 
-  /** More time handed to targets than the caller has. */
+  /** Requests whose deadline at the target is later than that of the caller. */
   static List<String> extendedDeadlines(SimulatedDay day) {
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     for (Arrival arrival : day.ledger().arrivals()) {
       day.ledger()
           .attempt(arrival.id())
           .filter(asked -> exceedsDeadline(arrival, asked))
           .filter(asked -> day.isInContact(arrival.from(), asked.sentAtMillis(), arrival.at()))
-          .ifPresent(asked -> broken.add(arrival.toString()));
+          .ifPresent(asked -> violations.add(arrival.toString()));
     }
-    return broken.size() > MAX_REQUESTS_OVER_DEADLINE ? broken : List.of();
+    return violations.size() > MAX_REQUESTS_OVER_DEADLINE ? violations : List.of();
   }
 
   private static boolean exceedsDeadline(Arrival arrival, Attempt asked) {
-    long ends = arrival.at() + arrival.deadlineMillis();
+    long deadlineAtMillis = arrival.at() + arrival.deadlineMillis();
     return arrival.deadlineMillis() < 0
-        || ends > asked.sentAtMillis() + asked.deadlineMillis() + DEADLINE_TOLERANCE_MILLIS;
+        || deadlineAtMillis
+            > asked.sentAtMillis() + asked.deadlineMillis() + DEADLINE_TOLERANCE_MILLIS;
   }
 
-  /** A request that crashes its targets goes on reaching others. */
+  /** Requests that crash their targets and still reach further ones. */
   static List<String> repeatedCrashes(SimulatedDay day) {
     Map<String, List<Arrival>> byPath = new HashMap<>();
     for (Arrival arrival : day.ledger().arrivals()) {
@@ -146,22 +163,24 @@
               asked ->
                   byPath.computeIfAbsent(asked.path(), path -> new ArrayList<>()).add(arrival));
     }
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     byPath.forEach(
         (path, arrivals) -> {
           if (arrivals.size() <= MAX_CRASHED_TARGETS) {
             return;
           }
-          long third = arrivals.get(MAX_CRASHED_TARGETS - 1).at() + day.bounds().discoveryMillis();
-          long after =
+          long afterThirdCrashMillis =
+              arrivals.get(MAX_CRASHED_TARGETS - 1).at() + day.bounds().discoveryMillis();
+          long reachedAfter =
               arrivals.stream()
-                  .filter(arrival -> arrival.at() > third)
+                  .filter(arrival -> arrival.at() > afterThirdCrashMillis)
                   .filter(arrival -> day.isInContact(arrival.from(), arrival.at(), arrival.at()))
                   .count();
-          if (after > MAX_CRASHED_TARGETS) {
-            broken.add(path + " reached " + after + " targets after it had crashed three");
+          if (reachedAfter > MAX_CRASHED_TARGETS) {
+            violations.add(
+                path + " reached " + reachedAfter + " targets after it had crashed three");
           }
         });
-    return broken;
+    return violations;
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/KeyRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/KeyRules.java
@@ -16,29 +16,30 @@
 final class KeyRules {
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** A workspace is starved where it is served that much less often than all. */
+  /** A workspace is starved if its success fraction, relative to that of all, is below this. */
   private static final double STARVATION_FRACTION = 0.25;
 
-  /** Requests below which a workspace's share served is chance. */
+  /** With fewer requests than this, the success fraction of a workspace is not meaningful. */
   private static final int MIN_REQUESTS = 20;
 
   private KeyRules() {}
 
-  /** Targets that were shown a key, or were named another workspace than the key's. */
+  /** Requests that exposed their key to a target or named a workspace that does not own the key. */
   static List<String> wrongWorkspace(SimulatedDay day) {
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     for (Delivery delivery : day.ledger().deliveries()) {
       day.ledger()
           .credential(delivery.id())
           .filter(bearer -> delivery.keyShown() || !delivery.workspace().equals(bearer.workspace()))
-          .ifPresent(bearer -> broken.add(delivery + " bore a key of " + bearer.workspace()));
+          .ifPresent(
+              bearer -> violations.add(delivery + " carried a key of " + bearer.workspace()));
     }
-    return broken;
+    return violations;
   }
 
-  /** Requests that ran though no configuration ever held their key. */
+  /** Requests that ran although no configuration ever contained their key. */
   static List<String> forgedKeys(SimulatedDay day) {
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     for (Delivery delivery : day.ledger().deliveries()) {
       boolean forged =
           day.ledger()
@@ -46,43 +47,46 @@
               .filter(bearer -> !bearer.wasEverConfigured())
               .isPresent();
       if (forged && delivery.fate() == Ledger.Fate.TAKEN) {
-        broken.add(delivery.id() + " ran with a key that nobody ever held");
+        violations.add(delivery.id() + " ran with a key that was never issued");
       }
     }
-    return broken;
+    return violations;
   }
 
-  /** Requests sent by machines in touch after their key's end was in force that reach a target. */
+  /**
+   * Requests that ran although they were sent, to a VM in contact, after the revocation of their
+   * key was in force.
+   */
   static List<String> revokedKeys(SimulatedDay day) {
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     for (PlatformEvent moment : day.ledger().events(PlatformEvent.Kind.KEY_TAKEN_AWAY)) {
-      long inForce = moment.atMillis() + day.bounds().configurationApplyMillis();
+      long inForceMillis = moment.atMillis() + day.bounds().configurationApplyMillis();
       for (Delivery delivery : day.ledger().deliveries()) {
-        boolean bears =
+        boolean carriesKey =
             day.ledger()
                 .credential(delivery.id())
                 .filter(b -> b.key().equals(moment.subject()))
                 .isPresent();
-        if (bears
+        if (carriesKey
             && delivery.fate() == Ledger.Fate.TAKEN
-            && isSentInContact(day, delivery.id(), inForce)) {
-          broken.add(delivery.id() + " ran after its key was taken away at " + moment.atMillis());
+            && isSentInContact(day, delivery.id(), inForceMillis)) {
+          violations.add(delivery.id() + " ran after its key was revoked at " + moment.atMillis());
         }
       }
     }
-    return broken;
+    return violations;
   }
 
-  /** True where the request bears no key, or one that all configurations so far have held. */
+  /** Returns true if the request carries no key, or one that was issued and never revoked. */
   static boolean isKeyValid(SimulatedDay day, String id) {
     Ledger.Credential bearer = day.ledger().credential(id).orElse(null);
     if (bearer == null) {
       return true;
     }
-    boolean taken =
+    boolean revoked =
         day.ledger().events(PlatformEvent.Kind.KEY_TAKEN_AWAY).stream()
             .anyMatch(moment -> moment.subject().equals(bearer.key()));
-    return bearer.wasEverConfigured() && !taken;
+    return bearer.wasEverConfigured() && !revoked;
   }
 
   private static boolean isSentInContact(SimulatedDay day, String id, long afterMillis) {
@@ -94,37 +98,40 @@
         .isPresent();
   }
 
-  /** More requests of a workspace in some window than its quota allows, over all machines. */
+  /** Workspaces that ran more requests in some window than their quota allows, over all VMs. */
   static List<String> exceededQuotas(SimulatedDay day) {
-    List<String> broken = new ArrayList<>();
-    Map<String, TreeMap<Long, Integer>> ran = new HashMap<>();
+    List<String> violations = new ArrayList<>();
+    Map<String, TreeMap<Long, Integer>> runTimesByWorkspace = new HashMap<>();
     for (Delivery delivery : day.ledger().deliveries()) {
       if (delivery.fate() == Ledger.Fate.TAKEN && !delivery.workspace().isEmpty()) {
-        ran.computeIfAbsent(delivery.workspace(), name -> new TreeMap<>())
+        runTimesByWorkspace
+            .computeIfAbsent(delivery.workspace(), name -> new TreeMap<>())
             .merge(delivery.at(), 1, Integer::sum);
       }
     }
-    long settled = quotaSettledMillis(day);
-    ran.forEach(
+    long settledMillis = quotaSettledMillis(day);
+    runTimesByWorkspace.forEach(
         (name, times) -> {
           Workspace workspace = day.workspaces().get(name);
           if (workspace == null || !workspace.quota().isLimited()) {
             return;
           }
-          double most = maxRequests(day, workspace.quota());
-          for (long from : times.tailMap(settled).keySet()) {
-            long end = from + day.bounds().quotaWindowMillis();
-            int count = times.subMap(from, end).values().stream().mapToInt(n -> n).sum();
-            if (count > most) {
-              broken.add(name + " ran " + count + " of " + most + " in the window from " + from);
+          double maxRuns = maxRequests(day, workspace.quota());
+          for (long startMillis : times.tailMap(settledMillis).keySet()) {
+            long endMillis = startMillis + day.bounds().quotaWindowMillis();
+            int count =
+                times.subMap(startMillis, endMillis).values().stream().mapToInt(n -> n).sum();
+            if (count > maxRuns) {
+              violations.add(
+                  name + " ran " + count + " of " + maxRuns + " in the window from " + startMillis);
               return;
             }
           }
         });
-    return broken;
+    return violations;
   }
 
-  /** A lower quota binds one window after it is in force. */
+  /** Time from which quotas are checked: one window after the last lowered quota is in force. */
   private static long quotaSettledMillis(SimulatedDay day) {
     return day.ledger().events(PlatformEvent.Kind.QUOTA_LOWERED).stream()
         .mapToLong(
@@ -142,33 +149,40 @@
     return allowed * (1 + day.bounds().quotaExcessFraction()) + day.bounds().quotaExcessRequests();
   }
 
-  /** Workspaces within their quotas whose requests are served far less often than all. */
+  /** Workspaces whose requests succeed far less often than those of all workspaces together. */
   static List<String> starvedWorkspaces(SimulatedDay day) {
     Map<String, int[]> counts = new HashMap<>();
-    int[] all = new int[2];
+    int[] totalCounts = new int[2];
     for (String id : day.ledger().attempts().keySet()) {
       day.ledger()
           .credential(id)
           .filter(bearer -> !bearer.workspace().isEmpty())
           .ifPresent(
               bearer -> {
-                int served =
+                int succeeded =
                     day.ledger().answer(id).filter(a -> a.status() / 100 == 2).isPresent() ? 1 : 0;
-                int[] own = counts.computeIfAbsent(bearer.workspace(), name -> new int[2]);
-                own[0]++;
-                own[1] += served;
-                all[0]++;
-                all[1] += served;
+                int[] workspaceCounts =
+                    counts.computeIfAbsent(bearer.workspace(), name -> new int[2]);
+                workspaceCounts[0]++;
+                workspaceCounts[1] += succeeded;
+                totalCounts[0]++;
+                totalCounts[1] += succeeded;
               });
     }
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     counts.forEach(
-        (name, own) -> {
-          double share = (double) own[1] / own[0];
-          if (own[0] >= MIN_REQUESTS && share < STARVATION_FRACTION * all[1] / all[0]) {
-            broken.add(name + " was served " + own[1] + " of " + own[0]);
+        (name, workspaceCounts) -> {
+          double successFraction = (double) workspaceCounts[1] / workspaceCounts[0];
+          if (workspaceCounts[0] >= MIN_REQUESTS
+              && successFraction < STARVATION_FRACTION * totalCounts[1] / totalCounts[0]) {
+            violations.add(
+                name
+                    + " had successful requests: "
+                    + workspaceCounts[1]
+                    + " of "
+                    + workspaceCounts[0]);
           }
         });
-    return broken;
+    return violations;
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/ResponseRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/ResponseRules.java
@@ -6,20 +6,20 @@
 import org.sageladder.scenario.SimulatedDay;
 import org.sageladder.standin.platform.Ledger;
 
-/** Rules on what callers got. */
+/** Rules on the responses that callers received. */
 final class ResponseRules {
-  /** Answers that promise that the request has not run and never will. */
   private static final int UNAUTHORIZED = 401;
 
+  /** Status codes that guarantee that the request has not run and never will. */
   private static final Set<Integer> NOT_RUN_STATUSES = Set.of(408, 421, 429, 503);
 
-  /** Requests of ours that may be turned down though they are proper. */
+  /** Number of valid requests that may be denied without violating the rule. */
   private static final int MAX_DENIED = 5;
 
-  /** Time after the last trouble by which the system serves again. */
+  /** Time after the last trouble within which the system must serve requests again. */
   private static final long MAX_RECOVERY_MILLIS = 15_000;
 
-  /** Time after a planned stop began during which requests that outlast it are excused. */
+  /** Requests sent up to this long after a planned stop began may outlast the grace time. */
   private static final long EXCUSED_AFTER_STOP_MILLIS = 3_000;
 
   private static final double MIN_SUCCESS_FRACTION = 0.25;
@@ -27,42 +27,42 @@
   private ResponseRules() {}
 
   static List<String> ranTwice(SimulatedDay day) {
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     day.ledger()
         .runs()
         .forEach(
             (id, runs) -> {
-              boolean once =
+              boolean mustNotRepeat =
                   day.ledger().attempt(id).map(a -> !a.route().idempotent()).orElse(false);
-              if (once && runs.size() > 1) {
-                broken.add(id + " ran " + runs.size() + " times");
+              if (mustNotRepeat && runs.size() > 1) {
+                violations.add(id + " ran " + runs.size() + " times");
               }
             });
-    return broken;
+    return violations;
   }
 
   static List<String> refusedButRan(SimulatedDay day) {
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     for (Ledger.Attempt asked : day.ledger().attempts().values()) {
       int status = day.ledger().answer(asked.id()).map(Ledger.Answered::status).orElse(0);
       if (!asked.route().idempotent()
           && NOT_RUN_STATUSES.contains(status)
           && !day.ledger().runs(asked.id()).isEmpty()) {
-        broken.add(asked.id() + " was answered " + status + " and ran");
+        violations.add(asked.id() + " was answered " + status + " and ran");
       }
     }
-    return broken;
+    return violations;
   }
 
   static List<String> wrongResponses(SimulatedDay day) {
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     for (Ledger.Attempt asked : day.ledger().attempts().values()) {
       day.ledger()
           .answer(asked.id())
           .filter(answer -> answer.status() != 0 && !isCorrect(day, answer))
-          .ifPresent(answer -> broken.add(asked.id() + " got " + answer));
+          .ifPresent(answer -> violations.add(asked.id() + " received " + answer));
     }
-    return broken;
+    return violations;
   }
 
   private static boolean isCorrect(SimulatedDay day, Ledger.Answered answer) {
@@ -81,22 +81,26 @@
                         && (!success || answer.body().equals(run.responseBody())));
   }
 
-  /** Proper requests that every configuration allows, ended by an answer of the system's own. */
+  /** Valid requests, allowed by every configuration, that the system itself denied. */
   static List<String> deniedRequests(SimulatedDay day) {
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     for (Ledger.Attempt asked : day.ledger().attempts().values()) {
       int status = day.ledger().answer(asked.id()).map(Ledger.Answered::status).orElse(0);
       boolean denied = status >= 300 && status < 500 && !NOT_RUN_STATUSES.contains(status);
       if (denied && !(status == UNAUTHORIZED && !KeyRules.isKeyValid(day, asked.id()))) {
-        broken.add(asked.id() + " of " + asked.route().name() + " got " + status);
+        violations.add(asked.id() + " of " + asked.route().name() + " received " + status);
       }
     }
-    return broken.size() > MAX_DENIED ? broken : List.of();
+    return violations.size() > MAX_DENIED ? violations : List.of();
   }
 
-  /** A planned stop, and nothing else, is going on: whoever was read gets an answer. */
+  /**
+   * Requests that reached a target but received no response although no unplanned trouble was in
+   * effect. A planned stop must complete every request that was read, unless its run outlasts the
+   * grace time.
+   */
   static List<String> cutByPlannedStop(SimulatedDay day) {
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     for (Ledger.Attempt asked : day.ledger().attempts().values()) {
       day.ledger()
           .answer(asked.id())
@@ -106,17 +110,17 @@
           .filter(answer -> answer.at() - asked.sentAtMillis() < asked.route().timeoutMillis())
           .filter(answer -> !outlastsGracePeriod(day, asked))
           .ifPresent(
-              answer -> broken.add(asked.id() + " at " + asked.entryVmIp() + " was cut off"));
+              answer -> violations.add(asked.id() + " at " + asked.entryVmIp() + " was cut off"));
     }
-    return broken;
+    return violations;
   }
 
   /**
-   * True where the VM was being stopped, the request came no later than some seconds after that
-   * began, and its target was still at work in the last sixth of the grace time.
+   * Returns true if the VM was being stopped, the request was sent before the stop or shortly after
+   * it began, and its target was still running it in the last sixth of the grace time.
    */
   private static boolean outlastsGracePeriod(SimulatedDay day, Ledger.Attempt asked) {
-    long lastSixth = day.bounds().graceMillis() * 5 / 6;
+    long lastSixthOffsetMillis = day.bounds().graceMillis() * 5 / 6;
     return day.plannedIntervals(asked.entryVmIp()).stream()
         .filter(stop -> asked.sentAtMillis() <= stop.fromMillis() + EXCUSED_AFTER_STOP_MILLIS)
         .anyMatch(
@@ -125,7 +129,8 @@
                     .anyMatch(
                         run ->
                             run.endedAtMillis() < 0
-                                || run.endedAtMillis() >= stop.fromMillis() + lastSixth));
+                                || run.endedAtMillis()
+                                    >= stop.fromMillis() + lastSixthOffsetMillis));
   }
 
   private static boolean reachedTarget(SimulatedDay day, String id) {
@@ -137,9 +142,10 @@
     if (fromMillis >= day.endMillis()) {
       return List.of();
     }
-    double served = day.successFraction(fromMillis);
-    return served < MIN_SUCCESS_FRACTION
-        ? List.of("only " + served + " are served from " + fromMillis + " on")
+    double successFraction = day.successFraction(fromMillis);
+    return successFraction < MIN_SUCCESS_FRACTION
+        ? List.of(
+            "only a fraction of " + successFraction + " succeeded from " + fromMillis + " ms on")
         : List.of();
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/Rule.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/Rule.java
@@ -4,18 +4,18 @@
 import org.sageladder.scenario.SimulatedDay;
 
 /**
- * One promise of the system.
+ * A guarantee of the system that is checked against a simulated day.
  *
  * <pre>{@code
  * for (Rule rule : Rules.all()) {
- *   rule.broken(day).forEach(System.out::println);
+ *   rule.violations(day).forEach(System.out::println);
  * }
  * }</pre>
  */
 public interface Rule {
-  /** Its name, in capitals as the platform's pages have it where they do. */
+  /** Its name; the upper-case part is the name that the platform's documentation uses. */
   String name();
 
-  /** What broke it, a line each; empty where it was kept. */
+  /** One line for each violation; empty if the rule was kept. */
   List<String> violations(SimulatedDay day);
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/Rules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/Rules.java
@@ -4,7 +4,7 @@
 import java.util.function.Function;
 import org.sageladder.scenario.SimulatedDay;
 
-/** All rules that are judged. */
+/** The registry of all rules. */
 public final class Rules {
   private record NamedRule(String name, Function<SimulatedDay, List<String>> check)
       implements Rule {
@@ -16,7 +16,7 @@
 
   private Rules() {}
 
-  /** Every rule, the heaviest first. */
+  /** All rules, the most severe first. */
   public static List<Rule> all() {
     return List.of(
         new NamedRule("TWICE", ResponseRules::ranTwice),
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/ShiftRule.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/ShiftRule.java
@@ -13,20 +13,20 @@
 import org.sageladder.standin.platform.Ledger;
 import org.sageladder.standin.platform.Ledger.Arrival;
 
-/** The requests of a region's callers change the region in which they run only slowly. */
+/** Checks that traffic from a region's callers shifts between regions only slowly. */
 final class ShiftRule {
-  /** Length of the spans that are compared, in milliseconds. */
+  /** Length of the windows that are compared, in milliseconds. */
   private static final long WINDOW_MILLIS = 2_000;
 
-  /** Spans begin this far apart, in milliseconds. */
+  /** Distance between the starts of consecutive windows, in milliseconds. */
   private static final long STEP_MILLIS = 100;
 
   private static final long STEPS_PER_WINDOW = WINDOW_MILLIS / STEP_MILLIS;
 
-  /** Fewest requests of a region in a span: with fewer, a share changes by chance alone. */
+  /** Windows with fewer requests of a region are skipped: their shares vary by chance alone. */
   private static final int MIN_REQUESTS_PER_WINDOW = 300;
 
-  /** Requests of one region's callers in one span, by the region in which they run. */
+  /** Requests of one region's callers in one window, counted by the region in which they run. */
   private static final class Window {
     final Map<String, Integer> countByRegion = new HashMap<>();
     int total;
@@ -46,7 +46,7 @@
       return (double) countByRegion.getOrDefault(region, 0) / total;
     }
 
-    /** Part of the requests that run elsewhere than {@code before}. */
+    /** Fraction of the requests that moved to another region since {@code before}. */
     double shiftedFractionSince(Window before) {
       Set<String> regions = new HashSet<>(countByRegion.keySet());
       regions.addAll(before.countByRegion.keySet());
@@ -56,77 +56,81 @@
     }
   }
 
-  /** Part of a region's requests that run elsewhere after {@code at} than before it. */
+  /** Fraction of a region's requests that moved to another region at {@code atMillis}. */
   private record Shift(long atMillis, double fraction) {}
 
   private ShiftRule() {}
 
-  /** The worst shift of each region that is too fast, between any two spans in a row. */
+  /** The largest shift between consecutive windows of each region, if it exceeds the limit. */
   static List<String> tooFast(SimulatedDay day) {
-    long begins =
+    long beginsMillis =
         day.ledger().attempts().values().stream()
             .mapToLong(Ledger.Attempt::sentAtMillis)
             .min()
             .orElse(0);
-    List<String> broken = new ArrayList<>();
-    stepsByRegion(day, begins)
+    List<String> violations = new ArrayList<>();
+    stepsByRegion(day, beginsMillis)
         .forEach(
             (region, steps) -> {
-              Shift worst = largestShift(day, begins, steps);
-              if (worst.fraction() > day.bounds().maxShiftFraction()) {
-                broken.add(describe(region, worst));
+              Shift largest = largestShift(day, beginsMillis, steps);
+              if (largest.fraction() > day.bounds().maxShiftFraction()) {
+                violations.add(describe(region, largest));
               }
             });
-    return broken;
+    return violations;
   }
 
   private static Shift largestShift(
-      SimulatedDay day, long begins, NavigableMap<Long, Window> steps) {
-    Shift worst = new Shift(0, 0);
+      SimulatedDay day, long beginsMillis, NavigableMap<Long, Window> steps) {
+    Shift largest = new Shift(0, 0);
     for (long step = 0; step <= steps.lastKey() - STEPS_PER_WINDOW; step++) {
-      long at = begins + (step + STEPS_PER_WINDOW) * STEP_MILLIS;
+      long atMillis = beginsMillis + (step + STEPS_PER_WINDOW) * STEP_MILLIS;
       Window before = windowFrom(steps, step);
       Window after = windowFrom(steps, step + STEPS_PER_WINDOW);
-      boolean counts = Math.min(before.total, after.total) >= MIN_REQUESTS_PER_WINDOW;
-      if (counts && day.isUndisturbed(at - WINDOW_MILLIS, at + WINDOW_MILLIS)) {
-        Shift change = new Shift(at, after.shiftedFractionSince(before));
-        worst = change.fraction() > worst.fraction() ? change : worst;
+      boolean isLargeEnough = Math.min(before.total, after.total) >= MIN_REQUESTS_PER_WINDOW;
+      if (isLargeEnough && day.isUndisturbed(atMillis - WINDOW_MILLIS, atMillis + WINDOW_MILLIS)) {
+        Shift shift = new Shift(atMillis, after.shiftedFractionSince(before));
+        largest = shift.fraction() > largest.fraction() ? shift : largest;
       }
     }
-    return worst;
+    return largest;
   }
 
   private static Window windowFrom(NavigableMap<Long, Window> steps, long first) {
-    Window whole = new Window();
-    steps.subMap(first, first + STEPS_PER_WINDOW).values().forEach(whole::add);
-    return whole;
+    Window window = new Window();
+    steps.subMap(first, first + STEPS_PER_WINDOW).values().forEach(window::add);
+    return window;
   }
 
-  private static String describe(String region, Shift change) {
+  private static String describe(String region, Shift shift) {
     return String.format(
         Locale.ROOT,
-        "%.0f in 100 of the requests from %s changed their region at %d ms",
-        100 * change.fraction(),
+        "%.0f %% of the requests from %s moved to another region at %d ms",
+        100 * shift.fraction(),
         region,
-        change.atMillis());
+        shift.atMillis());
   }
 
-  /** By region of the callers and number of the step since {@code begins}, by when it was sent. */
+  /**
+   * Requests by region of the caller and by step, the number of {@link #STEP_MILLIS} between {@code
+   * beginsMillis} and the time the request was sent.
+   */
   private static Map<String, NavigableMap<Long, Window>> stepsByRegion(
-      SimulatedDay day, long begins) {
-    Map<String, String> ranIn = new HashMap<>();
+      SimulatedDay day, long beginsMillis) {
+    Map<String, String> runRegionById = new HashMap<>();
     for (Arrival arrival : day.ledger().arrivals()) {
       if (arrival.fate() == Ledger.Fate.TAKEN) {
-        ranIn.put(arrival.id(), arrival.region());
+        runRegionById.put(arrival.id(), arrival.region());
       }
     }
     Map<String, NavigableMap<Long, Window>> byRegion = new TreeMap<>();
     for (Ledger.Attempt asked : day.ledger().attempts().values()) {
-      String region = ranIn.get(asked.id());
+      String region = runRegionById.get(asked.id());
       if (region != null) {
         byRegion
             .computeIfAbsent(asked.region(), name -> new TreeMap<>())
-            .computeIfAbsent((asked.sentAtMillis() - begins) / STEP_MILLIS, number -> new Window())
+            .computeIfAbsent(
+                (asked.sentAtMillis() - beginsMillis) / STEP_MILLIS, number -> new Window())
             .count(region);
       }
     }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/package-info.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/package-info.java
@@ -1,4 +1,4 @@
-/** The platform's rules, each judged by what callers, targets and the operator saw. */
+/** The platform's rules, each checked against what callers, targets and the operator observed. */
 @NullMarked
 package org.sageladder.scenario.rule;
 
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/CallerTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/CallerTroubles.java
@@ -4,7 +4,7 @@
 import java.util.Random;
 import org.sageladder.scenario.Fleet;
 
-/** What callers do in a day. */
+/** Troubles that callers cause. */
 final class CallerTroubles {
   private static final double BURST_RATE_FACTOR = 3;
   private static final long BURST_MILLIS = 4_000;
@@ -25,7 +25,7 @@
         BURST_MILLIS, () -> fleet.callers().forEach(callers -> callers.setRateFactor(1)));
   }
 
-  /** Callers leave before they have an answer. */
+  /** Some callers close their connection before they have received a response. */
   private static void disconnectEarly(Fleet fleet, Random random) {
     fleet
         .callers()
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/EntryTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/EntryTroubles.java
@@ -5,11 +5,11 @@
 import org.sageladder.scenario.Fleet;
 import org.sageladder.scenario.FleetEntry;
 
-/** What happens to entry VMs. */
+/** Troubles of entry VMs. */
 final class EntryTroubles {
   private static final long POWER_LOSS_MILLIS = 1_200;
 
-  /** A planned stop's grace time, and a while for the start that follows. */
+  /** The grace time of a planned stop, plus time for the following start. */
   private static final long STOP_MILLIS = 7_000;
 
   private EntryTroubles() {}
@@ -43,18 +43,18 @@
     entry.suspend(millis);
   }
 
-  /** All are stopped as planned and started again, one after the other. */
+  /** A rolling restart: each entry VM in turn is stopped gracefully and restarted. */
   private static void restartAll(Fleet fleet, Random random) {
-    long gap = Troubles.randomMillis(random, 2_000, 5_000);
-    long at = 0;
+    long gapMillis = Troubles.randomMillis(random, 2_000, 5_000);
+    long atMillis = 0;
     for (FleetEntry entry : fleet.entries()) {
       fleet.runAfter(
-          at,
+          atMillis,
           () -> {
             Troubles.recordPlanned(fleet, entry, STOP_MILLIS);
             entry.stopAndRestart();
           });
-      at += gap;
+      atMillis += gapMillis;
     }
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/NetworkTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/NetworkTroubles.java
@@ -8,7 +8,7 @@
 import org.sageladder.standin.network.SimulatedHost;
 import org.sageladder.standin.network.SimulatedNetwork.Partition;
 
-/** What happens to the network. */
+/** Troubles of the network. */
 final class NetworkTroubles {
   private static final int MIN_CUT_MILLIS = 2_000;
   private static final int MAX_CUT_MILLIS = 8_000;
@@ -40,7 +40,10 @@
             (from == entry.host() && to == store) || (from == store && to == entry.host()));
   }
 
-  /** A zone and all others cannot reach each other; its callers reach its entry VMs. */
+  /**
+   * Partitions a zone from all others in both directions; callers of the zone still reach its entry
+   * VMs.
+   */
   private static void cutZone(Fleet fleet, Random random) {
     String zone = Troubles.pickEntry(fleet, random).host().zone();
     long millis = Troubles.randomMillis(random, MIN_CUT_MILLIS, MAX_CUT_MILLIS);
@@ -48,7 +51,7 @@
     cut(fleet, millis, (from, to) -> from.zone().equals(zone) != to.zone().equals(zone));
   }
 
-  /** Nothing gets out of a zone; what is sent to it arrives. */
+  /** Drops everything sent out of a zone; what is sent into the zone still arrives. */
   private static void cutOutbound(Fleet fleet, Random random) {
     String zone = Troubles.pickEntry(fleet, random).host().zone();
     long millis = Troubles.randomMillis(random, MIN_CUT_MILLIS, MAX_CUT_MILLIS);
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/OperatorTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/OperatorTroubles.java
@@ -11,12 +11,12 @@
 import org.sageladder.standin.network.SimulatedNetwork.Partition;
 import org.sageladder.standin.platform.RequestProfile;
 
-/** What operators do in a day. */
+/** Troubles that operators cause by changing the configuration. */
 final class OperatorTroubles {
   private static final long EVACUATED_MILLIS = 8_000;
   private static final long EVACUATION_DELAY_MILLIS = 500;
 
-  /** Over in the pause between two tries of a kernel, the last of which comes 6 s later. */
+  /** Ends in the pause between two TCP retransmissions, the last of which comes 6 s later. */
   private static final long CUT_MILLIS = 6_600;
 
   private static final long MOVED_MILLIS = 5_000;
@@ -28,7 +28,7 @@
   private static final double ADDED_ROUTE_REQUESTS_PER_SECOND = 5;
   private static final int ADDED_ROUTE_OBJECT_COUNT = 24;
 
-  /** Requests beside those of a usual hour. */
+  /** Factor on the usual request rate while the route is added. */
   private static final double ADDED_ROUTE_RATE_FACTOR = 1.5;
 
   private OperatorTroubles() {}
@@ -41,7 +41,7 @@
     all.put("weights-changed", OperatorTroubles::changeWeights);
   }
 
-  /** A zone is emptied, and taken back with cold targets. */
+  /** Evacuates a zone, and later puts it back into service with cold targets. */
   private static void evacuateZone(Fleet fleet, Random random) {
     String zone = Troubles.pickEntry(fleet, random).host().zone();
     fleet.evacuate(zone);
@@ -49,7 +49,8 @@
   }
 
   /**
-   * Nothing gets into a zone any more, and it is emptied; after the cut it stays so for a while.
+   * Drops everything sent into a zone, and evacuates the zone meanwhile. The zone stays evacuated
+   * for a while after its links are back.
    */
   private static void evacuateUnreachableZone(Fleet fleet, Random random) {
     String zone = Troubles.pickEntry(fleet, random).host().zone();
@@ -66,30 +67,29 @@
     fleet.runAfter(EVACUATION_DELAY_MILLIS + 2 * EVACUATED_MILLIS, () -> fleet.endEvacuation(zone));
   }
 
-  /** A route goes to another service, and soon after back. */
+  /** Moves a route to another service, and soon after back. */
   private static void moveRoute(Fleet fleet, Random random) {
-    Map<String, RouteRule> before =
+    Map<String, RouteRule> original =
         fleet.routes().stream().collect(Collectors.toMap(RouteRule::name, route -> route));
     fleet.writeConfiguration(fleet.routes().stream().map(OperatorTroubles::withBidMoved).toList());
-    // Routes that were added meanwhile stay.
+    // Routes that were added in the meantime are kept.
     fleet.runAfter(
         MOVED_MILLIS,
         () ->
             fleet.writeConfiguration(
                 fleet.routes().stream()
-                    .map(route -> before.getOrDefault(route.name(), route))
+                    .map(route -> original.getOrDefault(route.name(), route))
                     .toList()));
   }
 
-  /** Half of a route's requests go to another service from now on. */
+  /** Sends half of a route's requests to another service from now on. */
   private static void changeWeights(Fleet fleet, Random random) {
     fleet.writeConfiguration(fleet.routes().stream().map(OperatorTroubles::withBidSplit).toList());
   }
 
   /**
-   * A route is added for short requests to the service that has most to do, under more load than
-   * usual: its callers have little time, and the goal that the operator wrote is far above what a
-   * run takes.
+   * Adds a route for short requests to the busiest service while the load is higher than usual. Its
+   * callers have a short deadline, and its latency goal is far above the actual run time.
    */
   private static void addRoute(Fleet fleet, Random random) {
     RequestProfile busiest =
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/StoreTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/StoreTroubles.java
@@ -9,7 +9,7 @@
 import org.sageladder.standin.platform.StoreFaultMode;
 import org.sageladder.standin.platform.StoreModel;
 
-/** What happens to the platform's store. */
+/** Troubles of the platform's store. */
 final class StoreTroubles {
   private static final int MIN_TROUBLE_MILLIS = 2_000;
   private static final int MAX_TROUBLE_MILLIS = 10_000;
@@ -20,7 +20,9 @@
   private static final String FOREIGN_ENTRY_PREFIX =
       "{\"service\":\"search\",\"address\":\"10.5.0.1:9000\",\"zone\":\"north-a\",";
 
-  /** A state that nobody knows, no slots, no zone, no JSON, an address without a port. */
+  /**
+   * Entries with an unknown state, no slots, an invalid zone, no JSON, an address without a port.
+   */
   private static final List<String> FOREIGN_ENTRIES =
       List.of(
           FOREIGN_ENTRY_PREFIX
@@ -88,15 +90,18 @@
     inject(fleet, random, kind, affectedIps::contains);
   }
 
-  /** Another writer's entries lie among the targets', and one overwrites a target's for a while. */
+  /**
+   * Writes malformed entries next to those of the targets, and overwrites the entry of one target
+   * for a while.
+   */
   private static void writeForeignEntries(Fleet fleet, Random random) {
     for (int i = 0; i < FOREIGN_ENTRIES.size(); i++) {
       String text = FOREIGN_ENTRIES.get((i + random.nextInt(2)) % FOREIGN_ENTRIES.size());
       put(fleet, "servers/other-" + i, PlatformTexts.base64(text));
     }
     String key = "servers/" + fleet.runningTargets().get(0).process().facts().id();
-    StoreModel.Item before = fleet.store().find(key);
-    String value = before == null ? null : before.value();
+    StoreModel.Item original = fleet.store().find(key);
+    String value = original == null ? null : original.value();
     if (value != null) {
       put(fleet, key, "bytes that are no base64");
       fleet.runAfter(OVERWRITTEN_MILLIS, () -> put(fleet, key, value));
@@ -107,7 +112,10 @@
     var unused = fleet.store().put(key, value, 0);
   }
 
-  /** Watches hear nothing while a target leaves; then the history is gone and they are cut. */
+  /**
+   * Watches receive no changes while a target leaves; then the store loses its history and closes
+   * them.
+   */
   private static void loseHistory(Fleet fleet, Random random) {
     Troubles.recordAtAll(fleet, WATCH_SILENCE_MILLIS);
     fleet.store().stallWatches();
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/TargetTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/TargetTroubles.java
@@ -13,7 +13,7 @@
 import org.sageladder.standin.network.SimulatedNetwork.Partition;
 import org.sageladder.standin.platform.TargetStandIn.Fault;
 
-/** What happens to targets. */
+/** Troubles of targets. */
 final class TargetTroubles {
   private static final double CRASH_FRACTION = 0.1;
   private static final double SLOW_FRACTION = 0.15;
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Targets are cut off, crash meanwhile, and are back under their ids as the cut heals. */
+  /** Cuts off targets, which crash meanwhile and restart with the same ids before the cut ends. */
   private static void restartBehindCut(Fleet fleet, Random random) {
     List<FleetTarget> affected = pick(fleet, random, CRASH_FRACTION);
     Set<SimulatedHost> hosts = affected.stream().map(FleetTarget::host).collect(Collectors.toSet());
@@ -80,29 +80,29 @@
     pick(fleet, random, COLD_FRACTION).forEach(target -> target.process().becomeCold());
   }
 
-  /** Targets leave one after the other, each with a successor before. */
+  /** Replaces targets one after the other; each replacement is added before its target leaves. */
   private static void replaceTargets(Fleet fleet, Random random) {
-    long at = 0;
+    long atMillis = 0;
     for (FleetTarget target : pick(fleet, random, REPLACED_FRACTION)) {
       fleet.runAfter(
-          at,
+          atMillis,
           () -> {
             fleet.addColdTarget(target.service(), target.host().zone());
             target.leave(true);
           });
-      at += REPLACEMENT_GAP_MILLIS;
+      atMillis += REPLACEMENT_GAP_MILLIS;
     }
   }
 
-  /** Targets leave; where {@code told} is false their entries are just removed. */
+  /** Targets leave; if {@code isAnnounced} is false, their entries are simply removed. */
   static void leave(Fleet fleet, Random random, int count, boolean isAnnounced) {
     List<FleetTarget> all = pick(fleet, random, 1);
     all.subList(0, Math.min(count, all.size())).forEach(target -> target.leave(isAnnounced));
   }
 
   private static void addTargets(Fleet fleet, Random random) {
-    for (FleetTarget beside : pick(fleet, random, ADDED_FRACTION)) {
-      fleet.addColdTarget(beside.service(), beside.host().zone());
+    for (FleetTarget neighbour : pick(fleet, random, ADDED_FRACTION)) {
+      fleet.addColdTarget(neighbour.service(), neighbour.host().zone());
     }
   }
 
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/Trouble.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/Trouble.java
@@ -3,9 +3,9 @@
 import java.util.Random;
 import org.sageladder.scenario.Fleet;
 
-/** One thing that can be done to a fleet. */
+/** A disturbance of a fleet, such as a fault, a change by an operator or a traffic surge. */
 @FunctionalInterface
 public interface Trouble {
-  /** Does it now; whom it hits and for how long follows from {@code random}. */
+  /** Injects it now; {@code random} determines what it affects and for how long. */
   void inject(Fleet fleet, Random random);
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/Troubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/Troubles.java
@@ -11,11 +11,11 @@
 import org.sageladder.scenario.FleetEntry;
 import org.sageladder.scenario.SimulatedDay;
 
-/** All troubles by name, and what they share. */
+/** The registry of all troubles by name, and helpers for implementing them. */
 public final class Troubles {
   private Troubles() {}
 
-  /** All troubles, in an order that stays, so that seeds go on drawing the same ones. */
+  /** All troubles, in a fixed order, so that a seed always chooses the same ones. */
   public static Map<String, Trouble> all() {
     Map<String, Trouble> all = new LinkedHashMap<>();
     EntryTroubles.addTo(all);
@@ -27,14 +27,14 @@
     return all;
   }
 
-  /** Troubles of workspaces, by name; seeds draw them on no deployment. */
+  /** Troubles of workspaces by name; these are never chosen at random. */
   public static Map<String, Trouble> workspaceTroubles() {
     Map<String, Trouble> all = new LinkedHashMap<>();
     WorkspaceTroubles.addTo(all);
     return all;
   }
 
-  /** The trouble of that name, or null. */
+  /** The trouble with that name, or null. */
   public static @Nullable Trouble find(String name) {
     Trouble known = all().get(name);
     return known == null ? workspaceTroubles().get(name) : known;
@@ -54,22 +54,22 @@
     return (long) minMillis + random.nextInt(maxMillis - minMillis);
   }
 
-  /** Notes unplanned trouble of one entry VM. */
+  /** Records unplanned trouble of one entry VM. */
   static void recordAt(Fleet fleet, FleetEntry entry, long millis) {
     record(fleet, entry.host().ip(), false, millis);
   }
 
-  /** Notes unplanned trouble that touches all entry VMs. */
+  /** Records unplanned trouble that affects all entry VMs. */
   static void recordAtAll(Fleet fleet, long millis) {
     record(fleet, SimulatedDay.ALL_ENTRY_VMS, false, millis);
   }
 
-  /** Notes unplanned trouble of the links to a zone. */
+  /** Records unplanned trouble of the network links to a zone. */
   static void recordLinksTo(Fleet fleet, String zone, long millis) {
     record(fleet, zone, false, millis);
   }
 
-  /** Notes planned work at one entry VM. */
+  /** Records planned work on one entry VM. */
   static void recordPlanned(Fleet fleet, FleetEntry entry, long millis) {
     record(fleet, entry.host().ip(), true, millis);
   }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/WorkspaceTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/WorkspaceTroubles.java
@@ -9,7 +9,7 @@
 import org.sageladder.scenario.Tenants.Tenant;
 import org.sageladder.standin.platform.Ledger.PlatformEvent;
 
-/** What becomes of workspaces in a day; nothing where a deployment has none. */
+/** Troubles of workspaces; they do nothing on a deployment without workspaces. */
 final class WorkspaceTroubles {
   private static final double SURGE_RATE_FACTOR = 8;
   private static final long SURGE_MILLIS = 8_000;
@@ -28,14 +28,14 @@
     return all.get(random.nextInt(all.size()));
   }
 
-  /** One workspace sends many times its usual requests, on top of all others'. */
+  /** One workspace sends many times its usual requests; the others send as many as before. */
   private static void surge(Fleet fleet, Random random) {
     if (fleet.tenants().all().isEmpty()) {
       return;
     }
     Tenant tenant = pick(fleet, random);
-    double sum = fleet.tenants().all().stream().mapToDouble(Tenant::weight).sum();
-    double rateFactor = 1 + (SURGE_RATE_FACTOR - 1) * tenant.weight() / sum;
+    double totalWeight = fleet.tenants().all().stream().mapToDouble(Tenant::weight).sum();
+    double rateFactor = 1 + (SURGE_RATE_FACTOR - 1) * tenant.weight() / totalWeight;
     fleet.tenants().scaleWeight(tenant.workspace().name(), SURGE_RATE_FACTOR);
     fleet.callers().forEach(callers -> callers.setRateFactor(rateFactor));
     fleet.runAfter(
@@ -46,7 +46,7 @@
         });
   }
 
-  /** A workspace's first key is taken away; requests that bear it are under way. */
+  /** Revokes the first key of a workspace while requests with this key are in flight. */
   private static void revokeKey(Fleet fleet, Random random) {
     if (fleet.tenants().all().isEmpty()) {
       return;
@@ -56,17 +56,17 @@
     fleet.day().ledger().recordEvent(PlatformEvent.Kind.KEY_TAKEN_AWAY, revoked, fleet.nowMillis());
   }
 
-  /** A workspace's quota is halved. */
+  /** Halves the quota of a workspace. */
   private static void lowerQuota(Fleet fleet, Random random) {
     if (fleet.tenants().all().isEmpty()) {
       return;
     }
     Workspace workspace = pick(fleet, random).workspace();
-    Quota lower =
+    Quota lowered =
         new Quota(
             LOWERED_QUOTA_FRACTION * workspace.quota().ratePerSecond(),
             LOWERED_QUOTA_FRACTION * workspace.quota().burst());
-    fleet.tenants().changeQuota(workspace.name(), lower);
+    fleet.tenants().changeQuota(workspace.name(), lowered);
     fleet.writeConfiguration(fleet.routes());
     fleet.tenants().all().forEach(each -> fleet.day().putWorkspace(each.workspace()));
     fleet
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/package-info.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/package-info.java
@@ -1,4 +1,7 @@
-/** What can be done to a fleet, by name; each notes in the day whom it touches and for how long. */
+/**
+ * The troubles that can be injected into a fleet, by name. Each records in the simulated day what
+ * it affects and for how long.
+ */
 @NullMarked
 package org.sageladder.scenario.trouble;
 
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/AddedRouteInLongQueuesTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/AddedRouteInLongQueuesTest.java
@@ -7,12 +7,13 @@
 import org.sageladder.scenario.Fleet.LogSource;
 
 /**
- * A route is added to an archive that has 2.4 times its usual load; its callers have a second.
+ * Adds a route, whose callers have a deadline of one second, to an archive at 2.4 times its usual
+ * load.
  *
- * <p>Each of the 22 targets has ten requests waiting, which run first come, first served: the first
- * routes' requests take 2.1 and 2.7 s on average, none less than 0.98 s. They have 4 s and more and
- * are served; those of the new route cannot be, wherever they go. Long queues serve only those who
- * can wait long.
+ * <p>Each of the 22 targets has ten queued requests, which run in order of arrival. Requests on the
+ * initial routes take 2.1 and 2.7 s on average, and at least 0.98 s; they are served because their
+ * deadlines are 4 s and more. Requests on the new route cannot be served by any target within their
+ * deadline, since queues of this length serve only requests with long deadlines.
  */
 class AddedRouteInLongQueuesTest {
   private static final double RATE_FACTOR = 1.6;
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/AddedRouteUnderLoadTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/AddedRouteUnderLoadTest.java
@@ -5,11 +5,13 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * A route is added in a busy hour of the Guild; its callers have a second and its runs take 5 ms.
+ * Guards against refusing nearly all requests of a route that is added under load. Its callers have
+ * a deadline of one second and its runs take 5 ms.
  *
- * <p>Of 166 requests on it 24 were served, of 9,452 on the first routes 7,538: each entry VM
- * refused it at once, since it took the queues for as long as if they held requests with the
- * guessed run of the new route. Nothing was sent, so the guess stayed.
+ * <p>Only 24 of 166 requests on the new route were served, against 7,538 of 9,452 on the initial
+ * routes. Each entry VM estimated the queueing time as if the queues were filled with requests that
+ * take the initial run-time estimate of the new route, and refused. As nothing was sent, the
+ * estimate was never corrected.
  */
 class AddedRouteUnderLoadTest {
   private static final int SEED_COUNT = 3;
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/EvacuationBehindCutTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/EvacuationBehindCutTest.java
@@ -5,12 +5,13 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Nothing gets into a zone any more, and the operator empties it half a second later.
+ * Guards against abandoned requests that still arrive in an evacuated zone. A network cut blocks
+ * everything sent into the zone, and the operator evacuates it half a second later.
  *
- * <p>Requests that were sent there meanwhile were withdrawn after three seconds and ran elsewhere.
- * Twelve seconds after they were sent, long after the links are back, they arrived in the emptied
- * zone and were run: the kernels of the entry VMs had gone on sending what an ordinary close left
- * with them.
+ * <p>Requests sent to the zone meanwhile were abandoned after three seconds and ran in another
+ * zone. Twelve seconds after they were sent, long after the cut had ended, they arrived in the
+ * evacuated zone and ran there: after an ordinary close, the kernels of the entry VMs went on
+ * retransmitting the buffered data.
  */
 class EvacuationBehindCutTest {
   private static final int SEED_COUNT = 3;
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/HostileFramingProperties.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/HostileFramingProperties.java
@@ -28,7 +28,8 @@
 import org.sageladder.standin.network.SimulatedHost;
 
 /**
- * What callers may write on a connection, byte by byte: 600 inputs a run, the same ones each time.
+ * Property tests of the bytes that a hostile caller may write on a connection: 600 inputs per run,
+ * generated from a fixed seed.
  */
 class HostileFramingProperties {
   private static final int RUNS_PER_PROPERTY = 200;
@@ -45,7 +46,7 @@
     fleet.runFor(5_000);
   }
 
-  /** A caller's end that keeps what came. */
+  /** Channel handler at the caller that collects the received bytes as text. */
   private static final class ReceivedText extends ChannelInboundHandlerAdapter {
     final StringBuilder text = new StringBuilder();
 
@@ -77,13 +78,13 @@
         + "\r\nCookie: Affinity-Key=o1\r\nRequest-Deadline: 2000\r\n\r\n";
   }
 
-  /** Writes {@code text} in pieces that end at {@code cuts}, and returns what came back. */
+  /** Writes {@code text} in pieces that end at {@code cuts}, and returns the bytes received. */
   private ReceivedText write(String text, Iterable<Integer> cuts) {
     ReceivedText received = new ReceivedText();
     FleetEntry entry = fleet.entries().get(0);
     ChannelFuture opened = loop.connect(entry.host().ip(), entry.callersPort(), 1_000, received);
     fleet.runFor(100);
-    assertTrue(opened.isSuccess(), "the port is open");
+    assertTrue(opened.isSuccess(), "the port is not open");
     Channel channel = opened.channel();
     int from = 0;
     for (int cut : cuts) {
@@ -111,43 +112,44 @@
 
   private void assertNextRequestIsServed() {
     String id = nextId();
-    ReceivedText heard = write(get(id), List.of());
-    assertTrue(heard.text.toString().startsWith("HTTP/1.1 200"), heard.text.toString());
+    ReceivedText received = write(get(id), List.of());
+    assertTrue(received.text.toString().startsWith("HTTP/1.1 200"), received.text.toString());
     assertEquals(1, runs(id));
   }
 
-  /** Bytes come as the network likes: a request in seven packets is the same request. */
+  /** The division of the bytes into packets must not change how requests are parsed. */
   @Property(tries = RUNS_PER_PROPERTY, seed = "4711")
   void requestMayArriveInAnyPieces(@ForAll("cuts") SortedSet<Integer> cuts) {
     String first = nextId();
     String second = nextId();
-    ReceivedText heard = write(get(first) + get(second), cuts);
-    assertEquals(2, heard.responseCount(), heard.text.toString());
-    assertTrue(heard.text.indexOf(first) < heard.text.indexOf(second), "answers in their order");
+    ReceivedText received = write(get(first) + get(second), cuts);
+    assertEquals(2, received.responseCount(), received.text.toString());
+    assertTrue(
+        received.text.indexOf(first) < received.text.indexOf(second), "responses out of order");
     assertEquals(1, runs(first));
     assertEquals(1, runs(second));
   }
 
   /**
-   * One byte of a head is lost, doubled or changed on its way: the caller gets one answer or none,
-   * at most one request runs, and the next caller is served.
+   * One byte of a request head is removed, inserted or replaced: the caller receives at most one
+   * response, at most one request reaches a target, and the next caller is served.
    */
   @Property(tries = RUNS_PER_PROPERTY, seed = "4711")
   void malformedHeadRunsAtMostOnceAndAffectsNoOtherCaller(@ForAll("mutations") Mutation mutation) {
     String id = nextId();
     int before = fleet.day().ledger().arrivals().size();
-    ReceivedText heard = write(mutation.of(get(id)), List.of());
+    ReceivedText received = write(mutation.of(get(id)), List.of());
     assertTrue(fleet.day().ledger().arrivals().size() <= before + 1);
-    assertTrue(heard.responseCount() <= 1, heard.text.toString());
-    if (heard.text.length() > 0) {
-      assertTrue(heard.text.toString().startsWith("HTTP/1.1 "), heard.text.toString());
+    assertTrue(received.responseCount() <= 1, received.text.toString());
+    if (received.text.length() > 0) {
+      assertTrue(received.text.toString().startsWith("HTTP/1.1 "), received.text.toString());
     }
     assertNextRequestIsServed();
   }
 
   /**
-   * A second request hides in a body whose length two readers may take differently: it must not run
-   * at any target, whatever becomes of the first.
+   * A second request is hidden in a body whose length different parsers may interpret differently:
+   * it must not run at any target, whatever the result of the first request.
    */
   @Property(tries = RUNS_PER_PROPERTY, seed = "4711")
   void noRequestIsSmuggledInBody(@ForAll("framings") String framing) {
@@ -170,8 +172,8 @@
   }
 
   /**
-   * True where all readers agree that the body ends before the second request, which then is one of
-   * the caller's own behind the first.
+   * Returns true if all parsers agree that the body ends before the second request, which is then
+   * an ordinary pipelined request.
    */
   private static boolean isPlain(String framing) {
     Set<String> lengths =
@@ -184,7 +186,7 @@
         || lengths.equals(Set.of("transfer-encoding: chunked"));
   }
 
-  /** How a head is spoilt. */
+  /** A change of one byte of a request head. */
   record Mutation(int kind, int at, char with) {
     String of(String text) {
       int place = at % text.length();
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/ScenarioTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/ScenarioTest.java
@@ -13,9 +13,9 @@
 import org.sageladder.scenario.Scenario.Outcome;
 import org.sageladder.scenario.trouble.Troubles;
 
-/** Days of a whole deployment with troubles; no rule of the platform may break. */
+/** Simulated days of a whole deployment with troubles; no rule of the platform may be violated. */
 class ScenarioTest {
-  /** Days drawn from seeds; more of them are played by hand with the command. */
+  /** Number of random scenarios; run {@code sageladder-days} manually for more. */
   private static final int SEED_COUNT = 30;
 
   private static Outcome run(Scenario scenario) {
@@ -48,16 +48,17 @@
         .toList();
   }
 
-  /** Without troubles everybody is served, and most in time once objects are remembered. */
+  /** Without troubles all requests succeed, most of them in time once objects are cached. */
   @Test
   void allRequestsSucceedWithoutTroubles() {
     Outcome outcome = run(Scenario.withoutTroubles(3));
     assertEquals(List.of(), outcome.violations());
     assertEquals(1, outcome.day().successFraction(0));
-    assertTrue(outcome.day().creditFraction() > 0.85, "worth " + outcome.day().creditFraction());
+    assertTrue(
+        outcome.day().creditFraction() > 0.85, "credit fraction " + outcome.day().creditFraction());
   }
 
-  /** The Guild's deployment has little room near Cairo: its requests move, and no rule breaks. */
+  /** The Guild's deployment has few slots near Cairo, so requests move to other regions. */
   @TestFactory
   Collection<DynamicTest> bookingsWithTroubles() {
     return java.util.stream.Stream.of("targets-start-again", "entries-of-others", "zone-emptied")
@@ -74,20 +75,21 @@
   }
 
   /**
-   * A day moved a route, added another, and took the first one back with all routes of before: the
-   * added one was gone while its callers went on, and the system seemed to serve none of them.
+   * Guards against a trouble that reverts the work of another. A scenario moved one route, added
+   * another, and moved the first one back by restoring all former routes. This removed the added
+   * route while its callers went on, so that none of their requests seemed to be served.
    */
   @Test
   void addedRouteStaysWhenAnotherMovesBack() {
-    List<Scenario.ScheduledTrouble> strikes =
+    List<Scenario.ScheduledTrouble> troubles =
         List.of(
             new Scenario.ScheduledTrouble(5_000, "route-moved"),
             new Scenario.ScheduledTrouble(6_000, "route-added"),
             new Scenario.ScheduledTrouble(7_000, "route-added"));
-    assertEquals(List.of(), run(new Scenario(1, strikes)).violations());
+    assertEquals(List.of(), run(new Scenario(1, troubles)).violations());
   }
 
-  /** A seed is worth keeping only if it plays the same day each time, on any machine. */
+  /** A seed must reproduce the same day each time and on any machine. */
   @Test
   void sameSeedReproducesTheSameDay() {
     Outcome first = run(Scenario.random(12));
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/SeededTroubles.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/SeededTroubles.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.sageladder.scenario.Fleet.LogSource;
 
-/** Days with one trouble, on which no rule may break. */
+/** Creates tests of days with a single trouble, on which no rule may be violated. */
 final class SeededTroubles {
   private SeededTroubles() {}
 
-  /** The days of seeds 1 to {@code seeds}, a test each. */
+  /** One test for each seed from 1 to {@code seeds}. */
   static Collection<DynamicTest> testsForSeeds(String trouble, Deployment deployment, int seeds) {
     return LongStream.rangeClosed(1, seeds)
         .mapToObj(
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/ShiftAtTheStartTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/ShiftAtTheStartTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.sageladder.scenario.Fleet.LogSource;
 
-/** Guards against a crowded region's requests moving at once in the first seconds of traffic. */
+/** Guards against an overloaded region shifting its traffic abruptly when traffic starts. */
 class ShiftAtTheStartTest {
   private static final long TRAFFIC_MILLIS = 8_000;
 
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/StoreReaderTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/StoreReaderTest.java
@@ -15,7 +15,7 @@
 import org.sageladder.scenario.Fleet.LogSource;
 import org.sageladder.scenario.trouble.Troubles;
 
-/** Zones in which one VM reads the store for the others: every rule holds, with far fewer calls. */
+/** Days on which one VM per zone reads the store for the others, which saves most store calls. */
 class StoreReaderTest {
   private static final int VM_COUNT = 24;
   private static final int ZONE_COUNT = 6;
@@ -37,7 +37,7 @@
         .toList();
   }
 
-  /** Guards against followers of a reader that has read all anew, and passes none of it on. */
+  /** Guards against a reader that reloads everything from the store but does not propagate it. */
   @Test
   void changeInLostHistoryIsInForceAtAllVms() {
     Map<String, Long> inForce = new HashMap<>();
@@ -65,7 +65,7 @@
     assertEquals(List.of(), outcome.violations(), scenario.toString());
   }
 
-  /** Guards against calls that grow with the VMs of a zone. */
+  /** Guards against a number of store calls that grows with the number of VMs in a zone. */
   @Test
   void onlyReadersWatchTheStore() {
     Fleet fleet = Fleet.start(Deployment.relayed(), 1, LogSource.none());
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/WeightsAtTheStartTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/WeightsAtTheStartTest.java
@@ -8,7 +8,10 @@
 import org.sageladder.scenario.Fleet.LogSource;
 import org.sageladder.scenario.Scenario.ScheduledTrouble;
 
-/** Guards against a crowded region's requests moving at once while weights change at the start. */
+/**
+ * Guards against an overloaded region shifting its traffic abruptly when weights change just after
+ * traffic starts.
+ */
 class WeightsAtTheStartTest {
   private static final long TRAFFIC_MILLIS = 8_000;
   private static final long CHANGED_AT_MILLIS = 400;
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/WorkspaceTroublesTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/WorkspaceTroublesTest.java
@@ -13,7 +13,10 @@
 import org.sageladder.scenario.Scenario.ScheduledTrouble;
 import org.sageladder.scenario.trouble.Troubles;
 
-/** Days with workspaces: keys stay here and are taken away in time, quotas hold, nobody starves. */
+/**
+ * Days with workspaces: keys are not forwarded and are revoked in time, quotas hold, and no
+ * workspace is starved.
+ */
 class WorkspaceTroublesTest {
   private static void assertRulesHold(Scenario scenario) {
     Scenario.Outcome outcome = scenario.run(Deployment.workspaces(), LogSource.none());
@@ -28,7 +31,7 @@
         .toList();
   }
 
-  /** Each trouble of the system in the middle of one workspace's surge. */
+  /** Each trouble of the system while one workspace sends a surge of requests. */
   @TestFactory
   Collection<DynamicTest> troublesDuringASurge() {
     return Troubles.all().keySet().stream()
@@ -46,13 +49,14 @@
         .toList();
   }
 
-  /** Guards against quotas that refuse what lies within them. */
+  /** Guards against quotas that refuse requests within the quota. */
   @Test
   void usualRequestsOfAllWorkspacesAreServed() {
     Scenario.Outcome outcome =
         Scenario.withoutTroubles(1).run(Deployment.workspaces(), LogSource.none());
     assertEquals(List.of(), outcome.violations());
     assertTrue(
-        outcome.day().successFraction(0) > 0.98, "served " + outcome.day().successFraction(0));
+        outcome.day().successFraction(0) > 0.98,
+        "success fraction " + outcome.day().successFraction(0));
   }
 }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/KeyRulesTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/KeyRulesTest.java
@@ -14,7 +14,7 @@
 import org.sageladder.scenario.SimulatedDay;
 import org.sageladder.standin.platform.Ledger;
 
-/** For each rule on keys and quotas, a day that keeps it and one that breaks it. */
+/** Checks each rule on keys and quotas against records that keep it and that violate it. */
 class KeyRulesTest {
   private static final RouteRule ROUTE =
       new RouteRule(
@@ -43,8 +43,8 @@
     ledger.recordDelivery(new Ledger.Delivery(id, workspace, keyShown, Ledger.Fate.TAKEN, at));
   }
 
-  private static void assertViolated(List<String> broken) {
-    assertFalse(broken.isEmpty());
+  private static void assertViolated(List<String> violations) {
+    assertFalse(violations.isEmpty());
   }
 
   @Test
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/RulesTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/RulesTest.java
@@ -19,7 +19,7 @@
 import org.sageladder.standin.platform.Ledger.PlatformEvent;
 import org.sageladder.standin.platform.RequestProfile;
 
-/** Each rule finds a day that breaks it: a check that cannot fail would prove nothing. */
+/** Checks that each rule reports a day that violates it; otherwise the rule would be useless. */
 class RulesTest {
   private static final String VM = "10.1.0.1";
   private static final long BASE_MILLIS = 100_000;
@@ -78,7 +78,7 @@
   }
 
   private void assertViolated(String name) {
-    assertFalse(violations(name).isEmpty(), name + " should be broken");
+    assertFalse(violations(name).isEmpty(), name + " should be violated");
   }
 
   private void assertNotViolated(String name) {
@@ -145,7 +145,7 @@
     assertNotViolated("LOST");
   }
 
-  /** A run longer than the grace time cannot be waited for; a shorter one must be. */
+  /** A planned stop must wait for runs that end within the grace time, but not for longer ones. */
   @Test
   void lostInPlannedStopThatTheRunOutlasts() {
     recordSent("q", true, 1_000);
@@ -237,7 +237,9 @@
     assertViolated("GONE");
   }
 
-  /** A fifth of a region's requests run elsewhere from one span of two seconds to the next. */
+  /**
+   * A fifth of a region's requests move to another region from one two-second window to the next.
+   */
   @Test
   void shiftedTooFast() {
     sendToRegions(0, 400, 0);
