--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Command.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Command.java
@@ -6,9 +6,9 @@
 /**
  * One command of {@code sageladderctl}.
  *
- * @param operands what follows the command, as help shows it
- * @param minOperands fewest operands it takes
- * @param maxOperands most operands it takes
+ * @param operands synopsis of the operands, as shown by help
+ * @param minOperands minimum number of operands
+ * @param maxOperands maximum number of operands
  */
 record Command(
     String name,
@@ -20,7 +20,7 @@
     Options options,
     Body body) {
 
-  /** Heading that help lists a command under. */
+  /** Heading under which help lists a command. */
   enum Group {
     CONTRACTS("Contracts"),
     SYSTEM("The running system");
@@ -36,10 +36,10 @@
     }
   }
 
-  /** What a command does. */
+  /** The implementation of a command. */
   @FunctionalInterface
   interface Body {
-    /** Runs the command; mistakes of the operator are thrown as {@link CtlException}. */
+    /** Runs the command; usage errors and failures are thrown as {@link CtlException}. */
     ExitCode run(Invocation invocation) throws CtlException;
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/ContractCommands.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/ContractCommands.java
@@ -84,11 +84,12 @@
   }
 
   /**
-   * Tells whether a change whose answer was lost took effect.
+   * Reports whether a change whose answer was lost took effect.
    *
-   * <p>Guards against trying again on a guess. A change that is not found can still take effect
-   * while its base revision stands, since the store may carry a write out late; once another
-   * revision stands, compare-and-swap refuses it for good, and the answer given here is final.
+   * <p>Without this, an operator would have to guess whether to retry. A change that is not found
+   * can still take effect while its base revision is current, since the store may execute a write
+   * late. Once the revision differs, compare-and-swap rejects the change permanently, and the
+   * result reported here is final.
    */
   private static ExitCode resolveChange(
       StoredContract stored, String changeId, Invocation invocation) {
@@ -107,8 +108,8 @@
                 + stored.history().size()
                 + " changes; revision "
                 + stored.contract().revision()
-                + " stands. Applying the file again with the same --base is safe: at most one copy"
-                + " takes effect");
+                + " is current. Applying the file again with the same --base is safe: at"
+                + " most one copy takes effect");
     return ExitCode.NOT_FOUND;
   }
 
@@ -123,9 +124,10 @@
   }
 
   /**
-   * The revision that the operator's change starts from. Where a contract stands already it must be
-   * stated: reading it here would make every change start from the latest one, and an edit of an
-   * older copy would silently undo what another operator changed since.
+   * Returns the revision that the change is based on. If the store already has a contract, the
+   * operator must give it: if it were read here, every change would be based on the latest
+   * revision, and an edit of an older copy would silently revert what another operator has changed
+   * since.
    */
   private static long baseRevision(Invocation invocation, ContractWriter writer, String customer)
       throws CtlException {
@@ -148,11 +150,11 @@
           ExitCode.USAGE,
           "a contract of "
               + customer
-              + " stands at revision "
+              + " is stored at revision "
               + revision
               + " (by "
               + current.author()
-              + "); look at 'sageladderctl diff FILE', then give --base "
+              + "); check 'sageladderctl diff FILE', then give --base "
               + revision);
     }
     return revision;
@@ -168,7 +170,7 @@
       return ExitCode.OK;
     }
     if (result instanceof ApplyResult.Unchanged unchanged) {
-      out.println(customer + ": no change, revision " + unchanged.revision() + " is alike");
+      out.println(customer + ": no change, revision " + unchanged.revision() + " is identical");
       return ExitCode.OK;
     }
     if (result instanceof ApplyResult.Rejected rejected) {
@@ -186,11 +188,11 @@
               + unknown.reason()
               + "); change "
               + unknown.changeId()
-              + " may or may not stand: ask 'sageladderctl history "
+              + " may or may not have taken effect: run 'sageladderctl history "
               + customer
               + " --change "
               + unknown.changeId()
-              + "' before trying again");
+              + "' before retrying");
       return ExitCode.OUTCOME_UNKNOWN;
     }
     err.println(customer + ": nothing was written: " + ((ApplyResult.Unavailable) result).reason());
@@ -201,7 +203,7 @@
       ApplyResult.Conflict conflict, String customer, PrintStream err) {
     StoredContract current = conflict.current();
     if (current == null) {
-      err.println(customer + ": nothing was written: no contract stands; give --base 0");
+      err.println(customer + ": nothing was written: no contract is stored; give --base 0");
       return;
     }
     err.println(
@@ -210,15 +212,17 @@
             + current.author()
             + "'s change came first, at revision "
             + current.contract().revision());
-    err.println("your file differs from what stands (there -> yours):");
+    err.println("your file differs from the stored contract (stored -> yours):");
     for (Difference difference : conflict.differences()) {
       String mark = conflict.conflictingKeys().contains(difference.key()) ? "! " : "  ";
       err.println("  " + mark + difference);
     }
     if (!conflict.conflictingKeys().isEmpty()) {
-      err.println("lines with ! were changed by both");
+      err.println("lines marked ! were changed in both");
     }
-    err.println("to write yours all the same, give --base " + current.contract().revision());
+    err.println(
+        "to overwrite the stored contract with your file, give --base "
+            + current.contract().revision());
   }
 
   private static StoredContract readRequired(Invocation invocation, String customer)
@@ -228,7 +232,7 @@
           read(ContractWriter.of(store, TimeSource.system(), "reader"), customer);
       if (stored == null) {
         throw new CtlException(
-            ExitCode.NOT_FOUND, "the store has no contract of '" + customer + "'");
+            ExitCode.NOT_FOUND, "the store has no contract of customer '" + customer + "'");
       }
       return stored;
     }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Ctl.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Ctl.java
@@ -13,7 +13,7 @@
 import org.sageladder.platform.settings.Suggestion;
 
 /**
- * {@code sageladderctl}: what operators do with contracts and entry VMs.
+ * {@code sageladderctl}: manages contracts and inspects entry VMs.
  *
  * <pre>{@code
  * ExitCode code = Ctl.run(new String[] {"check", "kannelkoda.yaml"}, System.out, System.err);
@@ -24,13 +24,14 @@
 
   private Ctl() {}
 
-  /** Runs one command and ends the process with its exit code. */
+  /** Runs one command and exits the process with its exit code. */
   public static void main(String[] args) {
     System.exit(run(args, System.out, System.err).status());
   }
 
   /**
-   * As {@link #main}, without ending the process; results go to {@code out}, faults to {@code err}.
+   * Does the same as {@link #main}, without exiting the process; results go to {@code out}, errors
+   * to {@code err}.
    */
   public static ExitCode run(String[] args, PrintStream out, PrintStream err) {
     if (args.length == 0 || args[0].equals("--help") || args[0].equals("help")) {
@@ -76,7 +77,7 @@
       err.println(NAME + " " + command.name() + ": " + e.getMessage());
       return e.exitCode();
     } catch (IllegalStateException e) {
-      err.println(NAME + " " + command.name() + ": internal fault: " + e.getMessage());
+      err.println(NAME + " " + command.name() + ": internal error: " + e.getMessage());
       return ExitCode.INTERNAL;
     }
   }
@@ -89,7 +90,7 @@
               "FILE...",
               1,
               Integer.MAX_VALUE,
-              "check contract files, without the store",
+              "validate contract files, without the store",
               options(),
               ContractCommands::check),
           new Command(
@@ -98,7 +99,7 @@
               "FILE",
               1,
               1,
-              "what a file would change of the contract in force; exit 1 where it would",
+              "show what a file would change in the contract in force; exit 1 if anything",
               storeOptions(),
               ContractCommands::diff),
           new Command(
@@ -107,14 +108,14 @@
               "FILE",
               1,
               1,
-              "have a contract accepted by compare-and-swap",
+              "apply a contract by compare-and-swap",
               storeOptions()
                   .addOption(
                       option(
                           ContractCommands.BASE,
                           "REVISION",
-                          "revision that the change starts from, or 'latest'"))
-                  .addOption(option(Invocation.AUTHOR, "NAME", "who makes the change")),
+                          "revision that the change is based on, or 'latest'"))
+                  .addOption(option(Invocation.AUTHOR, "NAME", "author of the change")),
               ContractCommands::apply),
           new Command(
               "show",
@@ -131,13 +132,13 @@
               "CUSTOMER",
               1,
               1,
-              "who changed what, newest first",
+              "list who changed what, newest first",
               storeOptions()
                   .addOption(
                       option(
                           ContractCommands.CHANGE,
                           "ID",
-                          "tell whether this change, whose answer was lost, was accepted")),
+                          "show whether this change, whose answer was lost, was accepted")),
               ContractCommands::history),
           new Command(
               "status",
@@ -145,7 +146,8 @@
               "",
               0,
               0,
-              "revisions by entry VM and zone, views and gates; exit 1 where one is behind or silent",
+              "show revisions by entry VM and zone, views and gates; exit 1 if any lags or"
+                  + " is silent",
               storeOptions()
                   .addOption(operators())
                   .addOption(
@@ -153,7 +155,11 @@
                           StatusCommand.WAIT,
                           "REVISION",
                           "wait until this revision, or 'latest', is in force in every zone"))
-                  .addOption(option(StatusCommand.WITHIN, "DURATION", "longest such wait; 10s")),
+                  .addOption(
+                      option(
+                          StatusCommand.WITHIN,
+                          "DURATION",
+                          "maximum time of this wait; default 10s")),
               StatusCommand::run),
           new Command(
               "drain",
@@ -161,10 +167,11 @@
               "",
               0,
               0,
-              "begin planned stops of entry VMs, one by one, and wait for each to end",
+              "drain and stop entry VMs, one by one, and wait for each to end",
               options()
                   .addOption(operators())
-                  .addOption(option(SystemCommands.WAIT, "DURATION", "longest wait for each; 2m")),
+                  .addOption(
+                      option(SystemCommands.WAIT, "DURATION", "maximum wait for each; default 2m")),
               SystemCommands::drain),
           new Command(
               "explain",
@@ -172,11 +179,11 @@
               "[REQUEST]",
               0,
               1,
-              "why a request or look-up went where it did",
+              "explain how a request or look-up was routed",
               options()
                   .addOption(operators())
-                  .addOption(option(SystemCommands.CONTRACT, "CUSTOMER", "of a look-up"))
-                  .addOption(option(SystemCommands.SERVICE, "NAME", "of a look-up"))
+                  .addOption(option(SystemCommands.CONTRACT, "CUSTOMER", "customer of a look-up"))
+                  .addOption(option(SystemCommands.SERVICE, "NAME", "service of a look-up"))
                   .addOption(option(SystemCommands.BLOCK, "N", "client block of a look-up")),
               SystemCommands::explain),
           new Command(
@@ -185,14 +192,15 @@
               "REQUEST FILE...",
               2,
               Integer.MAX_VALUE,
-              "what decided a request, out of entry VMs' log files",
+              "show what determined a request's result, from entry VMs' log files",
               options(),
               TraceCommand::run));
 
   private static Options options() {
     return new Options()
-        .addOption(option(Invocation.TIMEOUT, "DURATION", "longest wait for one answer; 5s"))
-        .addOption(Option.builder().longOpt("help").desc("show this").get());
+        .addOption(
+            option(Invocation.TIMEOUT, "DURATION", "maximum wait for one answer; default 5s"))
+        .addOption(Option.builder().longOpt("help").desc("show this help").get());
   }
 
   private static Options storeOptions() {
@@ -201,7 +209,7 @@
             option(
                 Invocation.STORE,
                 "URI",
-                "the platform's key-value service; else from "
+                "the platform's key-value service; default from "
                     + Invocation.STORE_ENVIRONMENT_VARIABLE));
   }
 
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/CtlException.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/CtlException.java
@@ -2,7 +2,7 @@
 
 import org.sageladder.platform.settings.ExitCode;
 
-/** Ends a command with one line for the operator and an exit code. */
+/** Aborts a command with a one-line error message and an exit code. */
 final class CtlException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Invocation.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/Invocation.java
@@ -14,7 +14,7 @@
 import org.sageladder.platform.settings.SettingPatterns;
 import org.sageladder.platform.store.HttpStore;
 
-/** Options and operands of one run of a command, and where its output goes. */
+/** Options and operands of one invocation of a command, and its output streams. */
 record Invocation(CommandLine commandLine, PrintStream out, PrintStream err) {
   static final String STORE = "store";
   static final String TIMEOUT = "timeout";
@@ -43,7 +43,7 @@
     }
     Optional<Duration> duration = DurationText.parse(text);
     if (duration.isEmpty() || duration.get().isZero()) {
-      throw usage("--" + name + " '" + text + "' is no duration; give one such as 250ms or 6s");
+      throw usage("--" + name + " '" + text + "' is not a duration; give one such as 250ms or 6s");
     }
     return duration.get();
   }
@@ -75,7 +75,7 @@
     return HttpStore.connect(URI.create(uri), timeout());
   }
 
-  /** Base URIs of the operators' ports given on the command line. */
+  /** Returns the base URIs of the operators' ports given on the command line. */
   List<URI> operators() throws CtlException {
     List<URI> uris = new ArrayList<>();
     String addresses = option(OPERATORS);
@@ -98,7 +98,7 @@
   List<URI> requiredOperators() throws CtlException {
     List<URI> uris = operators();
     if (uris.isEmpty()) {
-      throw usage("no entry VM to ask; give --operators IP:PORT[,IP:PORT...]");
+      throw usage("no entry VM given; give --operators IP:PORT[,IP:PORT...]");
     }
     return uris;
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/StatusCommand.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/StatusCommand.java
@@ -20,8 +20,9 @@
 import org.sageladder.tools.http.BufferedHttpResponse;
 
 /**
- * {@code status}: which revision is in force at the entry VMs asked and, as their relays report it,
- * in every zone; with {@code --wait} until it is the wanted one everywhere.
+ * {@code status}: shows which contract revision is in force at the queried entry VMs and, as
+ * reported by the relays, in every zone. With {@code --wait}, waits until the given revision is in
+ * force everywhere.
  */
 final class StatusCommand {
   static final String WAIT = "wait";
@@ -48,7 +49,7 @@
     this.wantedRevision = wantedRevision;
   }
 
-  /** What one entry VM answered; {@code state} is null where it did not. */
+  /** The answer of one entry VM; {@code state} is null if it did not answer. */
   private record StateResponse(URI uri, @Nullable JsonNode state, String error) {}
 
   static ExitCode run(Invocation invocation) throws CtlException {
@@ -68,7 +69,10 @@
     }
   }
 
-  /** The revision to wait for, or null where it is the store's, or none is waited for. */
+  /**
+   * Returns the revision to wait for, or null for the store's latest revision or without {@code
+   * --wait}.
+   */
   private static @Nullable Long wantedRevision(Invocation invocation) throws CtlException {
     String text = invocation.option(WAIT);
     if (text == null || text.equals(LATEST)) {
@@ -124,7 +128,10 @@
     return responses;
   }
 
-  /** A line for each entry VM asked and each zone that is behind, silent or of no known state. */
+  /**
+   * Returns a line for each queried entry VM and each zone that lags, does not answer or has not
+   * reported its revision.
+   */
   private List<String> findLagging(List<StateResponse> responses) {
     List<String> lagging = new ArrayList<>();
     for (StateResponse response : responses) {
@@ -160,14 +167,20 @@
     }
   }
 
-  /** The revision that must be in force; {@code inForce} where nothing says so. */
+  /**
+   * Returns the revision that must be in force; {@code inForce} if neither {@code --wait} nor the
+   * store gives one.
+   */
   private long requiredRevision(String customer, long inForce) {
     return wantedRevision != null
         ? wantedRevision
         : acceptedRevisions.getOrDefault(customer, inForce);
   }
 
-  /** The latest report of each zone that any of the entry VMs asked knows of. */
+  /**
+   * Returns the latest report of each zone that appears in the state of any queried entry VM; zones
+   * without a report map to an empty object.
+   */
   private static Map<String, JsonNode> latestReportsByZone(List<StateResponse> responses) {
     Map<String, JsonNode> zones = new TreeMap<>();
     for (StateResponse response : responses) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/SystemCommands.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/SystemCommands.java
@@ -17,7 +17,7 @@
 import org.sageladder.tools.timeline.TimeLineFormat;
 import org.sageladder.tools.timeline.TimeLineMain;
 
-/** The commands that ask or tell running entry VMs. */
+/** The commands that query or control running entry VMs. */
 final class SystemCommands {
   static final String WAIT = "wait";
   static final String CONTRACT = "contract";
@@ -29,7 +29,7 @@
 
   private SystemCommands() {}
 
-  /** Begins a planned stop of each named entry VM, one after the other, and waits for its end. */
+  /** Starts a planned stop of each given entry VM, one after the other, and waits for it to end. */
   static ExitCode drain(Invocation invocation) throws CtlException {
     Duration wait = invocation.duration(WAIT, DEFAULT_DRAIN_WAIT);
     try (BlockingHttpClient client = BlockingHttpClient.withTimeout(invocation.timeout())) {
@@ -71,7 +71,10 @@
         uri.getAuthority() + ": still draining after " + wait.toSeconds() + " s");
   }
 
-  /** A process that has ended refuses connections; that it was there is known from the drain. */
+  /**
+   * Returns true if the process no longer answers. It was running before, since it accepted the
+   * drain request.
+   */
   private static boolean hasEnded(URI uri, BlockingHttpClient client) {
     try {
       client.get(uri.resolve("/v1/state"));
@@ -90,7 +93,7 @@
     }
   }
 
-  /** Why a request went where it did, or what a look-up would answer now and by which rule. */
+  /** Explains how a request was routed, or what a look-up would answer now and by which rule. */
   static ExitCode explain(Invocation invocation) throws CtlException {
     if (invocation.operands().isEmpty()) {
       return explainLookUp(invocation);
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/TraceCommand.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/TraceCommand.java
@@ -17,14 +17,15 @@
 import org.sageladder.platform.settings.ExitCode;
 
 /**
- * {@code trace}: from a request's id to what decided it, out of entry VMs' log files.
+ * {@code trace}: shows what determined the result of a request, from the log files of entry VMs.
  *
- * <p>Prints the request's own lines and, about them, what its entry VMs said of themselves and of
- * the targets that the request was sent to, oldest first.
+ * <p>Prints the log lines of the request and, from about the same time, those that its entry VMs
+ * logged about their own state and about the targets that the request was sent to, oldest first.
  */
 final class TraceCommand {
   /**
-   * Time about a request in which a line may tell its cause; a lost target is noticed within it.
+   * Time before and after a request in which log lines can show the cause of its result; the loss
+   * of a target is detected within this time.
    */
   private static final long CONTEXT_MILLIS = 2_000;
 
@@ -36,7 +37,7 @@
       return request.equals(id);
     }
 
-    /** True where the line speaks of a VM's state or of a target, not of another request. */
+    /** Returns true if the line is about the state of a VM or target, not about a request. */
     boolean isAboutState() {
       return request.isEmpty();
     }
@@ -66,11 +67,11 @@
       invocation
           .out()
           .println(
-              "no line of request '"
+              "no log line for request '"
                   + id
                   + "' among "
                   + lines.size()
-                  + "; no entry VM of these files has read it, or its lines were left out");
+                  + "; no entry VM of these files received it, or its lines were dropped");
       return ExitCode.NOT_FOUND;
     }
     long from = own.stream().mapToLong(LogLine::atMillis).min().orElseThrow();
@@ -102,7 +103,10 @@
     return line.kind().startsWith("TARGET_");
   }
 
-  /** The log lines of a file; those that were cut off by the end of their process are counted. */
+  /**
+   * Reads the log lines of a file; reports the number of lines that were truncated by the end of
+   * their process.
+   */
   private static List<LogLine> readLogLines(Path file, PrintStream err) throws CtlException {
     List<LogLine> lines = new ArrayList<>();
     int truncatedCount = 0;
@@ -118,7 +122,7 @@
       }
     }
     if (truncatedCount > 0) {
-      err.println(file + ": " + truncatedCount + " lines not read, since they are cut off");
+      err.println(file + ": " + truncatedCount + " lines skipped because they are truncated");
     }
     return lines;
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/package-info.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/package-info.java
@@ -1,4 +1,7 @@
-/** {@code sageladderctl}: operators check, apply and look at contracts and entry VMs. */
+/**
+ * {@code sageladderctl}: the command-line tool with which operators check and apply contracts and
+ * inspect entry VMs.
+ */
 @NullMarked
 package org.sageladder.tools.ctl;
 
--- a/sageladder-tools/src/main/java/org/sageladder/tools/http/BlockingHttpClient.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/http/BlockingHttpClient.java
@@ -23,11 +23,11 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * Blocking GET and POST for tools that ask a few processes a few times.
+ * Blocking HTTP client for tools that make a few calls to a few processes.
  *
  * <pre>{@code
- * try (HttpCaller caller = HttpCaller.withTimeout(Duration.ofSeconds(2))) {
- *   String state = caller.get(URI.create("http://127.0.0.1:7301/v1/state")).text();
+ * try (BlockingHttpClient client = BlockingHttpClient.withTimeout(Duration.ofSeconds(2))) {
+ *   String state = client.get(URI.create("http://127.0.0.1:7301/v1/state")).text();
  * }
  * }</pre>
  */
@@ -40,7 +40,7 @@
     this.timeout = timeout;
   }
 
-  /** A caller whose calls fail when no whole answer came within {@code timeout}. */
+  /** Creates a client whose calls fail if no complete response arrives within {@code timeout}. */
   public static BlockingHttpClient withTimeout(Duration timeout) {
     HttpAsyncRequester requester =
         AsyncRequesterBootstrap.bootstrap()
@@ -54,20 +54,20 @@
   }
 
   /**
-   * The answer to GET, whatever its status.
+   * Returns the response to a GET request, whatever its status.
    *
-   * @throws IOException where no whole answer came
+   * @throws IOException if no complete response arrived
    */
   public BufferedHttpResponse get(URI uri) throws IOException {
     return execute(uri, AsyncRequestBuilder.get(uri).build());
   }
 
-  /** The answer to POST of {@code body} with that type, whatever its status. */
+  /** Returns the response to a POST request with {@code body}, whatever its status. */
   public BufferedHttpResponse post(URI uri, byte[] body, ContentType type) throws IOException {
     return execute(uri, AsyncRequestBuilder.post(uri).setEntity(body, type).build());
   }
 
-  /** The answer to PUT of {@code body} with that type, whatever its status. */
+  /** Returns the response to a PUT request with {@code body}, whatever its status. */
   public BufferedHttpResponse put(URI uri, byte[] body, ContentType type) throws IOException {
     return execute(uri, AsyncRequestBuilder.put(uri).setEntity(body, type).build());
   }
@@ -90,7 +90,7 @@
       future.cancel(true);
       throw new IOException(uri + ": no answer within " + timeout.toMillis() + " ms", e);
     } catch (CancellationException e) {
-      // The library cancels an exchange whose thread is interrupted while it gets a connection.
+      // HttpCore cancels an exchange if its thread is interrupted while it acquires a connection.
       throw new IOException(uri + ": cancelled", e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/sageladder-tools/src/main/java/org/sageladder/tools/http/BufferedHttpResponse.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/http/BufferedHttpResponse.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Status and whole body of an answer. */
+/** Status and complete body of an HTTP response. */
 @SuppressWarnings("ArrayRecordComponent")
 public record BufferedHttpResponse(int status, byte[] body) {
   /** The body as UTF-8 text. */
--- a/sageladder-tools/src/main/java/org/sageladder/tools/http/package-info.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/http/package-info.java
@@ -1,4 +1,4 @@
-/** Small blocking calls to the operators' ports of entry VMs and to stand-ins. */
+/** Blocking HTTP client for the operators' ports of entry VMs and for stand-ins. */
 @NullMarked
 package org.sageladder.tools.http;
 
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Arrival.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Arrival.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * One request to be sent at its own time, however the ones before it fare.
+ * One request to be sent at its due time, regardless of the progress of earlier requests.
  *
- * @param dueNanos time after the first moment of the experiment
- * @param requestId names the request at targets, unique in the run
+ * @param dueNanos due time, relative to the start of the experiment
+ * @param requestId id of the request at the targets, unique within the run
  * @param region region of the caller
  * @param block client block of the caller
  */
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Arrivals.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Arrivals.java
@@ -9,11 +9,11 @@
 import org.sageladder.tools.load.Experiment.RateStep;
 import org.sageladder.tools.load.Experiment.RegionWeight;
 
-/** Draws an experiment's arrivals beforehand, so that every variant meets the same ones. */
+/** Generates an experiment's arrivals in advance, so that every variant gets the same arrivals. */
 final class Arrivals {
   private Arrivals() {}
 
-  /** All arrivals ordered by time; {@code prefix} starts each key. */
+  /** Returns all arrivals ordered by due time; each request id starts with {@code idPrefix}. */
   static List<Arrival> of(Experiment experiment, String idPrefix) {
     List<Arrival> arrivals = new ArrayList<>();
     SplittableRandom random = new SplittableRandom(experiment.seed());
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/CheckResult.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/CheckResult.java
@@ -1,9 +1,9 @@
 package org.sageladder.tools.load;
 
 /**
- * Verdict on one property.
+ * The verdict on one checked property.
  *
- * @param measured what was found, in words
- * @param required what had to hold
+ * @param measured measured value as text
+ * @param required required value as text
  */
 public record CheckResult(String name, boolean holds, String measured, String required) {}
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Checks.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Checks.java
@@ -10,7 +10,9 @@
 import org.sageladder.tools.load.Experiment.ServiceLimit;
 import org.sageladder.tools.load.RequestResult.Outcome;
 
-/** Checks a variant against what must always hold and what its experiment demands. */
+/**
+ * Checks a variant against the general properties of the system and the limits of its experiment.
+ */
 final class Checks {
   private final VariantResult variant;
   private final Limits limits;
@@ -108,15 +110,16 @@
     int readingsOverLimit = 0;
     String where = "";
     Samples samples = variant.samples();
-    for (int step = 0; step < samples.sampleCount(); step++) {
+    for (int sample = 0; sample < samples.sampleCount(); sample++) {
       for (int target = 0; target < samples.targets().size(); target++) {
-        TargetView.Reading reading = samples.readings().get(step).get(target);
+        TargetView.Reading reading = samples.readings().get(sample).get(target);
         TargetView view = samples.targets().get(target);
         int excess = reading.busy() + reading.queued() - view.slots();
         readingsOverLimit += excess > 0 ? 1 : 0;
         if (excess > maxExcess) {
           maxExcess = excess;
-          where = ", first at " + view.id() + " after " + formatMillis(samples.atNanos().get(step));
+          where =
+              ", first at " + view.id() + " after " + formatMillis(samples.atNanos().get(sample));
         }
       }
     }
@@ -153,15 +156,15 @@
     long lastStart = announcedNanos;
     long startedBefore = 0;
     long idleNanos = -1;
-    for (int step = 1; step < samples.sampleCount(); step++) {
-      long sampledNanos = samples.atNanos().get(step);
-      TargetView.Reading reading = samples.readings().get(step).get(chosen.get(0));
-      if (sampledNanos > announcedNanos && started[step] > started[step - 1]) {
+    for (int sample = 1; sample < samples.sampleCount(); sample++) {
+      long sampledNanos = samples.atNanos().get(sample);
+      TargetView.Reading reading = samples.readings().get(sample).get(chosen.get(0));
+      if (sampledNanos > announcedNanos && started[sample] > started[sample - 1]) {
         lastStart = sampledNanos;
       }
       boolean isIdle = reading.busy() + reading.queued() == 0;
       if (sampledNanos <= announcedNanos) {
-        startedBefore = started[step];
+        startedBefore = started[sample];
       } else {
         idleNanos = isIdle ? (idleNanos < 0 ? sampledNanos : idleNanos) : -1;
       }
@@ -188,9 +191,9 @@
   private void checkNothingCutOff(FaultSchedule.InjectedFault fault) {
     long cutOffCount =
         variant.results().stream()
-            .filter(ending -> ending.target().equals(fault.affected()))
+            .filter(result -> result.target().equals(fault.affected()))
             .filter(
-                ending -> ending.outcome() != Outcome.WHOLE && ending.outcome() != Outcome.NOT_RUN)
+                result -> result.outcome() != Outcome.WHOLE && result.outcome() != Outcome.NOT_RUN)
             .count();
     add(
         "drain of " + fault.affected() + " cuts nothing off",
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/ContractChange.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/ContractChange.java
@@ -12,24 +12,24 @@
 import org.sageladder.platform.contract.StoredContract;
 import org.sageladder.platform.store.HttpStore;
 
-/** Changes a contract while an experiment runs, as an operator would. */
+/** Changes a contract while an experiment runs, in the way an operator does. */
 public final class ContractChange {
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
 
   private ContractChange() {}
 
   /**
-   * Lets every leaving target have a second more, which changes nothing under load.
+   * Extends the drain limit of every service by one second, a change that has no effect under load.
    *
-   * @return the revision that was accepted, for people
-   * @throws IOException where it was not accepted
+   * @return the accepted revision, as text for the report
+   * @throws IOException if the change was not accepted
    */
   public static String extendDrainLimit(URI store, String customer) throws IOException {
     try (Store client = HttpStore.connect(store, CALL_TIMEOUT)) {
       ContractWriter writer = ContractWriter.of(client, TimeSource.system(), "sageladder-load");
       StoredContract current = writer.read(customer);
       if (current == null) {
-        throw new IOException("the store has no contract of " + customer);
+        throw new IOException("the store has no contract of customer " + customer);
       }
       Contract changed =
           current
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/DirectSender.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/DirectSender.java
@@ -27,10 +27,10 @@
 import org.sageladder.tools.load.RequestResult.Outcome;
 
 /**
- * A baseline without sageladder: callers pick a target themselves, evenly at random.
+ * Baseline without sageladder: callers pick a target themselves, uniformly at random.
  *
- * <p>A refused request is sent to another target, up to three in all, as simple callers do; what
- * must not repeat is not sent again once it may have run.
+ * <p>Like a simple caller, it makes up to three attempts, each at a randomly picked target. A
+ * request that must not be repeated is not sent again once it may have run.
  */
 final class DirectSender implements Sender {
   private static final int MAX_ATTEMPTS = 3;
@@ -57,12 +57,12 @@
     requester.start();
   }
 
-  /** Callers who choose among all targets of the service. */
+  /** Creates a sender that picks among all targets of the service. */
   static DirectSender random(Contract contract, List<TargetView> targets) {
     return new DirectSender(contract, targets, false);
   }
 
-  /** Callers who choose among the targets of their own region only. */
+  /** Creates a sender that picks among the targets in the caller's region only. */
   static DirectSender localOnly(Contract contract, List<TargetView> targets) {
     return new DirectSender(contract, targets, true);
   }
@@ -83,13 +83,13 @@
     }
     SendResult lastResult = new SendResult(Outcome.NOT_RUN, "NOT_SENT", "", 0);
     boolean mayHaveRun = false;
-    for (int attempts = 1; attempts <= MAX_ATTEMPTS; attempts++) {
+    for (int attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
       TargetView target = targets.get(ThreadLocalRandom.current().nextInt(targets.size()));
       long remainingNanos = deadline - System.nanoTime();
       if (remainingNanos <= 0) {
         break;
       }
-      lastResult = sendOnce(arrival, target, Duration.ofNanos(remainingNanos), attempts);
+      lastResult = sendOnce(arrival, target, Duration.ofNanos(remainingNanos), attempt);
       mayHaveRun |= lastResult.outcome() == Outcome.UNKNOWN;
       boolean canRetry =
           lastResult.outcome() == Outcome.NOT_RUN
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/EventCollector.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/EventCollector.java
@@ -17,8 +17,9 @@
 import org.sageladder.tools.timeline.ProcessEvents;
 
 /**
- * Fetches the events of the system's processes again and again while an experiment runs, so that
- * those of a process that ends on the way, and those that give way to newer ones, are kept.
+ * Periodically fetches the events of the system's processes while an experiment runs. This keeps
+ * the events of processes that end during the experiment, and those that newer events later
+ * overwrite in a process's buffer.
  */
 final class EventCollector implements AutoCloseable {
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -44,17 +45,23 @@
       this.fetcher = fetcher;
     }
 
-    /** Keeps what was fetched before where the process has ended or is stopping. */
+    /**
+     * Fetches new events; if the process has ended or is stopping, the events fetched earlier are
+     * kept.
+     */
     void fetch() {
       try {
         latest = fetcher.fetch();
       } catch (IOException e) {
-        LOG.atFine().withCause(e).log("no events");
+        LOG.atFine().withCause(e).log("could not fetch events");
       }
     }
   }
 
-  /** Watches the processes whose operators' ports are given; there may be none. */
+  /**
+   * Starts collecting from the processes with the given operators' addresses; the list may be
+   * empty.
+   */
   static EventCollector start(List<URI> operatorAddresses) {
     EventCollector collector = new EventCollector(operatorAddresses);
     var unused =
@@ -69,7 +76,7 @@
     }
   }
 
-  /** All that was told until now. */
+  /** Fetches once more and returns all events collected so far. */
   synchronized List<ProcessEvents> fetchEvents() {
     fetch();
     List<ProcessEvents> events = new ArrayList<>();
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Experiment.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Experiment.java
@@ -6,13 +6,15 @@
 import org.sageladder.core.contract.Contract;
 
 /**
- * What an experiment sends, what it breaks and what must hold.
+ * Definition of an experiment: the requests to send, the faults to inject and the limits to check.
  *
- * @param contract the contract that the system runs and the checks go by
- * @param seed seed of all draws; equal seeds give equal arrivals
- * @param warmUp time from the first arrival during which latency and headroom do not count, because
- *     freshly started processes run code that is not compiled yet; all else counts from the start
- * @param entriesPerZone entry VMs in each zone where the experiment starts the system itself
+ * @param contract contract that the system runs and the checks use
+ * @param seed seed of all random draws; equal seeds give equal arrivals
+ * @param warmUp initial time during which latency and headroom are not measured, because freshly
+ *     started processes run code that is not yet JIT-compiled; everything else is measured from the
+ *     start
+ * @param entriesPerZone number of entry VMs in each zone, if the experiment starts the system
+ *     itself
  */
 public record Experiment(
     String name,
@@ -23,7 +25,7 @@
     List<Load> loads,
     List<Fault> faults,
     Limits limits) {
-  /** Copies the lists, so that the experiment cannot change. */
+  /** Copies the lists, which makes the record immutable. */
   public Experiment {
     loads = List.copyOf(loads);
     faults = List.copyOf(faults);
@@ -36,12 +38,12 @@
   }
 
   /**
-   * Requests to one service.
+   * The requests to one service.
    *
-   * @param weights share of the callers in each region; all regions alike where empty
-   * @param deadline longest time a caller waits, all tries together
+   * @param weights relative number of callers in each region; uniform over the regions if empty
+   * @param deadline total time that a caller waits, over all attempts
    * @param answerBytes size of each answer's body
-   * @param steps rates that follow one another
+   * @param steps consecutive request rates
    */
   public record Load(
       String service,
@@ -49,54 +51,54 @@
       Duration deadline,
       int answerBytes,
       List<RateStep> steps) {
-    /** Copies the lists, so that the load cannot change. */
+    /** Copies the lists, which makes the record immutable. */
     public Load {
       weights = List.copyOf(weights);
       steps = List.copyOf(steps);
     }
   }
 
-  /** How many of the callers are in a region, relative to the other weights. */
+  /** Number of callers in a region, relative to the other weights. */
   public record RegionWeight(String region, double weight) {}
 
-  /** Poisson arrivals at {@code rate} requests a second for a while. */
+  /** Poisson arrivals at {@code rate} requests per second for {@code duration}. */
   public record RateStep(Duration duration, double rate) {}
 
-  /** What an injected fault does. */
+  /** Kind of an injected fault. */
   public enum FaultKind {
-    /** Ends an entry VM without warning. */
+    /** Kills an entry VM without warning. */
     KILL_ENTRY,
-    /** Begins a planned stop of an entry VM. */
+    /** Starts a planned stop of an entry VM. */
     STOP_ENTRY,
-    /** Announces a target's end; it finishes what it runs. */
+    /** Drains a target: its stop is announced, and it completes the requests in progress. */
     DRAIN_TARGET,
-    /** Ends a target without warning; it comes back. */
+    /** Kills a target without warning; it restarts. */
     CRASH_TARGET,
-    /** Makes a target slower by {@code factor}. */
+    /** Multiplies the service time of a target by {@code factor}. */
     SLOW_TARGET,
-    /** Makes a target refuse all work. */
+    /** Makes a target refuse all requests. */
     SHED_TARGET,
     /** Makes a target's load report claim that all its slots are free. */
     MISLEADING_LOAD,
     /** Makes the store refuse every call. */
     STORE_DOWN,
-    /** Has a changed contract accepted. */
+    /** Applies a changed contract. */
     CHANGE_CONTRACT
   }
 
   /**
    * A fault to inject.
    *
-   * @param at time after the first arrival
-   * @param zone zone of what is hit; any where empty
-   * @param service service of the target that is hit; any where empty
-   * @param duration time after which it is undone, where it can be; zero means never
-   * @param factor how much slower, for {@link FaultKind#SLOW_TARGET}
+   * @param at time of the injection, relative to the start of the experiment
+   * @param zone zone of the affected VM; any zone if empty
+   * @param service service of the affected target; any service if empty
+   * @param duration time after which the fault is undone, if it can be; zero means never
+   * @param factor multiple of the service time, for {@link FaultKind#SLOW_TARGET}
    */
   public record Fault(
       Duration at, FaultKind kind, String zone, String service, Duration duration, double factor) {}
 
-  /** What must hold of one service. */
+  /** Limits that one service must meet. */
   public record ServiceLimit(
       String service,
       double percentile,
@@ -105,13 +107,17 @@
       double headroomAtLeast) {}
 
   /**
-   * What must hold besides what always must: at most one run of what must not repeat, true
-   * refusals, whole answers, caps and slots.
+   * Limits of the experiment. They add to the properties that are checked in every experiment:
+   * non-repeatable requests run at most once, refused requests did not run, answers are whole, and
+   * shift caps and slots are respected.
    *
-   * @param unknownAtMost share of requests that may end without it being known whether they ran
-   * @param noNewWorkAfter a leaving target starts nothing later than this after the sign
-   * @param drainWithin a leaving target is idle this long after the sign
-   * @param inForceWithin an accepted contract is in force everywhere this long after
+   * @param unknownAtMost maximum fraction of requests for which it is unknown whether they ran
+   * @param noNewWorkAfter maximum time from the announcement of a drain to the last request that
+   *     the draining target starts
+   * @param drainWithin maximum time from the announcement of a drain until the draining target is
+   *     idle
+   * @param inForceWithin maximum time from the acceptance of a contract until it is in force
+   *     everywhere
    */
   public record Limits(
       List<ServiceLimit> services,
@@ -119,13 +125,13 @@
       Duration noNewWorkAfter,
       Duration drainWithin,
       Duration inForceWithin) {
-    /** Copies the list, so that the limits cannot change. */
+    /** Copies the list, which makes the record immutable. */
     public Limits {
       services = List.copyOf(services);
     }
   }
 
-  /** Time from the first arrival to the last. */
+  /** Duration of the experiment, which is that of its longest load. */
   public Duration duration() {
     Duration longest = Duration.ZERO;
     for (Load load : loads) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/ExperimentRun.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/ExperimentRun.java
@@ -12,7 +12,7 @@
 import org.sageladder.core.contract.Contract;
 import org.sageladder.tools.timeline.ProcessEvents;
 
-/** Runs the variants of one experiment, one after the other. */
+/** Runs the variants of one experiment sequentially. */
 final class ExperimentRun {
   private static final Duration READY_TIMEOUT = Duration.ofSeconds(30);
   private static final Duration START_DELAY = Duration.ofMillis(300);
@@ -35,9 +35,10 @@
   }
 
   /**
-   * A run of {@code experiment}.
+   * Creates a run of {@code experiment}.
    *
-   * @param requestIdTag part of each request's id, which tells it from those of earlier runs
+   * @param requestIdTag suffix that distinguishes the request ids of this run from those of earlier
+   *     runs
    */
   static ExperimentRun of(
       Experiment experiment,
@@ -47,7 +48,9 @@
     return new ExperimentRun(experiment, provider, requestIdTag, progress);
   }
 
-  /** The system itself, running {@code inForce}; the checks go by the experiment's contract. */
+  /**
+   * Runs the system with the contract {@code inForce}; the checks use the experiment's contract.
+   */
   VariantResult runSystem(Contract inForce) throws IOException, InterruptedException {
     return run(
         "sageladder",
@@ -55,7 +58,7 @@
         system -> SystemSender.of(inForce.customer(), system.callerAddresses()));
   }
 
-  /** The system with the entry VMs of another build, whose jars are in {@code directory}. */
+  /** Runs the system with the entry VMs of another build, whose jars are in {@code directory}. */
   VariantResult runOtherBuild(Path directory) throws IOException, InterruptedException {
     return run(
         "other build",
@@ -64,7 +67,7 @@
         system -> SystemSender.of(experiment.contract().customer(), system.callerAddresses()));
   }
 
-  /** Callers who pick a target evenly at random. */
+  /** Runs the baseline in which callers pick a target uniformly at random. */
   VariantResult runRandomChoice() throws IOException, InterruptedException {
     return run(
         "random choice",
@@ -72,7 +75,7 @@
         system -> DirectSender.random(experiment.contract(), system.targets()));
   }
 
-  /** Callers who pick a target of their own region at random. */
+  /** Runs the baseline in which callers pick a target of their own region uniformly at random. */
   VariantResult runLocalOnly() throws IOException, InterruptedException {
     return run(
         "local only",
@@ -153,7 +156,7 @@
   private static Map<String, Integer> sumExecutions(List<TargetView> targets) throws IOException {
     Map<String, Integer> sums = new HashMap<>();
     for (TargetView target : new ArrayList<>(targets)) {
-      target.executions().forEach((key, count) -> sums.merge(key, count, Integer::sum));
+      target.executions().forEach((requestId, count) -> sums.merge(requestId, count, Integer::sum));
     }
     return sums;
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/ExperimentYaml.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/ExperimentYaml.java
@@ -18,7 +18,7 @@
 import org.sageladder.tools.load.Experiment.RegionWeight;
 import org.sageladder.tools.load.Experiment.ServiceLimit;
 
-/** Reads experiments from YAML; {@code docs/OPERATING.md} lists the keys. */
+/** Reads experiments from YAML; the keys are documented in {@code docs/OPERATING.md}. */
 final class ExperimentYaml {
   private static final Duration HOUR = Duration.ofHours(1);
   private static final Duration MILLISECOND = Duration.ofMillis(1);
@@ -90,7 +90,7 @@
     List<RegionWeight> weights = new ArrayList<>();
     for (SettingsSection section : load.sections("weights", "region", "weight")) {
       String region = section.text("region");
-      if (contract.regions().stream().noneMatch(known -> known.name().equals(region))) {
+      if (contract.regions().stream().noneMatch(candidate -> candidate.name().equals(region))) {
         throw section.error("region", region, "a region of the contract");
       }
       weights.add(new RegionWeight(region, section.decimal("weight", 0, 1_000)));
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/FaultSchedule.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/FaultSchedule.java
@@ -9,7 +9,7 @@
 import org.sageladder.tools.load.Experiment.Fault;
 import org.sageladder.tools.load.Experiment.FaultKind;
 
-/** Injects an experiment's faults at their times, on a thread of its own. */
+/** Injects an experiment's faults at their scheduled times on a dedicated thread. */
 final class FaultSchedule implements AutoCloseable {
   private static final long IN_FORCE_POLL_INTERVAL_MILLIS = 20;
   private static final long MAX_IN_FORCE_WAIT_NANOS = 30_000_000_000L;
@@ -22,13 +22,13 @@
   private final Thread thread;
 
   /**
-   * A fault that was injected.
+   * The record of an injected fault.
    *
-   * @param atNanos when it had been done, after the experiment's start
-   * @param affected what was hit, or why nothing was
-   * @param succeeded false where the system could not do it
-   * @param inForceDelayNanos how long a changed contract took to be in force everywhere; -1 where
-   *     the fault is no such change or it was not in force within 30 s
+   * @param atNanos time of the injection, relative to the start of the experiment
+   * @param affected VM or component that the fault affected, or the reason why the injection failed
+   * @param succeeded false if the system could not inject the fault
+   * @param inForceDelayNanos time until a changed contract was in force everywhere; -1 if the fault
+   *     is not a contract change or the contract was not in force within 30 s
    */
   record InjectedFault(
       Fault fault, long atNanos, String affected, boolean succeeded, long inForceDelayNanos) {}
@@ -66,14 +66,16 @@
   private void inject(Fault fault) throws InterruptedException {
     InjectedFault result;
     try {
-      Map<String, Long> before =
+      Map<String, Long> revisionsBefore =
           fault.kind() == FaultKind.CHANGE_CONTRACT ? system.revisionsInForce() : Map.of();
       long startedNanos = System.nanoTime();
-      String hit = system.inject(fault);
+      String affected = system.inject(fault);
       long injectedNanos = startedNanos - startNanos;
       long inForceDelayNanos =
-          fault.kind() == FaultKind.CHANGE_CONTRACT ? awaitInForce(before, startedNanos) : -1;
-      result = new InjectedFault(fault, injectedNanos, hit, true, inForceDelayNanos);
+          fault.kind() == FaultKind.CHANGE_CONTRACT
+              ? awaitInForce(revisionsBefore, startedNanos)
+              : -1;
+      result = new InjectedFault(fault, injectedNanos, affected, true, inForceDelayNanos);
     } catch (IOException e) {
       result =
           new InjectedFault(
@@ -91,9 +93,9 @@
             + result.affected());
   }
 
-  private long awaitInForce(Map<String, Long> before, long startedNanos)
+  private long awaitInForce(Map<String, Long> revisionsBefore, long startedNanos)
       throws IOException, InterruptedException {
-    long highest = before.values().stream().mapToLong(Long::longValue).max().orElse(0);
+    long highest = revisionsBefore.values().stream().mapToLong(Long::longValue).max().orElse(0);
     while (System.nanoTime() - startedNanos < MAX_IN_FORCE_WAIT_NANOS) {
       Map<String, Long> revisions = system.revisionsInForce();
       long readNanos = System.nanoTime();
@@ -106,7 +108,7 @@
     return -1;
   }
 
-  /** What was injected so far. */
+  /** The faults injected so far. */
   synchronized List<InjectedFault> injected() {
     return List.copyOf(injected);
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/LoadMain.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/LoadMain.java
@@ -29,13 +29,13 @@
 
   private LoadMain() {}
 
-  /** Runs an experiment; exits 0 where its verdict holds and 1 where it fails. */
+  /** Runs an experiment; exits with 0 if its verdict holds and 1 if it fails. */
   public static void main(String[] args) {
     System.setProperty("java.awt.headless", "true");
     System.exit(run(args, System.out, System.err).status());
   }
 
-  /** As {@link #main}, without ending the process. */
+  /** Does the same as {@link #main}, without exiting the process. */
   public static ExitCode run(String[] args, PrintStream out, PrintStream err) {
     try {
       CommandLine commandLine = new DefaultParser().parse(options(), args);
@@ -67,7 +67,7 @@
         contractChange(commandLine.getOptionValue("disable", "nothing"));
     if (commandLine.hasOption("entries") && commandLine.hasOption("disable")) {
       throw new ParseException(
-          "--disable changes only a system that is started here; not --entries");
+          "--disable applies only to a system that this command starts; it excludes --entries");
     }
     String tag = commandLine.hasOption("entries") ? uniqueRunTag() : "";
     ExperimentRun run = ExperimentRun.of(experiment, provider(commandLine), tag, out::println);
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Breaks the system on purpose while the checks go on by the experiment's contract, to show that
-   * they can fail.
+   * Returns the change of the contract that disables {@code feature} in the system. The checks
+   * still use the experiment's contract, which shows that they can fail.
    */
   static UnaryOperator<Contract> contractChange(String feature) throws ParseException {
     return switch (feature) {
@@ -110,8 +110,9 @@
   }
 
   /**
-   * Processes that run on have seen the requests of earlier runs; without a part of its own in each
-   * request's id a second run would look as if its requests ran twice.
+   * Returns a suffix of the request ids that is unique to this run. Processes that keep running
+   * have executed the requests of earlier runs. Without a unique part in its request ids, a second
+   * run would look as if its requests had run twice.
    */
   private static String uniqueRunTag() {
     return "-" + Long.toString(System.currentTimeMillis() / 1_000, Character.MAX_RADIX);
@@ -132,7 +133,7 @@
     for (SystemUnderTest.Provider provider : ServiceLoader.load(SystemUnderTest.Provider.class)) {
       return provider;
     }
-    throw new ParseException("no system to start here; give --entries IP:PORT[,IP:PORT...]");
+    throw new ParseException("no provider to start a system; give --entries IP:PORT[,IP:PORT...]");
   }
 
   private static @Nullable URI parseStoreUri(@Nullable String uri) throws ParseException {
@@ -148,23 +149,26 @@
 
   private static Options options() {
     return new Options()
-        .addOption(option("output", "DIRECTORY", "where the report goes; target/load/NAME"))
-        .addOption(option("entries", "IP:PORT,...", "callers' ports of entry VMs that run already"))
-        .addOption(option("operators", "IP:PORT,...", "their operators' ports, for the time line"))
         .addOption(
-            option("store", "http://IP:PORT", "store stand-in, for faults of store and list"))
+            option("output", "DIRECTORY", "directory of the report; default target/load/NAME"))
+        .addOption(option("entries", "IP:PORT,...", "callers' ports of running entry VMs"))
+        .addOption(option("operators", "IP:PORT,...", "their operators' ports, for the time line"))
         .addOption(
-            option("targets", "FILE", "YAML list of the target stand-ins behind them, for checks"))
+            option(
+                "store",
+                "http://IP:PORT",
+                "store stand-in, for faults of the store and the VM list"))
+        .addOption(option("targets", "FILE", "YAML list of their target stand-ins, for the checks"))
         .addOption(
             option("disable", "WHAT", "caps: run without shift caps, which must fail the verdict"))
         .addOption(
-            option("baseline-build", "DIRECTORY", "compare with the build whose jars are there"))
+            option("baseline-build", "DIRECTORY", "compare with the build whose jars are in it"))
         .addOption(
             Option.builder()
                 .longOpt("no-baselines")
-                .desc("leave out random choice and local only")
+                .desc("skip the baselines random choice and local only")
                 .get())
-        .addOption(Option.builder().longOpt("help").desc("show this").get());
+        .addOption(Option.builder().longOpt("help").desc("show this help").get());
   }
 
   private static Option option(String name, String argument, String summary) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/OpenLoop.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/OpenLoop.java
@@ -10,14 +10,18 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Sends arrivals at their times without waiting for answers.
+ * Open-loop load generator: starts each request when it is due, without waiting for earlier
+ * answers.
  *
- * <p>Latency counts from the time an arrival was due. A loop that waits for an answer before it
- * sends the next request would send less to a slow system and miss the very waits that its callers
- * see (coordinated omission).
+ * <p>Latency is measured from the time a request was due. A closed loop, which waits for an answer
+ * before it sends the next request, would send less to a slow system and leave the waiting times of
+ * its callers out of the measurement (coordinated omission).
  */
 final class OpenLoop {
-  /** Callers that wait at the same time; more arrivals queue, and their wait counts as latency. */
+  /**
+   * Maximum number of requests in flight; further requests queue, and their queueing time counts as
+   * latency.
+   */
   private static final int MAX_CONCURRENT_CALLERS = 1_024;
 
   private static final long CALLER_STACK_BYTES = 256 * 1024;
@@ -26,7 +30,10 @@
   private final AtomicLong sentCount = new AtomicLong();
   private final AtomicLong maxStartLagNanos = new AtomicLong();
 
-  /** Sends all and returns when each has ended; {@code startNanos} is the arrivals' time zero. */
+  /**
+   * Sends all requests and returns once every one has completed; due times are relative to {@code
+   * startNanos}.
+   */
   List<RequestResult> run(List<Arrival> arrivals, Sender sender, long startNanos)
       throws InterruptedException {
     ExecutorService pool =
@@ -42,7 +49,8 @@
       pool.shutdown();
     }
     if (!pool.awaitTermination(10, TimeUnit.MINUTES)) {
-      throw new IllegalStateException("requests were still open 10 minutes after the last was due");
+      throw new IllegalStateException(
+          "requests were still in flight 10 minutes after the last one was due");
     }
     return List.copyOf(results);
   }
@@ -55,7 +63,7 @@
     return results.size();
   }
 
-  /** Largest delay between an arrival's time and its start: how far the sender itself lagged. */
+  /** Longest delay between the time a request was due and the time the generator started it. */
   long maxStartLagNanos() {
     return maxStartLagNanos.get();
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Plots.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Plots.java
@@ -31,7 +31,7 @@
 import org.sageladder.core.contract.Contract;
 import org.sageladder.tools.load.RequestResult.Outcome;
 
-/** Pictures of an experiment's results. */
+/** Plots of an experiment's results. */
 final class Plots {
   private static final int WIDTH = 900;
   private static final int HEIGHT = 380;
@@ -49,9 +49,9 @@
   private Plots() {}
 
   /**
-   * A picture as PNG.
+   * A plot as PNG.
    *
-   * @param title also its caption and, in lower case with hyphens, its file name
+   * @param title title; also the caption and, in lower case with hyphens, the file name
    */
   @SuppressWarnings("ArrayRecordComponent")
   record Plot(String title, byte[] png) {
@@ -60,7 +60,10 @@
     }
   }
 
-  /** All pictures: latency by service over all variants, then what the first did over time. */
+  /**
+   * Returns all plots: the latency of each service for all variants, then time series of the first
+   * variant.
+   */
   static List<Plot> of(List<VariantResult> variants) throws IOException {
     List<Plot> plots = new ArrayList<>();
     VariantResult first = variants.get(0);
@@ -97,12 +100,15 @@
     return render("Latency of " + service, chart);
   }
 
-  /** Number of nines: 0 for 0 %, 1 for 90 %, 2 for 99 %, so that the slow end has room. */
+  /**
+   * Maps a percentile to its number of nines (0 for 0 %, 1 for 90 %, 2 for 99 %), which stretches
+   * the tail of the distribution.
+   */
   private static double toNines(double percentile) {
     return -Math.log10(1 - percentile / 100);
   }
 
-  /** Writes a number of nines as its percentile. */
+  /** Formats a number of nines as its percentile. */
   private static final class PercentileFormat extends NumberFormat {
     private static final long serialVersionUID = 1;
 
@@ -120,7 +126,7 @@
 
     @Override
     public Number parse(String text, ParsePosition position) {
-      throw new UnsupportedOperationException("percentiles are only written");
+      throw new UnsupportedOperationException("percentiles can only be formatted");
     }
   }
 
@@ -133,7 +139,10 @@
     return axis;
   }
 
-  /** Each service's requests due as a dashed line and those answered whole as a full one. */
+  /**
+   * Plots, for each service, the rate of due requests as a dashed line and the rate of whole
+   * answers as a solid line.
+   */
   private static Plot ratesPlot(VariantResult variant) throws IOException {
     Map<String, Map<Long, Integer>> due = new TreeMap<>();
     Map<String, Map<Long, Integer>> answered = new TreeMap<>();
@@ -164,18 +173,18 @@
     return timeSeriesPlot("Requests due and answered whole", chart, variant);
   }
 
-  private static XYSeries toRateSeries(String name, Map<Long, Integer> steps) {
+  private static XYSeries toRateSeries(String name, Map<Long, Integer> buckets) {
     XYSeries series = new XYSeries(name);
-    steps.forEach(
-        (step, count) -> series.add(step * BUCKET_NANOS / 1e9, count * 1e9 / BUCKET_NANOS));
+    buckets.forEach(
+        (bucket, count) -> series.add(bucket * BUCKET_NANOS / 1e9, count * 1e9 / BUCKET_NANOS));
     return series;
   }
 
-  private static void increment(Map<String, Map<Long, Integer>> counts, String name, long step) {
-    counts.computeIfAbsent(name, key -> new TreeMap<>()).merge(step, 1, Integer::sum);
+  private static void increment(Map<String, Map<Long, Integer>> counts, String name, long bucket) {
+    counts.computeIfAbsent(name, key -> new TreeMap<>()).merge(bucket, 1, Integer::sum);
   }
 
-  /** When requests were slow: the slowest whole answer of each step. */
+  /** Plots the slowest whole answer of each half second, which shows when requests were slow. */
   private static Plot slowestAnswersPlot(VariantResult variant) throws IOException {
     Map<String, Map<Long, Double>> maxMillis = new TreeMap<>();
     for (RequestResult result : variant.results()) {
@@ -190,9 +199,10 @@
     }
     XYSeriesCollection data = new XYSeriesCollection();
     maxMillis.forEach(
-        (service, steps) -> {
+        (service, buckets) -> {
           XYSeries series = new XYSeries(service);
-          steps.forEach((step, millis) -> series.add(step * BUCKET_NANOS / 1e9, (double) millis));
+          buckets.forEach(
+              (bucket, millis) -> series.add(bucket * BUCKET_NANOS / 1e9, (double) millis));
           data.addSeries(series);
         });
     JFreeChart chart =
@@ -210,8 +220,8 @@
       double[] headroom =
           samples.headroomFractions(
               samples.targetIndexes(target -> target.service().equals(service.name())));
-      for (int step = 0; step < headroom.length; step++) {
-        series.add(samples.atNanos().get(step) / 1e9, 100 * headroom[step]);
+      for (int sample = 0; sample < headroom.length; sample++) {
+        series.add(samples.atNanos().get(sample) / 1e9, 100 * headroom[sample]);
       }
       data.addSeries(series);
     }
@@ -219,7 +229,7 @@
     return timeSeriesPlot("Headroom", chart, variant);
   }
 
-  /** Adds the faults as marks, so that a dip can be read beside its cause. */
+  /** Adds the injected faults as markers, so that a drop can be matched with its cause. */
   private static Plot timeSeriesPlot(String title, JFreeChart chart, VariantResult variant)
       throws IOException {
     XYPlot plot = chart.getXYPlot();
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteFaults.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteFaults.java
@@ -21,8 +21,8 @@
 import org.sageladder.tools.load.Experiment.Fault;
 
 /**
- * Breaks stand-ins that run as processes of their own, through their administrators' calls, and
- * mends them again at the end, so that the next variant meets the same system.
+ * Injects faults into stand-ins that run as separate processes, through their administration
+ * endpoints, and undoes them on close, so that the next variant starts from the same system state.
  */
 final class RemoteFaults implements AutoCloseable {
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
@@ -36,16 +36,17 @@
   private final ScheduledExecutorService timer =
       Executors.newSingleThreadScheduledExecutor(task -> new Thread(task, "mend"));
 
-  /** Undoes one fault. */
+  /** An action that undoes one fault. */
   @FunctionalInterface
   private interface UndoAction {
     void run() throws IOException;
   }
 
   /**
-   * Faults of the given targets and, where there is one, of the store stand-in.
+   * Creates an injector for the given targets and, if present, the store stand-in.
    *
-   * @param customer whose contract is changed
+   * @param customer customer whose contract is changed by {@link
+   *     Experiment.FaultKind#CHANGE_CONTRACT}
    */
   RemoteFaults(
       String customer,
@@ -73,8 +74,8 @@
       case KILL_ENTRY, STOP_ENTRY ->
           throw new IOException(
               fault.kind()
-                  + " cannot be done to processes that run already; end one by hand with kill or"
-                  + " sageladderctl drain while the experiment runs");
+                  + " cannot be injected into processes that are already running; stop one"
+                  + " by hand with kill or sageladderctl drain during the experiment");
     };
   }
 
@@ -87,19 +88,20 @@
         return target;
       }
     }
-    throw new IOException("no target is in the chosen zone and service; see --targets");
+    throw new IOException("no target matches the zone and service of the fault; see --targets");
   }
 
   private URI requireStore() throws IOException {
     if (storeUri == null) {
-      throw new IOException("no store stand-in is known; give --store http://IP:PORT");
+      throw new IOException("no store stand-in is configured; give --store http://IP:PORT");
     }
     return storeUri;
   }
 
   /**
-   * Announces the end by the list alone where the list is known, so that the target itself goes on
-   * taking work and shows whether the gates heed the list; otherwise the target is told.
+   * Drains a target. If the list of VMs is available, only the list announces the drain: the target
+   * itself continues to accept work, which shows whether the gates act on the list. Otherwise the
+   * target receives the drain request through its administration endpoint.
    */
   private String drain(TargetView target) throws IOException {
     if (storeUri == null) {
@@ -127,14 +129,17 @@
     } catch (StoreException e) {
       throw new IOException("the list of VMs cannot be read: " + e.getMessage(), e);
     }
-    throw new IOException("the list of VMs does not name '" + id + "'");
+    throw new IOException("the list of VMs has no entry for '" + id + "'");
   }
 
   private void putListedVm(ListedVm vm) throws IOException {
     put(requireStore().resolve("/admin/vms/" + vm.id()), JSON.writeValueAsBytes(vm));
   }
 
-  /** A line that is no longer leaving, which holds only for a later incarnation. */
+  /**
+   * Returns the entry without the leaving mark. Leaving is final within an incarnation, so the
+   * entry gets the next one.
+   */
   private static ListedVm asRestarted(ListedVm vm) {
     return new ListedVm(
         vm.role(),
@@ -149,7 +154,7 @@
         false);
   }
 
-  /** It comes back by itself after its own pause. */
+  /** Crashes a target, which restarts by itself after its restart delay. */
   private String crash(TargetView target) throws IOException {
     post(target.address().resolve("/admin/crash"));
     return target.id();
@@ -193,7 +198,7 @@
     }
   }
 
-  /** Undoes all that is left, the latest first. */
+  /** Undoes all faults still in effect, the most recent first. */
   @Override
   public void close() {
     timer.shutdownNow();
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteSystem.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteSystem.java
@@ -20,7 +20,7 @@
 import org.sageladder.tools.http.BufferedHttpResponse;
 import org.sageladder.tools.load.Experiment.Fault;
 
-/** A system whose processes run already; target stand-ins behind it are asked over HTTP. */
+/** A system whose processes are already running; its target stand-ins are queried over HTTP. */
 final class RemoteSystem implements SystemUnderTest {
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -43,12 +43,12 @@
   }
 
   /**
-   * Where the processes are.
+   * Addresses of the running processes.
    *
-   * @param callerAddresses callers' ports of the entry VMs, {@code IP:PORT}
-   * @param operatorAddresses operators' ports of the entry VMs; may be empty
-   * @param targetsFile YAML list of the target stand-ins, or null
-   * @param storeUri store stand-in, or null
+   * @param callerAddresses addresses of the entry VMs' callers' ports, {@code IP:PORT}
+   * @param operatorAddresses base URIs of the entry VMs' operators' ports; may be empty
+   * @param targetsFile YAML file that lists the target stand-ins, or null
+   * @param storeUri base URI of the store stand-in, or null
    */
   record Endpoints(
       List<String> callerAddresses,
@@ -56,7 +56,10 @@
       @Nullable Path targetsFile,
       @Nullable URI storeUri) {}
 
-  /** Joins running processes; each variant of an experiment meets the same ones. */
+  /**
+   * Returns a provider that connects to running processes; all variants of an experiment share
+   * them.
+   */
   static Provider provider(Endpoints endpoints) {
     return (contract, entriesPerZone, readyWithin) -> {
       BlockingHttpClient client = BlockingHttpClient.withTimeout(CALL_TIMEOUT);
@@ -95,9 +98,10 @@
   }
 
   /**
-   * A target stand-in of another process.
+   * A target stand-in in another process.
    *
-   * @param startedBefore requests that it had started before this variant, which do not count
+   * @param startedBefore number of requests started before this variant, which are subtracted from
+   *     the readings
    */
   private record RemoteTarget(
       String id,
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Report.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Report.java
@@ -15,7 +15,7 @@
 import org.sageladder.tools.load.RequestResult.Outcome;
 import org.sageladder.tools.timeline.TimeLine;
 
-/** Report of an experiment in Markdown and as one HTML page. */
+/** Writes the report of an experiment as Markdown and as a single HTML page. */
 final class Report {
   private final List<VariantResult> variants;
   private final List<CheckResult> checks;
@@ -26,7 +26,7 @@
     this.checks = checks;
   }
 
-  /** Writes report.md, report.html and the pictures into {@code directory}. */
+  /** Writes report.md, report.html, the plots and requests.csv into {@code directory}. */
   static void write(Path directory, List<VariantResult> variants, List<CheckResult> checks)
       throws IOException {
     Files.createDirectories(directory);
@@ -43,12 +43,12 @@
     RequestsCsv.write(directory.resolve("requests.csv"), variants);
   }
 
-  /** True where every check holds. */
+  /** Returns true if every check holds. */
   static boolean allHold(List<CheckResult> checks) {
     return checks.stream().allMatch(CheckResult::holds);
   }
 
-  /** The checks as a table of text. */
+  /** Formats the checks as a plain-text table. */
   static String summary(List<CheckResult> checks) {
     StringBuilder text = new StringBuilder();
     for (CheckResult check : checks) {
@@ -80,11 +80,13 @@
         .append(experiment.seed())
         .append(", ")
         .append(first.samples().targets().size())
-        .append(" targets; the tool itself started requests at most ")
+        .append(" targets; the load generator started requests at most ")
         .append(Checks.formatMillis(first.maxSenderLagNanos()))
         .append(" late, which counts as latency. Latency and headroom leave out the first ")
         .append(Checks.formatMillis(experiment.warmUp().toNanos()))
-        .append(", the warm-up of fresh processes; all else counts from the first request.\n");
+        .append(
+            ", the warm-up of freshly started processes; everything else is measured from"
+                + " the first request.\n");
     appendChecks();
     appendFaults(first);
     appendComparison();
@@ -137,16 +139,20 @@
       }
     }
     markdown.append(
-        "\n'random choice' and 'local only' send the same arrivals straight to the targets, with no entry"
-            + " VM in between; 'other build' runs the entry VMs of --baseline-build. Each variant has"
-            + " fresh targets (with --entries the same ones); links add no delay. Latency is that of whole"
-            + " answers only, so it is to be read beside their share. 'outside region' is the share"
+        "\n'random choice' and 'local only' send the same requests directly to the targets,"
+            + " without an entry VM; 'other build' runs the entry VMs of --baseline-build. Each"
+            + " variant has fresh targets (with --entries, all variants share the same targets);"
+            + " links add no delay. Latency covers whole answers only, so compare it together with"
+            + " their fraction. 'outside region' is the fraction"
             + " of whole answers from a target outside the caller's region, each of which would"
-            + " pay the contract's delay between regions twice.\n");
+            + " incur the contract's delay between regions twice.\n");
     appendFailedChecks();
   }
 
-  /** What the same checks say of each variant, so that a baseline's speed is read with its cost. */
+  /**
+   * Lists the checks that each variant fails, so that a baseline's latency can be weighed against
+   * the properties it violates.
+   */
   private void appendFailedChecks() {
     markdown.append("\n");
     for (VariantResult variant : variants) {
@@ -197,14 +203,18 @@
     markdown.append("\nUnknown: ").append(unknown).append(".\n");
   }
 
-  /** Why the slowest requests were slow: their events over all processes, in order. */
+  /**
+   * Lists the events of the slowest requests from all processes, in order, to show why they were
+   * slow.
+   */
   private void appendSlowRequests(SlowRequests slow) {
     appendHeading("Slowest and lost requests");
     markdown
         .append(
-            "Of each service the three slowest whole answers after the warm-up and at most three"
-                + " requests whose run is not known, with their events over all processes. ")
-        .append("Times are after its first event.\n");
+            "For each service, the three slowest whole answers after the warm-up and at most three"
+                + " requests whose outcome is unknown or wrong, with their events from all"
+                + " processes. ")
+        .append("Times are relative to the request's first event.\n");
     slow.eventsByRequest().forEach(this::appendRequestEvents);
   }
 
@@ -226,7 +236,7 @@
         .append(result.code())
         .append("\n\n");
     if (entries.isEmpty()) {
-      markdown.append("No events: the processes were not asked.\n");
+      markdown.append("No events were fetched for this request.\n");
       return;
     }
     appendRow("after the first event", "entry VM", "event", "subject", "detail");
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/RequestResult.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/RequestResult.java
@@ -1,29 +1,30 @@
 package org.sageladder.tools.load;
 
 /**
- * How one request ended, as its caller saw it.
+ * The result of one request as its caller saw it.
  *
  * @param arrival the request
- * @param latencyNanos from when it was due, so that waiting for a slow system counts
- * @param outcome what the caller was told
- * @param code name of the result, or the fault that the caller saw
- * @param target target that answered, empty where unknown
- * @param attempts times it was sent
+ * @param latencyNanos time since the request was due, so that time spent waiting for a slow system
+ *     counts
+ * @param outcome outcome reported to the caller
+ * @param code name of the result code, or of the error that the caller saw
+ * @param target target that answered, empty if unknown
+ * @param attempts number of times the request was sent
  */
 public record RequestResult(
     Arrival arrival, long latencyNanos, Outcome outcome, String code, String target, int attempts) {
 
-  /** What the caller was told. */
+  /** Outcome reported to the caller. */
   public enum Outcome {
-    /** The whole answer to its own request. */
+    /** The caller got the whole answer to its own request. */
     WHOLE,
-    /** An answer that is not the one to its own request, or a part of it as if whole. */
+    /** The caller got the answer to another request, or a truncated answer presented as whole. */
     WRONG,
-    /** It ran, and its answer cannot be had. */
+    /** The request ran, but its answer is not available. */
     RAN_UNSEEN,
-    /** It did not run. */
+    /** The request did not run. */
     NOT_RUN,
-    /** It may have run. */
+    /** The request may have run. */
     UNKNOWN
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/RequestsCsv.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/RequestsCsv.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Every request of a run with its end, one line each, for a spreadsheet. */
+/** Writes every request of a run with its result as one CSV line. */
 final class RequestsCsv {
   private static final String HEADER =
       "variant,request,service,region,block,due_ms,latency_ms,told,result,target,tries";
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Sampler.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Sampler.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.sageladder.tools.load.TargetView.Reading;
 
-/** Reads all targets at even steps, on a thread of its own. */
+/** Reads all targets at a fixed interval on a dedicated thread. */
 final class Sampler implements AutoCloseable {
   static final Duration INTERVAL = Duration.ofMillis(100);
 
@@ -46,14 +46,14 @@
   }
 
   private void sample() {
-    List<Reading> step = new ArrayList<>(targets.size());
+    List<Reading> sample = new ArrayList<>(targets.size());
     long now = System.nanoTime();
     for (int i = 0; i < targets.size(); i++) {
-      step.add(readOrRepeatLast(i));
+      sample.add(readOrRepeatLast(i));
     }
     synchronized (this) {
       atNanos.add(now - startNanos);
-      readings.add(List.copyOf(step));
+      readings.add(List.copyOf(sample));
     }
   }
 
@@ -69,7 +69,7 @@
     }
   }
 
-  /** What was read so far. */
+  /** The samples taken so far. */
   synchronized Samples samples() {
     return new Samples(targets, atNanos, readings);
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Sender.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Sender.java
@@ -1,14 +1,14 @@
 package org.sageladder.tools.load;
 
-/** Sends one request the way that a variant of the experiment does, and waits for its end. */
+/** Sends one request as a variant of the experiment does, and waits for its result. */
 @FunctionalInterface
 public interface Sender extends AutoCloseable {
-  /** What became of the request; never fails, since every end is a result. */
+  /** Returns the result of the request. Does not throw: failures are results too. */
   SendResult send(Arrival arrival);
 
   @Override
   default void close() {}
 
-  /** What a sender saw, without the time. */
+  /** The result that a sender saw, without the latency. */
   record SendResult(RequestResult.Outcome outcome, String code, String target, int attempts) {}
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/ShiftCapCheck.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/ShiftCapCheck.java
@@ -7,13 +7,17 @@
 import org.sageladder.core.contract.Contract.ShiftCap;
 
 /**
- * Checks the caps on shifts from what targets really started.
+ * Checks the shift caps against the number of requests that the targets started.
  *
- * <p>No window may hold more starts than the window before it plus the gain that the contract
- * allows. Windows are cut so that the step of sampling can only make a breach look smaller.
+ * <p>The starts in a window may exceed those in the preceding window at most by the gain that the
+ * contract allows. Window boundaries are rounded to samples such that the sampling interval can
+ * only understate a violation.
  */
 final class ShiftCapCheck {
-  /** A start follows its admission by a little, so a window may hold a few of the one before. */
+  /**
+   * A request starts shortly after its admission, so a window may contain a few starts that were
+   * admitted in the preceding one.
+   */
   private static final double SLACK_FRACTION = 0.05;
 
   private static final int SLACK_REQUESTS = 2;
@@ -30,7 +34,7 @@
     return new ShiftCapCheck(variant);
   }
 
-  /** The place and moment that came closest to its cap, or went beyond it. */
+  /** The target or region that used the largest fraction of its cap; the fraction may exceed 1. */
   private static final class WorstCase {
     private double usedFraction;
     private String location = "none";
@@ -87,44 +91,46 @@
     return worst.toCheckResult("shift toward a region stays under its cap");
   }
 
-  /** Largest growth of any window over the one before, as a share of the growth allowed. */
+  /**
+   * Largest increase of any window over the preceding one, as a fraction of the allowed increase.
+   */
   private double maxUsedFraction(List<Integer> chosen, ShiftCap cap, double capacity) {
     long[] started = samples.startedCounts(chosen);
     double allowed = cap.gainFraction() * capacity * cap.window().toNanos() / 1e9;
     double slack = SLACK_FRACTION * allowed + SLACK_REQUESTS;
     double maxUsed = 0;
-    for (int step = 0; step < samples.sampleCount(); step++) {
-      long endNanos = samples.atNanos().get(step);
-      long recent = started[step] - countAtOrAfter(started, endNanos - cap.window().toNanos());
-      long before =
+    for (int sample = 0; sample < samples.sampleCount(); sample++) {
+      long endNanos = samples.atNanos().get(sample);
+      long recent = started[sample] - countAtOrAfter(started, endNanos - cap.window().toNanos());
+      long previous =
           countAtOrAfter(started, endNanos - cap.window().toNanos())
               - countTwoWindowsBefore(started, endNanos, cap.window());
-      maxUsed = Math.max(maxUsed, (recent - before - slack) / allowed);
+      maxUsed = Math.max(maxUsed, (recent - previous - slack) / allowed);
     }
     return maxUsed;
   }
 
-  /** The count at the first sample not earlier than {@code nanos}; 0 before the first sample. */
+  /** Count at the first sample taken at or after {@code nanos}; 0 if {@code nanos} is negative. */
   private long countAtOrAfter(long[] started, long nanos) {
     if (nanos < 0) {
       return 0;
     }
-    for (int step = 0; step < started.length; step++) {
-      if (samples.atNanos().get(step) >= nanos) {
-        return started[step];
+    for (int sample = 0; sample < started.length; sample++) {
+      if (samples.atNanos().get(sample) >= nanos) {
+        return started[sample];
       }
     }
     return started[started.length - 1];
   }
 
-  /** The count at the last sample not later than two windows before {@code end}. */
+  /** Count at the last sample taken at least two windows before {@code endNanos}. */
   private long countTwoWindowsBefore(long[] started, long endNanos, Duration window) {
     long cutoffNanos = endNanos - 2 * window.toNanos();
     long count = 0;
-    for (int step = 0;
-        step < started.length && samples.atNanos().get(step) <= cutoffNanos;
-        step++) {
-      count = started[step];
+    for (int sample = 0;
+        sample < started.length && samples.atNanos().get(sample) <= cutoffNanos;
+        sample++) {
+      count = started[sample];
     }
     return count;
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/SlowRequests.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/SlowRequests.java
@@ -10,9 +10,9 @@
 import org.sageladder.tools.load.RequestResult.Outcome;
 import org.sageladder.tools.timeline.TimeLine;
 
-/** The slowest and the lost requests of a variant with what the time line tells of them. */
+/** The slowest and the failed requests of a variant with their events from the time line. */
 final class SlowRequests {
-  /** Enough to see whether one cause repeats. */
+  /** Three are enough to see whether several requests share a cause. */
   private static final int MAX_PER_SERVICE = 3;
 
   private final Map<RequestResult, List<TimeLine.Entry>> eventsByRequest;
@@ -22,26 +22,26 @@
   }
 
   /**
-   * Of each service the slowest whole answers after the warm-up, slowest first, and some requests
-   * whose run is not known or whose answer was wrong.
+   * Selects, for each service, the slowest whole answers after the warm-up, slowest first, and a
+   * few requests with outcome {@code UNKNOWN} or {@code WRONG}.
    */
   static SlowRequests of(VariantResult variant) {
     TimeLine timeLine = TimeLine.merge(variant.events());
     List<RequestResult> chosen = new ArrayList<>();
     for (Contract.Service service : variant.experiment().contract().services()) {
       variant.results(service.name()).stream()
-          .filter(ending -> ending.outcome() == Outcome.WHOLE && variant.isAfterWarmUp(ending))
+          .filter(result -> result.outcome() == Outcome.WHOLE && variant.isAfterWarmUp(result))
           .sorted(Comparator.comparingLong(RequestResult::latencyNanos).reversed())
           .limit(MAX_PER_SERVICE)
           .forEach(chosen::add);
       variant.results(service.name()).stream()
           .filter(
-              ending -> ending.outcome() == Outcome.UNKNOWN || ending.outcome() == Outcome.WRONG)
+              result -> result.outcome() == Outcome.UNKNOWN || result.outcome() == Outcome.WRONG)
           .limit(MAX_PER_SERVICE)
           .forEach(chosen::add);
     }
     Map<RequestResult, List<TimeLine.Entry>> eventsByRequest = new LinkedHashMap<>();
-    chosen.forEach(ending -> eventsByRequest.put(ending, new ArrayList<>()));
+    chosen.forEach(result -> eventsByRequest.put(result, new ArrayList<>()));
     Map<String, List<TimeLine.Entry>> eventsByRequestId =
         chosen.stream()
             .collect(Collectors.toMap(e -> e.arrival().requestId(), eventsByRequest::get));
@@ -52,7 +52,10 @@
     return new SlowRequests(eventsByRequest);
   }
 
-  /** What the time line has of each; empty where no events were fetched. */
+  /**
+   * The events of each selected request in time-line order; the lists are empty if no events were
+   * fetched.
+   */
   Map<RequestResult, List<TimeLine.Entry>> eventsByRequest() {
     return eventsByRequest;
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemSender.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemSender.java
@@ -7,7 +7,7 @@
 import org.sageladder.client.SageladderClient;
 import org.sageladder.tools.load.RequestResult.Outcome;
 
-/** Sends through sageladder with the callers' library. */
+/** Sends requests through sageladder with the client library. */
 final class SystemSender implements Sender {
   private static final int CONNECTIONS_PER_ENTRY = 256;
 
@@ -19,7 +19,9 @@
     this.client = client;
   }
 
-  /** Callers of {@code customer} who know the entry VMs at {@code addresses}. */
+  /**
+   * Creates a sender for {@code customer} that uses the entry VMs at {@code addresses} as seeds.
+   */
   static SystemSender of(String customer, List<String> addresses) {
     ClientOptions options =
         ClientOptions.seeds(addresses).maxConnectionsPerEntry(CONNECTIONS_PER_ENTRY);
@@ -57,7 +59,10 @@
     return new SendResult(Outcome.UNKNOWN, unknown.code().name(), "", unknown.attemptCount());
   }
 
-  /** A status of the target's own, such as 504 past the deadline, tells that it ran or may have. */
+  /**
+   * A status other than 200 comes from the target itself, such as 504 after the deadline, so the
+   * request ran or may have run.
+   */
   private static SendResult classifyWhole(Answer.Complete whole, TargetRequest request) {
     if (whole.status() != 200) {
       return new SendResult(
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemUnderTest.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemUnderTest.java
@@ -9,26 +9,26 @@
 import org.sageladder.core.contract.Contract;
 import org.sageladder.tools.load.Experiment.Fault;
 
-/** A running system that an experiment sends to and breaks. */
+/** A running system that an experiment sends requests to and injects faults into. */
 public interface SystemUnderTest extends AutoCloseable {
-  /** Callers' addresses of entry VMs, {@code IP:PORT}. */
+  /** Addresses of the entry VMs' callers' ports, {@code IP:PORT}. */
   List<String> callerAddresses();
 
-  /** Operators' ports of the entry VMs; empty where their events cannot be fetched. */
+  /** Base URIs of the entry VMs' operators' ports; empty if their events cannot be fetched. */
   List<URI> operatorAddresses();
 
-  /** The targets; empty where only callers' results can be checked. */
+  /** The targets; empty if only the results that callers saw can be checked. */
   List<TargetView> targets();
 
   /**
-   * Does what {@code fault} says, and undoes it after its length.
+   * Injects {@code fault} and undoes it after its duration.
    *
-   * @return name of the VM that was hit, or of the change
-   * @throws IOException where this system cannot do it
+   * @return name of the affected VM, or a description of the change
+   * @throws IOException if this system cannot inject the fault
    */
   String inject(Fault fault) throws IOException;
 
-  /** Revision of the contract in force at each entry VM that answers, by VM. */
+  /** Revision of the contract in force at each entry VM that answers, by VM name. */
   Map<String, Long> revisionsInForce() throws IOException;
 
   @Override
@@ -38,23 +38,23 @@
   @FunctionalInterface
   interface Provider {
     /**
-     * A system that is ready to serve.
+     * Starts a system and returns it once it is ready to serve.
      *
-     * @param contract contract that the system is to run
+     * @param contract contract that the system runs
      */
     SystemUnderTest start(Contract contract, int entriesPerZone, Duration readyWithin)
         throws IOException, InterruptedException;
 
     /**
-     * The same system with the entry daemons of another build.
+     * Returns a provider of the same system with the entry daemons of another build.
      *
-     * @param directory the other build's jars
-     * @throws IOException where this provider cannot start another build's
+     * @param directory directory that contains the other build's jars
+     * @throws IOException if this provider cannot start the daemons of another build
      */
     default Provider ofBuild(Path directory) throws IOException {
       throw new IOException(
-          "another build cannot be started beside processes that run already; start its entry VMs"
-              + " and name them with --entries in a run of its own");
+          "another build cannot be started next to processes that are already running; start its"
+              + " entry VMs and pass them with --entries in a separate run");
     }
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/TargetRequest.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/TargetRequest.java
@@ -5,10 +5,12 @@
 import org.sageladder.standin.target.AnswerPattern;
 import org.sageladder.standin.target.RequestChecksum;
 
-/** The HTTP form of an arrival at a target stand-in, and the check of the answer to it. */
+/**
+ * The HTTP request that an arrival becomes at a target stand-in, with verification of its answer.
+ */
 @SuppressWarnings("ArrayRecordComponent")
 record TargetRequest(String method, String path, byte[] body, int answerBytes) {
-  /** Header in which the stand-in echoes the checksum of the request it answers. */
+  /** Header in which the stand-in returns the checksum of the request that it answers. */
   static final String CHECKSUM_HEADER = "Request-Checksum";
 
   static TargetRequest of(Arrival arrival) {
@@ -20,7 +22,7 @@
     return new TargetRequest("POST", path, body, arrival.answerBytes());
   }
 
-  /** True where the answer is to this request and every byte of it is there and right. */
+  /** Returns true if the answer belongs to this request and its body is complete and correct. */
   boolean isAnsweredBy(String checksum, byte[] answer) {
     long expectedChecksum = RequestChecksum.of(method, path, body);
     if (!String.valueOf(expectedChecksum).equals(checksum) || answer.length != answerBytes) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/TargetView.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/TargetView.java
@@ -5,38 +5,39 @@
 import java.util.Map;
 
 /**
- * A target as the experiment sees it from behind: what it really started and holds.
+ * Direct view of a target that bypasses the system under test: the requests that the target started
+ * and currently holds.
  *
- * <p>A stand-in offers this; of a real target only the load is to be had.
+ * <p>Only a target stand-in provides all of it; a real target reports only its load.
  */
 public interface TargetView {
   /** Name of the target. */
   String id();
 
-  /** Service that it runs. */
+  /** Service that the target runs. */
   String service();
 
-  /** Availability zone that it is in. */
+  /** Availability zone of the target. */
   String zone();
 
-  /** Requests that it runs at the same time. */
+  /** Number of requests that the target runs concurrently. */
   int slots();
 
-  /** Base address that work is sent to. */
+  /** Base URI that requests are sent to. */
   URI address();
 
-  /** What it holds at this moment. */
+  /** Reads the current state of the target. */
   Reading read() throws IOException;
 
-  /** How often each request was started, by key. */
+  /** Number of times that each request was started, by request id. */
   Map<String, Integer> executions() throws IOException;
 
   /**
-   * One look at a target.
+   * The state of a target at one moment.
    *
-   * @param started requests started since it was made
-   * @param busy slots in use
-   * @param queued requests that it holds beyond its slots
+   * @param started number of requests started since the target was created
+   * @param busy number of slots in use
+   * @param queued number of requests that the target holds beyond its slots
    */
   record Reading(long started, int busy, int queued) {}
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/VariantResult.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/VariantResult.java
@@ -8,12 +8,13 @@
 import org.sageladder.tools.timeline.ProcessEvents;
 
 /**
- * What one variant of an experiment gave.
+ * The results of one variant of an experiment.
  *
  * @param name {@code sageladder} or the name of a baseline
- * @param executions how often each request was started, over all targets, by key
- * @param events what the system's processes recorded; empty where none was asked
- * @param maxSenderLagNanos how far the tool itself lagged behind the arrivals, at most
+ * @param executions number of executions of each request over all targets, by request id
+ * @param events events recorded by the system's processes; empty if none were fetched
+ * @param maxSenderLagNanos longest delay between the time a request was due and the time the load
+ *     generator started it
  */
 public record VariantResult(
     String name,
@@ -26,7 +27,7 @@
     long maxSenderLagNanos) {
   private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
 
-  /** Copies the collections, so that the result cannot change. */
+  /** Copies the collections, which makes the record immutable. */
   public VariantResult {
     results = List.copyOf(results);
     injected = List.copyOf(injected);
@@ -34,12 +35,12 @@
     events = List.copyOf(events);
   }
 
-  /** Endings of one service. */
+  /** Results of the requests to one service. */
   List<RequestResult> results(String service) {
     return results.stream().filter(result -> result.arrival().service().equals(service)).toList();
   }
 
-  /** True where the request was due after the warm-up. */
+  /** Returns true if the request was due after the warm-up. */
   boolean isAfterWarmUp(RequestResult result) {
     return isAfterWarmUp(result.arrival().dueNanos());
   }
@@ -48,7 +49,7 @@
     return nanos >= experiment.warmUp().toNanos();
   }
 
-  /** Latency of whole answers of one service after the warm-up, in microseconds. */
+  /** Latency, in microseconds, of the whole answers of one service after the warm-up. */
   Histogram latency(String service) {
     Histogram histogram = new Histogram(MAX_LATENCY_MICROS, 3);
     for (RequestResult result : results(service)) {
@@ -60,20 +61,22 @@
     return histogram;
   }
 
-  /** Number of endings of one service by what the caller was told. */
+  /** Number of requests to one service by outcome. */
   Map<Outcome, Integer> countsByOutcome(String service) {
     Map<Outcome, Integer> counts = new HashMap<>();
     results(service).forEach(result -> counts.merge(result.outcome(), 1, Integer::sum));
     return counts;
   }
 
-  /** Share of whole answers among all requests of one service; 1 where there were none. */
+  /**
+   * Fraction of the requests to one service that got a whole answer; 1 if there were no requests.
+   */
   double wholeFraction(String service) {
     int all = results(service).size();
     return all == 0 ? 1 : countsByOutcome(service).getOrDefault(Outcome.WHOLE, 0) / (double) all;
   }
 
-  /** Share of whole answers that came from a target outside the caller's region. */
+  /** Fraction of whole answers that came from a target outside the caller's region. */
   double crossRegionFraction(String service) {
     Map<String, String> regionOfTarget = new HashMap<>();
     for (TargetView target : samples.targets()) {
@@ -94,15 +97,15 @@
     return whole == 0 ? 0 : crossRegion / (double) whole;
   }
 
-  /** Free slots of a service's targets at its busiest moment after the warm-up, as a fraction. */
+  /** Smallest fraction of free slots over a service's targets at any sample after the warm-up. */
   double minHeadroom(String service) {
     double[] headroom =
         samples.headroomFractions(
             samples.targetIndexes(target -> target.service().equals(service)));
     double min = 1;
-    for (int step = 0; step < headroom.length; step++) {
-      if (isAfterWarmUp(samples.atNanos().get(step))) {
-        min = Math.min(min, headroom[step]);
+    for (int sample = 0; sample < headroom.length; sample++) {
+      if (isAfterWarmUp(samples.atNanos().get(sample))) {
+        min = Math.min(min, headroom[sample]);
       }
     }
     return min;
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/package-info.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/package-info.java
@@ -1,4 +1,6 @@
-/** {@code sageladder-load}: open-loop experiments that check what sageladder promises. */
+/**
+ * {@code sageladder-load}: runs open-loop load experiments and checks the guarantees of sageladder.
+ */
 @NullMarked
 package org.sageladder.tools.load;
 
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/ClockOffset.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/ClockOffset.java
@@ -1,38 +1,41 @@
 package org.sageladder.tools.timeline;
 
 /**
- * Bounds of how much one clock is ahead of another, in microseconds.
+ * Lower and upper bound of the lead of one clock over another, in microseconds.
  *
- * @param minMicros smallest possible lead; may be negative
- * @param maxMicros largest possible lead, at least {@code least}
+ * @param minMicros lower bound of the lead; may be negative
+ * @param maxMicros upper bound of the lead, at least {@code minMicros}
  */
 public record ClockOffset(long minMicros, long maxMicros) {
-  /** Bounds of a clock that nothing is known about. */
+  /** The bounds of a clock whose lead is unknown. */
   public static final ClockOffset UNKNOWN =
       new ClockOffset(-ClockOffset.UNBOUNDED_MICROS, ClockOffset.UNBOUNDED_MICROS);
 
-  /** Stands for no bound: far beyond any clock, yet small enough to add two. */
+  /**
+   * Represents a missing bound: far beyond any clock difference, but small enough that adding two
+   * does not overflow.
+   */
   static final long UNBOUNDED_MICROS = Long.MAX_VALUE / 4;
 
   /**
-   * Bounds from one question: the other clock read {@code theirs} at some time between {@code
-   * asked} and {@code answered} of one's own.
+   * Bounds from one request and its answer: the other clock read {@code remoteMicros} at some time
+   * between {@code askedMicros} and {@code answeredMicros} of the local clock.
    */
   public static ClockOffset ofExchange(long askedMicros, long remoteMicros, long answeredMicros) {
     return new ClockOffset(remoteMicros - answeredMicros, remoteMicros - askedMicros);
   }
 
-  /** The best single estimate of the lead. */
+  /** The midpoint of the bounds, which minimizes the maximum error. */
   public long midpointMicros() {
     return minMicros + (maxMicros - minMicros) / 2;
   }
 
-  /** How far the true lead may be from {@link #midpointMicros()}. */
+  /** Maximum error of {@link #midpointMicros()}. */
   public long uncertaintyMicros() {
     return (maxMicros - minMicros + 1) / 2;
   }
 
-  /** Bounds that hold where both do; where none can, {@code this}. */
+  /** Returns the intersection of both bounds, or {@code this} if they do not overlap. */
   public ClockOffset intersect(ClockOffset other) {
     long newMin = Math.max(minMicros, other.minMicros);
     long newMax = Math.min(maxMicros, other.maxMicros);
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/ClockOffsetEstimator.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/ClockOffsetEstimator.java
@@ -5,17 +5,20 @@
 import java.util.List;
 
 /**
- * Estimates how far each process's clock is from the collector's.
+ * Estimates the lead of each process's clock over the collector's clock.
  *
- * <p>Each message bounds two clocks against one another: it cannot be received before it was sent.
- * Each fetch bounds a clock against the collector's. All bounds together are shortest paths over
- * the processes; a contradiction among them means that a clock jumped, and then only the fetches
- * count.
+ * <p>Each message bounds the difference of two clocks, since it cannot be received before it was
+ * sent. Each fetch bounds the difference between a clock and the collector's. The tightest bounds
+ * are the shortest paths over all of them. A negative cycle means that a clock jumped; only the
+ * bounds from the fetches are used then.
  */
 final class ClockOffsetEstimator {
   private ClockOffsetEstimator() {}
 
-  /** The lead of each process's clock over the collector's, in the order of {@code processes}. */
+  /**
+   * Returns the lead of each process's clock over the collector's clock, in the order of {@code
+   * processes}.
+   */
   static List<ClockOffset> estimate(List<ProcessEvents> processes, List<Message> messages) {
     int collector = processes.size();
     long[][] maxDifference = new long[collector + 1][collector + 1];
@@ -42,7 +45,7 @@
         : fetchedOffsets(processes);
   }
 
-  /** Floyd-Warshall; false where the bounds contradict one another. */
+  /** Floyd-Warshall; returns false if the bounds contradict each other (negative cycle). */
   private static boolean shortestPaths(long[][] maxDifference) {
     int size = maxDifference.length;
     for (int via = 0; via < size; via++) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/EventFetcher.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/EventFetcher.java
@@ -11,10 +11,10 @@
 import org.sageladder.tools.http.BufferedHttpResponse;
 
 /**
- * Fetches the events of one process from its operators' port, again and again if wanted.
+ * Fetches the events of one process from its operators' port; repeated calls fetch incrementally.
  *
  * <pre>{@code
- * EventFetcher fetcher = EventFetcher.of(URI.create("http://127.0.0.1:7301"), caller);
+ * EventFetcher fetcher = EventFetcher.of(URI.create("http://127.0.0.1:7301"), client);
  * ProcessEvents events = fetcher.fetch();
  * }</pre>
  */
@@ -40,18 +40,18 @@
     this.startMicros = timeSource.wallMillis() * 1_000;
   }
 
-  /** A fetcher that has fetched nothing yet. */
+  /** Creates a fetcher that starts with the oldest event of the process. */
   public static EventFetcher of(URI operatorUri, BlockingHttpClient client) {
     return new EventFetcher(operatorUri, client, TimeSource.system());
   }
 
   /**
-   * Fetches all that is new and returns all that was fetched so far.
+   * Fetches all new events and returns all events fetched so far.
    *
-   * <p>A process that was started anew numbers its events from 1 again: what was fetched of the one
-   * before is kept, and the new one is read from its start.
+   * <p>A restarted process numbers its events from 1 again: the events of its previous incarnation
+   * are kept, and those of the new incarnation are read from the start.
    *
-   * @throws IOException where the process gives no answer or one that is no page of events
+   * @throws IOException if the process does not answer or its answer is not a page of events
    */
   public ProcessEvents fetch() throws IOException {
     for (int page = 0; page < MAX_PAGES; page++) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/EventFilter.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/EventFilter.java
@@ -4,36 +4,36 @@
 import org.jspecify.annotations.Nullable;
 import org.sageladder.core.event.Event;
 
-/** Choices of events; each is a predicate, so that they combine with {@code and}. */
+/** Event filters, as predicates that can be combined with {@code and}. */
 public final class EventFilter {
   private EventFilter() {}
 
-  /** Every event. */
+  /** Accepts every event. */
   public static Predicate<Event> all() {
     return event -> true;
   }
 
-  /** Events about that request, those naming it as their subject included. */
+  /** Accepts events about that request, including those that name it as their subject. */
   public static Predicate<Event> request(String id) {
     return event -> event.request().equals(id) || event.subject().equals(id);
   }
 
-  /** Events about that customer's contract. */
+  /** Accepts events about that customer's contract. */
   public static Predicate<Event> contract(String customer) {
     return event -> event.contract().equals(customer);
   }
 
-  /** Events about that target, peer, zone or key. */
+  /** Accepts events about that target, peer, zone or key. */
   public static Predicate<Event> subject(String name) {
     return event -> event.subject().equals(name);
   }
 
-  /** Events about that revision, view number or permit sequence. */
+  /** Accepts events about that revision, view number or permit sequence. */
   public static Predicate<Event> revision(long number) {
     return event -> event.revision() == number;
   }
 
-  /** All of the choices whose value is not null. */
+  /** Combines the filters whose value is not null. */
   public static Predicate<Event> of(
       @Nullable String request,
       @Nullable String contract,
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/MessageMatcher.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/MessageMatcher.java
@@ -8,11 +8,12 @@
 import org.sageladder.core.event.EventKind;
 
 /**
- * Finds the messages that processes exchanged about requests.
+ * Matches the send and receive events of the messages that processes exchanged about requests.
  *
- * <p>A request that one entry VM forwards and another receives gives one message there; where the
- * sender records an answer, the receiver's own end of the request gives one back. A sender that
- * fails or refuses may have given up by itself, before the receiver's end, so that gives none.
+ * <p>A request that one entry VM forwards and another receives yields one message. If the sender
+ * records an answer, the event with which the receiver completed the request yields a second
+ * message, in the opposite direction. A sender that records a failure or a refusal may have done so
+ * before the receiver completed the request, so that event yields no message.
  */
 final class MessageMatcher {
   private final List<ProcessEvents> processes;
@@ -29,22 +30,22 @@
   }
 
   static List<Message> match(List<ProcessEvents> processes) {
-    MessageMatcher messages = new MessageMatcher(processes);
+    MessageMatcher matcher = new MessageMatcher(processes);
     for (int p = 0; p < processes.size(); p++) {
-      messages.matchSentBy(p);
+      matcher.matchSentBy(p);
     }
-    return List.copyOf(messages.matched);
+    return List.copyOf(matcher.matched);
   }
 
   private static Map<String, List<Integer>> indexesByRequest(List<Event> events) {
-    Map<String, List<Integer>> positions = new HashMap<>();
+    Map<String, List<Integer>> indexes = new HashMap<>();
     for (int i = 0; i < events.size(); i++) {
       String request = events.get(i).request();
       if (!request.isEmpty()) {
-        positions.computeIfAbsent(request, ignored -> new ArrayList<>()).add(i);
+        indexes.computeIfAbsent(request, ignored -> new ArrayList<>()).add(i);
       }
     }
-    return positions;
+    return indexes;
   }
 
   private void matchSentBy(int sender) {
@@ -71,35 +72,38 @@
     }
   }
 
-  /** The detail of a receipt names who forwarded the request; it is empty for a caller's own. */
-  private int firstReceipt(int receiver, List<Integer> positions, int sender) {
+  /**
+   * The detail of a RECEIVED event names the VM that forwarded the request; it is empty if the
+   * request came from a caller.
+   */
+  private int firstReceipt(int receiver, List<Integer> indexes, int sender) {
     String name = processes.get(sender).vm();
-    for (int position : positions) {
-      Event event = processes.get(receiver).events().get(position);
+    for (int index : indexes) {
+      Event event = processes.get(receiver).events().get(index);
       if (event.kind() == EventKind.RECEIVED && event.detail().equals(name)) {
-        return position;
+        return index;
       }
     }
     return -1;
   }
 
-  private int firstAnswer(int process, List<Integer> positions, int afterIndex) {
-    for (int position : positions) {
-      EventKind kind = processes.get(process).events().get(position).kind();
-      if (position > afterIndex && kind == EventKind.ANSWERED) {
-        return position;
+  private int firstAnswer(int process, List<Integer> indexes, int afterIndex) {
+    for (int index : indexes) {
+      EventKind kind = processes.get(process).events().get(index).kind();
+      if (index > afterIndex && kind == EventKind.ANSWERED) {
+        return index;
       }
     }
     return -1;
   }
 
-  private int firstCompletion(int process, List<Integer> positions, int afterIndex) {
-    for (int position : positions) {
-      EventKind kind = processes.get(process).events().get(position).kind();
+  private int firstCompletion(int process, List<Integer> indexes, int afterIndex) {
+    for (int index : indexes) {
+      EventKind kind = processes.get(process).events().get(index).kind();
       boolean end =
           kind == EventKind.ANSWERED || kind == EventKind.REFUSED || kind == EventKind.FAILED;
-      if (position > afterIndex && end) {
-        return position;
+      if (index > afterIndex && end) {
+        return index;
       }
     }
     return -1;
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/ProcessEvents.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/ProcessEvents.java
@@ -4,11 +4,11 @@
 import org.sageladder.core.event.Event;
 
 /**
- * What was fetched from one process.
+ * The events fetched from one process.
  *
- * @param vm name of the VM
- * @param lostCount events that had given way before they were fetched
- * @param clockOffset how far the process's event clock is from the collector's
+ * @param vm name of the VM that runs the process
+ * @param lostCount number of events that were overwritten before they were fetched
+ * @param clockOffset lead of the process's event clock over the collector's clock
  */
 public record ProcessEvents(
     String vm,
@@ -17,7 +17,7 @@
     long lostCount,
     ClockOffset clockOffset,
     List<Event> events) {
-  /** Copies the list, so that the events cannot change. */
+  /** Copies the list, which makes the record immutable. */
   public ProcessEvents {
     events = List.copyOf(events);
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLine.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLine.java
@@ -10,15 +10,16 @@
 import org.sageladder.core.event.Event;
 
 /**
- * Events of all processes in one order.
+ * The events of all processes, merged into one order.
  *
  * <pre>{@code
- * TimeLine line = TimeLine.merge(fetched);
- * line.entries(EventFilter.request("r-17")).forEach(System.out::println);
+ * TimeLine timeLine = TimeLine.merge(fetched);
+ * timeLine.entries(EventFilter.request("r-17")).forEach(System.out::println);
  * }</pre>
  *
- * <p>The order respects each process's own order and puts the sending of a message before its
- * receipt; where neither decides, corrected clocks do.
+ * <p>The order preserves the order of events within each process and puts the send event of a
+ * message before its receive event. Events that neither rule orders are ordered by corrected clock
+ * time.
  */
 public final class TimeLine {
   private final List<ProcessEvents> processes;
@@ -38,53 +39,55 @@
   }
 
   /**
-   * One event in its place.
+   * One event with its position in the time line.
    *
    * @param process index of the process
-   * @param micros time by the collector's clock, microseconds since the Unix epoch; never before
-   *     that of an entry that must have come earlier
-   * @param uncertainty how far the true time may be from {@code micros}
+   * @param micros time by the collector's clock, in microseconds since the Unix epoch; never
+   *     earlier than that of an entry that must precede this one
+   * @param uncertainty maximum error of {@code micros}, in microseconds
    */
   public record Entry(int process, String vm, long micros, long uncertainty, Event event) {}
 
-  /** A message from one entry to a later one. */
+  /** A message, from its send entry to its receive entry. */
   public record MessageArrow(Entry from, Entry to) {}
 
-  /** Merges what was fetched; each process must occur once. */
+  /** Merges the events of the given processes; each process must occur only once. */
   public static TimeLine merge(List<ProcessEvents> processes) {
     List<Message> messages = MessageMatcher.match(processes);
     List<ClockOffset> offsets = ClockOffsetEstimator.estimate(processes, messages);
     return new Merge(processes, messages, offsets).merge();
   }
 
-  /** The processes in the order that {@link Entry#process()} counts. */
+  /** The processes, in the order that {@link Entry#process()} refers to. */
   public List<ProcessEvents> processes() {
     return processes;
   }
 
-  /** The lead of each process's clock over the collector's. */
+  /** The lead of each process's clock over the collector's clock, in the order of the processes. */
   public List<ClockOffset> offsets() {
     return offsets;
   }
 
-  /** Events that had given way in any process before they were fetched. */
+  /** Number of events, over all processes, that were overwritten before they were fetched. */
   public long lostCount() {
     return processes.stream().mapToLong(ProcessEvents::lostCount).sum();
   }
 
-  /** The entries whose event passes {@code filter}, in order. */
+  /** The entries whose event passes {@code filter}, in time-line order. */
   public List<Entry> entries(Predicate<Event> filter) {
     return entries.stream().filter(entry -> filter.test(entry.event())).toList();
   }
 
-  /** The messages both of whose events pass {@code filter}. */
+  /** The messages whose send and receive events both pass {@code filter}. */
   public List<MessageArrow> messageArrows(Predicate<Event> filter) {
     return messageArrows.stream()
         .filter(arrow -> filter.test(arrow.from().event()) && filter.test(arrow.to().event()))
         .toList();
   }
 
-  /** Repeatedly takes the earliest event whose predecessors have all been taken. */
+  /**
+   * Topological merge: repeatedly takes the earliest event whose predecessors have all been taken.
+   */
   private static final class Merge {
     private final List<ProcessEvents> processes;
     private final List<Message> messages;
@@ -133,7 +136,10 @@
       return new TimeLine(processes, offsets, entries, messageArrows());
     }
 
-    /** Puts a process in line, or lets it wait for the message that its next event receives. */
+    /**
+     * Queues a process, or makes it wait until the message that its next event receives has been
+     * sent.
+     */
     private void enqueueOrWait(int process) {
       if (isQueued[process] || isExhausted(process)) {
         return;
@@ -149,9 +155,9 @@
     }
 
     /**
-     * Guards against messages that were paired wrongly and wait for one another, as when a caller
-     * uses one request id twice: without it their events would be missing from the line. The one
-     * that is earliest by its clock goes first.
+     * Breaks cycles of messages that were matched wrongly and wait for each other, for example
+     * because a caller used one request id twice; otherwise their events would be missing from the
+     * time line. Queues the process whose next event is the earliest by corrected clock time.
      */
     private boolean enqueueEarliestWaiting() {
       int earliest = -1;
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineFormat.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineFormat.java
@@ -4,13 +4,16 @@
 import java.util.function.Predicate;
 import org.sageladder.core.event.Event;
 
-/** Writes a time line in one of the forms that {@code sageladder-timeline} offers. */
+/** An output format of {@code sageladder-timeline}. */
 @FunctionalInterface
 public interface TimeLineFormat {
-  /** The events that pass {@code filter}, with the clocks' uncertainty and the loss stated. */
+  /**
+   * Formats the events that pass {@code filter}, with the uncertainty of the clocks and the number
+   * of lost events.
+   */
   String write(TimeLine timeLine, Predicate<Event> filter);
 
-  /** One line of text for each event. */
+  /** Plain text, one line per event. */
   static TimeLineFormat text() {
     return TimeLineText::write;
   }
@@ -20,7 +23,7 @@
     return TimeLineJson::write;
   }
 
-  /** A page with a picture and a table. */
+  /** An HTML page with a diagram and a table. */
   static TimeLineFormat html() {
     return TimeLineHtml::write;
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineHtml.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineHtml.java
@@ -6,7 +6,9 @@
 import org.sageladder.core.event.Event;
 import org.sageladder.core.event.EventKind;
 
-/** Page with a picture of a time line: a lane for each process, arrows for messages. */
+/**
+ * Formats a time line as an HTML page with a diagram: one lane per process, arrows for messages.
+ */
 final class TimeLineHtml {
   private static final int MAX_DRAWN_EVENTS = 2_000;
   private static final int LANE_HEIGHT = 64;
@@ -14,7 +16,7 @@
   private static final int WIDTH = 1_400;
   private static final int TOP = 30;
 
-  /** More names than this would cover one another. */
+  /** Labels of more events than this would overlap. */
   private static final int MAX_LABELLED_EVENTS = 60;
 
   private static final int MAX_LANE_NAME_LENGTH = 30;
@@ -24,7 +26,7 @@
   private final List<TimeLine.Entry> entries;
   private final List<TimeLine.Entry> drawnEntries;
 
-  /** Processes that have a drawn event, in the order of their lanes. */
+  /** Indexes of the processes that have a drawn event, in the order of their lanes. */
   private final List<Integer> lanes;
 
   private final StringBuilder html = new StringBuilder();
@@ -60,10 +62,11 @@
     if (timeLine.lostCount() > 0) {
       html.append("<p><strong>")
           .append(timeLine.lostCount())
-          .append(" events were lost: they had given way before they were fetched.</strong></p>");
+          .append(
+              " events were lost: they were overwritten before they were fetched.</strong></p>");
     }
     if (drawnEntries.size() < entries.size()) {
-      html.append("<p>The picture shows the first ")
+      html.append("<p>The diagram shows the first ")
           .append(drawnEntries.size())
           .append(" of ")
           .append(entries.size())
@@ -108,18 +111,19 @@
     html.append("</svg>");
   }
 
-  /** What the reader has to know of the picture. */
+  /** Explains the diagram. */
   private void appendLegend() {
-    html.append("<p>The picture starts at ")
+    html.append("<p>The diagram starts at ")
         .append(TimeLineText.formatClock(drawnEntries.get(0).micros()))
-        .append(" UTC. Each lane is a process (those without an event here are left out), each dot")
-        .append(" an event; the pale bar around it is how far its true time may be, an arrow a")
-        .append(" message. Point at a dot for its text. Colours: ");
+        .append(
+            " UTC. Each lane is a process (processes without a shown event are omitted), each dot")
+        .append(" an event; the pale bar around it shows the uncertainty of its time, an arrow a")
+        .append(" message. Hover over a dot for its text. Colours: ");
     appendLegendEntry(EventKind.REFUSED, "refused, failed or lost");
     appendLegendEntry(EventKind.RETRIED, "retried, cancelled, leaving or silent");
-    appendLegendEntry(EventKind.CONTRACT_IN_FORCE, "contract, view or duty changed");
+    appendLegendEntry(EventKind.CONTRACT_IN_FORCE, "contract, view, lease or holding changed");
     appendLegendEntry(EventKind.ANSWERED, "answered");
-    appendLegendEntry(EventKind.RECEIVED, "all else");
+    appendLegendEntry(EventKind.RECEIVED, "other");
     html.append("</p>");
   }
 
@@ -190,7 +194,7 @@
             colour(entry.event().kind())));
   }
 
-  /** Writes the kind beside the dot, in turn above and below it. */
+  /** Writes the kind of the event next to its dot, alternately above and below it. */
   private void appendLabel(TimeLine.Entry entry, int number) {
     boolean atEnd = x(entry) > WIDTH - LABEL_WIDTH;
     html.append(
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineJson.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineJson.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 import org.sageladder.core.event.Event;
 
-/** JSON form of a time line. */
+/** Formats a time line as JSON. */
 final class TimeLineJson {
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -43,7 +43,7 @@
                   new Document(timeLine.lostCount(), processes, timeLine.entries(filter)))
           + "\n";
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("records of plain values could not be written", e);
+      throw new IllegalStateException("could not serialize the time line", e);
     }
   }
 }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineMain.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineMain.java
@@ -30,14 +30,14 @@
 
   private TimeLineMain() {}
 
-  /** Fetches and prints; the exit code follows {@link ExitCode}. */
+  /** Fetches the events and prints the time line; exits with the status of an {@link ExitCode}. */
   public static void main(String[] args) {
     System.exit(run(args, System.out, System.err).status());
   }
 
   /**
-   * As {@link #main}, without ending the process. A process that does not answer is named on {@code
-   * err} and the others are shown; where none answers the exit code is {@code UNAVAILABLE}.
+   * Does the same as {@link #main}, without exiting the process. A process that does not answer is
+   * reported on {@code err} and skipped; if none answers, the exit code is {@code UNAVAILABLE}.
    */
   public static ExitCode run(String[] args, PrintStream out, PrintStream err) {
     Options options = options();
@@ -85,7 +85,10 @@
     return ExitCode.OK;
   }
 
-  /** What each process has; those that do not answer are named on {@code err} and left out. */
+  /**
+   * Fetches the events of all processes; those that do not answer are reported on {@code err} and
+   * skipped.
+   */
   public static List<ProcessEvents> fetchAll(List<URI> operators, PrintStream err) {
     List<ProcessEvents> fetched = new ArrayList<>();
     try (BlockingHttpClient client = BlockingHttpClient.withTimeout(CALL_TIMEOUT)) {
@@ -93,7 +96,7 @@
         try {
           fetched.add(EventFetcher.of(uri, client).fetch());
         } catch (IOException e) {
-          err.println("left out: " + e.getMessage());
+          err.println("skipped: " + e.getMessage());
         }
       }
     }
@@ -101,13 +104,13 @@
   }
 
   /**
-   * Operators' ports out of a list such as {@code 10.0.0.7:8082,10.0.1.7:8082}.
+   * Parses a list of operators' addresses such as {@code 10.0.0.7:8082,10.0.1.7:8082}.
    *
-   * @throws ParseException where one is no address
+   * @throws ParseException if the list is missing or contains an invalid address
    */
   public static List<URI> parseAddresses(@Nullable String text) throws ParseException {
     if (text == null) {
-      throw new ParseException("no process to ask; give --operators IP:PORT[,IP:PORT...]");
+      throw new ParseException("no process given; give --operators IP:PORT[,IP:PORT...]");
     }
     List<URI> uris = new ArrayList<>();
     for (String address : text.split(",")) {
@@ -150,14 +153,14 @@
 
   private static Options options() {
     return new Options()
-        .addOption(option("operators", "IP:PORT,...", "operators' ports of the entry VMs to ask"))
+        .addOption(option("operators", "IP:PORT,...", "operators' ports of the entry VMs to query"))
         .addOption(option("request", "ID", "only events about that request"))
         .addOption(option("contract", "CUSTOMER", "only events about that customer's contract"))
         .addOption(option("target", "NAME", "only events about that target, peer or zone"))
         .addOption(option("revision", "N", "only events about that revision or view number"))
-        .addOption(option("format", "FORMAT", "text, json or html; text by default"))
-        .addOption(option("output", "FILE", "write there and not to standard output"))
-        .addOption(Option.builder().longOpt("help").desc("show this").get());
+        .addOption(option("format", "FORMAT", "text, json or html; default text"))
+        .addOption(option("output", "FILE", "write to this file instead of standard output"))
+        .addOption(Option.builder().longOpt("help").desc("show this help").get());
   }
 
   private static Option option(String name, String argument, String summary) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineText.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/TimeLineText.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 import org.sageladder.core.event.Event;
 
-/** Text form of a time line. */
+/** Formats a time line as plain text. */
 final class TimeLineText {
   private static final DateTimeFormatter CLOCK =
       DateTimeFormatter.ofPattern("HH:mm:ss.SSSSSS", Locale.ROOT).withZone(ZoneOffset.UTC);
@@ -25,7 +25,7 @@
     return text.toString();
   }
 
-  /** One process with its clock's lead and its loss. */
+  /** Formats one process with the lead of its clock and its number of lost events. */
   static String formatProcess(TimeLine timeLine, int process) {
     ProcessEvents events = timeLine.processes().get(process);
     ClockOffset offset = timeLine.offsets().get(process);
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/package-info.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/package-info.java
@@ -1,4 +1,4 @@
-/** {@code sageladder-timeline}: one ordered line of events from all processes. */
+/** {@code sageladder-timeline}: merges the events of all processes into one ordered time line. */
 @NullMarked
 package org.sageladder.tools.timeline;
 
--- a/sageladder-tools/src/test/java/org/sageladder/tools/ctl/CtlTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/ctl/CtlTest.java
@@ -74,16 +74,16 @@
     assertTrue(out().contains("by juris\ncustomer: kannelkoda\n"), out());
   }
 
-  // Story: an operator edits a copy of last week's contract and applies it; a colleague's change of
-  // yesterday is gone from the contract in force and nobody is told. Cause: a tool that takes
-  // whatever revision stands as the one that the operator started from.
+  // Guards against lost updates: an operator applies an edited copy of an old contract and silently
+  // reverts a colleague's later change. This happens if the tool takes the current revision as the
+  // base of the change instead of requiring the operator to give it.
   @Test
   void changeOfAnExistingContractRequiresItsBaseRevision(@TempDir Path directory) throws Exception {
     run("apply", VALID_CONTRACT, "--store", uri());
     Path wider = changed(directory, "queueWait: 2s", "queueWait: 3s");
 
     assertEquals(ExitCode.USAGE, run("apply", wider.toString(), "--store", uri()));
-    assertTrue(err().contains("stands at revision"), err());
+    assertTrue(err().contains("is stored at revision"), err());
     assertEquals(
         ExitCode.CONFLICT, run("apply", wider.toString(), "--store", uri(), "--base", "0"));
     assertTrue(err().contains("queueWait: 2s -> 3s"), err());
@@ -99,8 +99,8 @@
     assertTrue(out().contains("accepted at revision"), out());
   }
 
-  // Story: the store is down while an operator applies a change. Were the change queued or dropped
-  // without a word, she would take it for accepted. Cause: an outage before anything was sent.
+  // The store is down before anything is sent. If the change were queued or silently dropped, the
+  // operator would assume that it was accepted.
   @Test
   void changeDuringAnOutageFailsWithAnError() {
     store.setFaults(StoreFaults.none().withDown(true));
@@ -114,8 +114,9 @@
     assertEquals(ExitCode.NOT_FOUND, run("show", "kannelkoda", "--store", uri()));
   }
 
-  // Story: every answer of the store is lost for a while. The change took effect at the first try,
-  // but the operator cannot know; she must be told so, and be able to find out once answers come.
+  // Every answer of the store is lost for a while. The change took effect at the first attempt, but
+  // the operator cannot know. The command must report the unknown outcome, and 'history --change'
+  // must resolve it once the store answers again.
   @Test
   void unansweredChangeIsResolvedLaterByItsId() {
     store.setFaults(StoreFaults.none().withLoseAnswers(20));
@@ -171,8 +172,10 @@
     return err.toString(StandardCharsets.UTF_8);
   }
 
-  private static Path changed(Path directory, String good, String bad) throws Exception {
+  private static Path changed(Path directory, String original, String replacement)
+      throws Exception {
     String yaml = Files.readString(Path.of(VALID_CONTRACT));
-    return Files.writeString(directory.resolve("changed.yaml"), yaml.replace(good, bad));
+    return Files.writeString(
+        directory.resolve("changed.yaml"), yaml.replace(original, replacement));
   }
 }
--- a/sageladder-tools/src/test/java/org/sageladder/tools/ctl/StatusCommandTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/ctl/StatusCommandTest.java
@@ -54,8 +54,8 @@
     assertTrue(out().contains("lowest revision in force: 5, in tartu-b"), out());
   }
 
-  // Story: an operator's script waits for a change and goes on as soon as the VM it asked has it;
-  // another zone still serves the old limits. Cause: asking one VM for its own revision only.
+  // Guards against a wait that ends when the queried VM has the revision while another zone still
+  // uses the old limits, because only the VM's own revision is considered.
   @Test
   void waitContinuesWhileAnyZoneLags() {
     ExitCode code = run("status", "--operators", address(), "--wait", "7", "--within", "500ms");
@@ -77,8 +77,8 @@
     assertTrue(out().contains("in force everywhere after"), out());
   }
 
-  // Story: a zone has just come up and its relay has not reported yet. Counting only zones that
-  // have reported, the wait would end although nothing is known of that one.
+  // The relay of a new zone has not reported yet. If only zones with a report counted, the wait
+  // would end although the revision in this zone is unknown.
   @Test
   void zoneWithoutAReportCountsAsLagging() {
     zones.remove("tartu-b");
--- a/sageladder-tools/src/test/java/org/sageladder/tools/ctl/TraceCommandTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/ctl/TraceCommandTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.sageladder.platform.settings.ExitCode;
 
-/** From a request's id to its cause. */
+/** Tests that {@code trace} finds the cause of a request's result. */
 class TraceCommandTest {
   private static final String LOG =
       """
@@ -28,7 +28,8 @@
       {"at":5040,"vm":"e-1","kind":"ANSWERED","request":"cut off by the end of its pro
       """;
 
-  // Apart from the results: a fault names the file, whose random path may hold a target's name.
+  // Kept apart from the results: an error contains the file's path, whose random part may contain
+  // the name of a target.
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
@@ -36,11 +37,14 @@
     Path file = directory.resolve("e-1.log");
     Files.writeString(file, LOG);
     PrintStream results = new PrintStream(out, true, StandardCharsets.UTF_8);
-    PrintStream faults = new PrintStream(err, true, StandardCharsets.UTF_8);
-    return Ctl.run(new String[] {"trace", id, file.toString()}, results, faults);
+    PrintStream errors = new PrintStream(err, true, StandardCharsets.UTF_8);
+    return Ctl.run(new String[] {"trace", id, file.toString()}, results, errors);
   }
 
-  /** A bid got 502: its target had crashed, which its entry VM noticed 80 ms later. */
+  /**
+   * A request got status 502 because its target had crashed; its entry VM detected the crash 80 ms
+   * later.
+   */
   @Test
   void printsTheRequestWithRelatedEventsOfItsTargetAndVm(@TempDir Path directory) throws Exception {
     assertEquals(ExitCode.OK, run(directory, "r-7"));
@@ -51,14 +55,15 @@
     assertFalse(text.contains("t-2"), "another target: " + text);
     assertFalse(text.contains("status 200"), "another request: " + text);
     assertFalse(text.contains("STOPPING"), "another VM: " + text);
-    assertFalse(text.contains("STORE_DOWN"), "long before: " + text);
-    String faults = err.toString(StandardCharsets.UTF_8);
-    assertTrue(faults.contains("1 lines not read, since they are cut off"), faults);
+    assertFalse(text.contains("STORE_DOWN"), "too old: " + text);
+    String errors = err.toString(StandardCharsets.UTF_8);
+    assertTrue(errors.contains("1 lines skipped because they are truncated"), errors);
   }
 
   @Test
   void requestWithoutLogLinesIsNotFound(@TempDir Path directory) throws Exception {
     assertEquals(ExitCode.NOT_FOUND, run(directory, "r-8"));
-    assertTrue(out.toString(StandardCharsets.UTF_8).contains("no line of request 'r-8' among 7"));
+    assertTrue(
+        out.toString(StandardCharsets.UTF_8).contains("no log line for request 'r-8' among 7"));
   }
 }
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/ChecksTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/ChecksTest.java
@@ -24,17 +24,17 @@
 
   @BeforeEach
   void readExperiment() throws Exception {
-    Experiment whole = Experiment.read(Path.of("..", "experiments", "kannelkoda.yaml"));
+    Experiment fromFile = Experiment.read(Path.of("..", "experiments", "kannelkoda.yaml"));
     experiment =
         new Experiment(
-            whole.name(),
-            whole.contract(),
+            fromFile.name(),
+            fromFile.contract(),
             1,
             1,
-            whole.warmUp(),
-            whole.loads(),
+            fromFile.warmUp(),
+            fromFile.loads(),
             List.of(),
-            whole.limits());
+            fromFile.limits());
   }
 
   @Test
@@ -89,10 +89,9 @@
     assertTrue(failedChecks(beyond).contains("no target holds more than its slots"));
   }
 
-  // Story: a surge of searches lands on a cold region at once; its caches are empty and every
-  // search is slow. Cause: admission without the cap. The target may gain 0.34 of 50 requests a
-  // second in a window of 5 s, which is 85 requests; here it gains 550, and 50 where it stays
-  // within.
+  // Without the shift cap, a surge of searches reaches a cold region at once, where empty caches
+  // make every search slow. The cap allows a target a gain of 0.34 of 50 requests per second in a
+  // window of 5 s, which is 85 requests. The surge gains 550 requests, the permitted growth 50.
   @Test
   void surgeBeyondTheCapFailsTheVerdictAndOneWithinItDoesNot() {
     VariantResult surge =
@@ -111,12 +110,12 @@
     List<FaultSchedule.InjectedFault> drained =
         List.of(new FaultSchedule.InjectedFault(fault, 2_000_000_000L, "t", true, -1));
 
-    VariantResult goesOn = variantResult(List.of(), step -> step, 1, Map.of(), drained);
+    VariantResult continues = variantResult(List.of(), step -> step, 1, Map.of(), drained);
     VariantResult stops =
         variantResult(List.of(), step -> Math.min(step, 30), 0, Map.of(), drained);
 
-    assertTrue(failedChecks(goesOn).contains("leaving target t gets no new work"));
-    assertTrue(failedChecks(goesOn).contains("drain time of t"));
+    assertTrue(failedChecks(continues).contains("leaving target t gets no new work"));
+    assertTrue(failedChecks(continues).contains("drain time of t"));
     assertTrue(!failedChecks(stops).contains("leaving target t gets no new work"));
     assertTrue(!failedChecks(stops).contains("drain time of t"));
   }
@@ -141,7 +140,7 @@
     return variantResult(results, started, Map.of());
   }
 
-  /** A run of 20 s with one search target, read every 100 ms. */
+  /** Creates a run of 20 s with one search target, sampled every 100 ms. */
   private VariantResult variantResult(
       List<RequestResult> results,
       LongUnaryOperator started,
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/DisabledCapTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/DisabledCapTest.java
@@ -21,11 +21,10 @@
 import org.sageladder.core.time.VirtualTime;
 import org.sageladder.tools.load.TargetView.Reading;
 
-// Story: a release admits without caps. Callers see good latency in the test that should have
-// caught
-// it, and cold caches break on the first real surge. Cause: a verdict that no fault can make fail.
-// Here the real gate meets the same surge on a virtual clock with the contract in force and with
-// the one that --disable caps puts there; the checks go by the contract in both.
+// Guards against a verdict that cannot fail: a release that admits requests without shift caps
+// would pass, and the first real surge would overload cold caches. The test runs the same surge
+// through the real gate on a virtual clock, once with the contract in force and once with the
+// contract of --disable caps. The checks use the contract in force in both runs.
 class DisabledCapTest {
   private static final String SEARCH = "lyric-search";
   private static final long STEP_MILLIS = 100;
@@ -62,16 +61,16 @@
   }
 
   private static Experiment withoutFaults() throws Exception {
-    Experiment whole = Experiment.read(Path.of("..", "experiments", "kannelkoda.yaml"));
+    Experiment fromFile = Experiment.read(Path.of("..", "experiments", "kannelkoda.yaml"));
     return new Experiment(
-        whole.name(),
-        whole.contract(),
+        fromFile.name(),
+        fromFile.contract(),
         1,
         1,
-        whole.warmUp(),
-        whole.loads(),
+        fromFile.warmUp(),
+        fromFile.loads(),
         List.of(),
-        whole.limits());
+        fromFile.limits());
   }
 
   private static boolean holds(List<CheckResult> checks, String scope) {
@@ -79,7 +78,7 @@
     return checks.stream().filter(check -> check.name().equals(name)).allMatch(CheckResult::holds);
   }
 
-  /** One target gets 2 searches a second for 10 s and 40 a second for 10 s more. */
+  /** Sends 2 searches per second to one target for 10 s, then 40 per second for 10 s. */
   private List<CheckResult> surge(Experiment experiment, Contract inForce) {
     Contract.Service service = inForce.service(SEARCH).orElseThrow();
     ServiceGate gate =
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/OpenLoopTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/OpenLoopTest.java
@@ -11,9 +11,9 @@
 import org.sageladder.tools.load.RequestResult.Outcome;
 
 class OpenLoopTest {
-  // Story: a system hangs for a while and the report shows a fine 99th percentile. Cause: a sender
-  // that waits for each answer sends nothing while the system hangs, so only one request is slow
-  // (coordinated omission). Here the first request does not end before all others have been sent.
+  // Guards against coordinated omission: a sender that waits for each answer sends nothing while
+  // the system hangs, so only one request is slow and the 99th percentile looks good. Here the
+  // first request does not complete before all others have been sent.
   @Test
   void sendsAllRequestsWhileTheFirstOneHangs() throws Exception {
     int count = 50;
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/RemoteSystemTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/RemoteSystemTest.java
@@ -61,9 +61,9 @@
     store.close();
   }
 
-  // Story: a second experiment against the same daemons fails on the caps although hardly anything
-  // was sent. Cause: the first window held the starts of the experiment before, which the target
-  // goes on counting.
+  // Guards against a second experiment on the same daemons failing the shift caps with hardly any
+  // load: a target keeps counting, so the first window would contain the starts of the earlier
+  // experiment.
   @Test
   void startsOfEarlierRunsDoNotCount() throws Exception {
     sendWork("a");
@@ -75,15 +75,15 @@
     }
   }
 
-  // Story: every variant after the first meets a target that is leaving, and looks worse for it.
-  // Cause: the drain that the first one injected was never undone; and a line that only stops
-  // leaving is not believed, since leaving is final within an incarnation.
+  // Guards against a drain that outlasts its variant: all later variants would run with a leaving
+  // target and look worse. Clearing the leaving mark is not enough, since leaving is final within
+  // an incarnation; the target must come back as a later one.
   @Test
   void closeRestartsADrainedTargetAsALaterIncarnation() throws Exception {
     try (SystemUnderTest system = connect(store.address())) {
       assertEquals("t-1", system.inject(fault(FaultKind.DRAIN_TARGET)));
       assertTrue(listed().leaving());
-      assertEquals(200, sendWork("d"), "the list alone tells of the end");
+      assertEquals(200, sendWork("d"), "only the list announces the drain");
     }
     assertFalse(listed().leaving());
     assertEquals(2, listed().incarnation());
--- a/sageladder-tools/src/test/java/org/sageladder/tools/timeline/TimeLineTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/timeline/TimeLineTest.java
@@ -9,8 +9,8 @@
 import org.sageladder.core.event.EventKind;
 
 class TimeLineTest {
-  // Story: an operator reads that the gate received a request before it was forwarded, and blames
-  // the wrong VM. Cause: the gate's clock is 40 ms behind and lines were sorted by wall clock.
+  // The gate's clock is 40 ms behind. Sorted by wall clock, the gate would seem to receive the
+  // request before it was forwarded, and an operator would suspect the wrong VM.
   @Test
   void receiptIsOrderedAfterItsSendDespiteClockSkew() {
     ProcessEvents edge =
@@ -54,8 +54,8 @@
     assertEquals(2_000, clockOffset.uncertaintyMicros());
   }
 
-  // Story: the line is empty for two processes though both have events. Cause: a caller used one
-  // request id twice, so that two wrongly paired messages wait for one another.
+  // A caller used one request id twice, so two wrongly matched messages wait for each other.
+  // Without a way out of this cycle, the events of both processes would be missing.
   @Test
   void mismatchedMessagesDropNoEvent() {
     ProcessEvents a =
