--- a/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/AtMostOnceMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/AtMostOnceMain.java
@@ -14,7 +14,10 @@
 import org.sageladder.standin.target.TargetFaults;
 import org.sageladder.standin.target.TargetServer;
 
-/** Counts executions per permit while entry VMs die, pause and stop and answers are lost. */
+/**
+ * Counts executions per permit while entry VMs are killed, paused and stopped and responses are
+ * lost.
+ */
 public final class AtMostOnceMain {
   private static final int ENTRIES = 6;
   private static final int TARGETS = 12;
@@ -24,7 +27,7 @@
 
   private AtMostOnceMain() {}
 
-  /** Takes {@code --full} for 100,000 requests instead of 8,000. */
+  /** Sends 8,000 requests, or 100,000 with {@code --full}. */
   public static void main(String[] args) throws Exception {
     int requestCount = List.of(args).contains("--full") ? FULL_REQUESTS : DEFAULT_REQUESTS;
     try (TestBed bed = TestBed.start(4)) {
@@ -74,9 +77,9 @@
     bidders.shutdown();
     delayedCopies.shutdown();
     if (!delayedCopies.awaitTermination(30, TimeUnit.SECONDS)) {
-      throw new IllegalStateException("late copies are still on their way after 30 s");
+      throw new IllegalStateException("delayed copies are still in flight after 30 s");
     }
-    // What the last copies started must have shown itself at the targets.
+    // Executions started by the last copies must be counted at the targets before the report.
     Thread.sleep(2_000);
   }
 
@@ -130,7 +133,8 @@
             + outcomes.contradictionCount()
             + outcomes.wrongAnswerCount();
     System.out.println("at-most-once: " + violations + " broken promises (aim 0)");
-    // A system that runs nothing breaks no promise: most permits must have run to prove anything.
+    // A system that executes nothing violates no guarantee, so at least 90 % of the permits must
+    // have run.
     return violations == 0
         && outcomes.count(OutcomeLog.ReportedOutcome.RAN) >= requestCount * 9L / 10;
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/Bidder.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/Bidder.java
@@ -12,8 +12,8 @@
 import org.sageladder.standin.target.RequestChecksum;
 
 /**
- * A caller that sends bids one after another, resends what timed out through other entry VMs, and
- * lets some copies come late.
+ * A caller that sends bids one after another, retries those that timed out through random entry
+ * VMs, and sends some delayed duplicates.
  */
 final class Bidder {
   private static final Duration DEADLINE = Duration.ofSeconds(3);
@@ -38,7 +38,7 @@
     this.random = new SplittableRandom(seed);
   }
 
-  /** Places one bid and follows it until it ran or hope is given up. */
+  /** Places one bid and retries it until it has run or the attempts are exhausted. */
   void placeBid(String work) throws InterruptedException {
     String permit = "";
     for (int attempt = 0; attempt < MAX_COPIES && permit.isEmpty(); attempt++) {
@@ -52,13 +52,13 @@
       }
       outcomes.recordRefusal(last.result());
       permit = last.permit();
-      // As docs/CALLERS.md asks: who comes back sooner than told is refused again, and gives up on
-      // a bid that would have run.
+      // Required by docs/CALLERS.md: a caller that retries earlier than Retry-After is refused
+      // again and uses up its attempts for a bid that would have run.
       Thread.sleep(Math.min(last.retryAfterMillis(), MAX_PAUSE_MILLIS));
     }
   }
 
-  /** Sends copies under one permit until an answer is final. */
+  /** Sends copies of a request under one permit until the reported outcome is final. */
   private Reply sendUntilFinal(String key, String permit) throws InterruptedException {
     outcomes.recordOutcome(key, OutcomeLog.ReportedOutcome.UNKNOWN);
     Reply reply = Reply.TIMEOUT;
@@ -76,7 +76,7 @@
     return reply;
   }
 
-  /** A copy that the network held back; whatever it is answered counts as told. */
+  /** Sends a copy as if delayed by the network; the outcome reported to it counts as well. */
   private void sendDelayedCopy(String key, String permit, int delayMillis) {
     int port = randomPort();
     Future<?> unused =
--- a/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/FaultInjector.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/FaultInjector.java
@@ -8,7 +8,10 @@
 import org.sageladder.bench.process.TestBed;
 import org.sageladder.standin.store.StoreFaults;
 
-/** Kills, pauses and stops entry daemons, crashes targets and takes the store down, by a seed. */
+/**
+ * Injects random faults drawn from a seed: kills, pauses and stops entry daemons, crashes targets,
+ * and makes the store slow or unavailable.
+ */
 final class FaultInjector implements Runnable {
   private final TestBed bed;
   private final SplittableRandom random;
@@ -37,7 +40,7 @@
       }
       bed.store().setFaults(StoreFaults.none());
     } catch (IOException e) {
-      throw new IllegalStateException("the disorder ended early", e);
+      throw new IllegalStateException("fault injection failed", e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/OutcomeLog.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/OutcomeLog.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What callers were told of each piece of work; one key for each permit used. */
+/** The outcome reported to callers for each request; there is one key for each permit used. */
 final class OutcomeLog {
-  /** The last word a caller was given. */
+  /** The last outcome that was reported to a caller. */
   enum ReportedOutcome {
     RAN,
     NOT_RUN,
@@ -19,7 +19,9 @@
   private final LongAdder contradictionCount = new LongAdder();
   private final LongAdder wrongAnswerCount = new LongAdder();
 
-  /** Notes an answer; "ran" and "not run" are final, and both for one key contradict each other. */
+  /**
+   * Records an outcome. "Ran" and "not run" are final; both for the same key are a contradiction.
+   */
   void recordOutcome(String key, ReportedOutcome outcome) {
     outcomesByKey.merge(
         key,
@@ -35,12 +37,12 @@
         });
   }
 
-  /** Notes why a permit ended without a run. */
+  /** Records the result code with which a request was refused under a permit. */
   void recordRefusal(String result) {
     refusalsByResult.merge(result, 1, Integer::sum);
   }
 
-  /** Refusals by result. */
+  /** Number of refusals by result code. */
   Map<String, Integer> refusalsByResult() {
     return new TreeMap<>(refusalsByResult);
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/package-info.java
@@ -1,4 +1,4 @@
-/** Executions per permit under lost answers, deaths and pauses. */
+/** Measures executions per permit while responses are lost and processes are killed and paused. */
 @NullMarked
 package org.sageladder.bench.atmostonce;
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/BackgroundMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/BackgroundMain.java
@@ -26,9 +26,9 @@
 import org.sageladder.standin.target.TargetServer;
 
 /**
- * A short night: pulls catalogue records while people list lots, answers are cut, and entry VMs,
- * targets and the store fail. Do all pulls finish whole, how long does the longest wait, and what
- * do the people notice.
+ * Downloads large catalogue records ("pulls") while interactive callers request listings, responses
+ * are truncated, and entry VMs, targets and the store fail. Reports whether all pulls complete, how
+ * long the slowest takes, and the latency of the listings.
  */
 public final class BackgroundMain {
   private static final int RECORD_BYTES = 4 << 20;
@@ -50,7 +50,7 @@
     this.bed = bed;
   }
 
-  /** Takes {@code --full} for 5,000 pulls instead of 1,500. */
+  /** Runs 1,500 pulls, or 5,000 with {@code --full}. */
   public static void main(String[] args) throws Exception {
     int count = List.of(args).contains("--full") ? 5_000 : 1_500;
     try (TestBed bed = TestBed.start(100)) {
@@ -147,7 +147,10 @@
     runAll(pullers);
   }
 
-  /** One record: fetched in parts by the callers' library until it is whole or morning has come. */
+  /**
+   * Fetches one record with the client library, which resumes it in parts until it is complete or
+   * the deadline has passed.
+   */
   private void pull(SageladderClient client, int number) {
     String path = "/records?answerBytes=" + RECORD_BYTES + "&work=pull" + number;
     CheckedSink sink = CheckedSink.of(RequestChecksum.of("GET", path, new byte[0]));
--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/CheckedSink.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/CheckedSink.java
@@ -4,7 +4,7 @@
 import org.sageladder.client.BodySink;
 import org.sageladder.standin.target.AnswerPattern;
 
-/** Checks a body byte by byte as it comes, without holding it. */
+/** Verifies a response body byte by byte as it arrives, without buffering it. */
 final class CheckedSink implements BodySink {
   private final long seed;
   private AnswerPattern.Checker checker;
@@ -15,7 +15,7 @@
     this.checker = AnswerPattern.checker(seed);
   }
 
-  /** A sink for the answer to the request with that checksum. */
+  /** Creates a sink for the response to the request with that checksum. */
   static CheckedSink of(long checksum) {
     return new CheckedSink(checksum);
   }
@@ -35,7 +35,7 @@
     return Math.max(0, beginCount - 1);
   }
 
-  /** True where exactly the {@code length} bytes of the answer have come. */
+  /** True if exactly {@code length} bytes have arrived and all are correct. */
   synchronized boolean isWhole(long length) {
     return checker.length() == length && checker.matches();
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/PeriodicFaultInjector.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/PeriodicFaultInjector.java
@@ -7,7 +7,7 @@
 import org.sageladder.bench.process.TestBed;
 import org.sageladder.standin.store.StoreFaults;
 
-/** One failure after the other, in a fixed order, until told to end. */
+/** Injects one fault after another in a fixed order until it is stopped. */
 final class PeriodicFaultInjector {
   private static final long INTERVAL_MILLIS = 1_500;
   private static final long FAULT_MILLIS = 1_000;
@@ -28,13 +28,13 @@
     return injector;
   }
 
-  /** Waits until what has begun is undone again. */
+  /** Stops the injection and waits until the current fault is undone. */
   void stop() throws InterruptedException {
     isStopped = true;
     thread.join();
   }
 
-  /** How often each failure was caused. */
+  /** Number of injections of each fault. */
   synchronized Map<String, Integer> countsByFault() {
     return new TreeMap<>(countsByFault);
   }
@@ -46,7 +46,7 @@
         injectFault(round);
       }
     } catch (IOException e) {
-      throw new IllegalStateException("an entry VM did not come back", e);
+      throw new IllegalStateException("an entry VM did not restart", e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/package-info.java
@@ -1,4 +1,4 @@
-/** Catalogue pulls that must finish whole beside people who wait. */
+/** Measures whether large background downloads complete while interactive callers are served. */
 @NullMarked
 package org.sageladder.bench.background;
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/Capacity.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/Capacity.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 
 /**
- * Measures every slope of docs/CAPACITY.md and prints its fit, its error and its value at the
- * target size.
+ * Measures all slopes of docs/CAPACITY.md and prints for each the fit, its error and the value at
+ * the target size.
  */
 public final class Capacity {
   private static final double MAX_FIT_ERROR = 0.25;
@@ -14,8 +14,9 @@
   private Capacity() {}
 
   /**
-   * Code slopes always; with {@code --full} also those of control and of failures, which take four
-   * minutes; with {@code --control} or {@code --failures} these alone.
+   * Measures the slopes of single components; with {@code --full} also those of the control plane
+   * and of failures, which take four minutes; with {@code --control} or {@code --failures} only
+   * these.
    */
   public static void main(String[] args) throws Exception {
     if (args.length > 0 && args[0].equals("--failures")) {
@@ -54,7 +55,8 @@
   }
 
   /**
-   * Differences of traffic that flows anyway: their errors are large, and the aim leaves them out.
+   * Failure costs are small differences in continuous traffic and have large errors, so the limit
+   * on the fit error does not apply to them.
    */
   private static void printFailureCosts() throws Exception {
     FailureCosts.measure().forEach(line -> System.out.println(line.describe()));
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/CodeSlopes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/CodeSlopes.java
@@ -24,7 +24,7 @@
 import org.sageladder.platform.contract.ContractYaml;
 import org.sageladder.platform.contract.StoredContract;
 
-/** Slopes of pieces of code, measured in this process. */
+/** Measures how processor time and memory of single components grow, in this process. */
 final class CodeSlopes {
   private static final int[] ZONES = {16, 32, 48, 64, 94};
   private static final int[] COUNTS = {100_000, 200_000, 300_000, 400_000};
@@ -32,7 +32,7 @@
 
   private CodeSlopes() {}
 
-  /** All slopes, each with what it means at the target size. */
+  /** Measures all slopes. */
   static List<SlopeResult> measure() {
     List<SlopeResult> results = new ArrayList<>();
     results.add(
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ControlSlopes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ControlSlopes.java
@@ -24,11 +24,11 @@
 import org.sageladder.tools.http.BlockingHttpClient;
 
 /**
- * What control costs each entry VM and the store while nothing but control happens.
+ * Measures the cost of the control plane for the entry VMs and the store without request traffic.
  *
- * <p>All entry VMs run in this process beside the store and the targets, so processor time and
- * memory are upper bounds: they contain the stand-ins' part. One change of the contract is accepted
- * in each interval, more often than the 12,000 a day of the target size.
+ * <p>All entry VMs run in this process together with the store and the targets, so processor time
+ * and memory include the stand-ins and are upper bounds. One contract change is accepted in each
+ * interval, which is more than the 12,000 per day of the target size.
  */
 final class ControlSlopes {
   private static final Duration SETTLE_TIME = Duration.ofSeconds(4);
@@ -41,7 +41,7 @@
 
   private ControlSlopes() {}
 
-  /** What one fleet cost in one interval, each second. */
+  /** Cost of one fleet during one interval; bytes and calls are per second. */
   private record Cost(
       double coreFraction,
       double heapMegabytes,
@@ -118,7 +118,10 @@
     return Slope.fit(points);
   }
 
-  /** As {@link #fit(double[], List, ToDoubleFunction)}, for the share of one entry VM. */
+  /**
+   * As {@link #fit(double[], List, ToDoubleFunction)}, with values divided by the number of entry
+   * VMs.
+   */
   private static Slope fit(
       double[] zones, List<Cost> costs, ToDoubleFunction<Cost> value, int vmsPerZone) {
     List<Slope.Point> points = new ArrayList<>();
@@ -129,7 +132,7 @@
     return Slope.fit(points);
   }
 
-  /** A contract with as many targets for each entry VM as at the target size. */
+  /** A contract with the number of targets per entry VM of the target size. */
   static Contract fleetContract(int zones, int vmsPerZone) {
     int targets =
         (int) Math.ceil(zones * vmsPerZone * (double) TargetSize.TARGETS / TargetSize.ENTRY_VMS);
@@ -185,7 +188,7 @@
     ContractWriter writer = ContractWriter.of(client, TimeSource.system(), "bench");
     StoredContract current = writer.read(contract.customer());
     if (current == null) {
-      throw new IOException("the store has lost the contract");
+      throw new IOException("the store has no contract of the customer");
     }
     Contract changed =
         new Contract(
@@ -212,7 +215,7 @@
     return sum;
   }
 
-  /** Bytes of the inner protocol's control part that one entry VM sent and received. */
+  /** Bytes of control messages of the inner protocol that one entry VM has sent and received. */
   static double controlBytes(EntryVm vm, BlockingHttpClient caller) throws IOException {
     double sum = 0;
     URI metrics = URI.create("http://127.0.0.1:" + vm.operatorsPort() + "/v1/metrics");
@@ -224,7 +227,10 @@
     return sum;
   }
 
-  /** Of this process's own threads; the compiler's and the collector's would drown the rest. */
+  /**
+   * Processor time of the Java threads; JIT compiler and garbage collector threads, which are not
+   * included, would dominate it.
+   */
   private static long cpuNanos() {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     return LongStream.of(threads.getAllThreadIds())
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ExchangeSlopes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ExchangeSlopes.java
@@ -19,10 +19,11 @@
 import org.sageladder.tools.http.BlockingHttpClient;
 
 /**
- * Processor time that a look-up costs an entry VM with its HTTP exchange, over kept connections.
+ * Measures the processor time of an entry VM for a look-up with its HTTP exchange, over keep-alive
+ * connections.
  *
- * <p>Counted are the threads that were there before the callers' were made; the system's idle work
- * goes on meanwhile and stands in the value at zero.
+ * <p>Only threads that existed before the caller threads were created are counted. The background
+ * work of the system continues during the measurement and is part of the intercept.
  */
 final class ExchangeSlopes {
   private static final int[] COUNTS = {5_000, 10_000, 15_000, 20_000};
@@ -85,7 +86,7 @@
                 () -> {
                   for (int n = 0; n < count / CALLERS; n++) {
                     if (caller.get(uri).status() != 200) {
-                      throw new IOException("a look-up was refused");
+                      throw new IOException("look-up was not answered with status 200");
                     }
                   }
                   return null;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/FailureCosts.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/FailureCosts.java
@@ -17,15 +17,17 @@
 import org.sageladder.tools.http.BlockingHttpClient;
 
 /**
- * What the failures of an ordinary day cost: an entry VM lost, one started, a zone lost.
+ * Measures the cost of routine events: the loss of an entry VM, the start of one, and the loss of a
+ * zone.
  *
- * <p>Each is done to fleets of several sizes; a cost is the traffic in a while after the event less
- * what flowed in as long a while before it.
+ * <p>Each event is caused in fleets of several sizes. Its cost is the traffic during a period after
+ * the event minus the traffic during a period of the same length before it.
  */
 final class FailureCosts {
   private static final Duration SETTLE_TIME = Duration.ofSeconds(4);
   private static final Duration OBSERVATION_TIME = Duration.ofSeconds(5);
-  // Longer than the waits: the library closes a kept connection that was silent for as long.
+  // Longer than the observation time, because the HTTP library closes keep-alive connections that
+  // were idle for the length of the timeout.
   private static final Duration TIMEOUT = Duration.ofSeconds(30);
   private static final long MAX_TAKEOVER_NANOS = Duration.ofSeconds(20).toNanos();
   private static final int[] ZONES = {2, 4, 6, 8};
@@ -46,14 +48,14 @@
   }
 
   /**
-   * Costs in one fleet.
+   * Costs of the events in one fleet.
    *
-   * @param vmLossBytes more bytes at each entry VM left, after one was lost
-   * @param vmLossStoreCalls more calls to the store, of all together
-   * @param takeoverMillis until the targets of the one lost are held by another
-   * @param vmStartBytes bytes of a fresh entry VM until some seconds after it serves
-   * @param vmStartStoreCalls more calls to the store, of all together, because of the fresh one
-   * @param zoneLossBytes more bytes at each entry VM left, after a zone was lost
+   * @param vmLossBytes additional bytes per remaining entry VM after the loss of one
+   * @param vmLossStoreCalls additional store calls by all entry VMs after the loss of one
+   * @param takeoverMillis time until other entry VMs hold the targets of the lost one
+   * @param vmStartBytes bytes of a new entry VM during the observation time after its start
+   * @param vmStartStoreCalls additional store calls by all entry VMs after the start of one
+   * @param zoneLossBytes additional bytes per remaining entry VM after the loss of a zone
    */
   private record Costs(
       double vmLossBytes,
@@ -63,9 +65,9 @@
       double vmStartStoreCalls,
       double zoneLossBytes) {}
 
-  /** Bytes of each entry VM and calls to the store, at one moment or between two. */
+  /** Bytes of each entry VM and calls to the store so far. */
   private record Traffic(Map<String, Double> bytesByVm, double storeCalls) {
-    /** Mean growth over the entry VMs that are in both. */
+    /** Mean growth over the entry VMs that are present in both. */
     double bytesSince(Traffic earlier) {
       return bytesByVm.entrySet().stream()
           .filter(entry -> earlier.bytesByVm.containsKey(entry.getKey()))
@@ -126,7 +128,8 @@
     double takeoverMillis = awaitTakeover(zone, lostVm, lostNanos);
     sleepUntil(lostNanos + OBSERVATION_TIME.toNanos());
     Traffic afterLoss = currentTraffic();
-    // The quiet while was as long, unless taking over took longer than it.
+    // The baseline period has the same length, unless the takeover takes longer than the
+    // observation time.
     double lossPeriods = (System.nanoTime() - lostNanos) / (double) OBSERVATION_TIME.toNanos();
     Traffic beforeStart = currentTraffic();
     long startedNanos = System.nanoTime();
@@ -175,7 +178,7 @@
     }
   }
 
-  /** Milliseconds until the zone's view names another holder for each target of {@code victim}. */
+  /** Milliseconds until the zone view has another holder for each target of {@code lostVm}. */
   private double awaitTakeover(String zone, String lostVm, long lostNanos) throws Exception {
     EntryVm survivor = system.entries().get(vmName(zone, 1));
     URI state = URI.create("http://127.0.0.1:" + survivor.operatorsPort() + "/v1/state");
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/Measure.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/Measure.java
@@ -5,22 +5,25 @@
 import java.util.Arrays;
 import java.util.function.Supplier;
 
-/** Times and sizes of pieces of code, taken so that a single disturbed run does not count. */
+/**
+ * Measures processor time and heap use of code repeatedly, so that a single disturbed run has no
+ * effect.
+ */
 final class Measure {
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
   private static final int SAMPLES = 3;
   private static final int GC_RUNS = 4;
   private static final int COPIES = 16;
 
-  /** Results land here, so that the measured code cannot be left out by the compiler. */
+  /** Receives results, so that the compiler cannot eliminate the measured code. */
   @SuppressWarnings("unused")
   static volatile Object sink;
 
   private Measure() {}
 
   /**
-   * The least of several processor times of {@code work} on this thread, in nanoseconds, after runs
-   * to warm up. Processor time leaves out the waits for a core on a busy machine.
+   * Minimum processor time of {@code work} on this thread over several runs after a warm-up, in
+   * nanoseconds. Unlike elapsed time, processor time excludes waits for a core on a busy machine.
    */
   static double minCpuNanos(int warmUps, int runs, Runnable work) {
     for (int i = 0; i < warmUps; i++) {
@@ -36,7 +39,7 @@
     return times[0];
   }
 
-  /** Bytes that the heap holds more for each object that {@code make} gives; median of takes. */
+  /** Heap bytes retained by each object that {@code factory} creates; median of several samples. */
   static double medianHeapBytes(Supplier<Object> factory) {
     double[] samples = new double[SAMPLES];
     for (int take = 0; take < SAMPLES; take++) {
@@ -46,7 +49,10 @@
     return samples[SAMPLES / 2];
   }
 
-  /** The copies hang on the static field alone: a local variable may outlive its last use. */
+  /**
+   * Only the static field refers to the copies, since a local variable may keep them reachable
+   * after its last use.
+   */
   private static double heapBytes(Supplier<Object> factory) {
     sink = factory.get();
     sink = null;
@@ -65,7 +71,10 @@
     return copies;
   }
 
-  /** The serial collector leaves some dead objects lying but in every fourth full collection. */
+  /**
+   * Runs four collections, since the serial collector keeps some unreachable objects except in
+   * every fourth full collection.
+   */
   private static long usedHeapBytes() {
     Runtime runtime = Runtime.getRuntime();
     long minBytes = Long.MAX_VALUE;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/Slope.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/Slope.java
@@ -5,11 +5,11 @@
 import java.util.stream.Collectors;
 
 /**
- * A straight line fitted to measurements at several sizes.
+ * A least-squares line through measurements at several sizes.
  *
- * @param perUnit growth of the measured value for one more of what was varied
- * @param intercept value where the line meets size 0
- * @param relativeError largest distance of a measurement from the line, as a fraction of the
+ * @param perUnit growth of the measured value per unit of size
+ * @param intercept value of the line at size 0
+ * @param relativeError largest deviation of a measurement from the line, as a fraction of the
  *     largest measurement
  * @param points the measurements
  */
@@ -17,7 +17,7 @@
   /** One measurement. */
   record Point(double size, double value) {}
 
-  /** The line of least squares through at least two points of different size. */
+  /** Fits a line to at least two points of different size by least squares. */
   static Slope fit(List<Point> points) {
     double meanSize = points.stream().mapToDouble(Point::size).average().orElseThrow();
     double meanValue = points.stream().mapToDouble(Point::value).average().orElseThrow();
@@ -43,12 +43,12 @@
         List.copyOf(points));
   }
 
-  /** The value that the line gives at {@code size}. */
+  /** Value of the line at {@code size}. */
   double valueAt(double size) {
     return intercept + perUnit * size;
   }
 
-  /** Slope, start and error as one line. */
+  /** Formats slope, intercept and error as one line. */
   String describe(String unit, String sizeUnit) {
     return String.format(
         Locale.ROOT,
@@ -61,7 +61,7 @@
         100 * relativeError);
   }
 
-  /** The measurements as {@code size:value}. */
+  /** Formats the measurements as {@code size:value}. */
   String describePoints() {
     return points.stream()
         .map(point -> String.format(Locale.ROOT, "%.0f:%.4g", point.size(), point.value()))
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/SlopeResult.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/SlopeResult.java
@@ -3,21 +3,21 @@
 import java.util.Locale;
 
 /**
- * One slope and what it gives at the target size.
+ * A fitted slope and its value at the target size.
  *
  * @param unit unit of the measured value
- * @param sizeUnit what was varied
- * @param sizeAtTarget how much of that the target size has for each node
- * @param component code that carries it
+ * @param sizeUnit unit of the size that was varied
+ * @param sizeAtTarget the size per node at the target size
+ * @param component code whose cost was measured
  */
 record SlopeResult(
     String name, String unit, String sizeUnit, Slope slope, double sizeAtTarget, String component) {
-  /** The value at the target size. */
+  /** Value at the target size; for size 1 the slope alone, without the intercept. */
   double valueAtTargetSize() {
     return sizeAtTarget == 1 ? slope.perUnit() : slope.valueAt(sizeAtTarget);
   }
 
-  /** The line as text for people. */
+  /** Formats the result for printing. */
   String describe() {
     return String.format(
         Locale.ROOT,
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/TargetSize.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/TargetSize.java
@@ -18,7 +18,10 @@
 import org.sageladder.core.membership.ZoneSummary;
 import org.sageladder.core.membership.ZoneView;
 
-/** One customer's state with the densities of the target size and any number of zones. */
+/**
+ * State of one customer with any number of zones, with as many entry VMs, targets and blocks per
+ * zone as at the target size.
+ */
 final class TargetSize {
   static final int ENTRY_VMS = 2_500;
   static final int CLIENT_BLOCKS = 180_000;
@@ -38,7 +41,10 @@
 
   private TargetSize() {}
 
-  /** A contract with that many zones and blocks, in as many regions as the densities give. */
+  /**
+   * A contract with this number of zones and client blocks, with the zones per region of the target
+   * size.
+   */
   static Contract contract(int zones, int blocks) {
     int regionCount = Math.max(1, Math.round((float) zones * REGIONS / ZONES));
     List<List<String>> names = new ArrayList<>();
@@ -81,7 +87,7 @@
         SHIFT_CAP);
   }
 
-  /** What a process knows of all zones of {@code contract}. */
+  /** The cluster state of a process for all zones of {@code contract}. */
   static ClusterState state(Contract contract, long nowMillis) {
     Map<String, ZoneView> views = new HashMap<>();
     List<ZoneSummary> summaries = new ArrayList<>();
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/package-info.java
@@ -1,4 +1,4 @@
-/** Slopes from which docs/CAPACITY.md works out each role at the target size. */
+/** Measures the slopes from which docs/CAPACITY.md extrapolates each role to the target size. */
 @NullMarked
 package org.sageladder.bench.capacity;
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/controlcost/ControlCostBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/controlcost/ControlCostBench.java
@@ -10,12 +10,12 @@
 import org.sageladder.core.store.StoreException;
 
 /**
- * Measures processor time, memory and bytes of control for each entry VM, as zones, entry VMs,
- * targets, client blocks and changes grow, each against the same small fleet.
+ * Measures processor time, memory and bytes of the control plane for each entry VM while the number
+ * of zones, entry VMs, targets, client blocks or changes grows, compared with a small fleet.
  *
- * <p>Each fleet runs for a minute before it is measured, and compiler threads are shown apart:
- * until then much of the code of a process, which runs for days, is interpreted and costs twice as
- * much.
+ * <p>Each fleet runs for a minute before it is measured, and JIT compiler threads are reported
+ * separately. During the first minute much of the code is interpreted and costs twice as much,
+ * which is not representative of a process that runs for days.
  */
 public final class ControlCostBench {
   private static final int HEAP_MEGABYTES = 64;
@@ -31,7 +31,7 @@
     this.measureMillis = measureMillis;
   }
 
-  /** Takes {@code --full} for longer measurements and more fleets. */
+  /** With {@code --full}, measures longer and more fleets. */
   public static void main(String[] args) throws Exception {
     boolean full = List.of(args).contains("--full");
     ControlCostBench bench = new ControlCostBench(full ? 30_000 : 6_000);
@@ -62,7 +62,7 @@
     Contract contract = Contracts.of(zones, targets, ranges);
     FleetOptions options = new FleetOptions(contract, vmsPerZone, HEAP_MEGABYTES);
     try (Fleet fleet = Fleet.start(options)) {
-      // Start-up and the first balancing of targets, 4 moves a second and zone, are not counted.
+      // Excludes start-up and the initial balancing of targets, at 4 moves per second and zone.
       Thread.sleep(SETTLE_MILLIS + 1_000L * targets / zones / 8);
       ProcessorTimes before = ProcessorTimes.ofChildren();
       Sample sample =
@@ -97,7 +97,8 @@
       try {
         fleet.writeContract(Contracts.withMeanServiceMillis(contract, 20 + i % 9));
       } catch (StoreException e) {
-        throw new IllegalStateException("the store stand-in failed without a fault", e);
+        throw new IllegalStateException(
+            "the store stand-in failed although no fault was injected", e);
       }
       Thread.sleep(1_000 / perSecond);
     }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/controlcost/ProcessorTimes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/controlcost/ProcessorTimes.java
@@ -10,24 +10,24 @@
 import java.util.stream.Stream;
 
 /**
- * Processor time of every thread of this process's children, as the kernel counts it in
- * nanoseconds.
+ * Processor time of each thread of this process's child processes, in nanoseconds as counted by the
+ * kernel.
  *
- * @param takenNanos when it was read
- * @param nanosByThread nanoseconds used by process and thread
+ * @param takenNanos time of the reading, from {@link System#nanoTime}
+ * @param nanosByThread processor time in nanoseconds by thread
  */
 record ProcessorTimes(long takenNanos, Map<ThreadKey, Long> nanosByThread) {
   private static final String COMPILER_THREAD_NAME = "CompilerThre";
 
-  /** One thread; the kernel cuts its name at 15 characters. */
+  /** Identifies a thread; the kernel truncates its name to 15 characters. */
   record ThreadKey(long process, String id, String name) {}
 
   /**
-   * Shares of one core.
+   * Processor use in percent of one core.
    *
-   * @param meanPercent a process's threads but the compiler's, mean
-   * @param maxPercent the same of the busiest process
-   * @param meanCompilerPercent a process's compiler threads, mean
+   * @param meanPercent mean over the processes of all threads except JIT compiler threads
+   * @param maxPercent the same for the busiest process
+   * @param meanCompilerPercent mean over the processes of the JIT compiler threads
    */
   record CoreShares(double meanPercent, double maxPercent, double meanCompilerPercent) {}
 
@@ -58,7 +58,7 @@
     }
   }
 
-  /** What was used since {@code before}; time of threads that ended meanwhile is not seen. */
+  /** Processor use since {@code before}, without threads that have ended since then. */
   CoreShares since(ProcessorTimes before) {
     double percentPerNano = 100.0 / (takenNanos - before.takenNanos);
     Map<Long, Double> percentByProcess = new HashMap<>();
--- a/sageladder-bench/src/main/java/org/sageladder/bench/controlcost/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/controlcost/package-info.java
@@ -1,4 +1,4 @@
-/** What control costs an entry VM in processor time, memory and bytes. */
+/** Measures the cost of the control plane for an entry VM in processor time, memory and bytes. */
 @NullMarked
 package org.sageladder.bench.controlcost;
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/DrainMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/DrainMain.java
@@ -4,7 +4,10 @@
 import org.sageladder.bench.process.TestBed;
 import org.sageladder.standin.target.ServiceTime;
 
-/** Drain times and cut requests over planned stops under load, and over kills as a baseline. */
+/**
+ * Measures drain times and interrupted requests of planned stops under load, with kills as the
+ * baseline.
+ */
 public final class DrainMain {
   private static final int ENTRIES = 6;
   private static final int TARGETS = 6;
@@ -13,7 +16,7 @@
 
   private DrainMain() {}
 
-  /** Takes {@code --full} for 200 planned stops instead of 24. */
+  /** Makes 24 planned stops, or 200 with {@code --full}. */
   public static void main(String[] args) throws Exception {
     boolean full = List.of(args).contains("--full");
     int targetStops = full ? 80 : 8;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/EntryStops.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/EntryStops.java
@@ -8,7 +8,7 @@
 import org.sageladder.bench.process.Reply;
 import org.sageladder.bench.process.TestBed;
 
-/** Stops entry VMs by SIGTERM one after another and starts them again. */
+/** Stops entry VMs by SIGTERM one at a time and restarts them. */
 final class EntryStops {
   private static final long MAX_STOP_SECONDS = 90;
 
@@ -40,7 +40,8 @@
     }
     EntryProcess other = bed.entries().get((number + 1) % bed.entries().size());
     Reply reply = bid(other, work, permit);
-    // "Not run" is the successor's own word, with a fresh permit; only "unknown" shows a lost one.
+    // "Not run" comes from the successor, which holds the permit and issues a new one; only
+    // "unknown" means that the permit was lost.
     if (!reply.ran() && !reply.isNotRun()) {
       lostPermitCount++;
       System.out.println("permit of a stopped entry VM: " + reply.status() + " " + reply.result());
@@ -62,7 +63,7 @@
         Duration.ofSeconds(7));
   }
 
-  /** The baseline: the process is ended at once. */
+  /** Kills and restarts an entry VM, as the baseline. */
   void killEntry(int number) throws IOException, InterruptedException {
     EntryProcess entry = bed.entries().get(number);
     bed.listEntry(entry, true);
@@ -77,12 +78,12 @@
     return stopCount;
   }
 
-  /** Stops that did not end with exit code 0. */
+  /** Stops with an exit code other than 0. */
   int failedExitCount() {
     return failedExitCount;
   }
 
-  /** Permits of stopped entry VMs that could not be used at another one afterwards. */
+  /** Permits of stopped entry VMs that could not be used at another entry VM afterwards. */
   int lostPermitCount() {
     return lostPermitCount;
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/SteadyLoad.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/SteadyLoad.java
@@ -13,7 +13,10 @@
 import org.sageladder.bench.process.TestBed;
 import org.sageladder.standin.target.RequestChecksum;
 
-/** Callers that look up, keep the answer for its time to live, and send listings and bids. */
+/**
+ * Callers that send listings and bids to the entry VMs of a look-up, which they cache for its time
+ * to live.
+ */
 final class SteadyLoad implements AutoCloseable {
   private static final Duration DEADLINE = Duration.ofSeconds(5);
   private static final Duration CLIENT_TIMEOUT = Duration.ofSeconds(7);
@@ -96,7 +99,7 @@
     return reply;
   }
 
-  /** The first entry VM that takes a connection answers; others are fallbacks. */
+  /** Sends to the entry VMs in order until one accepts the connection. */
   private static Reply sendToFirstReachable(
       Caller caller,
       List<Integer> ports,
@@ -122,14 +125,14 @@
     counts.computeIfAbsent(name, ignored -> new AtomicLong()).incrementAndGet();
   }
 
-  /** Requests so far by how they ended. */
+  /** Number of completed requests by result. */
   synchronized Map<String, Long> counts() {
     Map<String, Long> copy = new TreeMap<>();
     counts.forEach((name, count) -> copy.put(name, count.get()));
     return copy;
   }
 
-  /** Requests whose connection ended before the answer was whole. */
+  /** Requests whose connection was closed before the response was complete. */
   long cutCount() {
     return counts().getOrDefault("cut", 0L);
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/TargetStops.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/TargetStops.java
@@ -4,7 +4,10 @@
 import org.sageladder.bench.process.TestBed;
 import org.sageladder.standin.target.TargetServer;
 
-/** Stops targets one after another, as the platform or they themselves announce it. */
+/**
+ * Drains targets one at a time, announced either by the platform's list or by the targets
+ * themselves.
+ */
 final class TargetStops {
   private static final long IDLE_NANOS = 400_000_000L;
   private static final long MAX_STOP_NANOS = 10_000_000_000L;
@@ -19,7 +22,10 @@
     this.bed = bed;
   }
 
-  /** One stop; {@code announced} on the platform's list, else shown by the target alone. */
+  /**
+   * Drains one target, which the platform's list shows as draining if {@code isListed}, else only
+   * the target itself signals it.
+   */
   void stopTarget(int number, boolean isListed) throws InterruptedException {
     TargetServer target = bed.targets().get(number);
     long incarnation = target.incarnation();
@@ -57,7 +63,7 @@
     return stopCount;
   }
 
-  /** Stops after which new work came later than 3 s after the first sign. */
+  /** Stops for which the target started a new request more than 3 s after the start of draining. */
   int lateCount() {
     return lateCount;
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/package-info.java
@@ -1,4 +1,4 @@
-/** Planned stops of targets and entry VMs under load. */
+/** Measures planned stops of targets and entry VMs under load. */
 @NullMarked
 package org.sageladder.bench.drain;
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Contracts.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Contracts.java
@@ -6,7 +6,7 @@
 import org.sageladder.core.contract.Contract;
 import org.sageladder.core.contract.RequestClass;
 
-/** Contracts of any size. */
+/** Creates contracts of any size. */
 public final class Contracts {
   private static final int ZONES_PER_REGION = 2;
 
@@ -15,9 +15,9 @@
   /**
    * A contract of one customer with one service.
    *
-   * @param zones zones, two a region
-   * @param targets targets of the service
-   * @param blockRanges ranges of client blocks, which make up most of a large contract
+   * @param zones number of zones, two in each region
+   * @param targets number of targets of the service
+   * @param blockRanges number of ranges of client blocks, which make up most of a large contract
    */
   public static Contract of(int zones, int targets, int blockRanges) {
     List<Contract.Region> regions = new ArrayList<>();
@@ -43,12 +43,12 @@
         List.of(service(targets, 20)));
   }
 
-  /** The name of the zone with that number. */
+  /** Name of the zone with this number. */
   public static String zone(int number) {
     return String.format("zone-%02d", number);
   }
 
-  /** The same contract with another planned service time, which is one changed line. */
+  /** The same contract with another mean service time, which changes a single line. */
   public static Contract withMeanServiceMillis(Contract contract, double millis) {
     Contract.Service old = contract.services().get(0);
     return new Contract(
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Fleet.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Fleet.java
@@ -33,11 +33,12 @@
 import org.sageladder.tools.http.BlockingHttpClient;
 
 /**
- * Entry VMs as processes of their own, with a store stand-in in this one.
+ * Entry VMs as separate processes, with a store stand-in in this process.
  *
  * <pre>{@code
  * try (Fleet fleet = Fleet.start(new FleetOptions(Contracts.of(6, 24, 100), 7, 32))) {
- *   fleet.awaitRevision(fleet.accept(changed).revision(), Duration.ofSeconds(10), vm -> true);
+ *   long revision = fleet.writeContract(changed).revision();
+ *   fleet.awaitRevision(revision, Duration.ofSeconds(10), vm -> true);
  * }
  * }</pre>
  */
@@ -74,7 +75,10 @@
     this.caller = BlockingHttpClient.withTimeout(CALL_TIMEOUT);
   }
 
-  /** Stores the contract, starts all entry VMs and waits until it is in force at each. */
+  /**
+   * Stores the contract, starts all entry VMs and waits until the contract is in force at each of
+   * them.
+   */
   public static Fleet start(FleetOptions options)
       throws IOException, InterruptedException, StoreException {
     Fleet fleet = new Fleet(options);
@@ -155,7 +159,7 @@
         zone);
   }
 
-  /** Requests that each target has started since its own start, by target. */
+  /** Number of requests that each target has started since the target's start, by target id. */
   public Map<String, Long> startedRequestCounts() {
     Map<String, Long> counts = new TreeMap<>();
     standIns
@@ -164,7 +168,7 @@
     return counts;
   }
 
-  /** Ends all entry VMs of a zone at once and leaves its targets up. */
+  /** Kills all entry VMs of a zone; its targets keep running. */
   public void killEntryVms(String zone) throws InterruptedException {
     for (FleetVm vm : vms()) {
       if (vm.zone().equals(zone)) {
@@ -173,16 +177,21 @@
     }
   }
 
-  /** Ends all entry VMs and targets of a zone at once; the platform's list shows it later. */
+  /** Kills all entry VMs and targets of a zone; the platform's list still contains them. */
   public void killZone(String zone) throws InterruptedException {
     killEntryVms(zone);
     standIns.targetsIn(zone).forEach(TargetServer::close);
   }
 
-  /** A change of the contract that the store has accepted. */
+  /**
+   * A contract change that the store has accepted; times are in microseconds since the Unix epoch.
+   */
   public record Acceptance(long revision, long sentMicros, long answeredMicros) {}
 
-  /** Writes a contract over whatever stands; times are on the clock that the VMs share. */
+  /**
+   * Replaces the stored contract regardless of its revision. Times are of the system clock, which
+   * the VMs share.
+   */
   public Acceptance writeContract(Contract contract) throws StoreException {
     String key = StoredContract.keyOf(contract.customer());
     byte[] value =
@@ -202,24 +211,24 @@
     return now.getEpochSecond() * 1_000_000 + now.getNano() / 1_000;
   }
 
-  /** The store stand-in, to make it slow or take it down. */
+  /** The store stand-in, for fault injection. */
   public StoreServer store() {
     return standIns.store();
   }
 
-  /** The client that changes are made with. */
+  /** The store client with which contract changes are written. */
   public Store client() {
     return client;
   }
 
-  /** All entry VMs by name, those ended among them. */
+  /** All entry VMs, including those that have ended, sorted by name. */
   public List<FleetVm> vms() {
     synchronized (vms) {
       return vms.values().stream().sorted(Comparator.comparing(FleetVm::name)).toList();
     }
   }
 
-  /** The entry VM that is relay of {@code zone} now. */
+  /** The entry VM that is currently the relay of {@code zone}. */
   public FleetVm relay(String zone) throws IOException {
     for (FleetVm vm : vms()) {
       if (vm.zone().equals(zone) && vm.isAlive() && isRelay(vm)) {
@@ -229,12 +238,12 @@
     throw new IOException("zone " + zone + " has no relay");
   }
 
-  /** Whether that VM is its zone's relay. */
+  /** True if the VM is the relay of its zone. */
   public static boolean isRelay(FleetVm vm) throws IOException {
     return vm.meters().getOrDefault("sageladder_control_relaying", 0.0) > 0;
   }
 
-  /** Takes an ended VM off the platform's list, or puts one back on it. */
+  /** Adds a VM to the platform's list or removes it. */
   public void setListed(FleetVm vm, boolean isListed) {
     if (isListed) {
       standIns.relist(vm.name());
@@ -243,7 +252,10 @@
     }
   }
 
-  /** Reads all new events of the VMs that run and notes what came into force when. */
+  /**
+   * Reads all new events of the running VMs and records when each contract revision came into
+   * force.
+   */
   public void collectEvents(Predicate<FleetVm> filter) throws IOException {
     for (FleetVm vm : vms()) {
       if (vm.isAlive() && filter.test(vm)) {
@@ -269,21 +281,23 @@
   }
 
   /**
-   * Each time an entry VM, restarted ones among them, put a lower revision in force than before.
+   * Describes each case in which an entry VM, possibly after a restart, put a lower revision in
+   * force than before.
    */
   public List<String> reverts() {
     return List.copyOf(reverts);
   }
 
-  /** The revision last seen in force at a VM. */
+  /** The revision that was last recorded as in force at a VM. */
   public long lastRevision(FleetVm vm) {
     return lastRevision.getOrDefault(vm.name(), 0L);
   }
 
   /**
-   * Waits until {@code revision} or a later one is in force at each VM.
+   * Waits until {@code revision} or a later one is in force at each running VM that matches the
+   * filter.
    *
-   * @return when it came into force there, microseconds since the Unix epoch
+   * @return when it came into force at each VM, in microseconds since the Unix epoch
    */
   public Map<String, Long> awaitRevision(long revision, Duration timeout, Predicate<FleetVm> filter)
       throws IOException, InterruptedException {
@@ -314,7 +328,7 @@
     }
   }
 
-  /** Waits until each VM's own zone view names all VMs of the zone. */
+  /** Waits until the state of each running VM contains all running VMs. */
   public void awaitViews(Duration timeout) throws IOException, InterruptedException {
     long deadline = System.nanoTime() + timeout.toNanos();
     while (true) {
@@ -329,7 +343,7 @@
         return;
       }
       if (System.nanoTime() - deadline > 0) {
-        throw new IOException(laggingVm + " does not see its whole zone");
+        throw new IOException(laggingVm + " does not have all running VMs in its state");
       }
       Thread.sleep(200);
     }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/FleetVm.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/FleetVm.java
@@ -14,7 +14,7 @@
 import org.sageladder.platform.event.EventPage;
 import org.sageladder.tools.http.BlockingHttpClient;
 
-/** One entry VM's process with what it tells its operators. */
+/** An entry VM process with access to its operator interface. */
 public final class FleetVm {
   private static final int MAX_EVENT_PAGES = 50;
 
@@ -51,22 +51,22 @@
     return process.isAlive();
   }
 
-  /** Ends the process at once. */
+  /** Kills the process. */
   public void kill() throws InterruptedException {
     process.kill();
   }
 
-  /** Stops the process from running, as a paused machine does. */
+  /** Suspends the process, as when its machine is paused. */
   public void pause() throws IOException, InterruptedException {
     process.pause();
   }
 
-  /** Lets a paused process go on. */
+  /** Resumes a paused process. */
   public void resume() throws IOException, InterruptedException {
     process.resume();
   }
 
-  /** Starts the process anew with the same settings. */
+  /** Restarts the process with the same settings. */
   public void restart() throws IOException {
     process.restart();
     eventCursor = 0;
@@ -80,7 +80,7 @@
     return URI.create("http://" + StandIns.HOST + ":" + process.operatorsPort() + path);
   }
 
-  /** Events since the last call, in order. */
+  /** Events since the previous call, in order. */
   public List<Event> newEvents() throws IOException {
     List<Event> events = new ArrayList<>();
     for (int i = 0; i < MAX_EVENT_PAGES; i++) {
@@ -98,12 +98,12 @@
     return events;
   }
 
-  /** The state that operators see, as JSON. */
+  /** The state from the operator interface, as JSON. */
   public String stateJson() throws IOException {
     return caller.get(operators("/v1/state")).text();
   }
 
-  /** All meters by name and tags, as Prometheus writes them. */
+  /** All meter values by name and tags, in Prometheus notation. */
   public Map<String, Double> meters() throws IOException {
     Map<String, Double> meters = new TreeMap<>();
     for (String line : caller.get(operators("/v1/metrics")).text().split("\n")) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Sample.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Sample.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * What control cost over a stretch of time.
+ * Cost of the control plane during a measurement.
  *
- * @param seconds length of the stretch
- * @param storeCalls calls to the platform by kind, all processes together
- * @param meanCpuPercent share of one core an entry VM used, mean
- * @param maxCpuPercent the same of the busiest entry VM
- * @param meanBytesPerSecond control bytes in and out an entry VM, mean
- * @param maxBytesPerSecond the same of the entry VM with most
- * @param meanResidentMegabytes resident memory of an entry VM's process, mean
+ * @param seconds duration of the measurement
+ * @param storeCalls calls to the platform by kind, summed over all processes
+ * @param meanCpuPercent mean processor use of an entry VM, in percent of a core
+ * @param maxCpuPercent processor use of the busiest entry VM, in percent of a core
+ * @param meanBytesPerSecond mean rate of control bytes sent and received by an entry VM
+ * @param maxBytesPerSecond the highest such rate of any entry VM
+ * @param meanResidentMegabytes mean resident memory of an entry VM's process
  */
 public record Sample(
     double seconds,
@@ -26,12 +26,12 @@
     double maxBytesPerSecond,
     double meanResidentMegabytes) {
 
-  /** All calls to the platform a second. */
+  /** Calls of all kinds to the platform per second. */
   public double storeCallsPerSecond() {
     return storeCalls.values().stream().mapToLong(Long::longValue).sum() / seconds;
   }
 
-  /** Lets the fleet run for {@code millis} while {@code work} is done in it, and measures it. */
+  /** Measures the fleet for {@code millis} while {@code work} runs. */
   public static Sample measure(Fleet fleet, long millis, Work work)
       throws IOException, InterruptedException {
     Map<String, Long> callsBefore = fleet.store().counts();
@@ -83,13 +83,13 @@
         + meters.getOrDefault("sageladder_control_bytes_out_total", 0.0);
   }
 
-  /** What is done while the measurement runs. */
+  /** Work that runs during a measurement. */
   @FunctionalInterface
   public interface Work {
-    /** Does it within about {@code millis}. */
+    /** Runs for about {@code millis}. */
     void run(long millis) throws IOException, InterruptedException;
 
-    /** Nothing is done. */
+    /** Does nothing. */
     static Work none() {
       return millis -> {};
     }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** Real entry VM processes with a store stand-in, for benchmarks of how they act together. */
+/** Fleets of entry VM processes with a store stand-in, for benchmarks of their interaction. */
 @NullMarked
 package org.sageladder.bench.fleet;
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/package-info.java
@@ -1,4 +1,4 @@
-/** Benchmarks; each has an executable of its name in the folder bench. */
+/** Benchmarks; each has an executable of the same name in the directory {@code bench}. */
 @NullMarked
 package org.sageladder.bench;
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/path/PathMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/path/PathMain.java
@@ -15,7 +15,10 @@
 import org.sageladder.core.permit.RecordedAnswer;
 import org.sageladder.standin.target.ServiceTime;
 
-/** Alternates direct calls with calls through an entry VM, and weighs a million permits. */
+/**
+ * Alternates direct calls with calls through an entry VM, and measures the memory of a million
+ * permits.
+ */
 public final class PathMain {
   private static final int WARM_UP_CALLS = 1_500;
   private static final int DEFAULT_CALLS = 4_000;
@@ -31,7 +34,7 @@
 
   private PathMain() {}
 
-  /** Takes {@code --full} for 20,000 calls each way instead of 4,000. */
+  /** Makes 4,000 calls of each kind, or 20,000 with {@code --full}. */
   public static void main(String[] args) throws Exception {
     int count = List.of(args).contains("--full") ? FULL_CALLS : DEFAULT_CALLS;
     System.out.println(permitMemory());
@@ -86,7 +89,8 @@
     long start = System.nanoTime();
     HttpResponse<byte[]> response = client.send(request, HttpResponse.BodyHandlers.ofByteArray());
     if (response.statusCode() != 200 || response.body().length != 512) {
-      throw new IOException("answer " + response.statusCode() + " to " + request.uri());
+      throw new IOException(
+          "unexpected response with status " + response.statusCode() + " to " + request.uri());
     }
     histogram.recordValue((System.nanoTime() - start) / 1_000);
   }
@@ -117,7 +121,9 @@
     return histogram.getValueAtPercentile(percentile) / 1_000.0;
   }
 
-  /** Heap held by a million live permits, unused and used with an answer of 200 bytes. */
+  /**
+   * Heap used by a million valid permits, unused, and by 100,000 recorded responses of 200 bytes.
+   */
   private static String permitMemory() {
     PermitHome permitHome =
         PermitHome.of(
--- a/sageladder-bench/src/main/java/org/sageladder/bench/path/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/path/package-info.java
@@ -1,4 +1,4 @@
-/** What the way through an entry VM costs over a direct call, and what permits cost in memory. */
+/** Measures the latency that an entry VM adds to a direct call, and the memory use of permits. */
 @NullMarked
 package org.sageladder.bench.path;
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/AdmissionLog.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/AdmissionLog.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Counts what was admitted where, and checks caps and slots the slow and plain way. */
+/** Records every admission and checks shift caps and slot limits by recounting all of them. */
 final class AdmissionLog {
   private static final int STEPS_PER_WINDOW = 10;
 
@@ -55,7 +55,9 @@
     return nowNanos / (setup.windowSeconds() * 1_000_000_000L / STEPS_PER_WINDOW);
   }
 
-  /** True where one more request at {@code place} now breaks its cap neither now nor later. */
+  /**
+   * True if one more request in {@code scope} now exceeds its cap in no window that contains it.
+   */
   boolean allowsOneMore(String scope, int maxGain, long nowNanos) {
     Map<Long, Integer> counts = countsByScope.getOrDefault(scope, Map.of());
     long now = stepAt(nowNanos);
@@ -75,7 +77,9 @@
     return count;
   }
 
-  /** Windows of any place that outgrew the window before by more than its gain. */
+  /**
+   * Windows of any target or region that exceed the preceding window by more than the allowed gain.
+   */
   int capViolationCount(long endNanos) {
     int violations = 0;
     for (Map.Entry<String, Map<Long, Integer>> scope : countsByScope.entrySet()) {
@@ -90,7 +94,7 @@
     return violations;
   }
 
-  /** Windows in which a region took in more than its slots can carry. */
+  /** Windows in which a region admitted over 110 % of the requests that its slots can process. */
   int overCapacityWindowCount(long endNanos) {
     int overCapacity = 0;
     double capacityPerWindow = setup.regionCapacityPerSecond() * setup.windowSeconds();
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Arrivals.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Arrivals.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** The same random arrivals for every policy that is run with the same seed. */
+/** Random request arrivals, identical for all policies that are run with the same seed. */
 final class Arrivals {
   static final int TICKS_PER_SECOND = 50;
   static final Duration TICK = Duration.ofMillis(1000 / TICKS_PER_SECOND);
@@ -20,7 +20,7 @@
     this.random = new Random(setup.seed() * 31 + 7);
   }
 
-  /** Home regions of the requests that come in one tick, mixed. */
+  /** Draws the requests that arrive in one tick: the region of each caller, in random order. */
   List<Integer> drawCallerRegions(int tick) {
     List<Integer> callerRegions = new ArrayList<>();
     for (int region = 0; region < setup.regionCount(); region++) {
@@ -44,7 +44,7 @@
     return count;
   }
 
-  /** Half to one and a half of the planned time. */
+  /** Draws a service time between 0.5 and 1.5 times the mean. */
   static Duration drawServiceTime(Setup setup, Random random) {
     return Duration.ofNanos((long) (setup.meanServiceMillis() * 1e6 * (0.5 + random.nextDouble())));
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Caps.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Caps.java
@@ -1,10 +1,13 @@
 package org.sageladder.bench.policy;
 
-/** Random runs, with faults and without, counted by the naive tally: caps broken, load served. */
+/**
+ * Counts exceeded shift caps and slot limits, and the load served, in random runs with and without
+ * faults.
+ */
 public final class Caps {
   private Caps() {}
 
-  /** Runs the comparison; {@code --full} for ten times the runs. */
+  /** Runs the comparison; {@code --full} executes ten times as many runs. */
   public static void main(String[] arguments) {
     int runCount = ResultPrinter.isFullRun(arguments) ? 200 : 20;
     int secondsPerRun = 120;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/ClusterSimulation.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/ClusterSimulation.java
@@ -22,27 +22,31 @@
 import org.sageladder.core.steering.SteeringInputs;
 
 /**
- * Callers, entry VMs and targets of one service on a virtual clock: real gates and tables, and
- * between them only delays, losses and cut links.
+ * Simulates the callers, entry VMs and targets of one service on a virtual clock. Gates and look-up
+ * tables are the real classes; the network between them is reduced to delays, losses and
+ * partitions.
  */
 final class ClusterSimulation {
   private static final int MIN_CLIENTS_PER_REGION = 100;
 
-  /** Callers for each gate of a region, so that no gate's load hangs on one or two of them. */
+  /**
+   * Callers for each gate of a region, enough that one or two callers do not dominate a gate's
+   * load.
+   */
   private static final int CLIENTS_PER_GATE = 25;
 
   private static final int MAX_ATTEMPTS = 4;
   private static final long ROUTE_TTL_NANOS = Duration.ofSeconds(2).toNanos();
 
-  /** Who picks the entry VM for a caller. */
+  /** How the entry VM for a caller is selected. */
   enum Policy {
-    /** The table of a random entry VM of the caller's region. */
+    /** By the look-up table of a random entry VM in the caller's region. */
     STEERED,
-    /** Any gate of the caller's region. */
+    /** Random entry VM in the caller's region. */
     LOCAL,
-    /** Any gate. */
+    /** Random entry VM in any region. */
     RANDOM,
-    /** Idle slots by delayed readings, the first and obvious policy. */
+    /** Random entry VM, weighted by the idle slots in delayed zone summaries. */
     IDLE_SLOTS
   }
 
@@ -115,7 +119,7 @@
     }
   }
 
-  /** Regions that hear nothing of others, and are not heard, while the predicate says so. */
+  /** Partitions the regions for which the predicate is true from all other regions. */
   void cutRegions(IntPredicate isCut) {
     isRegionCut = isCut;
   }
@@ -132,7 +136,7 @@
     return oscillationCounter;
   }
 
-  /** Requests for a slot, those of callers refused elsewhere included. */
+  /** Slot requests so far, including those of callers that another entry VM refused. */
   long slotRequestCount() {
     return slotRequestCount;
   }
@@ -198,7 +202,7 @@
     return remote;
   }
 
-  /** The latest summary of each entry VM that has reached {@code listener}. */
+  /** The latest summary of each entry VM that {@code receiver} has received. */
   private List<ZoneSummary> summariesReceivedBy(EntryVm receiver) {
     List<ZoneSummary> received = new ArrayList<>();
     int delaySeconds = (int) Math.ceil(setup.summaryDelayMillis() / 1000.0);
@@ -240,7 +244,9 @@
     send(client.route, 0, region, deadline);
   }
 
-  /** Asks the entry VM at {@code index}; a caller that is told "not run" goes on to the next. */
+  /**
+   * Sends the request to the entry VM at {@code index} and, if it is not admitted, to the next one.
+   */
   private void send(List<EntryVm> route, int index, int region, long deadline) {
     if (index >= Math.min(route.size(), MAX_ATTEMPTS)) {
       return;
@@ -288,7 +294,10 @@
     };
   }
 
-  /** As many entry VMs as a steered answer names, so that all policies get as many tries. */
+  /**
+   * Draws as many entry VMs as a steered route has, so that all policies have the same number of
+   * attempts.
+   */
   private static List<EntryVm> drawVms(Supplier<EntryVm> draw) {
     return Stream.generate(draw).limit(MAX_ATTEMPTS).toList();
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Demand.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Demand.java
@@ -1,16 +1,19 @@
 package org.sageladder.bench.policy;
 
-/** Requests a second that the callers of a region want at a moment. */
+/** Requests per second sent by the callers of a region at a given time. */
 @FunctionalInterface
 interface Demand {
   double requestsPerSecond(int region, double second);
 
-  /** Steady everywhere at {@code part} of each region's capacity. */
+  /** Constant demand of {@code loadFraction} of each region's capacity. */
   static Demand steady(Setup setup, double loadFraction) {
     return (region, second) -> loadFraction * setup.regionCapacityPerSecond();
   }
 
-  /** As {@link #steady}, and in region 0 {@code factor} times as much from {@code from} on. */
+  /**
+   * As {@link #steady}, but region 0 ramps up to {@code factor} times that rate within one second
+   * from {@code fromSecond} on.
+   */
   static Demand surge(Setup setup, double loadFraction, double factor, double fromSecond) {
     return (region, second) -> {
       double baseRate = loadFraction * setup.regionCapacityPerSecond();
@@ -19,7 +22,10 @@
     };
   }
 
-  /** Each region swings between 10 % and 150 % of its capacity, at different times. */
+  /**
+   * Sinusoidal demand between 10 % and 150 % of each region's capacity, with a different phase in
+   * each region.
+   */
   static Demand swinging(Setup setup, double periodSeconds) {
     return (region, second) -> {
       double phase = 2 * Math.PI * (second / periodSeconds + (double) region / setup.regionCount());
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/EntryVm.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/EntryVm.java
@@ -13,7 +13,9 @@
 import org.sageladder.core.steering.LookUpTable;
 import org.sageladder.core.steering.SteeringInputs;
 
-/** One entry VM of a run: a real gate and a real table, fed by hand. */
+/**
+ * A simulated entry VM with a real service gate and look-up table, whose input the simulation sets.
+ */
 final class EntryVm {
   final int region;
   final String zone;
@@ -49,7 +51,7 @@
         Setup.CUSTOMER, setup.service(), scheduler.time(), scheduler, EventSink.none());
   }
 
-  /** Loses all memory, as a new process would, and gets the same targets back. */
+  /** Replaces the gate by an empty one, as a new process would have, for the same targets. */
   void restart(Setup setup, VirtualScheduler scheduler) {
     gate.close();
     incarnation++;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/LookUpSpeed.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/LookUpSpeed.java
@@ -16,7 +16,10 @@
 import org.sageladder.core.steering.LookUpTable;
 import org.sageladder.core.steering.SteeringInputs;
 
-/** Look-ups and rebuilds of one customer: 180,000 blocks, 27 regions, 94 zones, 37 services. */
+/**
+ * Measures look-ups and rebuilds of the table of one customer with 180,000 client blocks, 27
+ * regions, 94 zones and 37 services.
+ */
 public final class LookUpSpeed {
   private static final int BLOCKS = 180_000;
   private static final int REGIONS = 27;
@@ -26,7 +29,7 @@
 
   private LookUpSpeed() {}
 
-  /** Measures on one thread. */
+  /** Runs the measurement on one thread. */
   public static void main(String[] arguments) {
     Contract contract = contract();
     ClusterState state = new ClusterState(Map.of("c", contract), views(contract, -1), List.of());
@@ -68,7 +71,7 @@
       LookUpTable built = LookUpTable.build(state, inputs);
       minNanos = Math.min(minNanos, System.nanoTime() - start);
       if (built.lookUp("c", "s0", 1, 1) == null) {
-        throw new IllegalStateException("the table has no route for block 1 of s0");
+        throw new IllegalStateException("look-up table has no route for block 1 of service s0");
       }
     }
     return minNanos / 1e6;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/NaiveCentralPolicy.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/NaiveCentralPolicy.java
@@ -11,9 +11,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The reference: one place that sees all regions without delay and decides each request by itself.
+ * Reference policy: a central scheduler that sees all regions without delay and places each
+ * request.
  *
- * <p>It counts every cap anew from all admissions for each request: slow, and plainly right.
+ * <p>It recounts all admissions for each cap at every request, which is slow but simple to verify.
  */
 final class NaiveCentralPolicy {
   private static final long MAX_QUEUE_WAIT_NANOS = Duration.ofSeconds(1).toNanos();
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/OscillationCounter.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/OscillationCounter.java
@@ -1,6 +1,9 @@
 package org.sageladder.bench.policy;
 
-/** Counts how often the part of callers sent away turns from growing to shrinking or back. */
+/**
+ * Counts how often the fraction of callers sent to other regions changes between growth and
+ * decline.
+ */
 final class OscillationCounter {
   private static final double MIN_CHANGE = 1.0 / 32;
 
@@ -29,7 +32,7 @@
     }
   }
 
-  /** Turns of at least a 32nd, over all entry VMs and regions. */
+  /** Reversals of at least 1/32 of the callers, over all entry VMs and regions. */
   int reversalCount() {
     return reversalCount;
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/RandomRun.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/RandomRun.java
@@ -3,10 +3,10 @@
 import java.util.Random;
 
 /**
- * One random run of the distributed policy, with or without faults.
+ * One simulation of the distributed policy with a random setup, with or without faults.
  *
- * @param setup random caps, delays and, with faults, losses
- * @param demand random pattern
+ * @param setup random shift caps, summary delays and, with faults, summary losses
+ * @param demand random demand pattern
  */
 record RandomRun(Setup setup, Demand demand, int seconds, boolean hasFaults) {
   static RandomRun of(long seed, int seconds, boolean hasFaults) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/ResultPrinter.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/ResultPrinter.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Prints lines and the closing line of a benchmark. */
+/** Prints the output of a benchmark. */
 final class ResultPrinter {
   private ResultPrinter() {}
 
@@ -10,7 +10,7 @@
     System.out.println(String.format(Locale.ROOT, format, values));
   }
 
-  /** Ends the process: 0 where the aim holds, else 1. */
+  /** Prints the last line and exits with code 0 if the aim is met, else 1. */
   static void printResultAndExit(boolean isAimMet, String format, Object... values) {
     printLine(format, values);
     System.exit(isAimMet ? 0 : 1);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Retries.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Retries.java
@@ -8,7 +8,10 @@
 import org.sageladder.core.limits.AdmissionRequest;
 import org.sageladder.core.limits.ServiceGate;
 
-/** What targets see of an overload in which half of all work fails, with and without a budget. */
+/**
+ * Counts the attempts sent to targets during an overload in which half of all requests fail, with
+ * and without a retry budget.
+ */
 public final class Retries {
   private static final int MAX_ATTEMPTS = 3;
 
@@ -30,7 +33,7 @@
     gate.updateHoldings(List.of(vm.holdings.get(0), other.holdings.get(0)));
   }
 
-  /** Runs both and compares. */
+  /** Runs the simulation without and with the budget. */
   public static void main(String[] arguments) {
     double sentPerRequestUnbounded = new Retries(false).run();
     double sentPerRequestWithBudget = new Retries(true).run();
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Setup.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Setup.java
@@ -7,12 +7,14 @@
 import org.sageladder.core.contract.RequestClass;
 
 /**
- * Sizes and delays of one run: by default those of one service of the customers of today.
+ * Sizes and delays of one simulation; the defaults are typical of one service of a current
+ * customer.
  *
- * @param regionGainFraction of a region, as a fraction of its capacity in a window
- * @param targetGainFraction the same of a target
- * @param summaryDelayMillis age of what one region hears of another
- * @param summaryLossProbability part of the readings that never arrive, 0 to 1
+ * @param regionGainFraction allowed growth of a region from one window to the next, as a fraction
+ *     of its capacity in a window
+ * @param targetGainFraction the same for a target
+ * @param summaryDelayMillis delay of zone summaries between regions
+ * @param summaryLossProbability fraction of zone summaries that are lost, 0 to 1
  */
 record Setup(
     int regionCount,
@@ -82,7 +84,9 @@
         seed);
   }
 
-  /** Targets that may grow faster than their region's share, so that only the shares bind. */
+  /**
+   * Lets targets grow faster than their region's share, so that only the shares limit admission.
+   */
   Setup withTargetGainFraction(double newGainFraction) {
     return new Setup(
         regionCount,
@@ -99,7 +103,7 @@
         seed);
   }
 
-  /** The same targets in each region, held by another number of gates. */
+  /** Divides the targets of each region among a different number of gates. */
   Setup withGates(int newZones, int newVmsPerZone, int newTargetsPerVm) {
     return new Setup(
         regionCount,
@@ -128,12 +132,12 @@
     return targetCapacityPerSecond() * zonesPerRegion * vmsPerZone * targetsPerVm;
   }
 
-  /** Requests by which a window of one target may outgrow the window before. */
+  /** Requests by which a window of one target may exceed the preceding window. */
   int targetGainRequests() {
     return Math.max(1, (int) (targetGainFraction * targetCapacityPerSecond() * windowSeconds));
   }
 
-  /** Requests by which a window of one region may outgrow the window before. */
+  /** Requests by which a window of one region may exceed the preceding window. */
   int regionGainRequests() {
     return Math.max(1, (int) (regionGainFraction * regionCapacityPerSecond() * windowSeconds));
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Shares.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Shares.java
@@ -1,11 +1,12 @@
 package org.sageladder.bench.policy;
 
 /**
- * What a region's gain loses by being divided over gates once and for all: the same targets behind
- * many gates with a share each, and behind one gate with the whole.
+ * Measures the load lost by dividing a region's allowed gain statically among its gates, by
+ * comparing the same targets behind many gates with a share each and behind a single gate with the
+ * whole gain.
  *
- * <p>Lending between gates could win back at most this difference. Targets may grow by all their
- * capacity, so that only the shares bind.
+ * <p>This difference is the most that lending between gates could recover. Targets may grow by
+ * their full capacity, so that only the region shares limit admission.
  */
 public final class Shares {
   private static final double REGION_GAIN_FRACTION = 0.2;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/SteeringQuality.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/SteeringQuality.java
@@ -1,8 +1,11 @@
 package org.sageladder.bench.policy;
 
-/** Served load and work done abroad: steered against naive central, local only, random, idle. */
+/**
+ * Compares the load served, and the fraction served in another region, by steering, the naive
+ * central policy, local-only, random and idle-slot selection.
+ */
 public final class SteeringQuality {
-  /** The steered one comes first. */
+  /** The steered policy must be the first element. */
   private static final ClusterSimulation.Policy[] POLICIES = ClusterSimulation.Policy.values();
 
   private SteeringQuality() {}
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Surge.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Surge.java
@@ -1,6 +1,9 @@
 package org.sageladder.bench.policy;
 
-/** Ten times the demand on one region within a second, with readings 5 s late. */
+/**
+ * Simulates a tenfold rise of the demand in one region within a second, with zone summaries 5 s
+ * late.
+ */
 public final class Surge {
   private static final ClusterSimulation.Policy[] POLICIES = {
     ClusterSimulation.Policy.STEERED, ClusterSimulation.Policy.IDLE_SLOTS
@@ -8,7 +11,7 @@
 
   private Surge() {}
 
-  /** Runs the surge; {@code --full} for more seeds. */
+  /** Runs the simulation; {@code --full} for more seeds. */
   public static void main(String[] arguments) {
     int seeds = ResultPrinter.isFullRun(arguments) ? 10 : 3;
     int seconds = 180;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/VirtualScheduler.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/VirtualScheduler.java
@@ -6,7 +6,7 @@
 import org.sageladder.core.limits.Scheduler;
 import org.sageladder.core.time.VirtualTime;
 
-/** Tasks in order of their time on a virtual clock. */
+/** Runs delayed tasks in order of their due time on a virtual clock. */
 final class VirtualScheduler implements Scheduler {
   private final VirtualTime time = VirtualTime.startingAt(1_000_000_000L);
   private final PriorityQueue<Task> tasks =
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/package-info.java
@@ -1,4 +1,6 @@
-/** Steering and limits on a virtual clock, measured against naive versions. */
+/**
+ * Simulations of steering and admission limits on a virtual clock, compared with naive policies.
+ */
 @NullMarked
 package org.sageladder.bench.policy;
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/Caller.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/Caller.java
@@ -15,8 +15,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A caller that uses another HTTP library than the system does, so that a fault of the one library
- * cannot hide the same fault of the other.
+ * A caller that uses a different HTTP library than the system, so that a bug that both ends share
+ * cannot go unnoticed.
  */
 public final class Caller {
   private static final Pattern ADDRESS = Pattern.compile("\"address\":\"[0-9.]+:([0-9]+)\"");
@@ -29,15 +29,16 @@
 
   private Caller() {}
 
-  /** A caller with connections of its own. */
+  /** Creates a caller with its own connection pool. */
   public static Caller create() {
     return new Caller();
   }
 
   /**
-   * Sends one request; {@link Reply#hasNoAnswer} where no whole answer came in time.
+   * Sends one request; {@link Reply#hasNoAnswer} if no complete response arrived before the
+   * timeout.
    *
-   * @param permit sealed permit, or empty
+   * @param permit sealed permit, or empty if there is none
    */
   public Reply send(
       int port,
@@ -80,7 +81,7 @@
     }
   }
 
-  /** Ports of the entry VMs that a look-up names, best first; empty where it failed. */
+  /** Ports of the entry VMs in the answer to a look-up, best first; empty if the look-up failed. */
   public List<Integer> lookUp(int port, String service, int block) throws InterruptedException {
     URI uri =
         URI.create(
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/ClassArchive.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/ClassArchive.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * An archive of the entry daemon's loaded classes, which about halves the start of each process and
- * shares the memory of the classes between them.
+ * A class data sharing (CDS) archive of the entry daemon. It about halves the start-up time of each
+ * process and shares the memory of the classes between processes.
  */
 public final class ClassArchive {
   private static final long MAX_STOP_SECONDS = 30;
@@ -18,8 +18,9 @@
   private ClassArchive() {}
 
   /**
-   * The options {@code probe} for processes that use this build's archive, which is made by running
-   * {@code probe} once; unchanged where none can be made, as for classes that are not in jars.
+   * Adds this build's archive to the options {@code probe}; a missing or outdated archive is
+   * created by running a process with {@code probe} once. Returns {@code probe} unchanged if no
+   * archive can be created, for instance because the classes are not in jars.
    */
   public static EntryOptions withArchive(EntryOptions probe)
       throws IOException, InterruptedException {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/ClusterPlan.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/ClusterPlan.java
@@ -6,20 +6,20 @@
 import org.sageladder.standin.target.TargetOptions;
 
 /**
- * What a {@link ProcessCluster} is made of.
+ * Configuration of a {@link ProcessCluster}.
  *
  * <pre>{@code
  * ClusterPlan plan =
  *     ClusterPlan.of(contract).zones(List.of("riga-1", "riga-2")).entriesPerZone(2).targetsPerZone(3);
  * }</pre>
  *
- * @param contract contract that is in the store before any entry VM starts
+ * @param contract contract that is stored before any entry VM starts
  * @param zones zones that get entry VMs and targets
- * @param entriesPerZone entry VMs in each of those
- * @param targetsPerZone targets of each service in each of those
- * @param heapMegabytes heap of each entry VM's process
+ * @param entriesPerZone entry VMs in each of these zones
+ * @param targetsPerZone targets of each service in each of these zones
+ * @param heapMegabytes maximum heap of each entry VM's process
  * @param entrySettings YAML added to each entry VM's settings
- * @param targetCustomizer changes the options of each target
+ * @param targetCustomizer modifies the default options of each target
  */
 public record ClusterPlan(
     Contract contract,
@@ -30,17 +30,17 @@
     String entrySettings,
     UnaryOperator<TargetOptions> targetCustomizer) {
 
-  /** Copies the list, so that the plan cannot change. */
+  /** Makes a defensive copy of the list. */
   public ClusterPlan {
     zones = List.copyOf(zones);
   }
 
-  /** One entry VM and one target of each service in every zone, 48 MB of heap. */
+  /** A plan with one entry VM and one target of each service in every zone and 48 MB of heap. */
   public static ClusterPlan of(Contract contract) {
     return new ClusterPlan(contract, contract.zones(), 1, 1, 48, "", options -> options);
   }
 
-  /** The same plan in these zones only. */
+  /** The same plan for these zones only. */
   public ClusterPlan zones(List<String> zones) {
     return new ClusterPlan(
         contract,
@@ -52,19 +52,19 @@
         targetCustomizer);
   }
 
-  /** The same plan with that many entry VMs in each zone. */
+  /** The same plan with this number of entry VMs in each zone. */
   public ClusterPlan entriesPerZone(int entries) {
     return new ClusterPlan(
         contract, zones, entries, targetsPerZone, heapMegabytes, entrySettings, targetCustomizer);
   }
 
-  /** The same plan with that many targets of each service in each zone. */
+  /** The same plan with this number of targets of each service in each zone. */
   public ClusterPlan targetsPerZone(int count) {
     return new ClusterPlan(
         contract, zones, entriesPerZone, count, heapMegabytes, entrySettings, targetCustomizer);
   }
 
-  /** The same plan with that heap. */
+  /** The same plan with this maximum heap. */
   public ClusterPlan heapMegabytes(int megabytes) {
     return new ClusterPlan(
         contract,
@@ -76,13 +76,13 @@
         targetCustomizer);
   }
 
-  /** The same plan with more lines of YAML in each entry VM's settings. */
+  /** The same plan with this YAML added to each entry VM's settings. */
   public ClusterPlan entrySettings(String yaml) {
     return new ClusterPlan(
         contract, zones, entriesPerZone, targetsPerZone, heapMegabytes, yaml, targetCustomizer);
   }
 
-  /** The same plan with other targets. */
+  /** The same plan with this change to the target options. */
   public ClusterPlan targetCustomizer(UnaryOperator<TargetOptions> change) {
     return new ClusterPlan(
         contract, zones, entriesPerZone, targetsPerZone, heapMegabytes, entrySettings, change);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/EntryOptions.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/EntryOptions.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * What an {@link EntryProcess} is started with.
+ * Start options of an {@link EntryProcess}.
  *
  * <pre>{@code
  * EntryOptions options =
@@ -18,11 +18,11 @@
  * @param customer customer it belongs to
  * @param zone its availability zone
  * @param platformUri address of the store and of the list of VMs
- * @param storeTimeout longest wait for the store, as in a settings file
- * @param listInterval how often it reads the list, as in a settings file
- * @param heapMegabytes largest heap
- * @param jvmOptions options of the JVM besides the usual ones
- * @param settings YAML added to the settings, lines that end with a line feed
+ * @param storeTimeout timeout of store calls, in the syntax of the settings file
+ * @param listInterval interval between reads of the VM list, in the syntax of the settings file
+ * @param heapMegabytes maximum heap
+ * @param jvmOptions JVM options in addition to the default ones
+ * @param settings YAML lines added to the settings, each ending with a line feed
  */
 public record EntryOptions(
     String vm,
@@ -36,12 +36,12 @@
     String settings) {
   private static final int DEFAULT_HEAP_MEGABYTES = 48;
 
-  /** Copies the list, so that the options cannot change. */
+  /** Makes a defensive copy of the list. */
   public EntryOptions {
     jvmOptions = List.copyOf(jvmOptions);
   }
 
-  /** Waits 1 s for the store, reads the list every 200 ms; 48 MB of heap. */
+  /** Options with a store timeout of 1 s, a list interval of 200 ms and 48 MB of heap. */
   public static EntryOptions of(String vm, String customer, String zone, URI platform) {
     return new EntryOptions(
         vm, customer, zone, platform, "1s", "200ms", DEFAULT_HEAP_MEGABYTES, List.of(), "");
@@ -61,19 +61,19 @@
         settings);
   }
 
-  /** The same options with that longest wait for the store. */
+  /** The same options with this timeout of store calls. */
   public EntryOptions storeTimeout(String time) {
     return new EntryOptions(
         vm, customer, zone, platformUri, time, listInterval, heapMegabytes, jvmOptions, settings);
   }
 
-  /** The same options with that time between two readings of the list. */
+  /** The same options with this interval between reads of the list. */
   public EntryOptions listInterval(String time) {
     return new EntryOptions(
         vm, customer, zone, platformUri, storeTimeout, time, heapMegabytes, jvmOptions, settings);
   }
 
-  /** The same options with that heap. */
+  /** The same options with this maximum heap. */
   public EntryOptions heapMegabytes(int megabytes) {
     return new EntryOptions(
         vm,
@@ -87,7 +87,7 @@
         settings);
   }
 
-  /** The same options with more options of the JVM. */
+  /** The same options with these JVM options added. */
   public EntryOptions jvmOptions(List<String> more) {
     List<String> all = new ArrayList<>(jvmOptions);
     all.addAll(more);
@@ -95,7 +95,7 @@
         vm, customer, zone, platformUri, storeTimeout, listInterval, heapMegabytes, all, settings);
   }
 
-  /** The same options with more YAML in the settings. */
+  /** The same options with this YAML added to the settings. */
   public EntryOptions settings(String yaml) {
     return new EntryOptions(
         vm,
@@ -109,7 +109,7 @@
         settings + yaml);
   }
 
-  /** The settings file's text; port 0 is one that the process chooses. */
+  /** The text of the settings file; for port 0 the process selects a free port. */
   String toYaml(int callersPort, int innerPort) {
     return String.join(
         "\n",
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/EntryProcess.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/EntryProcess.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One entry daemon in a process of its own, which can be killed, paused, stopped and restarted; all
- * signals go to this one process by its id.
+ * An entry daemon in a separate process, which can be killed, paused, stopped and restarted.
+ * Signals are sent to the id of this process only.
  *
  * <pre>{@code
  * try (EntryProcess entry = EntryProcess.start(options, folder)) {
@@ -29,7 +29,7 @@
   private static final Set<Process> STARTED = ConcurrentHashMap.newKeySet();
 
   static {
-    // A bench that exits or is ended must not leave its daemons behind.
+    // Ends the daemons when the benchmark exits or is terminated.
     Runtime.getRuntime().addShutdownHook(new Thread(EntryProcess::killAll, "kill-entries"));
   }
 
@@ -51,7 +51,7 @@
   }
 
   /**
-   * Starts a daemon and returns once its ports are open; settings and log are in {@code folder}.
+   * Starts a daemon and waits until its ports are open; its settings and log are in {@code folder}.
    */
   public static EntryProcess start(EntryOptions options, Path folder) throws IOException {
     EntryProcess entry = launch(options, folder);
@@ -59,7 +59,7 @@
     return entry;
   }
 
-  /** Starts a daemon and returns at once; it has no ports before {@link #awaitReady}. */
+  /** Starts a daemon without waiting; its ports are known after {@link #awaitReady}. */
   public static EntryProcess launch(EntryOptions options, Path folder) throws IOException {
     return new EntryProcess(options, folder);
   }
@@ -86,12 +86,12 @@
     return started;
   }
 
-  /** The test runner keeps its own class path apart from the one of the code under test. */
+  /** Class path of the code under test, which Surefire passes in a separate system property. */
   static String classPath() {
     return System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
   }
 
-  /** Waits for the line that names the ports. */
+  /** Waits for the output line that contains the ports. */
   public void awaitReady() throws IOException {
     BufferedReader out = process.inputReader(StandardCharsets.UTF_8);
     for (String line = out.readLine(); line != null; line = out.readLine()) {
@@ -101,7 +101,7 @@
       }
     }
     throw new IOException(
-        "entry VM " + vm() + " ended before it was ready; its log is\n" + Files.readString(log));
+        "entry VM " + vm() + " exited before it was ready; its log:\n" + Files.readString(log));
   }
 
   private static Map<String, Integer> parsePorts(String readyLine) {
@@ -115,38 +115,38 @@
     return ports;
   }
 
-  /** Starts the daemon anew after its end, on the same ports for callers and the inner protocol. */
+  /** Restarts a daemon that has ended, on the same ports for callers and the inner protocol. */
   public void restart() throws IOException {
     process = startProcess();
     awaitReady();
   }
 
-  /** Ends the process at once, as a crash would. */
+  /** Kills the process, as a crash would. */
   public void kill() throws InterruptedException {
     process.destroyForcibly().waitFor();
   }
 
-  /** SIGTERM: asks for a planned stop; returns at once. */
+  /** Sends SIGTERM, which requests a planned stop, without waiting for it. */
   public void terminate() {
-    process.toHandle().destroy(); // unlike Process.destroy, it leaves the output open
+    process.toHandle().destroy(); // unlike Process.destroy, this leaves the output stream open
   }
 
-  /** Exit code, or -1 where the process has not ended within {@code seconds}. */
+  /** Exit code, or -1 if the process has not ended within {@code seconds}. */
   public int awaitEnd(long seconds) throws InterruptedException {
     return process.waitFor(seconds, TimeUnit.SECONDS) ? process.exitValue() : -1;
   }
 
-  /** What an ended daemon printed last of itself: how its planned stop went. */
+  /** Last line of the output of an ended daemon, which reports the result of a planned stop. */
   public String lastOutputLine() throws IOException {
     return process.inputReader(StandardCharsets.UTF_8).lines().reduce("", (first, last) -> last);
   }
 
-  /** SIGSTOP: the process stands still, as by a hypervisor's doing, and does not know it. */
+  /** Sends SIGSTOP, which suspends the process without its knowledge, as a hypervisor can. */
   public void pause() throws IOException, InterruptedException {
     sendSignal("STOP");
   }
 
-  /** SIGCONT: a paused process goes on. */
+  /** Sends SIGCONT, which resumes a paused process. */
   public void resume() throws IOException, InterruptedException {
     sendSignal("CONT");
   }
@@ -168,12 +168,12 @@
     return options.zone();
   }
 
-  /** Where the process writes its log. */
+  /** Log file of the process. */
   public Path log() {
     return log;
   }
 
-  /** {@code IP:PORT} for callers. */
+  /** Address for callers, {@code IP:PORT}. */
   public String callersAddress() {
     return StandIns.HOST + ":" + callersPort();
   }
@@ -198,12 +198,12 @@
     return process.pid();
   }
 
-  /** The process itself, for what the system tells of it. */
+  /** Handle of the process, for the information that the operating system provides on it. */
   public ProcessHandle processHandle() {
     return process.toHandle();
   }
 
-  /** True while the process runs, also while it is paused. */
+  /** True while the process exists, even if it is paused. */
   public boolean isAlive() {
     return process.isAlive();
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/ProcessCluster.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/ProcessCluster.java
@@ -18,8 +18,8 @@
 import org.sageladder.standin.target.TargetServer;
 
 /**
- * A whole system on loopback: each entry VM is a process of its own, the store and the targets are
- * in this one, where their faults can be set and their counts read.
+ * A complete system on the loopback interface. Each entry VM is a separate process; the store and
+ * the targets run in this process, so that faults can be injected and counters read.
  *
  * <pre>{@code
  * try (ProcessCluster cluster = ProcessCluster.start(ClusterPlan.of(contract), directory)) {
@@ -44,7 +44,10 @@
     this.standIns = StandIns.start(plan.contract().customer());
   }
 
-  /** Starts everything and returns once each entry VM has opened its ports. */
+  /**
+   * Starts the store, the targets and the entry VMs and waits until each entry VM has opened its
+   * ports.
+   */
   public static ProcessCluster start(ClusterPlan plan, Path directory) throws IOException {
     ProcessCluster cluster = new ProcessCluster(plan, directory);
     try {
@@ -94,7 +97,7 @@
     }
   }
 
-  /** A process that has been started and may not listen yet. */
+  /** A started process that may not be listening yet. */
   private record StartingEntry(EntryProcess entry, long incarnation) {}
 
   private StartingEntry launch(String vm, String zone) throws IOException {
@@ -129,7 +132,10 @@
     return starting.entry();
   }
 
-  /** Takes an entry VM off the platform's list, as the platform does some time after its end. */
+  /**
+   * Removes an entry VM from the platform's list, as the platform does some time after the VM has
+   * ended.
+   */
   public void unlist(EntryProcess entry) {
     standIns.unlist(entry.vm());
   }
@@ -149,7 +155,7 @@
     return standIns.targetsOf(service);
   }
 
-  /** All entry VMs ever started, ended ones among them. */
+  /** All entry VMs ever started, including those that have ended. */
   public List<EntryProcess> entries() {
     return List.copyOf(entries);
   }
@@ -159,12 +165,12 @@
     return entries.stream().filter(EntryProcess::isAlive).toList();
   }
 
-  /** Addresses for callers of the entry VMs that run. */
+  /** Addresses that callers use, of the running entry VMs. */
   public List<String> callersAddresses() {
     return runningEntries().stream().map(EntryProcess::callersAddress).toList();
   }
 
-  /** How often each request was started, over all targets. */
+  /** Number of executions of each request, summed over all targets. */
   public Map<String, Integer> executionCounts() {
     Map<String, Integer> counts = new TreeMap<>();
     for (TargetServer target : targets()) {
@@ -176,16 +182,16 @@
   }
 
   /**
-   * Waits until each running entry VM answers a look-up of each service.
+   * Waits until each running entry VM answers look-ups of every service.
    *
-   * @throws IOException where that is not so within {@code limit}
+   * @throws IOException if this takes longer than {@code timeout}
    */
   public void awaitServing(Duration timeout) throws IOException, InterruptedException {
     long deadline = System.nanoTime() + timeout.toNanos();
     for (EntryProcess entry : entries) {
       while (entry.isAlive() && !servesAllServices(entry)) {
         if (System.nanoTime() > deadline) {
-          throw new IOException(entry.vm() + " does not serve after " + timeout);
+          throw new IOException(entry.vm() + " does not answer look-ups after " + timeout);
         }
         Thread.sleep(POLL_MILLIS);
       }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/Reply.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/Reply.java
@@ -3,7 +3,7 @@
 import java.net.http.HttpResponse;
 import org.sageladder.standin.target.AnswerPattern;
 
-/** What a caller saw of one exchange. */
+/** Result of one HTTP exchange as seen by the caller. */
 @SuppressWarnings("ArrayRecordComponent")
 public record Reply(
     int status,
@@ -14,13 +14,13 @@
     long echoedChecksum,
     boolean shouldLookUpAgain,
     long retryAfterMillis) {
-  /** No connection could be made, so nothing was sent. */
+  /** The connection was refused, so nothing was sent. */
   public static final Reply REFUSED = new Reply(0, "refused", "", "", new byte[0], -1, false, 0);
 
-  /** The caller's patience ended first. */
+  /** The caller's timeout expired before the response. */
   public static final Reply TIMEOUT = new Reply(0, "timeout", "", "", new byte[0], -1, false, 0);
 
-  /** The connection ended before the answer was whole. */
+  /** The connection was closed before the response was complete. */
   public static final Reply CUT = new Reply(0, "cut", "", "", new byte[0], -1, false, 0);
 
   static Reply of(HttpResponse<byte[]> response) {
@@ -39,27 +39,27 @@
     return response.headers().firstValue(name).orElse("");
   }
 
-  /** True where no whole answer came. */
+  /** True if no complete response was received. */
   public boolean hasNoAnswer() {
     return status == 0;
   }
 
-  /** True where no connection could be made. */
+  /** True if no connection could be established. */
   public boolean isRefused() {
     return status == 0 && result.equals("refused");
   }
 
-  /** True where the answer says that the request ran. */
+  /** True if the response states that the request was executed. */
   public boolean ran() {
     return outcome.equals("ran");
   }
 
-  /** True where the answer says that the request was not run. */
+  /** True if the response states that the request was not executed. */
   public boolean isNotRun() {
     return outcome.equals("not-run");
   }
 
-  /** True where this is the target's whole answer to the request with that checksum. */
+  /** True if this is the complete response of a target to the request with that checksum. */
   public boolean isAnswerTo(long requestChecksum, long length) {
     if (echoedChecksum != requestChecksum || body.length != length) {
       return false;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/RunFolder.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/RunFolder.java
@@ -7,11 +7,11 @@
 import java.util.stream.Stream;
 
 /**
- * A temporary folder for one run's settings and logs, deleted when closed; {@code -Dkeep.logs=true}
- * keeps it.
+ * A temporary directory for the settings and logs of one run, deleted on close unless {@code
+ * -Dkeep.logs=true} is set.
  */
 public record RunFolder(Path path) implements AutoCloseable {
-  /** A new folder whose name begins with {@code prefix}. */
+  /** Creates a directory whose name starts with {@code prefix}. */
   public static RunFolder create(String prefix) throws IOException {
     return new RunFolder(Files.createTempDirectory(prefix));
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/StandIns.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/StandIns.java
@@ -15,8 +15,8 @@
 import org.sageladder.standin.target.TargetServer;
 
 /**
- * What surrounds one customer's entry VMs: the platform's store and list, and the targets. All are
- * in this process, where their faults can be set and their counts read.
+ * The environment of one customer's entry VMs: the platform's store and VM list, and the targets.
+ * All run in this process, so that faults can be injected and counters read.
  *
  * <pre>{@code
  * try (StandIns standIns = StandIns.start("kalnins-dauge")) {
@@ -26,7 +26,7 @@
  * }</pre>
  */
 public final class StandIns implements AutoCloseable {
-  /** All processes listen on this IP number. */
+  /** All processes listen on this IP address. */
   public static final String HOST = "127.0.0.1";
 
   private final String customer;
@@ -39,7 +39,7 @@
     this.store = StoreServer.start(HOST, 0);
   }
 
-  /** An empty store and an empty list. */
+  /** Starts with an empty store and an empty VM list. */
   public static StandIns start(String customer) throws IOException {
     return new StandIns(customer);
   }
@@ -50,7 +50,7 @@
     store.state().compareAndSet(StoredContract.keyOf(customer), 0, value, null);
   }
 
-  /** Starts a target of {@code service} and puts it on the list. */
+  /** Starts a target of {@code service} and adds it to the list. */
   public TargetServer startTarget(TargetOptions options, String service, String zone)
       throws IOException {
     TargetServer target = TargetServer.start(options);
@@ -61,14 +61,14 @@
     return target;
   }
 
-  /** Puts a target on the list, one that need not exist. */
+  /** Adds a target to the list; it need not exist. */
   public void listTarget(String id, String service, String zone, int port, long incarnation) {
     putListed(
         new ListedVm(
             VmRole.TARGET, id, customer, service, zone, HOST, port, 0, incarnation, false));
   }
 
-  /** Marks a target on the list as leaving, or as returned with a new incarnation. */
+  /** Updates a listed target: marks it as draining, or as live with a new incarnation. */
   public void listTarget(String id, long incarnation, boolean isDraining) {
     ListedVm vm = listedVm(id);
     putListed(
@@ -86,9 +86,9 @@
   }
 
   /**
-   * Puts an entry VM on the list, as live or leaving.
+   * Adds an entry VM to the list, as live or draining.
    *
-   * @param incarnation 0 where the platform does not know
+   * @param incarnation incarnation number, 0 if the platform does not know it
    */
   public void listEntry(EntryProcess entry, long incarnation, boolean isDraining) {
     putListed(
@@ -112,12 +112,12 @@
     store.putVm(vm);
   }
 
-  /** Takes a VM off the list, as the platform does some time after its end. */
+  /** Removes a VM from the list, as the platform does some time after the VM has ended. */
   public void unlist(String id) {
     store.removeVm(id);
   }
 
-  /** Puts a VM back on the list as it was. */
+  /** Adds a removed VM to the list again, unchanged. */
   public void relist(String id) {
     store.putVm(listedVm(id));
   }
@@ -133,7 +133,7 @@
     }
   }
 
-  /** The store and the list. */
+  /** The store and the VM list. */
   public StoreServer store() {
     return store;
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/process/TestBed.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/process/TestBed.java
@@ -15,11 +15,11 @@
 import org.sageladder.standin.target.TargetServer;
 
 /**
- * A customer with real entry daemons on loopback; store, list and targets are stand-ins in this
- * process, so that executions can be counted where they happen.
+ * A customer with real entry daemons on the loopback interface. The store, the VM list and the
+ * targets are stand-ins in this process, so that executions can be counted at the targets.
  *
- * <p>Three services: {@code bids} must not repeat, {@code listings} may, {@code archive} is
- * background work. Two zones of one region.
+ * <p>It has two zones in one region and three services: {@code bids} is not repeatable, {@code
+ * listings} is, and {@code archive} is background work.
  */
 public final class TestBed implements AutoCloseable {
   /** The customer of all requests. */
@@ -36,7 +36,7 @@
     this.folder = folder;
   }
 
-  /** A contract, a store and no VMs yet. */
+  /** Starts the store with the contract and without any VMs. */
   public static TestBed start(double serviceMillis) throws IOException, SettingsException {
     Contract contract = ContractYaml.parse("bench", contractText(serviceMillis));
     TestBed bed = new TestBed(StandIns.start(CUSTOMER), RunFolder.create("bench"));
@@ -80,7 +80,9 @@
         "");
   }
 
-  /** Adds targets of {@code service} spread over the zones, and lists them. */
+  /**
+   * Starts targets of {@code service} alternately in the two zones and adds them to the VM list.
+   */
   public void addTargets(String service, int count, ServiceTime time, int slots)
       throws IOException {
     for (int i = 0; i < count; i++) {
@@ -97,7 +99,7 @@
     }
   }
 
-  /** Starts entry daemons spread over the zones, and lists them. */
+  /** Starts entry daemons alternately in the two zones and adds them to the VM list. */
   public void addEntries(int count) throws IOException {
     for (int i = 0; i < count; i++) {
       EntryOptions options =
@@ -114,12 +116,12 @@
     return number % 2 == 0 ? "riga-1" : "riga-2";
   }
 
-  /** Puts an entry VM on the platform's list, as live or leaving. */
+  /** Adds an entry VM to the platform's list, as live or draining. */
   public void listEntry(EntryProcess entry, boolean isDraining) {
     standIns.listEntry(entry, 0, isDraining);
   }
 
-  /** Marks a target on the list as leaving, or as returned with a new incarnation. */
+  /** Updates a listed target: marks it as draining, or as live with a new incarnation. */
   public void listTarget(int number, long incarnation, boolean isDraining) {
     standIns.listTarget(targets().get(number).options().id(), incarnation, isDraining);
   }
@@ -139,12 +141,12 @@
     return standIns.targets();
   }
 
-  /** Where settings and logs are. */
+  /** Directory of the settings and logs. */
   public Path folder() {
     return folder.path();
   }
 
-  /** The last lines of all logs, for a run that failed. */
+  /** The last five lines of each log, to diagnose a failed run. */
   public String logTails() throws IOException {
     StringBuilder text = new StringBuilder();
     for (EntryProcess entry : entries) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/recovery/RecoveryBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/recovery/RecoveryBench.java
@@ -27,9 +27,9 @@
 import org.sageladder.standin.store.StoreFaults;
 
 /**
- * Measures, with callers at a steady rate, what a store outage costs them, how long the callers of
- * a zone that is lost whole go without answers, whether the caps on shifts hold meanwhile, and how
- * long targets stand idle whose entry VMs alone are lost.
+ * Measures at a constant request rate how many requests fail during a store outage, how long
+ * requests fail after the loss of a complete zone, whether the shift caps hold meanwhile, and how
+ * long targets are idle after the loss of only the entry VMs of their zone.
  */
 public final class RecoveryBench {
   private static final int ZONES = 4;
@@ -44,7 +44,7 @@
   private static final long TAKEOVER_LOAD_MILLIS = 20_000;
   private static final double AIM_SECONDS = 10;
   private static final double AIM_TAKEOVER_SECONDS = 15;
-  // Small enough that the lost zone's callers cannot all go to one place at once.
+  // Small enough that the callers of the lost zone cannot all shift to one place at once.
   private static final double CAP_GAIN_FRACTION = 0.1;
   private static final Duration DEADLINE = Duration.ofSeconds(2);
 
@@ -61,7 +61,7 @@
 
   private record Outcome(long dueMillis, long endMillis, boolean isWhole, String name) {}
 
-  /** Takes {@code --full} for a store outage of ten minutes instead of fifteen seconds. */
+  /** Simulates a store outage of 15 seconds, or of ten minutes with {@code --full}. */
   public static void main(String[] args) throws Exception {
     long outageMillis = List.of(args).contains("--full") ? 600_000 : 15_000;
     FleetOptions options = new FleetOptions(contract(), VMS_PER_ZONE, HEAP_MEGABYTES, true);
@@ -109,7 +109,7 @@
     return plain.withServices(service -> service.withShiftCaps(cap, cap));
   }
 
-  /** Largest share of the gain allowed toward any target or region over the whole run. */
+  /** Largest used fraction of the allowed gain of any target or region over the whole run. */
   private double maxCapUsage() {
     Contract.Service service = contract.services().get(0);
     List<ShiftCapCheck.CapUsage> usages = new ArrayList<>();
@@ -147,7 +147,7 @@
     long lostNanos = System.nanoTime();
     runLoad(TAKEOVER_LOAD_MILLIS);
     printSummary("entry VMs lost", from, elapsedMillis());
-    // What the ended VMs had sent is started within the first half second.
+    // Requests that the lost VMs had already sent are started within the first half second.
     long settled = lostNanos + TimeUnit.MILLISECONDS.toNanos(500);
     long first = capCheck.firstStartAfter(settled, targets(zone));
     return first < 0 ? Double.POSITIVE_INFINITY : (first - lostNanos) / 1e9;
@@ -193,7 +193,10 @@
     }
   }
 
-  /** Callers of all regions in turn, at a rate that does not wait for answers. */
+  /**
+   * Open-loop load: sends requests of all regions in turn at a constant rate, regardless of
+   * responses.
+   */
   private void runLoad(long millis) throws InterruptedException {
     ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
     ExecutorService callers = Executors.newFixedThreadPool(CALLERS);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/recovery/ShiftCapCheck.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/recovery/ShiftCapCheck.java
@@ -8,10 +8,11 @@
 import org.sageladder.core.contract.Contract;
 
 /**
- * Checks the contract's caps on shifts from what targets really started.
+ * Checks the contract's shift caps against the requests that targets have started.
  *
- * <p>No window may hold more starts than the one before it plus the gain allowed. A start follows
- * its admission by a little, so 5 % of the gain and two requests are let pass.
+ * <p>A window may have no more starts than the preceding window plus the allowed gain. The caps
+ * apply to admissions, which precede the starts slightly, so a tolerance of 5 % of the gain and two
+ * requests is added.
  */
 final class ShiftCapCheck {
   private static final double SLACK_FRACTION = 0.05;
@@ -19,7 +20,7 @@
 
   private final List<Sample> samples = new ArrayList<>();
 
-  /** Requests started by each target up to a moment. */
+  /** Number of requests started by each target at a point in time. */
   private record Sample(long nanos, Map<String, Long> startedByTarget) {}
 
   synchronized void recordSample(Map<String, Long> started) {
@@ -27,14 +28,15 @@
   }
 
   /**
-   * The largest share of the allowed gain that was used.
+   * Use of the allowed gain in the window with the largest use.
    *
-   * @param scope what was grown toward
-   * @param nanos end of the window that grew, on this process's clock
+   * @param fraction used fraction of the allowed gain
+   * @param scope target or region to which the gain applies
+   * @param nanos end of the window, from {@link System#nanoTime}
    */
   record CapUsage(double fraction, String scope, long nanos) {}
 
-  /** Largest share of the allowed gain that was used toward {@code targets} together. */
+  /** Largest use of the allowed gain in any window, for the sum of {@code targets}. */
   synchronized CapUsage maxUsage(
       String scope, List<String> targets, Contract.ShiftCap cap, double capacityPerSecond) {
     ToLongFunction<Sample> count =
@@ -79,7 +81,10 @@
     return last;
   }
 
-  /** When any of {@code targets} first started a request after {@code nanos}; -1 where none did. */
+  /**
+   * Time at which any of {@code targets} first started a request after {@code nanos}, or -1 if none
+   * did.
+   */
   synchronized long firstStartAfter(long nanos, List<String> targets) {
     Sample base = atOrAfter(nanos);
     for (Sample sample : samples) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/recovery/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/recovery/package-info.java
@@ -1,4 +1,4 @@
-/** How long it takes to recover from a lost zone and a store outage. */
+/** Measures the recovery from the loss of a zone and from a store outage. */
 @NullMarked
 package org.sageladder.bench.recovery;
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/reverts/RevertsBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/reverts/RevertsBench.java
@@ -17,10 +17,11 @@
 import org.sageladder.standin.store.StoreFaults;
 
 /**
- * Makes 2,000 changes while entry VMs are ended, started anew and paused, the store is down or slow
- * and loses answers, and counts each time an entry VM puts a lower revision in force than it had.
+ * Writes 2,000 changes while entry VMs are killed, restarted and paused and the store is down, slow
+ * or loses responses. Counts how often an entry VM puts a lower revision in force than before.
  *
- * <p>All draws come from one seed; what the processes make of them also depends on the machine.
+ * <p>All random choices derive from one seed; the timing of the processes also depends on the
+ * machine.
  */
 public final class RevertsBench {
   private static final int ZONES = 4;
@@ -43,7 +44,7 @@
     this.random = new SplittableRandom(seed);
   }
 
-  /** Takes {@code --full} for five times as many changes and {@code --seed N}. */
+  /** Takes {@code --full} for five times as many changes, and {@code --seed N}. */
   public static void main(String[] args) throws Exception {
     List<String> options = List.of(args);
     int changes = options.contains("--full") ? 5 * CHANGES : CHANGES;
@@ -121,7 +122,9 @@
     }
   }
 
-  /** The store is down while a VM is started anew, which then has only its peers to ask. */
+  /**
+   * Restarts a VM while the store is down, so that it can obtain the contract only from its peers.
+   */
   private void restartDuringOutage(FleetVm vm) throws IOException, InterruptedException {
     fleet.collectEvents(each -> true);
     fleet.store().setFaults(StoreFaults.none().withDown(true));
--- a/sageladder-bench/src/main/java/org/sageladder/bench/reverts/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/reverts/package-info.java
@@ -1,4 +1,4 @@
-/** Whether any entry VM ever puts a lower revision in force after a higher one. */
+/** Checks that no entry VM puts a lower revision in force after a higher one. */
 @NullMarked
 package org.sageladder.bench.reverts;
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/spread/SpreadBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/spread/SpreadBench.java
@@ -15,8 +15,8 @@
 
 /**
  * Measures the time from the acceptance of a change until it is in force on every entry VM, with 42
- * processes in 6 zones: without faults, with a slow store, with relays ended in mid-spread, and
- * after a zone was paused.
+ * processes in 6 zones: without faults, with a slow store, with relays killed during the
+ * propagation, and after a pause of a zone.
  */
 public final class SpreadBench {
   private static final int ZONES = 6;
@@ -35,7 +35,7 @@
     this.changes = changes;
   }
 
-  /** Takes {@code --full} for five times as many changes. */
+  /** Writes 20 changes, or 100 with {@code --full}. */
   public static void main(String[] args) throws Exception {
     int changes = List.of(args).contains("--full") ? 100 : 20;
     Contract contract = Contracts.of(ZONES, 24, 200);
@@ -80,7 +80,7 @@
     report("store takes 500 ms a call", times);
   }
 
-  /** All VMs of a zone stand still while a change is accepted, then go on. */
+  /** Pauses all VMs of a zone while a change is accepted, then resumes them. */
   private void measurePausedZone() throws IOException, InterruptedException, StoreException {
     Histogram otherZonesTimes = histogram();
     Histogram resumedZoneTimes = histogram();
@@ -105,7 +105,7 @@
     report("that zone after it goes on", resumedZoneTimes);
   }
 
-  /** The relays of two zones are ended right after a change was accepted. */
+  /** Kills the relays of two zones, one just before and one just after a change is accepted. */
   private double measureRelayLoss() throws IOException, InterruptedException, StoreException {
     Histogram times = histogram();
     int rounds = changes >= 100 ? 4 : 2;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/spread/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/spread/package-info.java
@@ -1,4 +1,4 @@
-/** How fast an accepted contract is in force on every entry VM. */
+/** Measures the time until an accepted contract is in force on every entry VM. */
 @NullMarked
 package org.sageladder.bench.spread;
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/storecalls/StoreCallsBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/storecalls/StoreCallsBench.java
@@ -11,11 +11,12 @@
 import org.sageladder.core.store.StoreException;
 
 /**
- * Measures calls to the platform a second with the same number of entry VMs in few and in many
- * zones, and what entry VMs that are no relays call, and works out what the target size would make.
+ * Measures calls to the platform per second with the same number of entry VMs in few and in many
+ * zones, and the calls of entry VMs that are not relays, and extrapolates both to the target size.
  *
- * <p>Calls of relays come about once a second, so a short measurement is off by one call of each
- * kind and zone; calls of the other entry VMs are counted in those processes, where one shows.
+ * <p>Relays make calls about once per second, so a short measurement may be off by one call of each
+ * kind and zone. Calls of other entry VMs are read from their own metrics, where a single call is
+ * visible.
  */
 public final class StoreCallsBench {
   private static final int HEAP_MEGABYTES = 40;
@@ -24,11 +25,13 @@
   private static final int VMS = 12;
   private static final int TARGET_ZONES = 94;
   private static final int TARGET_VMS = 2_500;
-  // What the platform takes: several hundred writes, here 300, and 2,000 reads a second.
+  // Capacity of the platform: several hundred writes per second, assumed to be 300, and 2,000 reads
+  // per second.
   private static final double MAX_PLATFORM_WRITES_PER_SECOND = 300;
   private static final double MAX_PLATFORM_READS_PER_SECOND = 2_000;
   private static final double AIM_PERCENT = 50;
-  // Entry VMs that poll four times a second, each with one read and one fetch of the list.
+  // For comparison: polling four times per second, each time with one read and one fetch of the
+  // list.
   private static final double POLLING_READS_PER_SECOND_PER_VM = 8;
   private static final List<String> READ_CALLS = List.of("read", "list", "watch", "vms");
 
@@ -37,7 +40,7 @@
   private record CallRates(
       double readsPerSecond, double writesPerSecond, double callsPerNonRelay) {}
 
-  /** Takes {@code --full} for longer measurements. */
+  /** With {@code --full}, measures longer. */
   public static void main(String[] args) throws Exception {
     long millis = List.of(args).contains("--full") ? 120_000 : 15_000;
     CallRates fewZones = measure(FEW_ZONES, millis);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/storecalls/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/storecalls/package-info.java
@@ -1,4 +1,4 @@
-/** How the calls to the platform grow with zones and with entry VMs. */
+/** Measures how the calls to the platform grow with the number of zones and of entry VMs. */
 @NullMarked
 package org.sageladder.bench.storecalls;
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/timeline/TimelineCost.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/timeline/TimelineCost.java
@@ -20,12 +20,12 @@
 import org.sageladder.core.event.EventSink;
 import org.sageladder.core.time.TimeSource;
 
-/** Nanoseconds to record one event, beside a sink that forgets everything. */
+/** Measures the time to record one event, compared with a sink that discards events. */
 public class TimelineCost {
   private static final double AIM_NANOS = 500;
   private static final int CAPACITY = 16_384;
 
-  /** What the measured methods record into. */
+  /** The sinks that the benchmark methods record into. */
   @State(Scope.Benchmark)
   public static class Sinks {
     final EventBuffer buffer = EventBuffer.withCapacity(CAPACITY, TimeSource.system());
@@ -33,7 +33,7 @@
     volatile int tries = 1;
   }
 
-  /** An event whose detail is there already. */
+  /** Records an event with a constant detail text. */
   @Benchmark
   @BenchmarkMode(Mode.AverageTime)
   @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -41,7 +41,7 @@
     sinks.buffer.record(EventKind.ADMITTED, "r-17", "kannelkoda", "tartu-1-t3", 0, "slot 2 of 3");
   }
 
-  /** An event whose detail is put together for it, as the request path does. */
+  /** Records an event whose detail text is concatenated for it, as on the request path. */
   @Benchmark
   @BenchmarkMode(Mode.AverageTime)
   @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -50,7 +50,7 @@
         EventKind.DISPATCHED, "r-17", "kannelkoda", "tartu-1-t3", 0, "try " + sinks.tries);
   }
 
-  /** The baseline: the same call into a sink that forgets everything. */
+  /** Baseline: the same call to a sink that discards events. */
   @Benchmark
   @BenchmarkMode(Mode.AverageTime)
   @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -59,7 +59,7 @@
         EventKind.DISPATCHED, "r-17", "kannelkoda", "tartu-1-t3", 0, "try " + sinks.tries);
   }
 
-  /** Measures with one thread and with four; {@code --full} measures longer. */
+  /** Measures with one thread and with four threads, longer with {@code --full}. */
   public static void main(String[] args) throws RunnerException {
     boolean full = args.length > 0 && args[0].equals("--full");
     double builtDetailNanos = 0;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/timeline/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/timeline/package-info.java
@@ -1,4 +1,4 @@
-/** What one event of the time line costs. */
+/** Measures the cost of recording one event of the timeline. */
 @NullMarked
 package org.sageladder.bench.timeline;
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/whole/Exchanges.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/whole/Exchanges.java
@@ -15,7 +15,7 @@
 import org.sageladder.bench.process.TestBed;
 import org.sageladder.standin.target.RequestChecksum;
 
-/** Many small exchanges, some of which their callers give up. */
+/** Sends many small requests, some of which the callers abandon after a short timeout. */
 final class Exchanges {
   private static final int CALLERS = 64;
   private static final Duration DEADLINE = Duration.ofSeconds(4);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/whole/Recordings.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/whole/Recordings.java
@@ -21,7 +21,7 @@
 import org.sageladder.standin.target.AnswerPattern;
 import org.sageladder.standin.target.RequestChecksum;
 
-/** Recordings larger than the entry daemon's whole heap, fetched and sent. */
+/** Downloads and uploads recordings that are larger than the entry daemon's heap. */
 final class Recordings {
   private static final long RECORDING_BYTES = 128L << 20;
   private static final int PARALLEL_TRANSFERS = 4;
@@ -35,7 +35,7 @@
     this.bed = bed;
   }
 
-  /** Recordings that arrived whole and right, of the number tried. */
+  /** Transfers all recordings and returns how many arrived complete and correct. */
   int transferAll() throws Exception {
     ExecutorService pool = Executors.newFixedThreadPool(PARALLEL_TRANSFERS * 2);
     List<Future<Boolean>> results = new ArrayList<>();
@@ -76,7 +76,9 @@
     return checker.matches() && checker.length() == RECORDING_BYTES;
   }
 
-  /** Sends a recording; the target's checksum of what it got tells whether all of it arrived. */
+  /**
+   * Uploads a recording; the checksum that the target returns shows whether it arrived complete.
+   */
   private boolean send(int number) throws IOException, InterruptedException {
     String path = "/recordings?answerBytes=16&work=send" + number;
     RequestChecksum checksum = RequestChecksum.begin("POST", path);
@@ -113,7 +115,7 @@
         .header("Sageladder-Deadline-Millis", "170000");
   }
 
-  /** Largest resident memory of any entry daemon so far, in megabytes. */
+  /** Peak resident memory of any entry daemon, in megabytes. */
   long peakResidentMegabytes() throws IOException {
     long peak = 0;
     for (EntryProcess entry : bed.entries()) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/whole/WholeAnswersMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/whole/WholeAnswersMain.java
@@ -6,14 +6,14 @@
 import org.sageladder.standin.target.TargetFaults;
 import org.sageladder.standin.target.TargetServer;
 
-/** Checks each answer byte by byte while targets cut answers and answer late. */
+/** Verifies each response byte by byte while targets truncate and delay responses. */
 public final class WholeAnswersMain {
   private static final long DEFAULT_EXCHANGES = 30_000;
   private static final long FULL_EXCHANGES = 1_000_000;
 
   private WholeAnswersMain() {}
 
-  /** Takes {@code --full} for 1,000,000 exchanges instead of 30,000. */
+  /** Runs 30,000 exchanges, or 1,000,000 with {@code --full}. */
   public static void main(String[] args) throws Exception {
     long count = List.of(args).contains("--full") ? FULL_EXCHANGES : DEFAULT_EXCHANGES;
     try (TestBed bed = TestBed.start(2)) {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/whole/package-info.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/whole/package-info.java
@@ -1,4 +1,7 @@
-/** Whole answers, each to its own caller, under delay, truncation and abandoned exchanges. */
+/**
+ * Checks that each caller gets the complete response to its own request despite delays, truncation
+ * and abandoned exchanges.
+ */
 @NullMarked
 package org.sageladder.bench.whole;
 
--- a/sageladder-bench/src/test/java/org/sageladder/bench/policy/DifferentialProperties.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/policy/DifferentialProperties.java
@@ -7,12 +7,12 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** The distributed decisions against the naive central reference. */
+/** Checks that the distributed policy respects shift caps and slot limits under faults. */
 class DifferentialProperties {
   /**
-   * Regions lose each other, readings are late or lost and entry VMs start anew under random
-   * demand. A customer would see a region take on more than its cap allows if any share were used
-   * twice on the way; the naive tally counts each window of each target and region.
+   * Partitions, late or lost summaries and restarts of entry VMs under random demand must not let a
+   * target or region exceed its cap or slots, as it would if a share of the allowed gain were used
+   * twice. {@link AdmissionLog} recounts every window of each target and region.
    */
   @Property(tries = 8, seed = "31")
   void capsAndSlotLimitsHoldUnderFaults(@ForAll @IntRange(min = 1000, max = 9000) int seed) {
@@ -22,7 +22,7 @@
     assertTrue(simulation.admissionLog().servedCount() > 0);
   }
 
-  /** The tally itself must see a cap that is broken, or the runs above would prove nothing. */
+  /** The log must detect exceeded limits; otherwise the property above would prove nothing. */
   @Property(tries = 1)
   void logDetectsExceededLimits() {
     Setup setup = Setup.typical(1);
--- a/sageladder-bench/src/test/java/org/sageladder/bench/policy/ServedShareProperties.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/policy/ServedShareProperties.java
@@ -6,12 +6,13 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** The load that the distributed decisions serve against the naive central reference. */
+/** Compares the load served by the distributed policy with that of the naive central policy. */
 class ServedShareProperties {
   /**
-   * Without faults a caller must hardly notice that nobody sees everything. After a sudden surge
-   * single runs once served 92 to 95 %: all callers that a full region refused asked the same one
-   * zone abroad, while another region had room and nobody to ask for it.
+   * Without faults the distributed policy must serve at least 95 % of the central policy's load.
+   * Guards against a fault in which single runs served only 92 to 95 % after a sudden surge: all
+   * callers refused by a full region went to the same remote zone, while another region had idle
+   * capacity.
    */
   @Property(tries = 16, seed = "32")
   void distributedServesAtLeast95PercentOfCentralWithoutFaults(
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/CallersPortTest.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/CallersPortTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.sageladder.standin.target.ServiceTime;
 
-/** Bad input at the callers' port of a real process: one numbered 4xx, and nobody else notices. */
+/**
+ * Malformed input at the callers' port of a real process gets a 4xx response with the matching
+ * result code and does not affect other connections.
+ */
 @Timeout(value = 300, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class CallersPortTest {
   private static final int SOCKET_TIMEOUT_MILLIS = 120_000;
@@ -66,7 +69,7 @@
     return text.toString();
   }
 
-  /** Sends {@code request} while another connection has a good request under way. */
+  /** Sends {@code request} while a valid request is in flight on another connection. */
   private static String answerDuringOtherRequest(String request) throws Exception {
     try (Socket validConnection = connect();
         Socket connection = connect()) {
@@ -76,7 +79,7 @@
         write(connection, request);
         answer = readHead(connection);
       } catch (IOException e) {
-        throw new IOException("no answer to the bad request", e);
+        throw new IOException("no response to the malformed request", e);
       }
       String validAnswer = readHead(validConnection);
       assertTrue(validAnswer.startsWith("HTTP/1.1 200 "), validAnswer);
@@ -189,8 +192,8 @@
         400, "10 MALFORMED_REQUEST", answerDuringOtherRequest("\u0016\u0003\u0001 hello\r\n\r\n"));
   }
 
-  // Two lengths, or a length beside chunks, let two readers disagree on where a request ends, so
-  // that the tail of one caller's body is taken for another request.
+  // Request smuggling: with two lengths, or a length and chunks, two parsers may disagree on the
+  // end of a request, so that the tail of one caller's body is parsed as another request.
   @ParameterizedTest
   @CsvSource({
     "Content-Length: 3|Content-Length: 5",
@@ -213,7 +216,7 @@
     assertEquals(0, cluster.executionCounts().getOrDefault("hidden", 0));
   }
 
-  // Many callers hold half a head open. The others must still be served.
+  // Many connections with incomplete request heads must not block requests on other connections.
   @Test
   void unfinishedHeadsDoNotBlockOtherCallers() throws Exception {
     Socket[] idle = new Socket[200];
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/HostileCallersProperties.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/HostileCallersProperties.java
@@ -26,8 +26,9 @@
 import org.sageladder.standin.target.ServiceTime;
 
 /**
- * Any bytes at the callers' port of a real process: each connection gets an answer with a number
- * that fits its status; a good caller on a connection of its own is answered after each.
+ * Sends arbitrary bytes to the callers' port of a real process. Each connection must get a response
+ * whose result code matches its HTTP status, and a valid request on another connection must be
+ * answered afterwards.
  */
 class HostileCallersProperties {
   private static final Pattern ANSWER =
@@ -36,8 +37,8 @@
   private static final int VERSION_NOT_SUPPORTED = 505;
   private static final String CONTINUE = "HTTP/1.1 100 ";
   private static final String END = "\r\n\r\n";
-  // An empty line ends an open head; what follows is no request, for a port that skipped empty
-  // lines.
+  // The empty line ends an unfinished head. The invalid request after it forces a response if the
+  // server skips empty lines before a request.
   private static final String COMPLETION = END + "x" + END;
   private static final List<String> HEADERS =
       List.of(
@@ -85,13 +86,13 @@
     return socket;
   }
 
-  // A scanner or a program of another protocol connects and sends what it likes.
+  // A port scanner or a client of another protocol sends arbitrary bytes.
   @Property(tries = 200, seed = "20261202")
   void arbitraryBytesGetAResultCode(@ForAll @Size(max = 400) byte[] bytes) throws Exception {
     assertAnsweredWithResultCode(bytes);
   }
 
-  // One byte of a good request is damaged, or its tail is missing.
+  // One byte of a valid request is corrupted, and the request may be truncated there.
   @Property(tries = 300, seed = "20261202")
   void corruptedRequestGetsAResultCode(
       @ForAll @IntRange(max = 1) int pathIndex,
@@ -110,8 +111,8 @@
     assertAnsweredWithResultCode(isTruncated ? Arrays.copyOf(request, index) : request);
   }
 
-  // A caller, or somebody who plays one, puts any text into a header that the entry VM reads. A bid
-  // must not run by it, as no permit can be guessed.
+  // A hostile caller sends arbitrary text in a header that the entry VM reads. No bid may be
+  // executed, since permits cannot be guessed.
   @Property(tries = 200, seed = "20261202")
   void arbitraryHeaderValueGetsAResultCodeWithoutExecution(
       @ForAll @IntRange(max = 8) int headerIndex,
@@ -128,10 +129,13 @@
     assertEquals(0, cluster.executionCounts().getOrDefault("hostile", 0));
   }
 
-  /** Sends the bytes and what makes the entry VM answer if they left it waiting for more. */
+  /**
+   * Sends the bytes, followed by a suffix that forces a response if the entry VM is waiting for
+   * more input.
+   */
   private static void assertAnsweredWithResultCode(byte[] bytes) throws IOException {
     try (Socket connection = connect()) {
-      // In one piece: the port may answer and close before it has read all.
+      // Uses a single write, since the server may respond and close before it has read everything.
       ByteArrayOutputStream request = new ByteArrayOutputStream();
       request.writeBytes(bytes);
       request.writeBytes(COMPLETION.getBytes(StandardCharsets.US_ASCII));
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/LongTimeoutContract.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/LongTimeoutContract.java
@@ -9,16 +9,16 @@
 import org.sageladder.platform.settings.SettingsException;
 
 /**
- * Contracts with waits so long that none ends within a test: how a request ends is then decided by
- * what the test does alone, also on a machine that is slow or busy.
+ * Contracts with timeouts so long that none expires during a test, so that the outcome of a request
+ * depends only on the test, even on a slow or busy machine.
  */
 final class LongTimeoutContract {
-  /** Longest deadline and longest wait in a queue of each service. */
+  /** Longest deadline and longest queue wait of each service. */
   static final Duration DEADLINE = Duration.ofMinutes(10);
 
   private LongTimeoutContract() {}
 
-  /** The contract of Kalnins &amp; Dauge with longer waits. */
+  /** The contract of Kalnins &amp; Dauge with long timeouts. */
   static Contract kalninsDauge() throws IOException, SettingsException {
     String text = Files.readString(Path.of("..", "contracts", "kalnins-dauge.yaml"));
     String timeout = DEADLINE.toSeconds() + "s";
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/OutcomeSummary.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/OutcomeSummary.java
@@ -4,16 +4,17 @@
 import org.sageladder.client.Answer;
 
 /**
- * What callers were told held against what targets ran.
+ * Compares the outcomes reported to callers with the executions at the targets.
  *
- * @param whole whole answers
- * @param ranUnseen requests that ran and whose answer was no longer to be had
- * @param notRun requests said not to have run
+ * @param whole complete responses
+ * @param ranUnseen requests reported as executed whose response is no longer available
+ * @param notRun requests reported as not executed
  * @param unknown requests of unknown outcome
- * @param executedTwice requests that targets started more than once
- * @param falseNotRun requests said not to have run that a target did start
- * @param falseRan requests said to have run that no target started
- * @param wrongAnswers whole answers that belong to another request or are not whole
+ * @param executedTwice requests that targets executed more than once
+ * @param falseNotRun requests reported as not executed that a target did execute
+ * @param falseRan requests reported as executed that no target executed
+ * @param wrongAnswers responses reported as complete that are incomplete or belong to another
+ *     request
  */
 public record OutcomeSummary(
     int whole,
@@ -25,7 +26,7 @@
     int falseRan,
     int wrongAnswers) {
 
-  /** Counts; {@code executions} must be read after the last request can have started. */
+  /** Counts the outcomes; {@code executions} must be read when no request can start any more. */
   public static OutcomeSummary of(
       Map<String, Workload.CompletedRequest> requests, Map<String, Integer> executions) {
     int[] counts = new int[8];
@@ -56,12 +57,12 @@
     return answer instanceof Answer.Complete || answer instanceof Answer.RanAnswerUnavailable;
   }
 
-  /** All answers together. */
+  /** Number of all requests. */
   public int total() {
     return whole + ranUnseen + notRun + unknown;
   }
 
-  /** True where nothing ran twice and every statement to a caller was true. */
+  /** True if no request was executed twice and every reported outcome is correct. */
   public boolean isConsistent() {
     return executedTwice == 0 && falseNotRun == 0 && falseRan == 0 && wrongAnswers == 0;
   }
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/WholeProcessTest.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/WholeProcessTest.java
@@ -38,7 +38,7 @@
 import org.sageladder.standin.target.TargetFaults;
 import org.sageladder.standin.target.TargetServer;
 
-/** Entry VMs as real processes with small heaps, two in each of two zones. */
+/** Tests entry VMs as real processes with small heaps, two in each of two zones. */
 @Timeout(value = 300, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class WholeProcessTest {
   private static final String CUSTOMER = "kalnins-dauge";
@@ -51,7 +51,7 @@
   private SageladderClient client;
   private final ExecutorService background = Executors.newSingleThreadExecutor();
 
-  /** One cluster for all tests; each test puts back what it breaks. */
+  /** Starts one cluster for all tests; each test repairs what it breaks. */
   @BeforeAll
   static void startCluster() throws Exception {
     ClusterPlan plan =
@@ -79,7 +79,7 @@
     background.shutdownNow();
   }
 
-  /** The platform replaces an entry VM that has ended, and its list shows that at once. */
+  /** Replaces an entry VM that has ended and updates the platform's list at once. */
   private static void replace(EntryProcess ended) throws IOException {
     cluster.unlist(ended);
     cluster.addEntry(ended.vm() + "x", ended.zone());
@@ -119,13 +119,15 @@
     assertTrue(summary.isConsistent(), summary::toString);
   }
 
-  /** Each thread has one request at a time under way, so a failure can meet that many. */
+  /**
+   * Each thread has at most one request in flight, so a failure can affect at most one per thread.
+   */
   private static void assertOnlyInFlightRequestsFailed(OutcomeSummary summary) {
     assertTrue(summary.total() - summary.whole() <= THREADS, summary::toString);
   }
 
-  // An entry VM dies in the middle of an auction's close. Each bidder must learn what became of
-  // their bid: taken, not taken, or not known; none may be taken twice or be told a falsehood.
+  // An entry VM is killed while bids are in flight. Each bid must be reported as executed, not
+  // executed or unknown; no bid may be executed twice or reported incorrectly.
   @Test
   void bidOutcomesAreCorrectWhenAnEntryVmIsKilled() throws Exception {
     int count = 300;
@@ -140,8 +142,9 @@
     assertOnlyInFlightRequestsFailed(summary);
   }
 
-  // A hypervisor pauses an entry VM for two seconds while bids are under way. Callers ask the other
-  // entry VMs with the same permits; the paused one wakes with old work in its hands.
+  // An entry VM is paused for two seconds, as by a hypervisor, while bids are in flight. Callers
+  // retry at other entry VMs with the same permits, and the paused VM resumes with the old
+  // requests.
   @Test
   void noBidRunsTwiceWhenAnEntryVmIsPausedAndResumed() throws Exception {
     int count = 200;
@@ -158,8 +161,7 @@
     assertConsistent(count, awaitSummary(requests));
   }
 
-  // The platform's service is down for a while. Nothing on the path of a request needs it, so no
-  // caller may notice.
+  // The store is down for a while. The request path does not depend on it, so no request may fail.
   @Test
   void requestsSucceedDuringStoreOutage() throws Exception {
     cluster.store().setFaults(StoreFaults.none().withDown(true));
@@ -177,8 +179,8 @@
     return cluster.store().counts().values().stream().mapToLong(Long::longValue).sum();
   }
 
-  // A planned stop in the middle of bids: the process ends by itself with exit code 0, and no bid
-  // that was in flight is cut off.
+  // A planned stop while bids are in flight: the process exits with code 0 and every bid that was
+  // in flight is completed.
   @Test
   void plannedStopCompletesInFlightBids() throws Exception {
     int count = 200;
@@ -193,8 +195,8 @@
     assertEquals(0, summary.unknown(), summary::toString);
   }
 
-  // A target crashes while listings are being fetched. Listings may repeat, so collectors see
-  // whole answers from the other targets.
+  // A target crashes while listings are in flight. Listings are repeatable, so callers get complete
+  // responses from other targets.
   @Test
   void listingsSucceedAfterATargetCrash() throws Exception {
     int count = 200;
@@ -209,8 +211,8 @@
     assertOnlyInFlightRequestsFailed(summary);
   }
 
-  // A dealer's program did not get the answer to its bid and sends it again with the same permit,
-  // to another entry VM. It gets the answer of the one run, also where that answer has no body.
+  // A caller that lost the response to its bid sends it again with the same permit to another entry
+  // VM. It must get the response of the single execution, even if that response has no body.
   @ParameterizedTest
   @ValueSource(ints = {0, 100})
   void retryWithSamePermitGetsTheFirstAnswer(int answerBytes) throws Exception {
@@ -232,13 +234,14 @@
       HttpResponse<byte[]> answer = http.send(request, HttpResponse.BodyHandlers.ofByteArray());
       String result = answer.headers().firstValue("Sageladder-Result").orElse("none");
       String body = new String(answer.body(), StandardCharsets.UTF_8);
-      assertEquals("0 OK", result, () -> entry.vm() + " for home " + issuer.vm() + ": " + body);
+      assertEquals(
+          "0 OK", result, () -> entry.vm() + " with a permit of " + issuer.vm() + ": " + body);
       assertEquals(answerBytes, answer.body().length);
     }
     assertEquals(1, cluster.executionCounts().get(key));
   }
 
-  /** A bid without a permit is refused with one, bound to the entry VM that was asked. */
+  /** Sends a bid without a permit; the refusal contains a permit issued by {@code entry}. */
   private static String requestPermit(HttpClient http, EntryProcess entry) throws Exception {
     URI uri = URI.create("http://" + entry.callersAddress() + "/v1/request/kalnins-dauge/bid/bids");
     HttpRequest request =
@@ -251,10 +254,11 @@
     return refusal.headers().firstValue("Sageladder-Permit").orElseThrow();
   }
 
-  // A caller gives up and closes its connection while the target works. The slot must be free for
-  // others at once, not only when the work nobody waits for is done. A plain close reaches the
-  // entry VM as the end of input, which the HTTP library by itself takes for a caller that still
-  // listens. Deadline and work last longer than the test may, so only the close can free the slot.
+  // A caller closes its connection while the target processes the request. The slot must be freed
+  // at once, not only when the abandoned work is done. The entry VM sees the close as the end of
+  // input, which the HTTP library by default treats as a half-closed connection whose caller still
+  // reads. Deadline and service time exceed the test's timeout, so only the close can free the
+  // slot.
   @Test
   void closedCallerConnectionFreesTheSlot() throws Exception {
     List<TargetServer> targets = cluster.targetsOf("lot-listing");
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/Workload.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/Workload.java
@@ -16,14 +16,14 @@
 import org.sageladder.standin.target.RequestChecksum;
 
 /**
- * Sends numbered requests of one service from several threads and keeps how each ended.
+ * Sends numbered requests to one service from several threads and records the outcome of each.
  *
- * @param client what sends them
- * @param contract customer
- * @param service service
- * @param name start of each request's key; keys are {@code name-0}, {@code name-1} and so on
- * @param deadline deadline of each
- * @param answerBytes size of each answer's body
+ * @param client client that sends the requests
+ * @param contract customer whose contract is used
+ * @param service service that is called
+ * @param name prefix of the request keys, which are {@code name-0}, {@code name-1} and so on
+ * @param deadline deadline of each request
+ * @param answerBytes size of each response body
  */
 public record Workload(
     SageladderClient client,
@@ -35,13 +35,13 @@
   private static final long MAX_RUN_MINUTES = 10;
 
   /**
-   * How one request ended.
+   * Outcome of one request.
    *
-   * @param isOwnAnswer false where a whole answer was not the one to this request
+   * @param isOwnAnswer false if a complete response belongs to another request
    */
   public record CompletedRequest(Answer answer, boolean isOwnAnswer) {}
 
-  /** Sends {@code count} requests from {@code threads} threads and waits for all answers. */
+  /** Sends {@code count} requests from {@code threads} threads and waits for all outcomes. */
   public Map<String, CompletedRequest> send(int count, int threads) throws InterruptedException {
     Map<String, CompletedRequest> completed = new ConcurrentHashMap<>();
     AtomicInteger next = new AtomicInteger();
@@ -58,7 +58,7 @@
     pool.shutdown();
     if (!pool.awaitTermination(MAX_RUN_MINUTES, TimeUnit.MINUTES)) {
       pool.shutdownNow();
-      throw new IllegalStateException("the workload did not end");
+      throw new IllegalStateException("the workload did not finish in time");
     }
     return completed;
   }
