--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlMetrics.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlMetrics.java
@@ -54,7 +54,8 @@
         "sageladder.store.calls.refused",
         controlPlane,
         RelayControlPlane::refusedStoreCallCount);
-    registerGauge(metrics, "sageladder.control.links", controlPlane, RelayControlPlane::openLinks);
+    registerGauge(
+        metrics, "sageladder.control.links", controlPlane, RelayControlPlane::openLinkCount);
     registerGauge(metrics, "sageladder.control.relaying", controlPlane, p -> p.isRelay() ? 1 : 0);
     registerGauge(
         metrics,
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlStateMachine.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlStateMachine.java
@@ -70,7 +70,7 @@
   private int callersPort;
   private boolean wasRelay;
   private long revisionInForce;
-  private long relayLastHeardNanos;
+  private long lastRelayMessageNanos;
   private long nextHeartbeatNanos;
   private long nextSnapshotNanos;
   private long nextNeighbourRefreshNanos;
@@ -118,7 +118,7 @@
                 report, replicatedState.views(), replicatedState.contract(), this::reachability));
     long now = time.nanos();
     this.callersPort = identity.self().port();
-    this.relayLastHeardNanos = now - timings.relay().silenceTimeout().toNanos();
+    this.lastRelayMessageNanos = now - timings.relay().silenceTimeout().toNanos();
     this.nextHeartbeatNanos = now;
     this.nextSnapshotNanos = now;
     this.nextNeighbourRefreshNanos = now;
@@ -241,7 +241,7 @@
 
   /** Time since the last sign of life of the zone's relay. */
   long relaySilenceNanos() {
-    return time.nanos() - relayLastHeardNanos;
+    return time.nanos() - lastRelayMessageNanos;
   }
 
   /** Applies a newly fetched list of the platform's VMs. */
@@ -318,7 +318,7 @@
     }
     if (!view.get().relay().equals(identity.vm())) {
       election.onViewSeen(ZoneViewBuilder.fencingTokenOf(item.version()));
-      relayLastHeardNanos = time.nanos();
+      lastRelayMessageNanos = time.nanos();
     }
     events.record(
         EventKind.VIEW_CHANGED,
@@ -351,7 +351,7 @@
     relayRole.onReady();
     spreader.setReady(true);
     if (replicatedState.view(identity.zone()).isPresent()) {
-      relayLastHeardNanos = time.nanos();
+      lastRelayMessageNanos = time.nanos();
     }
     logger.atInfo().log(
         "ready with contract revision %d: %s",
@@ -360,7 +360,7 @@
   }
 
   private void advanceElection() {
-    long silenceNanos = time.nanos() - relayLastHeardNanos;
+    long silenceNanos = time.nanos() - lastRelayMessageNanos;
     // The rank matters only once the relay is silent, and computing it hashes every member.
     boolean isRelaySilent = silenceNanos >= timings.relay().silenceTimeout().toNanos();
     int rank = isRelaySilent ? directory.rank(replicatedState.views()) : 0;
@@ -381,7 +381,7 @@
       effects.setRelay(isRelay);
       nextNeighbourRefreshNanos = time.nanos();
       if (!isRelay) {
-        relayLastHeardNanos = time.nanos();
+        lastRelayMessageNanos = time.nanos();
       }
     }
   }
@@ -426,7 +426,7 @@
             summarySource.get());
     Optional<HeartbeatAnswer> ownAnswer = relayRole.onHeartbeat(heartbeat);
     if (ownAnswer.isPresent()) {
-      relayLastHeardNanos = time.nanos();
+      lastRelayMessageNanos = time.nanos();
       applyConfirmation(ownAnswer.get());
       return;
     }
@@ -462,11 +462,12 @@
     }
     if (!answer.isRelay()) {
       // The sender is no longer relay, so there is no need to wait for the silence timeout.
-      relayLastHeardNanos =
-          Math.min(relayLastHeardNanos, time.nanos() - timings.relay().silenceTimeout().toNanos());
+      lastRelayMessageNanos =
+          Math.min(
+              lastRelayMessageNanos, time.nanos() - timings.relay().silenceTimeout().toNanos());
       return;
     }
-    relayLastHeardNanos = time.nanos();
+    lastRelayMessageNanos = time.nanos();
     election.onRelayMessage();
     applyConfirmation(answer);
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlTimings.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlTimings.java
@@ -50,8 +50,8 @@
   /**
    * Time without a message after which a zone counts as silent: at least three report intervals.
    */
-  Duration zoneSilenceTimeout(int zones) {
-    Duration byReports = reportIntervalToAllZones(zones).multipliedBy(3);
+  Duration zoneSilenceTimeout(int zoneCount) {
+    Duration byReports = reportIntervalToAllZones(zoneCount).multipliedBy(3);
     return byReports.compareTo(zoneSilenceTimeout) > 0 ? byReports : zoneSilenceTimeout;
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/HttpTargetProbe.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/HttpTargetProbe.java
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public void probe(Holding target, Consumer<Boolean> answer) {
+  public void probe(Holding target, Consumer<Boolean> onAnswer) {
     HttpHost host = new HttpHost(target.host(), target.port());
     BasicHttpRequest request = new BasicHttpRequest("GET", "/load");
     request.setScheme(host.getSchemeName());
@@ -47,7 +47,7 @@
         null,
         BodyPipe.of(new byte[0]),
         CONNECT_TIMEOUT,
-        new LoadListener(target, answer));
+        new LoadListener(target, onAnswer));
   }
 
   private record LoadListener(Holding target, Consumer<Boolean> onAnswer)
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayControlPlane.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayControlPlane.java
@@ -219,7 +219,7 @@
   }
 
   /** Number of open connections with peers. */
-  public int openLinks() {
+  public int openLinkCount() {
     return links.openLinkCount();
   }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayRole.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayRole.java
@@ -28,7 +28,7 @@
  * heartbeats.
  */
 final class RelayRole {
-  private static final int MAX_LAGGING_NAMED = 5;
+  private static final int MAX_REPORTED_LAGGING_VMS = 5;
   private static final double MAJORITY_FRACTION = 0.5;
 
   private final ControlIdentity identity;
@@ -247,7 +247,7 @@
         revisions.entrySet().stream()
             .filter(entry -> entry.getValue() < replicatedState.contractRevision())
             .map(Map.Entry::getKey)
-            .limit(MAX_LAGGING_NAMED)
+            .limit(MAX_REPORTED_LAGGING_VMS)
             .toList();
     ZoneReport report =
         new ZoneReport(
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ReplicatedState.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ReplicatedState.java
@@ -38,7 +38,7 @@
   private final ControlIdentity identity;
   private final TimeSource time;
   private final ControlTimings timings;
-  private final Map<String, Long> lastHeardNanos = new HashMap<>();
+  private final Map<String, Long> lastMessageNanosByZone = new HashMap<>();
   private final Set<String> silentZones = new TreeSet<>();
   private final Map<String, RelayedView> views = new TreeMap<>();
   private final Map<String, ZoneReport> reports = new TreeMap<>();
@@ -77,14 +77,14 @@
           takeOvers.put(takeOver.view().zone(), takeOver);
           yield false;
         }
-        recordHeard(item.key().name());
+        recordMessageFrom(item.key().name());
         views.put(item.key().name(), MembershipCodec.decodeView(item.payload()));
         hasUrgentChange = true;
         yield true;
       }
       case SUMMARY -> {
         ZoneReport report = MembershipCodec.decodeReport(item.payload());
-        recordHeard(report.zone());
+        recordMessageFrom(report.zone());
         ZoneReport previous = reports.get(report.zone());
         boolean isNewer = previous == null || report.takenAtMillis() >= previous.takenAtMillis();
         if (isNewer) {
@@ -147,7 +147,7 @@
   /** Whether any of {@code zones} has sent a message and is not silent. */
   boolean isAnyLive(List<String> zones) {
     return zones.stream()
-        .anyMatch(zone -> lastHeardNanos.containsKey(zone) && !silentZones.contains(zone));
+        .anyMatch(zone -> lastMessageNanosByZone.containsKey(zone) && !silentZones.contains(zone));
   }
 
   /** The other zones of the own zone's region, according to the current contract. */
@@ -169,8 +169,8 @@
     return new TreeMap<>(reports);
   }
 
-  private void recordHeard(String zone) {
-    lastHeardNanos.put(zone, time.nanos());
+  private void recordMessageFrom(String zone) {
+    lastMessageNanosByZone.put(zone, time.nanos());
     if (silentZones.remove(zone)) {
       hasUrgentChange = true;
     }
@@ -186,7 +186,7 @@
   Set<String> detectSilentZones() {
     Set<String> newlySilent = new TreeSet<>();
     long timeoutNanos = timings.zoneSilenceTimeout(views.size()).toNanos();
-    for (Map.Entry<String, Long> entry : lastHeardNanos.entrySet()) {
+    for (Map.Entry<String, Long> entry : lastMessageNanosByZone.entrySet()) {
       boolean isOverdue = time.nanos() - entry.getValue() > timeoutNanos;
       if (isOverdue && !entry.getKey().equals(identity.zone()) && silentZones.add(entry.getKey())) {
         newlySilent.add(entry.getKey());
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/InFlightCounter.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/InFlightCounter.java
@@ -5,8 +5,8 @@
 
 /** Counts the callers' exchanges that have not ended yet, for which a planned stop waits. */
 public final class InFlightCounter {
-  private final AtomicInteger exchanges = new AtomicInteger();
-  private final AtomicLong targetRequests = new AtomicLong();
+  private final AtomicInteger exchangeCount = new AtomicInteger();
+  private final AtomicLong targetRequestCount = new AtomicLong();
   private volatile boolean isLeaving;
 
   private InFlightCounter() {}
@@ -17,25 +17,25 @@
   }
 
   void begin() {
-    exchanges.incrementAndGet();
+    exchangeCount.incrementAndGet();
   }
 
   void end() {
-    exchanges.decrementAndGet();
+    exchangeCount.decrementAndGet();
   }
 
   void countRequest() {
-    targetRequests.incrementAndGet();
+    targetRequestCount.incrementAndGet();
   }
 
   /** Requests for targets since the start; look-ups and messages of peers do not count. */
-  public long targetRequests() {
-    return targetRequests.get();
+  public long targetRequestCount() {
+    return targetRequestCount.get();
   }
 
   /** Exchanges that have not ended. */
-  public int exchanges() {
-    return exchanges.get();
+  public int exchangeCount() {
+    return exchangeCount.get();
   }
 
   /** Makes each response ask its caller to close the connection from now on. */
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/LinkLimiter.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/LinkLimiter.java
@@ -27,7 +27,7 @@
   private final String vm;
   private final String zone;
   private final TimeSource time;
-  private final Map<String, LinkRateLimiter> shares = new ConcurrentHashMap<>();
+  private final Map<String, LinkRateLimiter> limitersByRegion = new ConcurrentHashMap<>();
   private volatile String region = "";
 
   LinkLimiter(String vm, String zone, TimeSource time) {
@@ -47,12 +47,12 @@
     for (Contract.LinkLimit limit : contract.linkLimits()) {
       if (limit.to().equals(region)) {
         double share = linkFraction * limit.requestsPerSecond();
-        shares
+        limitersByRegion
             .computeIfAbsent(limit.from(), from -> LinkRateLimiter.of(share, now))
             .updateRate(share, now);
       }
     }
-    shares.keySet().removeIf(from -> !isLimited(contract, from));
+    limitersByRegion.keySet().removeIf(from -> !isLimited(contract, from));
   }
 
   private boolean isLimited(Contract contract, String from) {
@@ -78,7 +78,7 @@
    *     not known, and then no limit applies
    */
   public Optional<Result.NotRun> admitOrRefuse(String fromRegion, RequestClass requestClass) {
-    LinkRateLimiter share = fromRegion.equals(region) ? null : shares.get(fromRegion);
+    LinkRateLimiter share = fromRegion.equals(region) ? null : limitersByRegion.get(fromRegion);
     long now = time.nanos();
     if (share == null || share.tryAcquire(requestClass, now)) {
       return Optional.empty();
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/FlowState.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/FlowState.java
@@ -13,54 +13,54 @@
  */
 final class FlowState {
   private Runnable cancelAction = () -> {};
-  private boolean dispatched;
-  private boolean ended;
+  private boolean isDispatched;
+  private boolean isEnded;
 
   /** State of a flow at its end. */
   record End(boolean isDispatched, Runnable cancelAction) {}
 
   /** Marks the request as dispatched; false if the flow has ended. */
   synchronized boolean beginDispatch() {
-    if (ended) {
+    if (isEnded) {
       return false;
     }
-    dispatched = true;
+    isDispatched = true;
     cancelAction = () -> {};
     return true;
   }
 
   /** Returns the request to waiting before a retry. */
   synchronized void undoDispatch() {
-    dispatched = false;
+    isDispatched = false;
   }
 
   synchronized boolean isDispatched() {
-    return dispatched;
+    return isDispatched;
   }
 
   synchronized boolean isEnded() {
-    return ended;
+    return isEnded;
   }
 
   /** Ends the flow; null if it had ended before. */
   synchronized @Nullable End end() {
-    if (ended) {
+    if (isEnded) {
       return null;
     }
-    ended = true;
-    return new End(dispatched, cancelAction);
+    isEnded = true;
+    return new End(isDispatched, cancelAction);
   }
 
   synchronized void finish() {
-    ended = true;
+    isEnded = true;
   }
 
   /** Runs {@code action} unless the flow has ended; false if it has. */
   synchronized boolean runUnlessEnded(Runnable action) {
-    if (!ended) {
+    if (!isEnded) {
       action.run();
     }
-    return !ended;
+    return !isEnded;
   }
 
   /**
@@ -70,10 +70,10 @@
   void setWait(Gate.Cancellable wait) {
     boolean hasEnded;
     synchronized (this) {
-      if (dispatched) {
+      if (isDispatched) {
         return;
       }
-      hasEnded = ended;
+      hasEnded = isEnded;
       if (!hasEnded) {
         cancelAction = wait::cancel;
       }
@@ -87,7 +87,7 @@
   void setCancelAction(Runnable cancel) {
     boolean hasEnded;
     synchronized (this) {
-      hasEnded = ended;
+      hasEnded = isEnded;
       if (!hasEnded) {
         cancelAction = cancel;
       }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/LookUpExplainer.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/LookUpExplainer.java
@@ -24,7 +24,7 @@
  */
 public final class LookUpExplainer {
   private static final JsonMapper JSON = new JsonMapper();
-  private static final int SAMPLES = 1_000;
+  private static final int SAMPLE_COUNT = 1_000;
 
   private final LookUps lookUps;
   private final TimeSource time;
@@ -68,7 +68,7 @@
   private void addRoutes(ArrayNode routes, LookUps.Query query) {
     Map<Route, Integer> counts = new LinkedHashMap<>();
     SplittableRandom random = new SplittableRandom(1);
-    for (int i = 0; i < SAMPLES; i++) {
+    for (int i = 0; i < SAMPLE_COUNT; i++) {
       Route route = lookUps.route(query, random.nextLong());
       if (route != null) {
         counts.merge(route, 1, Integer::sum);
@@ -77,7 +77,7 @@
     counts.forEach(
         (route, count) -> {
           ObjectNode node = routes.addObject();
-          node.put("share", count / (double) SAMPLES);
+          node.put("share", count / (double) SAMPLE_COUNT);
           node.put("rule", route.reason());
           node.put("ttlMillis", route.ttlMillis());
           ArrayNode entries = node.putArray("entries");
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/PeerAttempt.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/PeerAttempt.java
@@ -18,12 +18,12 @@
  */
 final class PeerAttempt extends RequestAttempt {
   private final Member peer;
-  private final boolean toIssuer;
+  private final boolean isToIssuer;
 
   PeerAttempt(RequestFlow flow, Member peer, boolean toIssuer) {
     super(flow);
     this.peer = peer;
-    this.toIssuer = toIssuer;
+    this.isToIssuer = toIssuer;
   }
 
   @Override
@@ -58,7 +58,7 @@
       flow.finish();
       return;
     }
-    if (toIssuer) {
+    if (isToIssuer) {
       // Another copy may have reached the issuer, so only the issuer can report not-run.
       flow.failUnknown(
           ResultCode.HOME_LOST,
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/PermitEnforcer.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/PermitEnforcer.java
@@ -119,7 +119,7 @@
       copy.run().accept(RequestFlow.start(context, copy.exchange(), copy.head(), copy.service()));
       return;
     }
-    refuse(
+    respond(
         copy,
         Result.notRun(
             ResultCode.PERMIT_INVALID, "the dispatch token of the permit's issuer is invalid"));
@@ -131,12 +131,12 @@
             ResultCode.PERMIT_REQUIRED,
             copy.service().name()
                 + " is not repeatable; send the request again with the permit in this response");
-    refuse(copy, result, mint(copy.service().name(), copy.head().idempotencyKey()));
+    respond(copy, result, mint(copy.service().name(), copy.head().idempotencyKey()));
   }
 
   private void handleOpenedPermit(RequestCopy copy, OpenedPermit opened) throws IOException {
     if (opened instanceof OpenedPermit.Invalid invalid) {
-      refuse(copy, Result.notRun(ResultCode.PERMIT_INVALID, invalid.reason()));
+      respond(copy, Result.notRun(ResultCode.PERMIT_INVALID, invalid.reason()));
       return;
     }
     if (opened instanceof OpenedPermit.UnknownKey unknown) {
@@ -147,7 +147,7 @@
     }
     Permit permit = ((OpenedPermit.Valid) opened).permit();
     if (!matches(permit, copy)) {
-      refuse(
+      respond(
           copy,
           Result.notRun(
               ResultCode.PERMIT_INVALID, "the permit is for service '" + permit.service() + "'"));
@@ -155,7 +155,7 @@
     }
     String bound = permit.binding();
     if (!bound.isEmpty() && !bound.equals(keyDigest(copy.head().idempotencyKey()))) {
-      refuse(
+      respond(
           copy,
           Result.notRun(
               ResultCode.PERMIT_INVALID,
@@ -220,28 +220,28 @@
       context.counters().countResult(copy.service().name(), ResultCode.OK);
       ResponseRecording.replay(copy.exchange(), replay.answer());
     } else if (decision instanceof Decision.Replay) {
-      refuse(copy, new Result.Ran(ResultCode.ANSWER_NOT_KEPT));
+      respond(copy, new Result.Ran(ResultCode.ANSWER_NOT_KEPT));
     } else if (decision instanceof Decision.Running) {
-      refuse(
+      respond(
           copy,
           unknownResult(
               ResultCode.PERMIT_RUNNING, "an earlier copy is running; send the same permit again"));
     } else if (decision instanceof Decision.NotRun) {
-      refuse(
+      respond(
           copy,
           Result.notRun(
               ResultCode.PERMIT_REQUIRED,
               "this permit ended without a run; use the permit in this response"),
           mint(copy.service().name(), copy.head().idempotencyKey()));
     } else if (decision instanceof Decision.Mismatch mismatch) {
-      refuse(copy, Result.notRun(ResultCode.PERMIT_INVALID, mismatch.reason()));
+      respond(copy, Result.notRun(ResultCode.PERMIT_INVALID, mismatch.reason()));
     } else if (decision instanceof Decision.Expired) {
-      refuse(
+      respond(
           copy,
           unknownResult(
               ResultCode.PERMIT_EXPIRED, "the permit expired at " + permit.expiryMillis()));
     } else {
-      refuse(copy, unknownResult(ResultCode.OUTCOME_UNKNOWN, "an earlier copy may have run"));
+      respond(copy, unknownResult(ResultCode.OUTCOME_UNKNOWN, "an earlier copy may have run"));
     }
   }
 
@@ -300,7 +300,7 @@
   }
 
   private void reportIssuerLost(RequestCopy copy, String issuerVm) throws IOException {
-    refuse(
+    respond(
         copy,
         unknownResult(
             ResultCode.HOME_LOST,
@@ -328,11 +328,11 @@
     return new Result.Unknown(code, detail);
   }
 
-  private void refuse(RequestCopy copy, Result result) throws IOException {
-    refuse(copy, result, "");
+  private void respond(RequestCopy copy, Result result) throws IOException {
+    respond(copy, result, "");
   }
 
-  private void refuse(RequestCopy copy, Result result, String newPermit) throws IOException {
+  private void respond(RequestCopy copy, Result result, String newPermit) throws IOException {
     context.counters().countResult(copy.service().name(), result.code());
     discardBody(copy);
     HttpResponse response = LocalReplies.responseHead(result);
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestFlow.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestFlow.java
@@ -59,10 +59,10 @@
   private final @Nullable PermitRun run;
   private final long deadlineNanos;
   private final long attemptDeadlineNanos;
-  private final AtomicBoolean settled = new AtomicBoolean();
+  private final AtomicBoolean isSettled = new AtomicBoolean();
   private final FlowState state = new FlowState();
-  private int attempts;
-  private volatile boolean isCallerGone;
+  private int attemptCount;
+  private volatile boolean isCallerDisconnected;
   private volatile boolean isSentToIssuer;
   private volatile boolean hasLostAttempt;
   private volatile @Nullable BodyPipe responseBody;
@@ -196,7 +196,7 @@
   }
 
   private void requestSlot(Gate gate, String avoidTarget) {
-    attempts++;
+    attemptCount++;
     Gate.Cancellable wait =
         gate.request(
             new AdmissionRequest(head.id(), slotDeadlineNanos(), avoidTarget, ""),
@@ -229,7 +229,7 @@
       return;
     }
     Holding target = slot.target();
-    recordEvent(EventKind.DISPATCHED, target.target(), "try " + attempts);
+    recordEvent(EventKind.DISPATCHED, target.target(), "try " + attemptCount);
     BasicHttpRequest request = new BasicHttpRequest(exchange.request().getMethod(), head.path());
     EndToEndHeaders.copy(exchange.request(), request, false);
     request.setHeader(Headers.TARGET_REQUEST_ID, head.id());
@@ -269,7 +269,7 @@
         return;
       }
     }
-    boolean isFirst = settled.compareAndSet(false, true);
+    boolean isFirst = isSettled.compareAndSet(false, true);
     FlowState.End end = state.end();
     if (end == null) {
       return;
@@ -294,7 +294,7 @@
    * response can be replayed.
    */
   private void continueWithoutCaller() {
-    isCallerGone = true;
+    isCallerDisconnected = true;
     BodyPipe started = responseBody;
     if (started != null) {
       discard(started);
@@ -310,7 +310,7 @@
         () -> timeoutTimer = schedule(this::stopAwaitingResponse, LATE_RESPONSE_TIMEOUT))) {
       return;
     }
-    if (settled.compareAndSet(false, true)) {
+    if (isSettled.compareAndSet(false, true)) {
       sendResult(new Result.Unknown(ResultCode.TARGET_TIMEOUT, "no response by the deadline"));
     }
   }
@@ -337,14 +337,14 @@
 
   /** Ends the flow with a refusal. */
   void refuse(Result.NotRun result) {
-    if (settled.compareAndSet(false, true)) {
+    if (isSettled.compareAndSet(false, true)) {
       finish();
       sendResult(result);
     }
   }
 
   void failUnknown(ResultCode code, String detail) {
-    if (settled.compareAndSet(false, true)) {
+    if (isSettled.compareAndSet(false, true)) {
       finish();
       sendResult(new Result.Unknown(code, detail));
     }
@@ -401,7 +401,7 @@
 
   /** True once the result for the caller is decided, or the flow was aborted. */
   boolean isSettled() {
-    return settled.get();
+    return isSettled.get();
   }
 
   /** Marks that an attempt was lost after it was sent, so that not-run can no longer be proven. */
@@ -418,8 +418,8 @@
   }
 
   boolean canRetry(boolean isSent) {
-    return attempts < MAX_ATTEMPTS
-        && !settled.get()
+    return attemptCount < MAX_ATTEMPTS
+        && !isSettled.get()
         && (!isSent || exchange.entity() == null)
         && Duration.ofNanos(deadlineNanos - context.time().nanos()).toMillis() > 0;
   }
@@ -464,7 +464,7 @@
    */
   boolean forwardResponse(
       HttpResponse response, @Nullable EntityDetails details, BodyPipe body, Outcome outcome) {
-    if (!settled.compareAndSet(false, true)) {
+    if (!isSettled.compareAndSet(false, true)) {
       if (run != null) {
         discard(body);
       }
@@ -473,8 +473,8 @@
     addNewPermit(response, outcome);
     responseBody = body;
     boolean started =
-        !isCallerGone && exchange.respond(response, ForwardedEntity.of(details), body);
-    if (started && !isCallerGone) {
+        !isCallerDisconnected && exchange.respond(response, ForwardedEntity.of(details), body);
+    if (started && !isCallerDisconnected) {
       return true;
     }
     if (run != null) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/stop/PlannedStop.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/stop/PlannedStop.java
@@ -110,7 +110,7 @@
     long handedOverNanos = time.nanos();
     await(limits.maxRunWait(), () -> issuer.runningCount() == 0);
     awaitIdle();
-    int cut = inFlight.exchanges();
+    int cut = inFlight.exchangeCount();
     return new Outcome(
         handedOver,
         cut,
@@ -128,12 +128,12 @@
    */
   private void awaitLookUpExpiry() throws InterruptedException {
     Thread.sleep(limits.propagationDelay().toMillis());
-    long[] lastCountAndNanos = {inFlight.targetRequests(), time.nanos()};
+    long[] lastCountAndNanos = {inFlight.targetRequestCount(), time.nanos()};
     await(
         limits.maxLookUpExpiryWait().minus(limits.propagationDelay()),
         () -> {
-          if (inFlight.targetRequests() != lastCountAndNanos[0]) {
-            lastCountAndNanos[0] = inFlight.targetRequests();
+          if (inFlight.targetRequestCount() != lastCountAndNanos[0]) {
+            lastCountAndNanos[0] = inFlight.targetRequestCount();
             lastCountAndNanos[1] = time.nanos();
           }
           return time.nanos() - lastCountAndNanos[1] > limits.quietPeriod().toNanos();
@@ -149,7 +149,7 @@
     await(
         limits.maxExchangeWait(),
         () -> {
-          if (inFlight.exchanges() > 0) {
+          if (inFlight.exchangeCount() > 0) {
             lastBusyNanos[0] = time.nanos();
           }
           return time.nanos() - lastBusyNanos[0] > MIN_IDLE_TIME.toNanos();
