--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlEffects.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlEffects.java
@@ -18,7 +18,7 @@
   void startElectionCall(ElectionCall call);
 
   /** Asks a target of a silent zone whether it is idle; passes its answer on the control thread. */
-  void probeTarget(Holding target, Consumer<Boolean> onAnswer);
+  void probeTarget(Holding holding, Consumer<Boolean> onAnswer);
 
   /**
    * Starts or stops watching the contract and fetching the platform's list, as only a relay does.
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/HttpTargetProbe.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/HttpTargetProbe.java
@@ -36,8 +36,8 @@
   }
 
   @Override
-  public void probe(Holding target, Consumer<Boolean> onAnswer) {
-    HttpHost host = new HttpHost(target.host(), target.port());
+  public void probe(Holding holding, Consumer<Boolean> onAnswer) {
+    HttpHost host = new HttpHost(holding.host(), holding.port());
     BasicHttpRequest request = new BasicHttpRequest("GET", "/load");
     request.setScheme(host.getSchemeName());
     request.setAuthority(new URIAuthority(host));
@@ -47,10 +47,10 @@
         null,
         BodyPipe.of(new byte[0]),
         CONNECT_TIMEOUT,
-        new LoadListener(target, onAnswer));
+        new LoadListener(holding, onAnswer));
   }
 
-  private record LoadListener(Holding target, Consumer<Boolean> onAnswer)
+  private record LoadListener(Holding holding, Consumer<Boolean> onAnswer)
       implements RequestSender.Listener {
     @Override
     public void onResponse(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
@@ -65,7 +65,7 @@
         boolean idle = load.path("busy").asInt(1) == 0 && !load.path("draining").asBoolean();
         onAnswer.accept(idle);
       } catch (IOException e) {
-        logger.atFine().withCause(e).log("malformed load report from target %s", target.target());
+        logger.atFine().withCause(e).log("malformed load report from target %s", holding.target());
       }
     }
 
@@ -73,8 +73,8 @@
     public void onComplete() {}
 
     @Override
-    public void onFailure(boolean sent, Exception cause) {
-      logger.atFine().withCause(cause).log("target %s is unreachable", target.target());
+    public void onFailure(boolean isSent, Exception cause) {
+      logger.atFine().withCause(cause).log("target %s is unreachable", holding.target());
     }
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayControlPlane.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/RelayControlPlane.java
@@ -348,8 +348,8 @@
     }
 
     @Override
-    public void probeTarget(Holding target, Consumer<Boolean> onAnswer) {
-      targetProbe.probe(target, idle -> runOnControlThread(() -> onAnswer.accept(idle)));
+    public void probeTarget(Holding holding, Consumer<Boolean> onAnswer) {
+      targetProbe.probe(holding, idle -> runOnControlThread(() -> onAnswer.accept(idle)));
     }
 
     @Override
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/TargetProbe.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/TargetProbe.java
@@ -12,5 +12,5 @@
    * @param onAnswer receives whether the target is idle, that is, has no busy slot and is not
    *     draining; not called if the target does not answer
    */
-  void probe(Holding target, Consumer<Boolean> onAnswer);
+  void probe(Holding holding, Consumer<Boolean> onAnswer);
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/RequestSender.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/RequestSender.java
@@ -20,9 +20,9 @@
     /**
      * The request failed.
      *
-     * @param sent false only where no byte of the request was given to the connection
+     * @param isSent false only where no byte of the request was given to the connection
      */
-    void onFailure(boolean sent, Exception cause);
+    void onFailure(boolean isSent, Exception cause);
   }
 
   /**
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/GuardedGate.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/GuardedGate.java
@@ -64,9 +64,9 @@
     if (!(admission instanceof Admission.Admitted admitted)) {
       return admission;
     }
-    Holding target = admitted.slot().target();
-    int allowed = guard.usableSlots(target);
-    if (inFlight.applyAsInt(target.target()) <= allowed) {
+    Holding holding = admitted.slot().target();
+    int allowed = guard.usableSlots(holding);
+    if (inFlight.applyAsInt(holding.target()) <= allowed) {
       return admission;
     }
     admitted.slot().release(Admission.Completion.UNUSED);
@@ -77,9 +77,9 @@
             "this entry VM may use "
                 + allowed
                 + " of the "
-                + target.slots()
+                + holding.slots()
                 + " slots of "
-                + target.target()
+                + holding.target()
                 + " until its zone confirms it again"));
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/LoadPoller.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/LoadPoller.java
@@ -79,12 +79,12 @@
   }
 
   private void poll(ServiceGate gate) {
-    for (Holding target : gate.heldTargets()) {
-      HttpHost host = new HttpHost(target.host(), target.port());
+    for (Holding holding : gate.heldTargets()) {
+      HttpHost host = new HttpHost(holding.host(), holding.port());
       BasicHttpRequest request = new BasicHttpRequest("GET", "/load");
       request.setScheme(host.getSchemeName());
       request.setAuthority(new URIAuthority(host));
-      LoadListener report = new LoadListener(gate, target, time.nanos());
+      LoadListener report = new LoadListener(gate, holding, time.nanos());
       client.send(host, request, null, BodyPipe.of(new byte[0]), CONNECT_TIMEOUT, report);
     }
   }
@@ -99,7 +99,7 @@
    * One pending load report. It is timestamped with the time of the request, the earliest time at
    * which the load can have been measured.
    */
-  private record LoadListener(ServiceGate gate, Holding target, long requestedNanos)
+  private record LoadListener(ServiceGate gate, Holding holding, long requestedNanos)
       implements RequestSender.Listener {
     @Override
     public void onResponse(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
@@ -111,18 +111,18 @@
     private void reportLoad(byte[] bytes) {
       try {
         JsonNode load = JSON.readTree(bytes);
-        if (load.path("incarnation").asLong(target.targetIncarnation())
-            != target.targetIncarnation()) {
+        if (load.path("incarnation").asLong(holding.targetIncarnation())
+            != holding.targetIncarnation()) {
           return;
         }
         gate.onLoadReport(
-            target.target(),
+            holding.target(),
             load.path("busy").asInt(),
-            load.path("slots").asInt(target.slots()),
+            load.path("slots").asInt(holding.slots()),
             load.path("draining").asBoolean(),
             requestedNanos);
       } catch (IOException e) {
-        logger.atFine().withCause(e).log("malformed load report of target %s", target.target());
+        logger.atFine().withCause(e).log("malformed load report of target %s", holding.target());
       }
     }
 
@@ -130,8 +130,8 @@
     public void onComplete() {}
 
     @Override
-    public void onFailure(boolean sent, Exception cause) {
-      logger.atFinest().withCause(cause).log("no load report from target %s", target.target());
+    public void onFailure(boolean isSent, Exception cause) {
+      logger.atFinest().withCause(cause).log("no load report from target %s", holding.target());
     }
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/quarantine/CrashDetector.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/quarantine/CrashDetector.java
@@ -106,20 +106,20 @@
   }
 
   /** Records a request whose connection failed before its response was complete. */
-  public void recordConnectionFailure(Holding target, long fingerprint) {
+  public void recordConnectionFailure(Holding holding, long fingerprint) {
     boolean isFirst;
     synchronized (lock) {
-      isFirst = !failedRequests.containsKey(target.target());
-      failedRequests.computeIfAbsent(target.target(), ignored -> new HashSet<>()).add(fingerprint);
+      isFirst = !failedRequests.containsKey(holding.target());
+      failedRequests.computeIfAbsent(holding.target(), ignored -> new HashSet<>()).add(fingerprint);
     }
     if (isFirst) {
       ScheduledFuture<?> unused =
-          timers.schedule(() -> probeLoad(target), BATCH_DELAY.toMillis(), TimeUnit.MILLISECONDS);
+          timers.schedule(() -> probeLoad(holding), BATCH_DELAY.toMillis(), TimeUnit.MILLISECONDS);
     }
   }
 
-  private void probeLoad(Holding target) {
-    HttpHost host = new HttpHost(target.host(), target.port());
+  private void probeLoad(Holding holding) {
+    HttpHost host = new HttpHost(holding.host(), holding.port());
     BasicHttpRequest request = new BasicHttpRequest("GET", "/load");
     request.setScheme(host.getSchemeName());
     request.setAuthority(new URIAuthority(host));
@@ -130,34 +130,35 @@
             null,
             BodyPipe.of(new byte[0]),
             CONNECT_TIMEOUT,
-            new LoadListener(target));
+            new LoadListener(holding));
     ScheduledFuture<?> unused =
         timers.schedule(cancel, CONNECT_TIMEOUT.toMillis() * 2, TimeUnit.MILLISECONDS);
   }
 
-  private Set<Long> takeFailedRequests(Holding target) {
+  private Set<Long> takeFailedRequests(Holding holding) {
     synchronized (lock) {
-      Set<Long> collected = failedRequests.remove(target.target());
+      Set<Long> collected = failedRequests.remove(holding.target());
       return collected == null ? Set.of() : collected;
     }
   }
 
-  private void reportCrash(Holding target) {
-    Set<Long> fingerprints = takeFailedRequests(target);
+  private void reportCrash(Holding holding) {
+    Set<Long> fingerprints = takeFailedRequests(holding);
     if (fingerprints.isEmpty()) {
       return;
     }
     CrashReport report =
-        new CrashReport(target.target(), crashIncarnation(target), time.wallMillis(), fingerprints);
+        new CrashReport(
+            holding.target(), crashIncarnation(holding), time.wallMillis(), fingerprints);
     events.record(
         EventKind.TARGET_CRASHED,
         "",
         customer,
-        target.target(),
-        target.targetIncarnation(),
+        holding.target(),
+        holding.targetIncarnation(),
         fingerprints.size() + " requests were in flight");
     if (quarantine.add(report)) {
-      String id = target.target() + "/" + report.incarnation();
+      String id = holding.target() + "/" + report.incarnation();
       messages.broadcast(CRASH_REPORT_TOPIC, id, CrashReportCodec.encode(report), REPORT_RETENTION);
     }
     for (long fingerprint : fingerprints) {
@@ -178,14 +179,14 @@
    * list still names the first incarnation. If they counted as one crash, the request would be
    * admitted once more.
    */
-  private long crashIncarnation(Holding target) {
+  private long crashIncarnation(Holding holding) {
     synchronized (lock) {
       if (crashCounts.size() > MAX_COUNTED_INCARNATIONS) {
         crashCounts.clear();
       }
       int count =
-          crashCounts.merge(target.target() + "/" + target.targetIncarnation(), 1, Integer::sum);
-      return target.targetIncarnation() * MAX_CRASHES_PER_INCARNATION + count;
+          crashCounts.merge(holding.target() + "/" + holding.targetIncarnation(), 1, Integer::sum);
+      return holding.targetIncarnation() * MAX_CRASHES_PER_INCARNATION + count;
     }
   }
 
@@ -199,10 +200,10 @@
   }
 
   private final class LoadListener implements RequestSender.Listener {
-    private final Holding target;
+    private final Holding holding;
 
-    LoadListener(Holding target) {
-      this.target = target;
+    LoadListener(Holding holding) {
+      this.holding = holding;
     }
 
     @Override
@@ -216,14 +217,15 @@
         JsonNode json = JSON.readTree(load);
         incarnation = json.path("incarnation").asLong();
       } catch (IOException e) {
-        logger.atFine().withCause(e).log("malformed load report of target %s", target.target());
+        logger.atFine().withCause(e).log("malformed load report of target %s", holding.target());
       }
-      if (target.targetIncarnation() > 0 && incarnation > target.targetIncarnation()) {
-        reportCrash(target);
+      if (holding.targetIncarnation() > 0 && incarnation > holding.targetIncarnation()) {
+        reportCrash(holding);
       } else {
-        Set<Long> dropped = takeFailedRequests(target);
+        Set<Long> dropped = takeFailedRequests(holding);
         logger.atFine().log(
-            "target %s has not crashed; %d requests to it failed", target.target(), dropped.size());
+            "target %s has not crashed; %d requests to it failed",
+            holding.target(), dropped.size());
       }
     }
 
@@ -231,8 +233,8 @@
     public void onComplete() {}
 
     @Override
-    public void onFailure(boolean sent, Exception cause) {
-      reportCrash(target);
+    public void onFailure(boolean isSent, Exception cause) {
+      reportCrash(holding);
     }
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/HttpHistorySender.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/HttpHistorySender.java
@@ -103,7 +103,7 @@
     public void onComplete() {}
 
     @Override
-    public void onFailure(boolean sent, Exception cause) {
+    public void onFailure(boolean isSent, Exception cause) {
       logger.atInfo().withCause(cause).log(
           "%s did not receive the history of target %s; it admits no requests to it for one window"
               + " of the shift cap",
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/PeerAttempt.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/PeerAttempt.java
@@ -52,7 +52,7 @@
   }
 
   @Override
-  public void onFailure(boolean sent, Exception cause) {
+  public void onFailure(boolean isSent, Exception cause) {
     if (flow.isSettled()) {
       endRunIfResponded(false);
       flow.finish();
@@ -63,7 +63,7 @@
       flow.failUnknown(
           ResultCode.HOME_LOST,
           "entry VM " + peer.vm() + ", issuer of the permit, cannot be reached: " + cause);
-    } else if (sent) {
+    } else if (isSent) {
       flow.failUnknown(
           ResultCode.GATE_LOST, "the connection to entry VM " + peer.vm() + " failed: " + cause);
     } else {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestFlow.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestFlow.java
@@ -228,13 +228,14 @@
       slot.release(Admission.Completion.UNUSED);
       return;
     }
-    Holding target = slot.target();
-    recordEvent(EventKind.DISPATCHED, target.target(), "try " + attemptCount);
+    Holding holding = slot.target();
+    recordEvent(EventKind.DISPATCHED, holding.target(), "try " + attemptCount);
     BasicHttpRequest request = new BasicHttpRequest(exchange.request().getMethod(), head.path());
     EndToEndHeaders.copy(exchange.request(), request, false);
     request.setHeader(Headers.TARGET_REQUEST_ID, head.id());
     request.setHeader(Headers.TARGET_DEADLINE, remainingMillis());
-    send(new HttpHost(target.host(), target.port()), request, new TargetAttempt(this, gate, slot));
+    send(
+        new HttpHost(holding.host(), holding.port()), request, new TargetAttempt(this, gate, slot));
   }
 
   private void send(HttpHost host, BasicHttpRequest request, RequestAttempt attempt) {
@@ -324,11 +325,11 @@
     end.cancelAction().run();
   }
 
-  void endRun(boolean notRun) {
+  void endRun(boolean isNotRun) {
     if (run == null) {
       return;
     }
-    if (notRun) {
+    if (isNotRun) {
       run.recordNotRun();
     } else {
       run.recordUnknown();
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/TargetAttempt.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/TargetAttempt.java
@@ -55,9 +55,9 @@
   }
 
   @Override
-  public void onFailure(boolean sent, Exception cause) {
-    slot.release(sent ? Admission.Completion.LOST : Admission.Completion.REFUSED);
-    if (sent && !flow.isEnded()) {
+  public void onFailure(boolean isSent, Exception cause) {
+    slot.release(isSent ? Admission.Completion.LOST : Admission.Completion.REFUSED);
+    if (isSent && !flow.isEnded()) {
       flow.context().crashDetector().recordConnectionFailure(slot.target(), flow.fingerprint());
     }
     if (!isCurrent()) {
@@ -68,7 +68,7 @@
       flow.finish();
       return;
     }
-    if (!sent) {
+    if (!isSent) {
       retryOrRefuse("cannot connect to the target: " + cause, false);
       return;
     }
@@ -82,9 +82,9 @@
     flow.failUnknown(ResultCode.TARGET_LOST, "the connection to the target failed: " + cause);
   }
 
-  private void retryOrRefuse(String reason, boolean sent) {
+  private void retryOrRefuse(String reason, boolean isSent) {
     flow.recordEvent(EventKind.RETRIED, slot.target().target(), reason);
-    if (flow.canRetry(sent) && gate.tryAcquireRetry()) {
+    if (flow.canRetry(isSent) && gate.tryAcquireRetry()) {
       flow.undoDispatch();
       retry(() -> flow.admit(gate, slot.target().target()));
     } else {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/stop/PermitHandOver.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/stop/PermitHandOver.java
@@ -215,7 +215,7 @@
     public void onComplete() {}
 
     @Override
-    public void onFailure(boolean sent, Exception cause) {
+    public void onFailure(boolean isSent, Exception cause) {
       answered.complete(false);
     }
   }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineFixture.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineFixture.java
@@ -106,11 +106,11 @@
     }
 
     @Override
-    public void probeTarget(Holding target, Consumer<Boolean> onAnswer) {
-      FakeNode holder = nodes.get(target.target().substring("target-".length()));
+    public void probeTarget(Holding holding, Consumer<Boolean> onAnswer) {
+      FakeNode holder = nodes.get(holding.target().substring("target-".length()));
       boolean isReachable = holder != null && !zonesWithUnreachableTargets.contains(holder.zone);
       if (isReachable && !isPartitioned(this, holder)) {
-        pendingMessages.add(() -> onAnswer.accept(!busyTargets.contains(target.target())));
+        pendingMessages.add(() -> onAnswer.accept(!busyTargets.contains(holding.target())));
       }
     }
 
--- a/sageladder-entry/src/test/java/org/sageladder/entry/exchange/BodyPipeTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/exchange/BodyPipeTest.java
@@ -36,7 +36,7 @@
     pipe.produce(writer);
     pipe.fail(new IOException("the target failed"));
     assertThrows(IOException.class, () -> pipe.produce(writer));
-    assertFalse(writer.ended);
+    assertFalse(writer.isEnded);
   }
 
   /**
@@ -51,7 +51,7 @@
     assertThrows(IOException.class, () -> pipe.accept(bytes("!")));
     pipe.fail(new IOException("its connection was closed"));
     assertThrows(IOException.class, () -> pipe.produce(writer));
-    assertFalse(writer.ended);
+    assertFalse(writer.isEnded);
   }
 
   /**
@@ -66,7 +66,7 @@
     pipe.accept(bytes("second part"));
     pipe.complete();
     assertThrows(IOException.class, () -> pipe.produce(writer));
-    assertFalse(writer.ended);
+    assertFalse(writer.isEnded);
   }
 
   /**
@@ -80,14 +80,14 @@
     pipe.fail(new IOException("the caller's connection broke"));
     pipe.produce(writer);
     assertEquals("a whole bid", writer.text());
-    assertTrue(writer.ended);
+    assertTrue(writer.isEnded);
   }
 
   /**
    * A response is recorded for repeats while it is forwarded, even if no caller reads it any more.
    */
   @Test
-  void responseIsRecordedAfterItsCallerIsGone() throws IOException {
+  void responseIsRecordedAfterItsCallerDisconnected() throws IOException {
     BodyRecorder recorder = BodyRecorder.upTo(100);
     pipe.record(recorder);
     pipe.accept(bytes("sold "));
@@ -121,7 +121,7 @@
 
   private static final class Writer implements DataStreamChannel {
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
-    private boolean ended;
+    private boolean isEnded;
 
     String text() {
       return written.toString(StandardCharsets.UTF_8);
@@ -146,7 +146,7 @@
 
     @Override
     public void endStream(@Nullable List<? extends Header> trailers) {
-      ended = true;
+      isEnded = true;
     }
   }
 }
