--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperiment.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperiment.java
@@ -39,7 +39,7 @@
   private final Map<String, ListedVm> listedVms = new TreeMap<>();
   private final Map<String, EntryVm> entries;
   private final List<TargetView> targets = new ArrayList<>();
-  private final BlockingHttpClient caller = BlockingHttpClient.withTimeout(TIMEOUT);
+  private final BlockingHttpClient httpClient = BlockingHttpClient.withTimeout(TIMEOUT);
   private final ScheduledExecutorService scheduler =
       Executors.newScheduledThreadPool(2, task -> new Thread(task, "experiment"));
 
@@ -232,7 +232,7 @@
     Map<String, Long> revisions = new TreeMap<>();
     for (Map.Entry<String, EntryVm> entry : entries.entrySet()) {
       URI state = URI.create("http://127.0.0.1:" + entry.getValue().operatorsPort() + "/v1/state");
-      JsonNode json = JSON.readTree(caller.get(state).body());
+      JsonNode json = JSON.readTree(httpClient.get(state).body());
       String customer = system.contract().customer();
       revisions.put(entry.getKey(), json.path("revisions").path(customer).asLong());
     }
@@ -242,7 +242,7 @@
   @Override
   public void close() {
     scheduler.shutdownNow();
-    caller.close();
+    httpClient.close();
     system.close();
     store.close();
   }
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/PlatformDays.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/PlatformDays.java
@@ -9,7 +9,7 @@
 import org.sageladder.scenario.Fleet.LogSource;
 import org.sageladder.scenario.Scenario;
 import org.sageladder.scenario.Scenario.Outcome;
-import org.sageladder.scenario.Scenario.ScheduledTrouble;
+import org.sageladder.scenario.Scenario.Strike;
 
 /**
  * Simulates the deployments of users on the platform: the real entry VMs run against stand-ins of
@@ -19,11 +19,11 @@
 final class PlatformDays {
   private static final long SEED = 1;
 
-  private static final List<ScheduledTrouble> TROUBLES =
+  private static final List<Strike> TROUBLES =
       List.of(
-          new ScheduledTrouble(8_000, "entry-killed"),
-          new ScheduledTrouble(14_000, "targets-released"),
-          new ScheduledTrouble(20_000, "store-silent"));
+          new Strike(8_000, "entry-killed"),
+          new Strike(14_000, "targets-released"),
+          new Strike(20_000, "store-silent"));
 
   private PlatformDays() {}
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/FailureCosts.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/FailureCosts.java
@@ -36,14 +36,14 @@
 
   private final StoreServer store;
   private final LocalSystem system;
-  private final BlockingHttpClient caller;
+  private final BlockingHttpClient httpClient;
   private final Contract contract;
 
   private FailureCosts(
       StoreServer store, LocalSystem system, BlockingHttpClient caller, Contract contract) {
     this.store = store;
     this.system = system;
-    this.caller = caller;
+    this.httpClient = caller;
     this.contract = contract;
   }
 
@@ -161,7 +161,7 @@
   private Traffic currentTraffic() throws IOException {
     Map<String, Double> bytes = new HashMap<>();
     for (Map.Entry<String, EntryVm> vm : system.entries().entrySet()) {
-      bytes.put(vm.getKey(), ControlSlopes.controlBytes(vm.getValue(), caller));
+      bytes.put(vm.getKey(), ControlSlopes.controlBytes(vm.getValue(), httpClient));
     }
     return new Traffic(bytes, ControlSlopes.storeCalls(store));
   }
@@ -184,7 +184,7 @@
     URI state = URI.create("http://127.0.0.1:" + survivor.operatorsPort() + "/v1/state");
     while (System.nanoTime() - lostNanos < MAX_TAKEOVER_NANOS) {
       JsonNode holdings =
-          JSON.readTree(caller.get(state).body()).path("views").path(zone).path("holdings");
+          JSON.readTree(httpClient.get(state).body()).path("views").path(zone).path("holdings");
       if (!holders(holdings).contains(lostVm)) {
         break;
       }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Fleet.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Fleet.java
@@ -61,7 +61,7 @@
   private final RunFolder folder;
   private final StandIns standIns;
   private final HttpStore client;
-  private final BlockingHttpClient caller;
+  private final BlockingHttpClient httpClient;
   private final Map<String, FleetVm> vms = new LinkedHashMap<>();
   private final Map<String, TreeMap<Long, Long>> inForceMicrosByVm = new LinkedHashMap<>();
   private final List<String> reverts = new ArrayList<>();
@@ -72,7 +72,7 @@
     this.folder = RunFolder.create("sageladder-fleet");
     this.standIns = StandIns.start(options.contract().customer());
     this.client = HttpStore.connect(store().address(), CALL_TIMEOUT);
-    this.caller = BlockingHttpClient.withTimeout(CALL_TIMEOUT);
+    this.httpClient = BlockingHttpClient.withTimeout(CALL_TIMEOUT);
   }
 
   /**
@@ -118,7 +118,7 @@
   private Void startVm(EntryOptions entry) throws IOException {
     EntryProcess process = EntryProcess.launch(entry, folder.path());
     synchronized (vms) {
-      vms.put(entry.vm(), FleetVm.of(process, caller));
+      vms.put(entry.vm(), FleetVm.of(process, httpClient));
     }
     process.awaitReady();
     standIns.listEntry(process, 0, false);
@@ -362,7 +362,7 @@
   @Override
   public void close() {
     vms().forEach(vm -> vm.process().close());
-    caller.close();
+    httpClient.close();
     client.close();
     standIns.close();
     folder.close();
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/FleetVm.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/FleetVm.java
@@ -19,12 +19,12 @@
   private static final int MAX_EVENT_PAGES = 50;
 
   private final EntryProcess process;
-  private final BlockingHttpClient caller;
+  private final BlockingHttpClient httpClient;
   private long eventCursor;
 
   private FleetVm(EntryProcess process, BlockingHttpClient caller) {
     this.process = process;
-    this.caller = caller;
+    this.httpClient = caller;
   }
 
   static FleetVm of(EntryProcess process, BlockingHttpClient caller) {
@@ -85,7 +85,7 @@
     List<Event> events = new ArrayList<>();
     for (int i = 0; i < MAX_EVENT_PAGES; i++) {
       EventPage page =
-          EventPage.fromJson(caller.get(operators("/v1/events?after=" + eventCursor)).body());
+          EventPage.fromJson(httpClient.get(operators("/v1/events?after=" + eventCursor)).body());
       if (page.lost() > 0) {
         throw new IOException(name() + " lost " + page.lost() + " events; read them more often");
       }
@@ -100,13 +100,13 @@
 
   /** The state from the operator interface, as JSON. */
   public String stateJson() throws IOException {
-    return caller.get(operators("/v1/state")).text();
+    return httpClient.get(operators("/v1/state")).text();
   }
 
   /** All meter values by name and tags, in Prometheus notation. */
   public Map<String, Double> meters() throws IOException {
     Map<String, Double> meters = new TreeMap<>();
-    for (String line : caller.get(operators("/v1/metrics")).text().split("\n")) {
+    for (String line : httpClient.get(operators("/v1/metrics")).text().split("\n")) {
       int space = line.lastIndexOf(' ');
       if (!line.startsWith("#") && space > 0) {
         meters.put(line.substring(0, space), Double.parseDouble(line.substring(space + 1)));
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/OutcomeSummary.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/OutcomeSummary.java
@@ -6,8 +6,8 @@
 /**
  * Compares the outcomes reported to callers with the executions at the targets.
  *
- * @param whole complete responses
- * @param ranUnseen requests reported as executed whose response is no longer available
+ * @param complete complete responses
+ * @param ranAnswerUnavailable requests reported as executed whose response is no longer available
  * @param notRun requests reported as not executed
  * @param unknown requests of unknown outcome
  * @param executedTwice requests that targets executed more than once
@@ -17,8 +17,8 @@
  *     request
  */
 public record OutcomeSummary(
-    int whole,
-    int ranUnseen,
+    int complete,
+    int ranAnswerUnavailable,
     int notRun,
     int unknown,
     int executedTwice,
@@ -33,7 +33,7 @@
     requests.forEach(
         (key, request) -> {
           int runs = executions.getOrDefault(key, 0);
-          counts[kind(request.answer())]++;
+          counts[counterIndex(request.answer())]++;
           counts[4] += runs > 1 ? 1 : 0;
           counts[5] += runs > 0 && request.answer() instanceof Answer.NotRun ? 1 : 0;
           counts[6] += runs == 0 && ran(request.answer()) ? 1 : 0;
@@ -43,7 +43,7 @@
         counts[0], counts[1], counts[2], counts[3], counts[4], counts[5], counts[6], counts[7]);
   }
 
-  private static int kind(Answer answer) {
+  private static int counterIndex(Answer answer) {
     if (answer instanceof Answer.Complete) {
       return 0;
     }
@@ -59,7 +59,7 @@
 
   /** Number of all requests. */
   public int total() {
-    return whole + ranUnseen + notRun + unknown;
+    return complete + ranAnswerUnavailable + notRun + unknown;
   }
 
   /** True if no request was executed twice and every reported outcome is correct. */
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/WholeProcessTest.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/WholeProcessTest.java
@@ -123,7 +123,7 @@
    * Each thread has at most one request in flight, so a failure can affect at most one per thread.
    */
   private static void assertOnlyInFlightRequestsFailed(OutcomeSummary summary) {
-    assertTrue(summary.total() - summary.whole() <= THREADS, summary::toString);
+    assertTrue(summary.total() - summary.complete() <= THREADS, summary::toString);
   }
 
   // An entry VM is killed while bids are in flight. Each bid must be reported as executed, not
@@ -170,7 +170,7 @@
       Thread.sleep(10);
     }
     OutcomeSummary summary = awaitSummary(sendInBackground(listings("outage"), 200));
-    assertEquals(200, summary.whole(), summary::toString);
+    assertEquals(200, summary.complete(), summary::toString);
     assertTrue(summary.wrongAnswers() == 0, summary::toString);
     cluster.store().setFaults(StoreFaults.none());
   }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Deployment.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Deployment.java
@@ -25,7 +25,7 @@
  * @param entryVmsByZone number of entry VMs in each zone
  * @param services the services
  * @param routes routes of the initial configuration
- * @param callerKinds kinds of request that callers send
+ * @param requestProfiles kinds of request that callers send
  * @param networkDelays delays between hosts
  * @param tenants workspaces with API keys; empty if requests carry no API key
  */
@@ -34,7 +34,7 @@
     Map<String, Integer> entryVmsByZone,
     List<Service> services,
     List<RouteRule> routes,
-    List<RequestProfile> callerKinds,
+    List<RequestProfile> requestProfiles,
     OneWayDelays networkDelays,
     List<Tenant> tenants) {
   /** A deployment without workspaces. */
@@ -43,9 +43,9 @@
       Map<String, Integer> entryVmsByZone,
       List<Service> services,
       List<RouteRule> routes,
-      List<RequestProfile> callerKinds,
+      List<RequestProfile> requestProfiles,
       OneWayDelays networkDelays) {
-    this(regionByZone, entryVmsByZone, services, routes, callerKinds, networkDelays, List.of());
+    this(regionByZone, entryVmsByZone, services, routes, requestProfiles, networkDelays, List.of());
   }
 
   /** Host name that callers send. */
@@ -313,7 +313,7 @@
         sameInEachZone(auction.regionByZone(), 4),
         auction.services(),
         auction.routes(),
-        auction.callerKinds(),
+        auction.requestProfiles(),
         auction.networkDelays());
   }
 
@@ -324,7 +324,7 @@
   public static Deployment workspaces() {
     Deployment auction = auction();
     double perSecond =
-        auction.callerKinds().stream().mapToDouble(RequestProfile::requestsPerSecond).sum();
+        auction.requestProfiles().stream().mapToDouble(RequestProfile::requestsPerSecond).sum();
     List<Tenant> tenants = new ArrayList<>();
     for (int i = 0; i < WORKSPACE_COUNT; i++) {
       double weight = i == 0 ? WORKSPACE_COUNT : 1;
@@ -342,7 +342,7 @@
         sameInEachZone(auction.regionByZone(), 2),
         auction.services(),
         auction.routes(),
-        auction.callerKinds(),
+        auction.requestProfiles(),
         auction.networkDelays(),
         tenants);
   }
@@ -370,7 +370,7 @@
   /** The same deployment with {@code factor} times the request rate. */
   Deployment withRateFactor(double factor) {
     List<RequestProfile> scaledKinds =
-        callerKinds.stream().map(kind -> kind.withRateFactor(factor)).toList();
+        requestProfiles.stream().map(kind -> kind.withRateFactor(factor)).toList();
     return new Deployment(
         regionByZone, entryVmsByZone, services, routes, scaledKinds, networkDelays, tenants);
   }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
@@ -115,7 +115,7 @@
               context.network().processLoop(host),
               new CallersStandIn.Location(
                   zone.getKey(), zone.getValue(), lookUpAddresses(zone.getKey())),
-              context.deployment().callerKinds(),
+              context.deployment().requestProfiles(),
               trafficFraction,
               context.day().ledger(),
               name -> Optional.ofNullable(routes.get(name)),
@@ -162,7 +162,7 @@
     callers.forEach(CallersStandIn::stop);
     context.day().endMillis(nowMillis());
     long maxDeadlineMillis =
-        context.deployment().callerKinds().stream()
+        context.deployment().requestProfiles().stream()
             .mapToLong(kind -> kind.deadlineMillis())
             .max()
             .orElse(0);
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Scenario.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Scenario.java
@@ -22,7 +22,7 @@
  * @param seed seed of the random numbers that determine the requests and what each trouble affects
  * @param troubles the troubles, ordered by time
  */
-public record Scenario(long seed, List<ScheduledTrouble> troubles) {
+public record Scenario(long seed, List<Strike> troubles) {
   /** Duration of the traffic of a day, in milliseconds. */
   static final long TRAFFIC_MILLIS = 30_000;
 
@@ -32,7 +32,7 @@
   private static final int TROUBLE_COUNT_RANGE = 4;
 
   /** A trouble by name, and when to inject it, in milliseconds after the start of the traffic. */
-  public record ScheduledTrouble(long atMillis, String trouble) {}
+  public record Strike(long atMillis, String trouble) {}
 
   /** Result of a scenario: the recorded day and one line for each violation of a rule. */
   public record Outcome(Scenario scenario, SimulatedDay day, List<String> violations) {}
@@ -45,15 +45,15 @@
     Random random = new Random(seed);
     int count = MIN_TROUBLES + random.nextInt(TROUBLE_COUNT_RANGE);
     List<String> names = List.copyOf(Troubles.all().keySet());
-    List<ScheduledTrouble> chosen = new ArrayList<>();
+    List<Strike> chosen = new ArrayList<>();
     long atMillis = EARLIEST_TROUBLE_MILLIS + random.nextInt(TROUBLE_START_RANGE_MILLIS);
     for (int i = 0; i < count; i++) {
-      chosen.add(new ScheduledTrouble(atMillis, names.get(random.nextInt(names.size()))));
+      chosen.add(new Strike(atMillis, names.get(random.nextInt(names.size()))));
       if (random.nextBoolean()) {
         atMillis = EARLIEST_TROUBLE_MILLIS + random.nextInt(TROUBLE_START_RANGE_MILLIS);
       }
     }
-    chosen.sort(Comparator.comparingLong(ScheduledTrouble::atMillis));
+    chosen.sort(Comparator.comparingLong(Strike::atMillis));
     return new Scenario(seed, chosen);
   }
 
@@ -64,7 +64,7 @@
 
   /** A scenario with a single trouble, by its name in {@link Troubles#all}. */
   public static Scenario of(long seed, String trouble) {
-    return new Scenario(seed, List.of(new ScheduledTrouble(EARLIEST_TROUBLE_MILLIS, trouble)));
+    return new Scenario(seed, List.of(new Strike(EARLIEST_TROUBLE_MILLIS, trouble)));
   }
 
   /** Simulates the day with traffic of the default duration. */
@@ -76,7 +76,7 @@
   Outcome runFor(long trafficMillis, Deployment deployment, Fleet.LogSource logs) {
     Random random = new Random(seed);
     Fleet fleet = Fleet.start(deployment, seed, logs);
-    for (ScheduledTrouble scheduled : troubles) {
+    for (Strike scheduled : troubles) {
       Trouble trouble = Objects.requireNonNull(Troubles.find(scheduled.trouble()));
       fleet.runAfter(scheduled.atMillis(), () -> trouble.inject(fleet, random));
     }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/TrafficReport.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/TrafficReport.java
@@ -103,7 +103,7 @@
 
   static TrafficReport of(SimulatedDay day, Deployment deployment) {
     TrafficReport report = new TrafficReport();
-    List<String> kinds = deployment.callerKinds().stream().map(RequestProfile::route).toList();
+    List<String> kinds = deployment.requestProfiles().stream().map(RequestProfile::route).toList();
     for (CompletedRequest request : day.requests()) {
       if (kinds.contains(request.profile().route())) {
         long startMillis = request.startedAtMillis() / WINDOW_MILLIS * WINDOW_MILLIS;
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/OperatorTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/OperatorTroubles.java
@@ -93,7 +93,7 @@
    */
   private static void addRoute(Fleet fleet, Random random) {
     RequestProfile busiest =
-        fleet.deployment().callerKinds().stream()
+        fleet.deployment().requestProfiles().stream()
             .max(
                 Comparator.comparingDouble(
                     kind -> kind.requestsPerSecond() * kind.meanServiceMillis()))
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/StoreTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/StoreTroubles.java
@@ -36,7 +36,7 @@
               + "\"config_version\":\"v1\",\"slots\":3,\"state\":\"ready\","
               + "\"cold_left\":\"0ms\",\"sequence\":1}");
 
-  private static final List<StoreFaultMode> REFUSAL_KINDS =
+  private static final List<StoreFaultMode> REFUSAL_MODES =
       List.of(
           StoreFaultMode.BUSY,
           StoreFaultMode.TOO_MANY,
@@ -82,7 +82,7 @@
   }
 
   private static void refuseSomeVms(Fleet fleet, Random random) {
-    StoreFaultMode kind = REFUSAL_KINDS.get(random.nextInt(REFUSAL_KINDS.size()));
+    StoreFaultMode kind = REFUSAL_MODES.get(random.nextInt(REFUSAL_MODES.size()));
     List<String> affectedIps =
         Troubles.pickEntries(fleet, random, REFUSED_VM_COUNT).stream()
             .map(entry -> entry.host().ip())
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/ScenarioTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/ScenarioTest.java
@@ -81,11 +81,11 @@
    */
   @Test
   void addedRouteStaysWhenAnotherMovesBack() {
-    List<Scenario.ScheduledTrouble> troubles =
+    List<Scenario.Strike> troubles =
         List.of(
-            new Scenario.ScheduledTrouble(5_000, "route-moved"),
-            new Scenario.ScheduledTrouble(6_000, "route-added"),
-            new Scenario.ScheduledTrouble(7_000, "route-added"));
+            new Scenario.Strike(5_000, "route-moved"),
+            new Scenario.Strike(6_000, "route-added"),
+            new Scenario.Strike(7_000, "route-added"));
     assertEquals(List.of(), run(new Scenario(1, troubles)).violations());
   }
 
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/WeightsAtTheStartTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/WeightsAtTheStartTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.sageladder.scenario.Fleet.LogSource;
-import org.sageladder.scenario.Scenario.ScheduledTrouble;
+import org.sageladder.scenario.Scenario.Strike;
 
 /**
  * Guards against an overloaded region shifting its traffic abruptly when weights change just after
@@ -20,7 +20,7 @@
   @ValueSource(longs = {1, 2, 3})
   void overloadedRegionShiftsSlowlyWhileWeightsChange(long seed) {
     Scenario scenario =
-        new Scenario(seed, List.of(new ScheduledTrouble(CHANGED_AT_MILLIS, "weights-changed")));
+        new Scenario(seed, List.of(new Strike(CHANGED_AT_MILLIS, "weights-changed")));
     Scenario.Outcome outcome =
         scenario.runFor(TRAFFIC_MILLIS, Deployment.grown(), LogSource.none());
     assertEquals(List.of(), outcome.violations());
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/WorkspaceTroublesTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/WorkspaceTroublesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 import org.sageladder.scenario.Fleet.LogSource;
-import org.sageladder.scenario.Scenario.ScheduledTrouble;
+import org.sageladder.scenario.Scenario.Strike;
 import org.sageladder.scenario.trouble.Troubles;
 
 /**
@@ -44,8 +44,7 @@
                             new Scenario(
                                 5,
                                 List.of(
-                                    new ScheduledTrouble(5_000, "workspace-hot"),
-                                    new ScheduledTrouble(7_000, name))))))
+                                    new Strike(5_000, "workspace-hot"), new Strike(7_000, name))))))
         .toList();
   }
 
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemSender.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemSender.java
@@ -47,7 +47,7 @@
 
   private static SendResult classify(Answer answer, TargetRequest request) {
     if (answer instanceof Answer.Complete whole) {
-      return classifyWhole(whole, request);
+      return classifyComplete(whole, request);
     }
     if (answer instanceof Answer.RanAnswerUnavailable ran) {
       return new SendResult(Outcome.RAN_UNSEEN, ran.code().name(), "", ran.attemptCount());
@@ -63,7 +63,7 @@
    * A status other than 200 comes from the target itself, such as 504 after the deadline, so the
    * request ran or may have run.
    */
-  private static SendResult classifyWhole(Answer.Complete whole, TargetRequest request) {
+  private static SendResult classifyComplete(Answer.Complete whole, TargetRequest request) {
     if (whole.status() != 200) {
       return new SendResult(
           Outcome.UNKNOWN, "STATUS_" + whole.status(), whole.target(), whole.attemptCount());
