--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/BackgroundMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/BackgroundMain.java
@@ -43,7 +43,7 @@
   private final LongAdder attemptCount = new LongAdder();
   private final LongAdder restartCount = new LongAdder();
   private final LongAdder wrongCount = new LongAdder();
-  private final LongAdder wholeCount = new LongAdder();
+  private final LongAdder completeCount = new LongAdder();
   private volatile boolean isStopped;
 
   private BackgroundMain(TestBed bed) {
@@ -89,7 +89,7 @@
         count + " pulls of 4 MB by " + PULLERS + " pullers on 16 slots in " + seconds + " s");
     System.out.println(
         "whole "
-            + wholeCount
+            + completeCount
             + ", wrong "
             + wrongCount
             + ", tries "
@@ -115,14 +115,14 @@
             + loadedMillis.getValueAtPercentile(99)
             + " ms");
     boolean hasPassed =
-        wholeCount.sum() == count
+        completeCount.sum() == count
             && wrongCount.sum() == 0
             && pullMillis.getMaxValue() <= MAX_PULL_MILLIS;
     System.out.println(
         "background: "
             + pullMillis.getMaxValue()
             + " ms for the longest of "
-            + wholeCount
+            + completeCount
             + " whole pulls (aim all whole, at most "
             + MAX_PULL_MILLIS
             + ")");
@@ -163,7 +163,7 @@
     attemptCount.add(answer.attemptCount());
     restartCount.add(sink.restartCount());
     if (answer instanceof Answer.Complete) {
-      (sink.isWhole(RECORD_BYTES) ? wholeCount : wrongCount).increment();
+      (sink.isComplete(RECORD_BYTES) ? completeCount : wrongCount).increment();
     } else {
       System.out.println("pull " + number + " ended as " + answer);
     }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/CheckedSink.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/CheckedSink.java
@@ -36,7 +36,7 @@
   }
 
   /** True if exactly {@code length} bytes have arrived and all are correct. */
-  synchronized boolean isWhole(long length) {
+  synchronized boolean isComplete(long length) {
     return checker.length() == length && checker.matches();
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/recovery/RecoveryBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/recovery/RecoveryBench.java
@@ -59,7 +59,7 @@
     this.client = client;
   }
 
-  private record Outcome(long dueMillis, long endMillis, boolean isWhole, String name) {}
+  private record Outcome(long dueMillis, long endMillis, boolean isComplete, String name) {}
 
   /** Simulates a store outage of 15 seconds, or of ten minutes with {@code --full}. */
   public static void main(String[] args) throws Exception {
@@ -162,7 +162,7 @@
     runLoad(4_000);
     printSummary("store down " + millis / 1_000 + " s", from, to);
     return outcomes.stream()
-        .filter(each -> each.dueMillis() >= from && each.dueMillis() < to && !each.isWhole())
+        .filter(each -> each.dueMillis() >= from && each.dueMillis() < to && !each.isComplete())
         .count();
   }
 
@@ -175,7 +175,7 @@
     printSummary("zone lost", lostAtMillis, elapsedMillis());
     long lastFailureMillis =
         outcomes.stream()
-            .filter(each -> each.dueMillis() >= lostAtMillis && !each.isWhole())
+            .filter(each -> each.dueMillis() >= lostAtMillis && !each.isComplete())
             .mapToLong(Outcome::dueMillis)
             .max()
             .orElse(lostAtMillis);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/whole/Exchanges.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/whole/Exchanges.java
@@ -25,10 +25,10 @@
   private static final double CHUNKED_FRACTION = 0.3;
   private static final int MAX_SMALL_BYTES = 1_024;
   private static final int MAX_LARGE_BYTES = 200_000;
-  private static final int ONE_LARGE_IN = 200;
+  private static final int LARGE_RESPONSE_INTERVAL = 200;
 
   private final TestBed bed;
-  final LongAdder wholeCount = new LongAdder();
+  final LongAdder completeCount = new LongAdder();
   final LongAdder wrongRequestCount = new LongAdder();
   final LongAdder truncatedAsSuccessCount = new LongAdder();
   final LongAdder cutCount = new LongAdder();
@@ -65,7 +65,7 @@
   private void sendOne(Caller caller, SplittableRandom random, long number)
       throws InterruptedException {
     int bytes =
-        random.nextInt(ONE_LARGE_IN) == 0
+        random.nextInt(LARGE_RESPONSE_INTERVAL) == 0
             ? random.nextInt(MAX_LARGE_BYTES)
             : random.nextInt(MAX_SMALL_BYTES);
     String chunked = random.nextDouble() < CHUNKED_FRACTION ? "&chunked" : "";
@@ -91,7 +91,7 @@
     } else if (!reply.ran()) {
       refusedCount.increment();
     } else if (reply.isAnswerTo(checksum, bytes)) {
-      wholeCount.increment();
+      completeCount.increment();
     } else if (reply.echoedChecksum() == checksum && reply.body().length < bytes) {
       truncatedAsSuccessCount.increment();
     } else {
@@ -102,7 +102,7 @@
   void print() {
     System.out.println(
         "exchanges: whole "
-            + wholeCount
+            + completeCount
             + ", cut and seen as cut "
             + cutCount
             + ", given up by the caller "
--- a/sageladder-bench/src/main/java/org/sageladder/bench/whole/WholeAnswersMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/whole/WholeAnswersMain.java
@@ -46,7 +46,7 @@
               + exchanges.truncatedAsSuccessCount.sum()
               + (Recordings.transferCount() - correctTransfers);
       System.out.println("whole-answers: " + wrongAnswers + " wrong answers (aim 0)");
-      boolean hasPassed = wrongAnswers == 0 && exchanges.wholeCount.sum() >= count * 9 / 10;
+      boolean hasPassed = wrongAnswers == 0 && exchanges.completeCount.sum() >= count * 9 / 10;
       if (!hasPassed) {
         System.out.print(bed.logTails());
       }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
@@ -122,7 +122,7 @@
               context.seed(),
               ended -> context.day().requests().add(ended)));
     }
-    callers.forEach(each -> each.setCredentialSource(tenants::drawBearer));
+    callers.forEach(each -> each.setCredentialSource(tenants::drawCredential));
     tenants.all().forEach(each -> context.day().putWorkspace(each.workspace()));
   }
 
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Tenants.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Tenants.java
@@ -79,7 +79,7 @@
    * Chooses the key of a request at random, weighted by the tenants' shares; null if there are no
    * tenants.
    */
-  Ledger.@Nullable Credential drawBearer(Random random) {
+  Ledger.@Nullable Credential drawCredential(Random random) {
     if (tenantsByWorkspace.isEmpty()) {
       return null;
     }
@@ -91,13 +91,13 @@
     for (Tenant each : tenantsByWorkspace.values()) {
       remainingWeight -= each.weight();
       if (remainingWeight <= 0) {
-        return bearerOf(each, random);
+        return drawCredentialOf(each, random);
       }
     }
-    return bearerOf(tenantsByWorkspace.values().iterator().next(), random);
+    return drawCredentialOf(tenantsByWorkspace.values().iterator().next(), random);
   }
 
-  private Ledger.Credential bearerOf(Tenant tenant, Random random) {
+  private Ledger.Credential drawCredentialOf(Tenant tenant, Random random) {
     List<String> keys = List.copyOf(issuedKeys.getOrDefault(tenant.workspace().name(), Set.of()));
     String key = keys.get(random.nextInt(keys.size()));
     return new Ledger.Credential(tenant.workspace().name(), key, true);
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/TargetStandIn.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/TargetStandIn.java
@@ -214,7 +214,7 @@
     }
     long deadlineMillis = remainingMillis < 0 ? Long.MAX_VALUE : loop.nowMillis() + remainingMillis;
     Job job = new Job(id, affinityKey(headers, id), request.uri(), deadlineMillis, exchange);
-    exchange.setOnDisconnect(() -> onCallerGone(job));
+    exchange.setOnDisconnect(() -> onCallerLeft(job));
     queue.addLast(job);
     startQueued();
   }
@@ -308,7 +308,7 @@
     startQueued();
   }
 
-  private void onCallerGone(Job job) {
+  private void onCallerLeft(Job job) {
     job.isCallerGone = true;
     Ledger.Run run = job.run;
     if (running.remove(job) && run != null) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Checks.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Checks.java
@@ -26,7 +26,7 @@
   static List<CheckResult> of(VariantResult variant) {
     Checks checks = new Checks(variant);
     checks.checkFaultsInjected();
-    checks.checkWholeAnswers();
+    checks.checkCompleteAnswers();
     checks.checkUnknownOutcomes();
     if (!variant.samples().targets().isEmpty()) {
       checks.checkAtMostOnce();
@@ -52,7 +52,7 @@
         "all");
   }
 
-  private void checkWholeAnswers() {
+  private void checkCompleteAnswers() {
     long wrong = variant.results().stream().filter(e -> e.outcome() == Outcome.WRONG).count();
     add("each caller gets the whole answer to its own request", wrong == 0, wrong + " wrong", "0");
   }
@@ -225,7 +225,7 @@
         latency <= limit.latencyAtMost().toNanos() / 1e6,
         String.format(Locale.ROOT, "%.1f ms", latency),
         "at most " + formatMillis(limit.latencyAtMost().toNanos()));
-    double whole = variant.wholeFraction(service);
+    double whole = variant.completeFraction(service);
     add(
         service + ": whole answers",
         whole >= limit.wholeAtLeast(),
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Report.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Report.java
@@ -176,7 +176,7 @@
         service,
         variant.name(),
         String.valueOf(variant.results(service).size()),
-        Checks.formatPercent(variant.wholeFraction(service)),
+        Checks.formatPercent(variant.completeFraction(service)),
         formatPercentileMillis(latency, 50),
         formatPercentileMillis(latency, 90),
         formatPercentileMillis(latency, 99),
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/VariantResult.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/VariantResult.java
@@ -71,7 +71,7 @@
   /**
    * Fraction of the requests to one service that got a whole answer; 1 if there were no requests.
    */
-  double wholeFraction(String service) {
+  double completeFraction(String service) {
     int all = results(service).size();
     return all == 0 ? 1 : countsByOutcome(service).getOrDefault(Outcome.WHOLE, 0) / (double) all;
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/EventFetcher.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/EventFetcher.java
@@ -55,7 +55,7 @@
    */
   public ProcessEvents fetch() throws IOException {
     for (int page = 0; page < MAX_PAGES; page++) {
-      long askedMicros = nowMicros();
+      long sentMicros = nowMicros();
       BufferedHttpResponse response =
           client.get(operatorUri.resolve("/v1/events?after=" + nextSequence));
       long answeredMicros = nowMicros();
@@ -72,7 +72,7 @@
       incarnation = read.incarnation();
       clockOffset =
           clockOffset.intersect(
-              ClockOffset.ofExchange(askedMicros, read.nowMicros(), answeredMicros));
+              ClockOffset.ofExchange(sentMicros, read.nowMicros(), answeredMicros));
       events.addAll(read.events());
       lostCount += read.lost();
       nextSequence = read.next();
