--- a/sageladder-core/src/main/java/org/sageladder/core/quota/Quotas.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/Quotas.java
@@ -76,17 +76,17 @@
     }
   }
 
-  private static final class MeteredWorkspace {
+  private static final class LimitedWorkspace {
     final Workspace workspace;
-    final WorkspaceMeter meter;
+    final WorkspaceRateLimiter limiter;
     List<String> coordinatorOrder = List.of();
     int coordinatorIndex;
     int failedAttempts;
     long retryFirstCoordinatorMillis;
 
-    MeteredWorkspace(Workspace workspace, WorkspaceMeter meter) {
+    LimitedWorkspace(Workspace workspace, WorkspaceRateLimiter limiter) {
       this.workspace = workspace;
-      this.meter = meter;
+      this.limiter = limiter;
     }
   }
 
@@ -104,9 +104,9 @@
   private final long discoveryMillis;
   private Peers peers;
   private final long startedMillis;
-  private final Map<String, MeteredWorkspace> metered = new HashMap<>();
+  private final Map<String, LimitedWorkspace> limited = new HashMap<>();
   private final Map<String, CoordinatedWorkspace> coordinated = new LinkedHashMap<>();
-  private final Set<MeteredWorkspace> active = new LinkedHashSet<>();
+  private final Set<LimitedWorkspace> active = new LinkedHashSet<>();
   private Map<String, Workspace> workspaces = Map.of();
   private List<String> liveVms;
   private QuotaTolerance tolerance;
@@ -156,13 +156,13 @@
   /** Updates the list of live VMs. */
   public void updateLiveVms(Collection<String> names) {
     liveVms = List.copyOf(names);
-    metered.values().forEach(entry -> entry.coordinatorOrder = List.of());
+    limited.values().forEach(entry -> entry.coordinatorOrder = List.of());
   }
 
   /** Puts the workspaces of newer rules in force; their counts are kept. */
   public void updateWorkspaces(Map<String, Workspace> newWorkspaces) {
     workspaces = newWorkspaces;
-    metered.keySet().removeIf(name -> !newWorkspaces.containsKey(name));
+    limited.keySet().removeIf(name -> !newWorkspaces.containsKey(name));
     active.removeIf(entry -> !newWorkspaces.containsKey(entry.workspace.name()));
     coordinated.keySet().removeIf(name -> !newWorkspaces.containsKey(name));
     coordinated.forEach((name, entry) -> entry.coordinator.updateQuota(quota(name)));
@@ -185,10 +185,10 @@
     if (!quota.isLimited()) {
       return new QuotaDecision.Granted();
     }
-    MeteredWorkspace entry = meteredWorkspace(workspace);
-    QuotaDecision decision = entry.meter.admit(quota, nowMillis);
+    LimitedWorkspace entry = limitedWorkspace(workspace);
+    QuotaDecision decision = entry.limiter.admit(quota, nowMillis);
     if (decision instanceof QuotaDecision.Pending) {
-      entry.meter.enqueue(onDecision, nowMillis);
+      entry.limiter.enqueue(onDecision, nowMillis);
     }
     reportIfDue(entry, nowMillis);
     trackIfActive(entry, nowMillis);
@@ -207,20 +207,20 @@
 
   private void adjustCount(Workspace workspace, int requests, long nowMillis) {
     if (quota(workspace.name()).isLimited()) {
-      MeteredWorkspace entry = meteredWorkspace(workspace);
-      entry.meter.adjustCount(requests, nowMillis);
+      LimitedWorkspace entry = limitedWorkspace(workspace);
+      entry.limiter.adjustCount(requests, nowMillis);
       trackIfActive(entry, nowMillis);
     }
   }
 
-  private MeteredWorkspace meteredWorkspace(Workspace workspace) {
-    return metered.computeIfAbsent(
+  private LimitedWorkspace limitedWorkspace(Workspace workspace) {
+    return limited.computeIfAbsent(
         workspace.name(),
-        name -> new MeteredWorkspace(workspace, new WorkspaceMeter(name, tolerance)));
+        name -> new LimitedWorkspace(workspace, new WorkspaceRateLimiter(name, tolerance)));
   }
 
-  private void trackIfActive(MeteredWorkspace entry, long nowMillis) {
-    if (entry.meter.isActive(nowMillis)) {
+  private void trackIfActive(LimitedWorkspace entry, long nowMillis) {
+    if (entry.limiter.isActive(nowMillis)) {
       active.add(entry);
     }
     scheduleTick();
@@ -236,10 +236,10 @@
   /** Sends due reports and notices, and tries other coordinators after timeouts. */
   public void tick(long nowMillis) {
     tickScheduled = false;
-    for (MeteredWorkspace entry : new ArrayList<>(active)) {
+    for (LimitedWorkspace entry : new ArrayList<>(active)) {
       checkReport(entry, nowMillis);
     }
-    active.removeIf(entry -> !entry.meter.isActive(nowMillis));
+    active.removeIf(entry -> !entry.limiter.isActive(nowMillis));
     for (Map.Entry<String, CoordinatedWorkspace> entry : coordinated.entrySet()) {
       entry.getValue().coordinator.removeStale(nowMillis);
       sendNotice(entry.getKey(), entry.getValue(), nowMillis);
@@ -248,24 +248,24 @@
     scheduleTick();
   }
 
-  private void checkReport(MeteredWorkspace entry, long nowMillis) {
-    long sinceMillis = entry.meter.awaitingAnswerSince();
+  private void checkReport(LimitedWorkspace entry, long nowMillis) {
+    long sinceMillis = entry.limiter.awaitingAnswerSince();
     if (sinceMillis >= 0 && nowMillis - sinceMillis >= ANSWER_TIMEOUT_MILLIS) {
-      entry.meter.onReportTimeout(nowMillis);
+      entry.limiter.onReportTimeout(nowMillis);
       entry.failedAttempts++;
       if (entry.failedAttempts >= MAX_REPORT_ATTEMPTS) {
         entry.failedAttempts = 0;
         tryNextCoordinator(entry, nowMillis);
       }
     }
-    entry.meter.decideOverdue(nowMillis);
+    entry.limiter.decideOverdue(nowMillis);
     reportIfDue(entry, nowMillis);
   }
 
   /**
    * Moves on to the next coordinator in order; after the last one, isolates the VM and starts over.
    */
-  private void tryNextCoordinator(MeteredWorkspace entry, long nowMillis) {
+  private void tryNextCoordinator(LimitedWorkspace entry, long nowMillis) {
     int last = coordinatorOrder(entry).size() - 1;
     entry.retryFirstCoordinatorMillis = nowMillis + COORDINATOR_RETRY_MILLIS;
     if (entry.coordinatorIndex < last) {
@@ -275,11 +275,11 @@
     entry.coordinatorIndex = 0;
     // The other VMs ignore the reports of a VM that has just started until they know it.
     if (hasBeenAnswered || nowMillis - startedMillis >= discoveryMillis) {
-      entry.meter.enterIsolation(quota(entry.workspace.name()), nowMillis);
+      entry.limiter.enterIsolation(quota(entry.workspace.name()), nowMillis);
     }
   }
 
-  private List<String> coordinatorOrder(MeteredWorkspace entry) {
+  private List<String> coordinatorOrder(LimitedWorkspace entry) {
     if (entry.coordinatorOrder.isEmpty()) {
       List<String> all = Rendezvous.rank(entry.workspace.name(), liveVms);
       entry.coordinatorOrder = List.copyOf(all.subList(0, Math.min(MAX_COORDINATORS, all.size())));
@@ -287,8 +287,8 @@
     return entry.coordinatorOrder;
   }
 
-  private void reportIfDue(MeteredWorkspace entry, long nowMillis) {
-    if (!entry.meter.isReportDue(nowMillis)) {
+  private void reportIfDue(LimitedWorkspace entry, long nowMillis) {
+    if (!entry.limiter.isReportDue(nowMillis)) {
       return;
     }
     if (entry.coordinatorIndex > 0 && nowMillis >= entry.retryFirstCoordinatorMillis) {
@@ -296,7 +296,7 @@
     }
     List<String> order = coordinatorOrder(entry);
     String coordinator = order.get(Math.min(entry.coordinatorIndex, order.size() - 1));
-    UsageReport report = entry.meter.createReport(nowMillis);
+    UsageReport report = entry.limiter.createReport(nowMillis);
     if (coordinator.equals(self)) {
       TokenGrant answer = answerReport(self, report, nowMillis);
       if (answer != null) {
@@ -321,18 +321,18 @@
       Workspace workspace = workspaces.get(grant.workspace());
       if (workspace != null) {
         hasBeenAnswered = true;
-        MeteredWorkspace entry = meteredWorkspace(workspace);
+        LimitedWorkspace entry = limitedWorkspace(workspace);
         applyGrant(entry, grant, nowMillis);
         trackIfActive(entry, nowMillis);
       }
     }
   }
 
-  private static void applyGrant(MeteredWorkspace entry, TokenGrant grant, long nowMillis) {
+  private static void applyGrant(LimitedWorkspace entry, TokenGrant grant, long nowMillis) {
     if (grant.reportNumber() != TokenGrant.NOTICE) {
       entry.failedAttempts = 0;
     }
-    entry.meter.applyGrant(grant, entry.coordinatorIndex == 0, nowMillis);
+    entry.limiter.applyGrant(grant, entry.coordinatorIndex == 0, nowMillis);
   }
 
   /** Answers a report; null if the workspace is unknown here or no longer has a quota. */
@@ -372,7 +372,7 @@
     }
     Workspace own = workspaces.get(workspace);
     if (own != null) {
-      applyGrant(meteredWorkspace(own), notice, nowMillis);
+      applyGrant(limitedWorkspace(own), notice, nowMillis);
     }
   }
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/WorkspaceMeter.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/WorkspaceRateLimiter.java
@@ -15,7 +15,7 @@
  * nearly used up, each request needs a token. A VM that reaches no coordinator is isolated and
  * admits a fraction of what it admitted before.
  */
-final class WorkspaceMeter {
+final class WorkspaceRateLimiter {
   /**
    * How long a coordinator's notice that tokens are required is valid; it is repeated each second.
    */
@@ -67,7 +67,7 @@
   private boolean isolated;
   private int isolatedAllowance;
 
-  WorkspaceMeter(String workspace, QuotaTolerance tolerance) {
+  WorkspaceRateLimiter(String workspace, QuotaTolerance tolerance) {
     this.workspace = workspace;
     this.tolerance = tolerance;
     this.admittedInWindow = new SlidingWindowCounter(tolerance.windowMillis());
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Attempt.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Attempt.java
@@ -91,7 +91,7 @@
             atMostOnce ? MAX_IDLE_NON_IDEMPOTENT_MILLIS : Long.MAX_VALUE,
             this::onConnected,
             this::onConnectFailed,
-            millis -> forwarder.distances().recordConnect(target().facts().zone(), millis));
+            millis -> forwarder.roundTripTimes().recordConnect(target().facts().zone(), millis));
   }
 
   private void onConnected(TargetConnection opened) {
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Dialect.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Dialect.java
@@ -35,7 +35,7 @@
   /**
    * Adds the headers for the target to the head of a request: the remaining time and the target id.
    */
-  void addTargetHeaders(HttpHeaders request, String target, long millisLeft);
+  void addTargetHeaders(HttpHeaders request, String target, long remainingMillis);
 
   /** Adds the request id to a response that sageladder itself creates. */
   void addRequestId(HttpHeaders response, String requestId);
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Exchange.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Exchange.java
@@ -45,7 +45,7 @@
   private static final long RESPONSE_MARGIN_MILLIS = 20;
 
   /** With less time than this left, another target could not respond in time. */
-  private static final long MIN_RETRY_BUDGET_MILLIS = 30;
+  private static final long MIN_REMAINING_FOR_RETRY_MILLIS = 30;
 
   /** Upper bound on the suggested retry delay, as a fraction of the remaining time. */
   private static final double MAX_RETRY_AFTER_FRACTION = 0.33;
@@ -214,7 +214,7 @@
     objectHash =
         Hashing.komihash5_0()
             .hashCharsToLong(matchedRule.host() + matchedRule.prefix() + '\n' + subject);
-    forwarder.retryAllowance().recordRequest(service, startedAtMillis);
+    forwarder.retryBudget().recordRequest(service, startedAtMillis);
     isWaitingForTurn = !isFirst && !matchedRule.idempotent();
     if (HttpUtil.is100ContinueExpected(head)) {
       caller.write(
@@ -359,7 +359,8 @@
     attempt = null;
     unreachedCount++;
     logAttempt(EventKind.RETRIED, failed, "not sent: " + cause);
-    if (unreachedCount < MAX_UNREACHED_TARGETS && remainingMillis() > MIN_RETRY_BUDGET_MILLIS) {
+    if (unreachedCount < MAX_UNREACHED_TARGETS
+        && remainingMillis() > MIN_REMAINING_FOR_RETRY_MILLIS) {
       placeRequest();
       return;
     }
@@ -412,8 +413,8 @@
     return body.isReplayable()
         && sendCount < requireRoute().maxTargets()
         && unreachedCount < MAX_UNREACHED_TARGETS
-        && remainingMillis() > MIN_RETRY_BUDGET_MILLIS
-        && forwarder.retryAllowance().tryAcquire(service, forwarder.loop().nowMillis());
+        && remainingMillis() > MIN_REMAINING_FOR_RETRY_MILLIS
+        && forwarder.retryBudget().tryAcquire(service, forwarder.loop().nowMillis());
   }
 
   /** Called once the response is complete. */
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Forwarder.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Forwarder.java
@@ -50,7 +50,7 @@
    * How long the shift bound stays lifted; work moves to free capacity within a few requests' run
    * time.
    */
-  private static final long SHIFT_BOUND_LIFTED_MILLIS = 4_000;
+  private static final long SHIFT_LIMIT_SUSPENSION_MILLIS = 4_000;
 
   private final String region;
   private final Loop loop;
@@ -59,10 +59,10 @@
   private final Metrics metrics;
   private final RequestLog requestLog;
   private final TargetTable targets = TargetTable.create();
-  private final RoundTripTimes distances;
-  private final ColdTargetLimiter coldAllowance;
-  private final ServiceRetryBudget retryAllowance;
-  private final RegionShiftLimiter shiftBound;
+  private final RoundTripTimes roundTripTimes;
+  private final ColdTargetLimiter coldLimiter;
+  private final ServiceRetryBudget retryBudget;
+  private final RegionShiftLimiter shiftLimiter;
   private final RunTimes runTimes;
   private final Placement placement;
   private final TargetConnectionPool connectionPool;
@@ -91,7 +91,7 @@
    * @param retryWindowMillis length of that window
    * @param maxShiftFraction fraction of a region's requests that may move to another region within
    *     two seconds
-   * @param quotaBounds how exactly workspace quotas are enforced
+   * @param quotaTolerance how exactly workspace quotas are enforced
    * @param discoveryMillis time until all other VMs know of a VM that has started
    * @param isFirstStart true if the whole system starts for the first time
    */
@@ -106,7 +106,7 @@
       double extraRetriesPerWindow,
       long retryWindowMillis,
       double maxShiftFraction,
-      QuotaTolerance quotaBounds,
+      QuotaTolerance quotaTolerance,
       long discoveryMillis,
       boolean isFirstStart) {}
 
@@ -117,18 +117,23 @@
     this.log = log;
     this.metrics = metrics;
     this.requestLog = new RequestLog(log, metrics);
-    this.distances = RoundTripTimes.from(options.zone(), options.region());
-    this.coldAllowance =
+    this.roundTripTimes = RoundTripTimes.from(options.zone(), options.region());
+    this.coldLimiter =
         ColdTargetLimiter.of(
             options.name(), options.coldRateFactor(), options.coldSlackPerSecond());
-    this.retryAllowance =
+    this.retryBudget =
         ServiceRetryBudget.of(
             options.retryRatio(), options.extraRetriesPerWindow(), options.retryWindowMillis());
-    this.shiftBound = RegionShiftLimiter.of(options.maxShiftFraction());
-    this.runTimes = RunTimes.create(shiftBound::settleMillis);
+    this.shiftLimiter = RegionShiftLimiter.of(options.maxShiftFraction());
+    this.runTimes = RunTimes.create(shiftLimiter::settleMillis);
     this.placement =
         Placement.among(
-            targets, distances, runTimes, coldAllowance, shiftBound, PlacementWeights.standard());
+            targets,
+            roundTripTimes,
+            runTimes,
+            coldLimiter,
+            shiftLimiter,
+            PlacementWeights.standard());
     placement.updateZoneShare(options.zoneFraction());
     this.connectionPool = new TargetConnectionPool(loop, dialect);
     this.crashDetector = new CrashDetector(loop, log);
@@ -136,7 +141,7 @@
     this.quotas =
         Quotas.of(
             options.name(),
-            options.quotaBounds(),
+            options.quotaTolerance(),
             options.discoveryMillis(),
             Quotas.Peers.none(),
             loop.nowMillis());
@@ -232,19 +237,19 @@
 
   /** Applies new bounds; name, zone and region stay those of the start. */
   public void updateBounds(Options newOptions) {
-    coldAllowance.updateLimits(newOptions.coldRateFactor(), newOptions.coldSlackPerSecond());
-    retryAllowance.updateLimits(
+    coldLimiter.updateLimits(newOptions.coldRateFactor(), newOptions.coldSlackPerSecond());
+    retryBudget.updateLimits(
         newOptions.retryRatio(),
         newOptions.extraRetriesPerWindow(),
         newOptions.retryWindowMillis());
-    shiftBound.updateLimit(newOptions.maxShiftFraction());
-    quotas.updateTolerance(newOptions.quotaBounds());
+    shiftLimiter.updateLimit(newOptions.maxShiftFraction());
+    quotas.updateTolerance(newOptions.quotaTolerance());
   }
 
   /** Updates the set of live entry VMs. */
   public void updateEntries(List<ColdTargetLimiter.EntryVmLocation> liveEntries) {
-    coldAllowance.updateEntryVms(liveEntries, loop.nowMillis());
-    retryAllowance.updateEntryVmCount(liveEntries.size());
+    coldLimiter.updateEntryVms(liveEntries, loop.nowMillis());
+    retryBudget.updateEntryVmCount(liveEntries.size());
     int vmsInRegion = (int) liveEntries.stream().filter(vm -> vm.region().equals(region)).count();
     Map<String, Integer> peersByRegion = new HashMap<>();
     liveEntries.forEach(vm -> peersByRegion.put(vm.region(), Math.max(0, vmsInRegion - 1)));
@@ -256,7 +261,7 @@
   /** Drops the idle connections and the counters of a target start that has ended. */
   public void forgetTarget(TargetIncarnation target) {
     connectionPool.closeIdle(target);
-    coldAllowance.removeTarget(target.id());
+    coldLimiter.removeTarget(target.id());
   }
 
   /**
@@ -280,7 +285,7 @@
    * were removed and the free capacity of the regions has changed.
    */
   public void onCapacityChange() {
-    shiftBound.suspendUntil(loop.nowMillis() + SHIFT_BOUND_LIFTED_MILLIS);
+    shiftLimiter.suspendUntil(loop.nowMillis() + SHIFT_LIMIT_SUSPENSION_MILLIS);
   }
 
   /** Handles a crash of a target that another entry VM has reported. */
@@ -409,12 +414,12 @@
     return placement;
   }
 
-  ServiceRetryBudget retryAllowance() {
-    return retryAllowance;
+  ServiceRetryBudget retryBudget() {
+    return retryBudget;
   }
 
-  RoundTripTimes distances() {
-    return distances;
+  RoundTripTimes roundTripTimes() {
+    return roundTripTimes;
   }
 
   /** Attempts without an outcome. */
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Loop.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Loop.java
@@ -93,8 +93,9 @@
   }
 
   /** Opens a connection; see {@link Transport#connect}. */
-  public ChannelFuture connect(String host, int port, int connectMillis, ChannelHandler handler) {
-    return transport.connect(this, host, port, connectMillis, handler);
+  public ChannelFuture connect(
+      String host, int port, int connectTimeoutMillis, ChannelHandler handler) {
+    return transport.connect(this, host, port, connectTimeoutMillis, handler);
   }
 
   /** Opens a listening port; see {@link Transport#listen}. */
--- a/sageladder-forward/src/main/java/org/sageladder/forward/RequestLog.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/RequestLog.java
@@ -78,9 +78,9 @@
   /**
    * Counts the reason why no target was chosen, and describes the estimates behind the decision.
    *
-   * @param millisLeft time that the request had left
+   * @param remainingMillis time that the request had left
    */
-  String recordRefusal(Refuse refuse, long millisLeft) {
+  String recordRefusal(Refuse refuse, long remainingMillis) {
     metrics.count("no_target_" + toLowerCase(refuse.reason()));
     CandidateEstimate judged = refuse.bestCandidate();
     if (judged == null) {
@@ -103,7 +103,7 @@
         + " slots, each held "
         + Math.round(judged.slotHoldMillis())
         + " ms, "
-        + millisLeft
+        + remainingMillis
         + " ms left,";
   }
 
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Sockets.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Sockets.java
@@ -69,12 +69,12 @@
 
   @Override
   public ChannelFuture connect(
-      Loop loop, String host, int port, int connectMillis, ChannelHandler handler) {
+      Loop loop, String host, int port, int connectTimeoutMillis, ChannelHandler handler) {
     return new Bootstrap()
         .group(loop.eventLoop())
         .channel(NioSocketChannel.class)
         .option(ChannelOption.ALLOCATOR, loop.allocator())
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
         .option(ChannelOption.TCP_NODELAY, true)
         .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_WATER_MARK)
         .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEP_ALIVE_IDLE_SECONDS)
--- a/sageladder-forward/src/main/java/org/sageladder/forward/TargetConnection.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/TargetConnection.java
@@ -70,10 +70,10 @@
   private long idleSinceMillis;
   private @Nullable Runnable onIdleClose;
 
-  TargetConnection(Dialect dialect, long idleMillisUntilTold) {
+  TargetConnection(Dialect dialect, long defaultIdleMillis) {
     this.dialect = dialect;
-    this.defaultIdleMillis = idleMillisUntilTold;
-    this.maxIdleMillis = idleMillisUntilTold;
+    this.defaultIdleMillis = defaultIdleMillis;
+    this.maxIdleMillis = defaultIdleMillis;
   }
 
   /** Adds the codec and this handler to the pipeline of a new channel. */
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Transport.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Transport.java
@@ -14,11 +14,11 @@
   /**
    * Opens a connection.
    *
-   * @param connectMillis timeout for connecting
+   * @param connectTimeoutMillis timeout for connecting
    * @param handler first handler of the connection's pipeline
    */
   ChannelFuture connect(
-      Loop loop, String host, int port, int connectMillis, ChannelHandler handler);
+      Loop loop, String host, int port, int connectTimeoutMillis, ChannelHandler handler);
 
   /**
    * Opens a listening port.
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryDirectory.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryDirectory.java
@@ -21,7 +21,7 @@
 
   private final EntryVm self;
   private final Map<String, EntryVm> registeredVms = new TreeMap<>();
-  private boolean isLeaving;
+  private boolean isStopping;
 
   private EntryDirectory(EntryVm self) {
     this.self = self;
@@ -44,13 +44,13 @@
 
   /** Excludes this VM from look-ups, since it stops. */
   public void excludeSelf() {
-    isLeaving = true;
+    isStopping = true;
   }
 
   /** The live entry VMs, including this one unless it is leaving. */
   public Collection<EntryVm> liveVms() {
     Map<String, EntryVm> all = new TreeMap<>(registeredVms);
-    if (isLeaving) {
+    if (isStopping) {
       all.remove(self.name());
     } else {
       all.put(self.name(), self);
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryRegistration.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryRegistration.java
@@ -25,7 +25,7 @@
   private final CallListener callListener;
   private final long leaseMillis;
   private long leaseId;
-  private boolean isLeaving;
+  private boolean isStopping;
   private boolean isOverwritten;
 
   /** Receives the outcome of each call to the store. */
@@ -69,7 +69,7 @@
   }
 
   private void acquireLease() {
-    if (isLeaving) {
+    if (isStopping) {
       return;
     }
     store.grantLease(
@@ -93,7 +93,7 @@
           if (result instanceof StoreResult.Done<Long>) {
             leaseId = newLeaseId;
             log.record(EventKind.LEASE_GAINED, "", "", self.name(), newLeaseId, "registered");
-            if (isLeaving) {
+            if (isStopping) {
               deregister();
               return;
             }
@@ -110,7 +110,7 @@
   }
 
   private void renewLease() {
-    if (isLeaving) {
+    if (isStopping) {
       return;
     }
     if (isOverwritten) {
@@ -155,7 +155,7 @@
 
   /** Removes the VM from the store and does not register it again. */
   public void deregister() {
-    isLeaving = true;
+    isStopping = true;
     if (leaseId == 0) {
       return;
     }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/AbandonedRequestTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/AbandonedRequestTest.java
@@ -64,11 +64,11 @@
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
     try (ForwardingFixture fixture = ForwardingFixture.open(silent);
         Caller caller = fixture.caller()) {
-      fixture.onLoop(() -> fixture.forwarder.updateTarget(factsOfStart(silent, 1)));
+      fixture.onLoop(() -> fixture.forwarder.updateTarget(factsOfIncarnation(silent, 1)));
       caller.sendPost("/once/1", "a", "bid");
       assertTrue(silent.firstRequest.await(1, TimeUnit.MINUTES));
       fixture.onLoop(
-          () -> fixture.forwarder.updateTarget(factsOfStart(silent, LATER_START_MILLIS)));
+          () -> fixture.forwarder.updateTarget(factsOfIncarnation(silent, LATER_START_MILLIS)));
       assertReset(silent);
     }
   }
@@ -92,17 +92,17 @@
     ScriptedTarget target = ScriptedTarget.of(request -> request.respond("done"));
     try (ForwardingFixture fixture = ForwardingFixture.open(target);
         Caller caller = fixture.caller()) {
-      fixture.onLoop(() -> fixture.forwarder.updateTarget(factsOfStart(target, 1)));
+      fixture.onLoop(() -> fixture.forwarder.updateTarget(factsOfIncarnation(target, 1)));
       assertEquals("done", caller.exchange("/safe/1", "a").body());
       fixture.onLoop(
-          () -> fixture.forwarder.updateTarget(factsOfStart(target, LATER_START_MILLIS)));
+          () -> fixture.forwarder.updateTarget(factsOfIncarnation(target, LATER_START_MILLIS)));
       assertEquals("closed", target.connectionEnds.poll(1, TimeUnit.MINUTES));
     }
   }
 
-  private static TargetFacts factsOfStart(ScriptedTarget target, long born) {
+  private static TargetFacts factsOfIncarnation(ScriptedTarget target, long startedAtMillis) {
     return new TargetFacts(
-        new TargetIncarnation("t-1", born),
+        new TargetIncarnation("t-1", startedAtMillis),
         0,
         "s",
         "127.0.0.1",
--- a/sageladder-forward/src/test/java/org/sageladder/forward/TargetRestartTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/TargetRestartTest.java
@@ -13,9 +13,9 @@
 class TargetRestartTest {
   private static final long HOUR_MILLIS = 3_600_000;
 
-  private static TargetFacts facts(ScriptedTarget target, long born) {
+  private static TargetFacts facts(ScriptedTarget target, long startedAtMillis) {
     return new TargetFacts(
-        new TargetIncarnation("t-1", born),
+        new TargetIncarnation("t-1", startedAtMillis),
         0,
         "s",
         "127.0.0.1",
@@ -27,9 +27,9 @@
         0);
   }
 
-  private static void updateTarget(ForwardingFixture fixture, ScriptedTarget target, long born)
-      throws Exception {
-    fixture.onLoop(() -> fixture.forwarder.updateTarget(facts(target, born)));
+  private static void updateTarget(
+      ForwardingFixture fixture, ScriptedTarget target, long startedAtMillis) throws Exception {
+    fixture.onLoop(() -> fixture.forwarder.updateTarget(facts(target, startedAtMillis)));
   }
 
   /**
