--- a/sageladder-core/src/test/java/org/sageladder/core/membership/RendezvousProperties.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/RendezvousProperties.java
@@ -13,14 +13,14 @@
 class RendezvousProperties {
   @Property(tries = 100, seed = "20261202")
   void removingMemberMovesOnlyItsTargets(
-      @ForAll @IntRange(min = 2, max = 30) int size, @ForAll @IntRange(max = 29) int gone) {
+      @ForAll @IntRange(min = 2, max = 30) int size, @ForAll @IntRange(max = 29) int removedIndex) {
     List<String> members = IntStream.range(0, size).mapToObj(i -> "vm-" + i).toList();
     List<String> rest = new ArrayList<>(members);
-    String lost = rest.remove(gone % size);
+    String removed = rest.remove(removedIndex % size);
     for (int t = 0; t < 50; t++) {
       String before = Rendezvous.choose("target-" + t, members).orElseThrow();
       String after = Rendezvous.choose("target-" + t, rest).orElseThrow();
-      if (!before.equals(lost)) {
+      if (!before.equals(removed)) {
         assertEquals(before, after);
       }
       assertEquals(before, Rendezvous.rank("target-" + t, members).get(0));
--- a/sageladder-core/src/test/java/org/sageladder/core/steering/LookUpTableTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/steering/LookUpTableTest.java
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void leavingEntryVmIsNeverReturned() {
+  void drainingEntryVmIsNeverReturned() {
     // A VM has begun its planned shutdown. An answer with this VM would send callers to a process
     // that is about to end, and the shutdown would never see its last request.
     LookUpTable table = LookUpTable.build(state(contract(), "north1-vm0"), SteeringInputs.at(NOW));
@@ -108,18 +108,18 @@
         List.of(service));
   }
 
-  static ClusterState state(Contract contract, String leavingVm) {
-    return state(contract, leavingVm, 2);
+  static ClusterState state(Contract contract, String drainingVm) {
+    return state(contract, drainingVm, 2);
   }
 
-  private static ClusterState state(Contract contract, String leavingVm, int vmsPerZone) {
+  private static ClusterState state(Contract contract, String drainingVm, int vmsPerZone) {
     Map<String, ZoneView> views = new HashMap<>();
     for (String zone : contract.zones()) {
       List<Member> members = new ArrayList<>();
       List<Holding> holdings = new ArrayList<>();
       for (int i = 0; i < vmsPerZone; i++) {
         String vm = zone + "-vm" + i;
-        members.add(new Member(vm, zone, 1, "127.0.0.1", 1, 2, vm.equals(leavingVm)));
+        members.add(new Member(vm, zone, 1, "127.0.0.1", 1, 2, vm.equals(drainingVm)));
         holdings.add(new Holding(zone + "-t" + i, "c", "s", "127.0.0.1", 3, 1, vm, 3, false));
       }
       views.put(zone, new ZoneView(zone, 1, members, holdings));
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Attempt.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Attempt.java
@@ -45,7 +45,7 @@
 
   private final Forwarder forwarder;
   private final Exchange exchange;
-  private final PlacementRequest order;
+  private final PlacementRequest placementRequest;
   private final Send decision;
   private final long startedAtMillis;
   private final long startedAtWallMillis;
@@ -55,10 +55,10 @@
   private @Nullable BufferedResponse response;
   private Loop.@Nullable Timer reachabilityTimer;
 
-  Attempt(Forwarder forwarder, Exchange exchange, PlacementRequest order, Send send) {
+  Attempt(Forwarder forwarder, Exchange exchange, PlacementRequest placementRequest, Send send) {
     this.forwarder = forwarder;
     this.exchange = exchange;
-    this.order = order;
+    this.placementRequest = placementRequest;
     this.decision = send;
     this.startedAtMillis = forwarder.loop().nowMillis();
     this.startedAtWallMillis = forwarder.loop().wallMillis();
@@ -273,7 +273,9 @@
       return;
     }
     if (buffered.status() < 500) {
-      forwarder.placement().recordAnswer(order, decision, (double) elapsedMillis(), load, now);
+      forwarder
+          .placement()
+          .recordAnswer(placementRequest, decision, (double) elapsedMillis(), load, now);
     } else {
       target().recordOutcome(false, now);
     }
@@ -298,11 +300,11 @@
    * attempt that began shortly before the new start, within the clock skew, may be running at the
    * new one and continues.
    */
-  void onTargetRestarted(TargetIncarnation newStart) {
-    boolean isAtPreviousStart = target().facts().incarnation().isBefore(newStart);
+  void onTargetRestarted(TargetIncarnation newIncarnation) {
+    boolean isAtPreviousIncarnation = target().facts().incarnation().isBefore(newIncarnation);
     if (isFinished
-        || !isAtPreviousStart
-        || startedAtWallMillis >= newStart.startedAtMillis() - MAX_CLOCK_SKEW_MILLIS) {
+        || !isAtPreviousIncarnation
+        || startedAtWallMillis >= newIncarnation.startedAtMillis() - MAX_CLOCK_SKEW_MILLIS) {
       return;
     }
     TargetConnection used = connection;
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Exchange.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Exchange.java
@@ -512,7 +512,7 @@
    * Ends the request without a successful response of a target: with the 5xx response that a target
    * gave before if there is one, else with an error response.
    */
-  private void endWithoutResponse(ResultCode code, long retryMillis, String reason) {
+  private void endWithoutResponse(ResultCode code, long retryAfterMillis, String reason) {
     BufferedResponse fallback = fallbackResponse;
     if (fallback != null) {
       fallbackResponse = null;
@@ -521,7 +521,7 @@
     }
     if (!mayHaveRun) {
       ResultCode notRun = code.outcome() == Outcome.NOT_RUN ? code : ResultCode.QUEUE_DEADLINE;
-      refuse(notRun, retryMillis, reason);
+      refuse(notRun, retryAfterMillis, reason);
       return;
     }
     ResultCode unknownOutcomeCode =
@@ -529,16 +529,19 @@
     respond(unknownOutcomeCode, 0, reason);
   }
 
-  private void refuse(ResultCode code, long retryMillis, String reason) {
-    respond(code, retryMillis == NO_RETRY_AFTER ? 0 : Math.max(1, addJitter(retryMillis)), reason);
+  private void refuse(ResultCode code, long retryAfterMillis, String reason) {
+    respond(
+        code,
+        retryAfterMillis == NO_RETRY_AFTER ? 0 : Math.max(1, addJitter(retryAfterMillis)),
+        reason);
   }
 
   /**
    * Multiplies the delay by a random factor from 0.75 to 1.75, so that callers refused together do
    * not return together.
    */
-  private long addJitter(long retryMillis) {
-    long jittered = Math.round(retryMillis * (0.75 + forwarder.randomFraction()));
+  private long addJitter(long retryAfterMillis) {
+    long jittered = Math.round(retryAfterMillis * (0.75 + forwarder.randomFraction()));
     if (deadlineMillis == Long.MAX_VALUE) {
       return jittered;
     }
@@ -558,16 +561,17 @@
                 new ErrorResponse(code, code.httpStatus(), 0, true), "the request cannot be read"));
   }
 
-  private void respond(ResultCode code, long retryMillis, String reason) {
-    respond(code, code.httpStatus(), retryMillis, reason);
+  private void respond(ResultCode code, long retryAfterMillis, String reason) {
+    respond(code, code.httpStatus(), retryAfterMillis, reason);
   }
 
-  private void respond(ResultCode code, int status, long retryMillis, String reason) {
+  private void respond(ResultCode code, int status, long retryAfterMillis, String reason) {
     isFinished = true;
     cancelDeadlineTimer();
     runInTurn(
         () ->
-            writeErrorResponse(new ErrorResponse(code, status, retryMillis, mustClose()), reason));
+            writeErrorResponse(
+                new ErrorResponse(code, status, retryAfterMillis, mustClose()), reason));
   }
 
   private void runInTurn(Runnable writeResponse) {
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Forwarder.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Forwarder.java
@@ -236,7 +236,7 @@
   }
 
   /** Applies new bounds; name, zone and region stay those of the start. */
-  public void updateBounds(Options newOptions) {
+  public void updateLimits(Options newOptions) {
     coldLimiter.updateLimits(newOptions.coldRateFactor(), newOptions.coldSlackPerSecond());
     retryBudget.updateLimits(
         newOptions.retryRatio(),
@@ -270,11 +270,11 @@
    * while cold is kept: enforcing that bound too strictly for a second does no harm.
    */
   public TargetTable.Change updateTarget(TargetFacts facts) {
-    Optional<TargetIncarnation> previousStart =
+    Optional<TargetIncarnation> previousIncarnation =
         targets.find(facts.id()).map(current -> current.facts().incarnation());
     TargetTable.Change change = targets.put(facts, loop.nowMillis());
     if (change == TargetTable.Change.STARTED_AGAIN) {
-      connectionPool.closeIdle(previousStart.orElseThrow());
+      connectionPool.closeIdle(previousIncarnation.orElseThrow());
       List.copyOf(attempts).forEach(attempt -> attempt.onTargetRestarted(facts.incarnation()));
     }
     return change;
--- a/sageladder-forward/src/main/java/org/sageladder/forward/peer/QuotaCodec.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/peer/QuotaCodec.java
@@ -94,14 +94,14 @@
     }
     if (kind == TOKEN_GRANT) {
       int number = readNonNegativeInt(in);
-      byte limited = in.get();
+      byte tokensRequired = in.get();
       int tokens = readNonNegativeInt(in);
-      long retryMillis = in.getLong();
-      if (limited < 0 || limited > 1 || retryMillis < 0) {
+      long retryAfterMillis = in.getLong();
+      if (tokensRequired < 0 || tokensRequired > 1 || retryAfterMillis < 0) {
         throw new MalformedException(
-            "invalid grant: limited " + limited + ", retry " + retryMillis);
+            "invalid grant: limited " + tokensRequired + ", retry " + retryAfterMillis);
       }
-      return new TokenGrant(workspace, number, limited == 1, tokens, retryMillis);
+      return new TokenGrant(workspace, number, tokensRequired == 1, tokens, retryAfterMillis);
     }
     throw new MalformedException("unknown kind " + kind + "; expected 1 or 2");
   }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/TargetRestartTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/TargetRestartTest.java
@@ -37,7 +37,7 @@
    * usable. A request sent on it would be lost with an unknown outcome.
    */
   @Test
-  void connectionsToThePreviousStartAreNotReused() throws Exception {
+  void connectionsToThePreviousIncarnationAreNotReused() throws Exception {
     ScriptedTarget target = ScriptedTarget.of(request -> request.respond("done"));
     try (ForwardingFixture fixture = ForwardingFixture.open(target);
         Caller caller = fixture.caller()) {
@@ -56,7 +56,7 @@
    * ignored.
    */
   @Test
-  void idempotentRequestAtThePreviousStartIsRetriedAtAnotherTarget() throws Exception {
+  void idempotentRequestAtThePreviousIncarnationIsRetriedAtAnotherTarget() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
     ScriptedTarget other = ScriptedTarget.of(request -> request.respond("found"));
     try (ForwardingFixture fixture = ForwardingFixture.open(silent);
@@ -76,7 +76,7 @@
    * once.
    */
   @Test
-  void nonIdempotentRequestAtThePreviousStartHasUnknownOutcome() throws Exception {
+  void nonIdempotentRequestAtThePreviousIncarnationHasUnknownOutcome() throws Exception {
     ScriptedTarget silent = ScriptedTarget.of(request -> {});
     ScriptedTarget other = ScriptedTarget.of(request -> request.respond("won"));
     try (ForwardingFixture fixture = ForwardingFixture.open(silent);
@@ -96,7 +96,7 @@
    * the request may be running at the new start, so it continues.
    */
   @Test
-  void requestThatMayBeAtTheNewStartContinues() throws Exception {
+  void requestThatMayBeAtTheNewIncarnationContinues() throws Exception {
     ScriptedTarget slow =
         ScriptedTarget.of(
             request -> {
--- a/sageladder-forward/src/test/java/org/sageladder/forward/TestDialect.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/TestDialect.java
@@ -42,8 +42,8 @@
   }
 
   @Override
-  public void addTargetHeaders(HttpHeaders request, String target, long millisLeft) {
-    request.set("Wait", millisLeft);
+  public void addTargetHeaders(HttpHeaders request, String target, long remainingMillis) {
+    request.set("Wait", remainingMillis);
     request.set("For", target);
   }
 
