--- a/sageladder-core/src/main/java/org/sageladder/core/limits/QueueBudget.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/QueueBudget.java
@@ -7,8 +7,8 @@
  * Limits the number of requests queued at all gates of one entry VM together, and sheds background
  * requests first and critical ones last.
  *
- * <p>Background requests may fill half of the queue places, interactive requests four fifths and
- * critical requests all of them. Thread-safe.
+ * <p>Background requests may use half of the queue capacity, interactive requests four fifths and
+ * critical requests all of it. Thread-safe.
  */
 public final class QueueBudget {
   private static final double BACKGROUND_FRACTION = 0.5;
@@ -30,7 +30,7 @@
     return new QueueBudget(maxWaiting);
   }
 
-  /** Takes one queue place for a request of that class; false if the class has none left. */
+  /** Reserves room in a queue for one request of that class; false if its fraction is used up. */
   boolean tryAcquire(RequestClass requestClass) {
     int limit = maxWaitingOf(requestClass);
     int current = waiting.get();
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/ServiceGate.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/ServiceGate.java
@@ -192,7 +192,7 @@
     return imported;
   }
 
-  /** Puts the limits of a new contract revision in force; queued requests keep their places. */
+  /** Puts the limits of a new contract revision in force; queued requests keep their positions. */
   public void updateService(Contract.Service newService) {
     List<Decision> decisions = new ArrayList<>();
     retryBudget.updateFraction(retryFraction(newService));
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/TargetHistory.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/TargetHistory.java
@@ -7,7 +7,7 @@
  * through a slow start again.
  *
  * <p>It is sent after the previous gate has stopped giving the target requests, at most once per
- * change of the holder. If it is lost on the way, the new gate waits one window and starts the
+ * change of the holder. If it is lost in transit, the new gate waits one window and starts the
  * target as cold: capacity goes unused for that time, but no cap is exceeded.
  *
  * @param takenAtMillis wall-clock time of the previous gate when the counts were taken
@@ -15,8 +15,8 @@
  * @param targetSteps admissions in steps of a fiftieth of the window of the target's cap, newest
  *     first
  * @param regionSteps the same in steps of the window of the region's cap
- * @param gainReleased true if the previous gate no longer uses the target's part of the region's
- *     gain; otherwise the new gate may use that part one window later
+ * @param gainReleased true if the previous gate no longer uses the target's share of the region's
+ *     gain; otherwise the new gate may use that share one window later
  * @param waitMillis time that the previous gate still had to wait after its own take-over, 0 for
  *     none. During such a wait it gave the target no requests and counted none, and the new gate
  *     waits for the remaining time.
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/TargetPool.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/TargetPool.java
@@ -128,9 +128,9 @@
    * Returns what this gate counted of a target that it no longer holds, or how long it still had to
    * wait after its own take-over. Null if it has no history or has already exported it.
    *
-   * <p>The target's part of the region's gain is released only if the remaining targets stay within
-   * the remaining gain whatever the new gate does. Targets that were reassigned earlier count with
-   * their growth, since their new gates may not have received it.
+   * <p>The target's share of the region's gain is released only if the remaining targets stay
+   * within the remaining gain whatever the new gate does. Targets that were reassigned earlier
+   * count with their growth, since their new gates may not have received it.
    */
   @Nullable TargetHistory exportHistory(String name, long nowNanos, long nowMillis) {
     TargetSlots target = targets.get(name);
@@ -139,8 +139,8 @@
     }
     target.markHistoryExported();
     if (target.isWaitingAfterTakeover(nowNanos)) {
-      // Without this the next gate would start a full wait of its own, and waits would add up with
-      // each VM that joins.
+      // Without this the next gate would wait a full window again, and waits would add up with each
+      // VM that joins.
       long remainingNanos = target.workAllowedFromNanos() - nowNanos;
       return TargetHistory.stillWaiting(
           name,
@@ -284,7 +284,7 @@
   }
 
   /**
-   * Requests by which this gate may grow the region's window: the part of the region's gain that
+   * Requests by which this gate may grow the region's window: the share of the region's gain that
    * belongs to the targets it holds. At least one, or a slow service would never get its first
    * request.
    */
@@ -311,7 +311,7 @@
     return Math.min(bySlots, windowLimit / seconds(service.regionShiftCap().window()));
   }
 
-  /** Admitted requests per second over the last whole window. */
+  /** Admitted requests per second over the last complete window. */
   double admittedPerSecond(long nowNanos) {
     advanceTo(nowNanos);
     int admitted = 0;
--- a/sageladder-core/src/main/java/org/sageladder/core/limits/TargetSlots.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/limits/TargetSlots.java
@@ -126,7 +126,7 @@
   }
 
   /**
-   * True if this gate may use the target's part of the region's gain: the target is held, and the
+   * True if this gate may use the target's share of the region's gain: the target is held, and the
    * gain of the window before the take-over can no longer be in use at another gate. A draining
    * target still contributes, since its requests go to the gate's other targets.
    */
--- a/sageladder-core/src/main/java/org/sageladder/core/membership/Holding.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/membership/Holding.java
@@ -6,7 +6,7 @@
  * @param holder entry VM whose gate holds the target's slots; empty while no VM may use them
  * @param slots slots that the holder may use; fewer than the target has after a take-over
  * @param targetIncarnation distinguishes a restarted target from its earlier run
- * @param isDraining true once the target was seen to be leaving, from whatever source
+ * @param isDraining true once any source has reported that the target is draining
  */
 public record Holding(
     String target,
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/HandOverCodec.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/HandOverCodec.java
@@ -103,7 +103,7 @@
     long lastExpiryMillis = in.readLong();
     int count = in.readInt();
     if (count < 0 || count > MAX_PERMITS_PER_SEGMENT) {
-      throw new IOException("segment has " + count + " permits, at most 65536 are allowed");
+      throw new IOException("segment has " + count + " permits; expected at most 65536");
     }
     byte[] states = new byte[count];
     in.readFully(states);
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/KeyRing.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/KeyRing.java
@@ -63,7 +63,7 @@
     public static Secret of(byte[] bytes) {
       if (bytes.length < MIN_SECRET_BYTES) {
         throw new IllegalArgumentException(
-            "secret has " + bytes.length + " bytes, at least 16 are required");
+            "secret has " + bytes.length + " bytes; expected at least 16");
       }
       return new Secret(bytes.clone());
     }
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/OpenedPermit.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/OpenedPermit.java
@@ -9,7 +9,7 @@
    * The permit is well-formed, but its key is not known here, so it cannot be verified.
    *
    * <p>The issuer has the key, so forward the permit to it. Refusing the permit here could report a
-   * request as not run that is running elsewhere.
+   * request as not run that another entry VM is running.
    */
   record UnknownKey(Permit unverifiedPermit, String keyId) implements OpenedPermit {}
 
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/PermitCodec.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/PermitCodec.java
@@ -56,7 +56,7 @@
   /** Decodes a permit's text and verifies its MAC. */
   public OpenedPermit open(String text) {
     if (text.length() > MAX_TEXT_LENGTH) {
-      return invalid("the permit has " + text.length() + " characters, at most 1024 are allowed");
+      return invalid("the permit has " + text.length() + " characters; expected at most 1024");
     }
     String[] parts = text.split("\\.", -1);
     if (parts.length != 3) {
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/RecordedAnswer.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/RecordedAnswer.java
@@ -7,7 +7,7 @@
  *
  * @param status HTTP status of the answer, 100 to 999, or 0 if the answer was not kept
  * @param headers header lines as name and value
- * @param body complete body; empty if {@code kept} is false
+ * @param body complete body; empty if {@code isKept} is false
  * @param isKept false if the answer was not kept; the request did run
  */
 @SuppressWarnings("ArrayRecordComponent")
--- a/sageladder-core/src/main/java/org/sageladder/core/permit/Segment.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/permit/Segment.java
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Copies the states for a successor. An execution still running is handed over as unknown, since
-   * its outcome cannot reach the successor.
+   * Copies the states for a successor. An execution still running is copied as unknown, since its
+   * outcome cannot reach the successor.
    */
   HandOver.SegmentState toHandOverState() {
     byte[] copy = Arrays.copyOf(states, count);
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/LoadReport.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/LoadReport.java
@@ -5,6 +5,6 @@
  *
  * @param running requests that run
  * @param waiting requests that wait at the target
- * @param slots requests that it can run at once
+ * @param slots requests that it can run concurrently
  */
 public record LoadReport(int running, int waiting, int slots) {}
--- a/sageladder-core/src/main/java/org/sageladder/core/placing/TargetFacts.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/placing/TargetFacts.java
@@ -10,7 +10,7 @@
  * @param port TCP port
  * @param zone availability zone
  * @param region region of that zone
- * @param slots requests that it runs at once, at least 1
+ * @param slots requests that it runs concurrently, at least 1
  * @param isDraining true if it accepts no new requests
  * @param remainingColdMillis time for which it stays cold, from when this was read; 0 if it is warm
  */
@@ -31,9 +31,9 @@
   }
 
   /**
-   * Returns true if this is an older registration of the same target than {@code known}, one that
-   * was delayed on its way. For a target that does not report its start time, a lower sequence may
-   * as well belong to a new incarnation and is not considered older.
+   * Returns true if this is an older registration of the same target than {@code current}, delayed
+   * in transit. For a target that does not report its start time, a lower sequence may as well
+   * belong to a new incarnation and is not considered older.
    */
   boolean isOlderThan(TargetFacts current) {
     boolean isSameIncarnation =
--- a/sageladder-core/src/main/java/org/sageladder/core/quarantine/CrashReportCodec.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quarantine/CrashReportCodec.java
@@ -45,8 +45,7 @@
       long atMillis = in.readLong();
       int count = in.readInt();
       if (count < 0 || count > MAX_FINGERPRINTS) {
-        throw new IOException(
-            "crash report has " + count + " fingerprints, at most 1000 are allowed");
+        throw new IOException("crash report has " + count + " fingerprints; expected at most 1000");
       }
       Set<Long> fingerprints = new HashSet<>();
       for (int i = 0; i < count; i++) {
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaCoordinator.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaCoordinator.java
@@ -62,7 +62,7 @@
   /**
    * Creates a coordinator that has no reports yet.
    *
-   * @param countedSinceMillis time since which its VM knows which requests ran
+   * @param countedSinceMillis time from which its VM has a complete count of requests
    */
   QuotaCoordinator(QuotaTolerance tolerance, Quota quota, long countedSinceMillis) {
     this.tolerance = tolerance;
@@ -135,8 +135,8 @@
 
   /**
    * Requests of the last window plus the tokens that may still be used. If all VMs were killed at
-   * once, none of them knows what ran before: for the part of the window before this VM's start the
-   * whole quota counts as used.
+   * the same time, the earlier counts are lost: for the fraction of the window before this VM's
+   * start, the full quota counts as used.
    */
   private double usedRequests(long nowMillis) {
     double unknownFraction =
@@ -205,7 +205,10 @@
         .removeIf(reporter -> nowMillis - reporter.lastReportMillis > 2 * tolerance.windowMillis());
   }
 
-  /** True if no VM has reported recently, so that a new coordinator would know as much. */
+  /**
+   * True if no VM has reported recently, so that this coordinator has no more information than a
+   * new one.
+   */
   boolean isIdle() {
     return reporters.isEmpty();
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaDecision.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/QuotaDecision.java
@@ -13,6 +13,6 @@
    */
   record Refused(long retryAfterMillis, String detail) implements QuotaDecision {}
 
-  /** The coordinator has to be asked; the decision is delivered later. */
+  /** The decision requires an answer of the coordinator and is delivered later. */
   record Pending() implements QuotaDecision {}
 }
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/Quotas.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/Quotas.java
@@ -21,8 +21,8 @@
  *
  * <p>Each workspace has a coordinator among the live VMs, chosen by rendezvous hashing. This class
  * implements both roles: the VM that reports its use and the coordinator of some workspaces. If the
- * coordinator does not answer, the next in order is asked. If none answers, the VM is isolated and
- * decides alone.
+ * coordinator does not answer, the VM reports to the next in order. If none answers, the VM is
+ * isolated and decides alone.
  *
  * <pre>{@code
  * Quotas quotas = Quotas.of("e-1", tolerance, discoveryMillis, peers, nowMillis);
@@ -39,7 +39,7 @@
   private static final long ANSWER_TIMEOUT_MILLIS = 250;
 
   /**
-   * Unanswered reports before another coordinator is asked; more than one, since datagrams may be
+   * Unanswered reports before another coordinator is tried; more than one, since datagrams may be
    * lost.
    */
   private static final int MAX_REPORT_ATTEMPTS = 3;
@@ -129,7 +129,7 @@
    * Creates the quotas of a VM that has just started.
    *
    * @param self name of the VM
-   * @param discoveryMillis time after which all other VMs know a VM that has started
+   * @param discoveryMillis time until all other VMs know of a VM that has started
    */
   public static Quotas of(
       String self, QuotaTolerance tolerance, long discoveryMillis, Peers peers, long nowMillis) {
--- a/sageladder-core/src/main/java/org/sageladder/core/quota/WorkspaceRateLimiter.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/quota/WorkspaceRateLimiter.java
@@ -8,12 +8,12 @@
 import org.sageladder.core.routing.Quota;
 
 /**
- * State of one workspace in one entry VM: the requests it admitted, its tokens, and the requests
- * that wait for a token.
+ * Rate limiter of one workspace in one entry VM: counts the admitted requests, and holds the tokens
+ * and the requests that wait for one.
  *
- * <p>Requests are admitted at once and reported. Once the coordinator announces that the quota is
- * nearly used up, each request needs a token. A VM that reaches no coordinator is isolated and
- * admits a fraction of what it admitted before.
+ * <p>Requests are admitted immediately and reported later. Once the coordinator announces that the
+ * quota is nearly used up, each request needs a token. A VM that reaches no coordinator is isolated
+ * and admits a fraction of what it admitted before.
  */
 final class WorkspaceRateLimiter {
   /**
@@ -73,7 +73,7 @@
     this.admittedInWindow = new SlidingWindowCounter(tolerance.windowMillis());
   }
 
-  /** Decides at once if possible, otherwise returns {@link QuotaDecision.Pending}. */
+  /** Decides immediately if possible, otherwise returns {@link QuotaDecision.Pending}. */
   QuotaDecision admit(Quota quota, long nowMillis) {
     expireTokens(nowMillis);
     if (isolated) {
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/InitialSnapshot.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/InitialSnapshot.java
@@ -33,7 +33,7 @@
     return new InitialSnapshot(time, peerWait);
   }
 
-  /** Records that {@code vm} was asked for its items. */
+  /** Records that the items of {@code vm} were requested. */
   public void recordRequest(String vm) {
     requestedPeers.add(vm);
   }
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/Item.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/Item.java
@@ -23,7 +23,12 @@
     }
     if (payload.length > MAX_PAYLOAD_BYTES) {
       throw new IllegalArgumentException(
-          key + " has " + payload.length + " bytes, at most " + MAX_PAYLOAD_BYTES + " are allowed");
+          key
+              + " has "
+              + payload.length
+              + " bytes; expected at most "
+              + MAX_PAYLOAD_BYTES
+              + " bytes");
     }
   }
 
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/SpreadSettings.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/SpreadSettings.java
@@ -6,7 +6,7 @@
  * Settings of a {@link Spreader}.
  *
  * @param bytesPerSecond byte budget for traffic that can wait: summaries, notices and repairs
- * @param burstBytes maximum number of bytes sent at once after an idle time
+ * @param burstBytes maximum number of bytes sent in a burst after an idle time
  * @param repairInterval mean time between two digest comparisons with a random peer
  * @param batchDelay how long non-urgent items are collected before they are sent together. An item
  *     that the neighbour sends in this time is not sent back to it.
--- a/sageladder-core/src/main/java/org/sageladder/core/spread/Spreader.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/spread/Spreader.java
@@ -18,8 +18,8 @@
 import org.sageladder.core.time.TimeSource;
 
 /**
- * Propagates versioned items: forwards new ones to the neighbours at once (gossip push) and repairs
- * losses by comparing digests with random peers (anti-entropy).
+ * Propagates versioned items: forwards new ones to the neighbours immediately (gossip push) and
+ * repairs losses by comparing digests with random peers (anti-entropy).
  *
  * <p>Contracts and views are sent as soon as they are accepted, as a delta if the neighbour is
  * known to have the previous version. All other items wait for {@link #tick()} and for the byte
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/Damping.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/Damping.java
@@ -4,10 +4,10 @@
  * Moves the current traffic fractions toward the desired ones, limited because readings are
  * delayed.
  *
- * <p>Callers are sent from their own region to others at once but return in small steps. A reading
- * that reports headroom in their region was taken while they were sent to other regions; acting on
- * it fully would make them oscillate between regions. If a zone has no capacity left, all its
- * callers are moved at once.
+ * <p>Callers are sent from their own region to others immediately but return in small steps. A
+ * reading that reports headroom in their region was taken while they were sent to other regions;
+ * acting on it fully would make them oscillate between regions. If a zone has no capacity left, all
+ * its callers are moved immediately.
  */
 final class Damping {
   private static final double RETURN_STEP_FRACTION = 0.1;
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/FallbackOrder.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/FallbackOrder.java
@@ -13,8 +13,8 @@
  * previous one unusable: failure of a VM, a zone or a region, or a region at its capacity.
  *
  * <p>Remote zones are selected in proportion to their headroom. If each answer contained only the
- * zone with the most headroom, all callers refused by a full region would ask that zone at once, be
- * refused there too, and never be sent to the headroom left in other zones.
+ * zone with the most headroom, all callers refused by a full region would try that zone at the same
+ * time, be refused there too, and never be sent to the headroom left in other zones.
  */
 final class FallbackOrder {
   private static final double MIN_HEADROOM_PER_SECOND = 1e-3;
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/ReadingAge.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/ReadingAge.java
@@ -6,9 +6,9 @@
   FRESH,
   /** Up to 30 s old: the zone gets no more than it was known to admit. */
   AGEING,
-  /** Up to 2 minutes old: callers of its own region only, up to the last ceiling. */
+  /** Up to 2 minutes old: callers of the same region only, up to the last ceiling. */
   OLD,
-  /** Older or never received: callers of its own region only, up to the planned capacity. */
+  /** Older or never received: callers of the same region only, up to the planned capacity. */
   ABSENT;
 
   private static final long FRESH_MILLIS = 8_000;
--- a/sageladder-core/src/main/java/org/sageladder/core/steering/Waterfall.java
+++ b/sageladder-core/src/main/java/org/sageladder/core/steering/Waterfall.java
@@ -87,8 +87,8 @@
    * Sends the demand that exceeds a region's capacity to the other regions, in proportion to their
    * headroom.
    *
-   * <p>All regions are served at once, each in proportion to its excess, so that the order of the
-   * contract's regions favors none.
+   * <p>All regions are served simultaneously, each in proportion to its excess, so that the order
+   * of the contract's regions favors none.
    */
   private double[] spill(double[] excess) {
     double total = 0;
--- a/sageladder-core/src/test/java/org/sageladder/core/limits/ServiceGateTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/limits/ServiceGateTest.java
@@ -107,7 +107,7 @@
   @Test
   void gainOfDrainingTargetGoesToOtherTargets() {
     // A target is drained during a surge, so all requests go to the gate's other target. Guards
-    // against that target having only its own part of the region's gain: requests waited a second
+    // against that target having only its own share of the region's gain: requests waited a second
     // and were refused although the region used only two thirds of what the contract allows.
     ServiceGate surging =
         ServiceGate.create(
@@ -308,7 +308,7 @@
   @Test
   void backgroundRequestsAreShedBeforeCriticalOnes() {
     // One entry VM handles background and critical requests. Guards against background requests
-    // that fill its queue places, so that a critical request is refused in favour of work that
+    // that fill its queue, so that a critical request is refused in favour of work that
     // could run hours later.
     QueueBudget budget = QueueBudget.of(4);
     ServiceGate background = gateOf(RequestClass.BACKGROUND, budget);
@@ -324,7 +324,7 @@
     assertEquals(2, critical.queuedCount());
     critical.close();
     background.close();
-    assertEquals(0, budget.waitingCount(), "queue places of refused requests must be released");
+    assertEquals(0, budget.waitingCount(), "queue capacity of refused requests must be released");
   }
 
   private ServiceGate gateOf(RequestClass requestClass, QueueBudget budget) {
--- a/sageladder-core/src/test/java/org/sageladder/core/membership/ZoneViewBuilderTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/membership/ZoneViewBuilderTest.java
@@ -103,8 +103,8 @@
     assertEquals(2, zone.view().members().size());
   }
 
-  // The platform's list may still show a target as leaving after a restart, or no longer show a
-  // target as leaving that still is.
+  // The platform's list may still show a target as draining after a restart, or no longer show a
+  // target as draining that still is.
   @Test
   void targetStaysDrainingUntilNextIncarnation() {
     ZoneFake zone = new ZoneFake(2);
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/HandOverCodecTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/HandOverCodecTest.java
@@ -69,8 +69,8 @@
 
   /**
    * Guards against bytes that are truncated within the checksum, so that all answers can still be
-   * decoded. Whether a truncation at a given place is of this kind depends on the iteration order
-   * of a map, which differs between processes: about one run in several hundred accepted such
+   * decoded. Whether a truncation at a given position is of this kind depends on the iteration
+   * order of a map, which differs between processes: about one run in several hundred accepted such
    * bytes.
    */
   @Test
--- a/sageladder-core/src/test/java/org/sageladder/core/permit/PermitCodecTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/permit/PermitCodecTest.java
@@ -18,7 +18,7 @@
     return new KeyRing.Key(id, 0, KeyRing.Secret.of(secret));
   }
 
-  /** If a permit changed on the way, its issuer could not find its state. */
+  /** If a permit changed in transit, its issuer could not find its state. */
   @Test
   void sealedPermitOpensUnchanged() {
     PermitCodec codec = PermitCodec.of(() -> KeyRing.of(List.of(key("k1", 1))));
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementUnderLoadTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/PlacementUnderLoadTest.java
@@ -18,7 +18,10 @@
 
 /** Compares placement with simpler policies in a simulation of targets. */
 class PlacementUnderLoadTest {
-  /** Load that the 36 slots can serve only if most runs are on warm targets. */
+  /**
+   * 80 requests per second are more than the 36 slots can serve unless most runs are on warm
+   * targets.
+   */
   private static final int HEAVY_REQUESTS_PER_SECOND = 80;
 
   private static final int SECONDS = 30;
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/TargetModel.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/TargetModel.java
@@ -97,7 +97,7 @@
       }
     }
 
-    /** The caller no longer waits: the request leaves its slot or its place in the queue. */
+    /** The caller no longer waits: the request releases its slot or leaves the queue. */
     void cancel(Request request) {
       if (!waiting.remove(request)) {
         running--;
--- a/sageladder-core/src/test/java/org/sageladder/core/placing/TargetTableTest.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/placing/TargetTableTest.java
@@ -29,8 +29,8 @@
   }
 
   /**
-   * A target got a request 2,533 ms after the store had reported that it leaves, 33 ms too late:
-   * its removal was carried out at the next sweep, up to a quarter of a second after its time.
+   * A target got a request 2,533 ms after the store had reported it draining, 33 ms too late: its
+   * removal was carried out at the next sweep, up to a quarter of a second after its time.
    */
   @Test
   void scheduledRemovalTakesEffectBeforeSweep() {
--- a/sageladder-core/src/test/java/org/sageladder/core/quota/QuotaModel.java
+++ b/sageladder-core/src/test/java/org/sageladder/core/quota/QuotaModel.java
@@ -104,7 +104,9 @@
     disconnected.add(vm);
   }
 
-  /** Kills all VMs at once and restarts them without any state after {@code downMillis}. */
+  /**
+   * Kills all VMs at the same time and restarts them without any state after {@code downMillis}.
+   */
   void restartAll(long downMillis) {
     List<String> names = new ArrayList<>();
     for (int vm = 0; vm < vmCount; vm++) {
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Attempt.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Attempt.java
@@ -295,10 +295,10 @@
   }
 
   /**
-   * The target has restarted under the same id. A request sent to its previous start is lost,
-   * though the connection may stay open for seconds if that start ended behind a network cut. An
-   * attempt that began shortly before the new start, within the clock skew, may be running at the
-   * new one and continues.
+   * The target has restarted under the same id. A request sent to its previous incarnation is lost,
+   * though the connection may stay open for seconds if that incarnation ended behind a network
+   * partition. An attempt that began shortly before the restart, within the clock skew, may be
+   * running at the new incarnation and continues.
    */
   void onTargetRestarted(TargetIncarnation newIncarnation) {
     boolean isAtPreviousIncarnation = target().facts().incarnation().isBefore(newIncarnation);
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Exchange.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Exchange.java
@@ -317,11 +317,12 @@
       onQuotaDecision(quota);
       return;
     }
-    PlacementRequest order =
+    PlacementRequest placementRequest =
         new PlacementRequest(
             requireRoute(), service, objectHash, remainingMillis(), sender.workspaceOrNull());
     ServiceRule rule = rules == null ? null : rules.service(service).orElse(null);
-    PlacementDecision decision = forwarder.placement().place(order, rule, triedTargetIds, now);
+    PlacementDecision decision =
+        forwarder.placement().place(placementRequest, rule, triedTargetIds, now);
     if (decision instanceof PlacementDecision.Send send) {
       if (!forwarder.canFinishBeforeStop(send.expectedWaitMillis() + send.expectedRunMillis())) {
         endWithoutResponse(
@@ -330,14 +331,15 @@
             "not enough time before the shutdown");
         return;
       }
-      Attempt next = new Attempt(forwarder, this, order, send);
+      Attempt next = new Attempt(forwarder, this, placementRequest, send);
       attempt = next;
       triedTargetIds.add(send.target().facts().id());
       next.start(!requireRoute().idempotent());
       return;
     }
     PlacementDecision.Refuse refuse = (PlacementDecision.Refuse) decision;
-    String reason = forwarder.requestLog().recordRefusal(refuse, order.remainingMillis());
+    String reason =
+        forwarder.requestLog().recordRefusal(refuse, placementRequest.remainingMillis());
     endWithoutResponse(ResultCode.NO_TARGET, refuse.retryAfterMillis(), reason);
   }
 
@@ -373,7 +375,7 @@
     logAttempt(
         EventKind.RETRIED,
         refused,
-        isMisdirected ? "misdirected: another target has this address" : "refused by the target");
+        isMisdirected ? "misdirected: another target has this address" : "refused");
     if (isMisdirected) {
       forwarder.targets().remove(refused.target().facts().incarnation());
       forwarder.forgetTarget(refused.target().facts().incarnation());
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Forwarder.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Forwarder.java
@@ -47,8 +47,8 @@
   private static final double RUN_TIME_SAFETY_FACTOR = 2;
 
   /**
-   * How long the shift bound stays lifted; work moves to free capacity within a few requests' run
-   * time.
+   * How long the limit on shifts between regions stays suspended; work moves to free capacity
+   * within a few requests' run time.
    */
   private static final long SHIFT_LIMIT_SUSPENSION_MILLIS = 4_000;
 
@@ -80,7 +80,7 @@
   private int inFlightCount;
 
   /**
-   * Identity of this entry VM and the bounds that apply to it.
+   * Identity of this entry VM and the limits that apply to it.
    *
    * @param name name of this entry VM
    * @param zoneFraction fraction of all zones that are in this region
@@ -235,7 +235,7 @@
     return targets;
   }
 
-  /** Applies new bounds; name, zone and region stay those of the start. */
+  /** Applies new limits; name, zone and region cannot change after the start. */
   public void updateLimits(Options newOptions) {
     coldLimiter.updateLimits(newOptions.coldRateFactor(), newOptions.coldSlackPerSecond());
     retryBudget.updateLimits(
@@ -258,16 +258,16 @@
         liveEntries.stream().map(ColdTargetLimiter.EntryVmLocation::name).toList());
   }
 
-  /** Drops the idle connections and the counters of a target start that has ended. */
+  /** Drops the idle connections and the counters of an incarnation that has ended. */
   public void forgetTarget(TargetIncarnation target) {
     connectionPool.closeIdle(target);
     coldLimiter.removeTarget(target.id());
   }
 
   /**
-   * Applies the facts that a target has published. If the target has restarted, connections to its
-   * previous start are closed and requests in flight there fail. The count of requests sent to it
-   * while cold is kept: enforcing that bound too strictly for a second does no harm.
+   * Applies a target's registration. If the target has restarted, connections to its previous
+   * incarnation are closed and requests in flight there fail. The count of requests sent to it
+   * while cold is kept: enforcing that limit too strictly for a second does no harm.
    */
   public TargetTable.Change updateTarget(TargetFacts facts) {
     Optional<TargetIncarnation> previousIncarnation =
@@ -281,7 +281,7 @@
   }
 
   /**
-   * Lifts the bound on shifts between regions for a while, after a zone was evacuated or targets
+   * Suspends the limit on shifts between regions for a while, after a zone was evacuated or targets
    * were removed and the free capacity of the regions has changed.
    */
   public void onCapacityChange() {
@@ -305,7 +305,7 @@
 
   /**
    * Begins the shutdown: each response closes its connection so that callers look up another VM,
-   * and a request that is unlikely to finish within {@code millis} is refused.
+   * and a request that is unlikely to finish within {@code graceMillis} is refused.
    */
   public void beginShutdown(long graceMillis) {
     isStopping = true;
@@ -313,9 +313,9 @@
   }
 
   /**
-   * True if a request with an estimated time of {@code millis} is likely to finish before the stop.
-   * The stop aborts whatever still waits at a target then, and a run may take up to twice its
-   * estimate.
+   * True if a request with an estimated time of {@code estimatedMillis} is likely to finish before
+   * the stop. The stop aborts whatever still waits at a target then, and a run may take up to twice
+   * its estimate.
    */
   boolean canFinishBeforeStop(double estimatedMillis) {
     return !isStopping
--- a/sageladder-forward/src/main/java/org/sageladder/forward/Loop.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/Loop.java
@@ -114,7 +114,7 @@
     eventLoop.execute(() -> taskExecutor.execute(task));
   }
 
-  /** Runs {@code task} on the event loop after {@code millis}. */
+  /** Runs {@code task} on the event loop after {@code delayMillis}. */
   public Timer schedule(long delayMillis, Runnable task) {
     var future =
         eventLoop.schedule(
@@ -124,7 +124,7 @@
     };
   }
 
-  /** Runs {@code task} on the event loop every {@code millis}, first after that time. */
+  /** Runs {@code task} on the event loop every {@code intervalMillis}, first after that time. */
   public void scheduleAtFixedRate(long intervalMillis, Runnable task) {
     var unused =
         eventLoop.scheduleAtFixedRate(
--- a/sageladder-forward/src/main/java/org/sageladder/forward/TargetConnectionPool.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/TargetConnectionPool.java
@@ -14,7 +14,7 @@
 import org.sageladder.core.placing.TargetIncarnation;
 
 /**
- * Pool of connections to targets, each reused only for the same start of a target.
+ * Pool of connections to targets, each reused only for the same incarnation of a target.
  *
  * <p>The most recently used connection is taken first, so that surplus ones age and are closed.
  */
@@ -109,7 +109,7 @@
     connection.markIdle(loop.nowMillis(), () -> idle.remove(connection));
   }
 
-  /** Closes the idle connections to a start of a target that has ended. */
+  /** Closes the idle connections to an incarnation of a target that has ended. */
   void closeIdle(TargetIncarnation target) {
     Deque<TargetConnection> idle = idleConnections.remove(target);
     if (idle != null) {
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryControl.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryControl.java
@@ -27,8 +27,8 @@
   /**
    * Grace period for entries whose lease may have lapsed. They are written again about two seconds
    * after the store recovers; a removal is seen some hundred milliseconds after that. The period
-   * must stay below the shortest bound on leaving targets (2,500 ms) minus the delay of the removal
-   * (600 ms plus network) and the time of a request on its way to the target.
+   * must stay below the shortest bound on draining targets (2,500 ms) minus the delay of the
+   * removal (600 ms plus network) and the time of a request on its way to the target.
    */
   private static final long LAPSE_GRACE_MILLIS = 1_200;
 
@@ -234,7 +234,7 @@
 
   /**
    * Stops using a target or an entry VM whose entry was overwritten with a malformed one, until the
-   * entry is readable again: the new entry may have announced that it leaves. Requests in flight
+   * entry is readable again: the new entry may have announced that it stops. Requests in flight
    * there continue. Malformed rules change nothing, since an older version never comes back.
    */
   @Override
@@ -298,10 +298,10 @@
   private void publishEntries() {
     isPublishScheduled = false;
     Collection<EntryVm> live = entryDirectory.liveVms();
-    List<EntryVmLocation> places =
+    List<EntryVmLocation> locations =
         live.stream().map(vm -> new EntryVmLocation(vm.name(), vm.zone(), vm.region())).toList();
     changeFeed.updateLiveVms(live);
     liveVmListener.accept(live);
-    forwarder.updateEntries(places);
+    forwarder.updateEntries(locations);
   }
 }
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryDirectory.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/EntryDirectory.java
@@ -47,7 +47,7 @@
     isStopping = true;
   }
 
-  /** The live entry VMs, including this one unless it is leaving. */
+  /** The live entry VMs, including this one unless it is stopping. */
   public Collection<EntryVm> liveVms() {
     Map<String, EntryVm> all = new TreeMap<>(registeredVms);
     if (isStopping) {
--- a/sageladder-forward/src/main/java/org/sageladder/forward/control/PlatformStore.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/control/PlatformStore.java
@@ -22,7 +22,7 @@
   /** Waits up to {@code waitMillis} for changes after {@code revision}. */
   void watch(long revision, long waitMillis, Consumer<StoreResult<StorePage>> callback);
 
-  /** Grants a lease of {@code millis}; results in its id. */
+  /** Grants a lease of {@code durationMillis}; results in its id. */
   void grantLease(long durationMillis, Consumer<StoreResult<Long>> callback);
 
   /** Renews a lease; results in {@code Gone} if it has ended. */
@@ -32,7 +32,8 @@
   void revokeLease(long leaseId, Consumer<StoreResult<Long>> callback);
 
   /**
-   * Publishes to all entry VMs, under a lease, that {@code vm} has observed a crash of a target.
+   * Publishes to all entry VMs, under a lease, that {@code vmName} has observed a crash of a
+   * target.
    */
   void publishCrash(
       String vmName, CrashReport report, long leaseId, Consumer<StoreResult<Long>> callback);
--- a/sageladder-forward/src/main/java/org/sageladder/forward/peer/QuotaCodec.java
+++ b/sageladder-forward/src/main/java/org/sageladder/forward/peer/QuotaCodec.java
@@ -99,7 +99,10 @@
       long retryAfterMillis = in.getLong();
       if (tokensRequired < 0 || tokensRequired > 1 || retryAfterMillis < 0) {
         throw new MalformedException(
-            "invalid grant: limited " + tokensRequired + ", retry " + retryAfterMillis);
+            "invalid grant: tokens required "
+                + tokensRequired
+                + ", retry after milliseconds "
+                + retryAfterMillis);
       }
       return new TokenGrant(workspace, number, tokensRequired == 1, tokens, retryAfterMillis);
     }
--- a/sageladder-forward/src/test/java/org/sageladder/forward/AtMostOnceTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/AtMostOnceTest.java
@@ -120,8 +120,8 @@
   }
 
   /**
-   * Guards against targets that go on working for callers that are gone, while other requests wait
-   * for the slot.
+   * Guards against targets that go on working for callers that have disconnected, while other
+   * requests wait for the slot.
    */
   @Test
   void closedCallerConnectionCancelsItsRequest() throws Exception {
@@ -188,8 +188,8 @@
   }
 
   /**
-   * Only a VM with rules can determine that a route does not exist; without rules the result is
-   * 503.
+   * A 404 means that no such route exists, which only a VM that has rules can determine; without
+   * rules the result is 503.
    */
   @Test
   void unknownRoutesAre404OnlyOnceRulesAreKnown() throws Exception {
--- a/sageladder-forward/src/test/java/org/sageladder/forward/TargetRestartTest.java
+++ b/sageladder-forward/src/test/java/org/sageladder/forward/TargetRestartTest.java
@@ -9,7 +9,9 @@
 import org.sageladder.core.placing.TargetIncarnation;
 import org.sageladder.forward.ForwardingFixture.Caller;
 
-/** A target restarts under the same id: connections and requests at its previous start end. */
+/**
+ * A target restarts under the same id: connections and requests at its previous incarnation end.
+ */
 class TargetRestartTest {
   private static final long HOUR_MILLIS = 3_600_000;
 
@@ -33,7 +35,7 @@
   }
 
   /**
-   * The target crashed behind a network cut: no reset arrived, and its idle connection looks
+   * The target crashed behind a network partition: no reset arrived, and its idle connection looks
    * usable. A request sent on it would be lost with an unknown outcome.
    */
   @Test
@@ -51,9 +53,9 @@
   }
 
   /**
-   * An idempotent request is in flight at a target that ended behind a network cut. Its connection
-   * stays open and silent, so that the caller would wait until the deadline if the restart were
-   * ignored.
+   * An idempotent request is in flight at a target that ended behind a network partition. Its
+   * connection stays open and silent, so that the caller would wait until the deadline if the
+   * restart were ignored.
    */
   @Test
   void idempotentRequestAtThePreviousIncarnationIsRetriedAtAnotherTarget() throws Exception {
@@ -71,9 +73,9 @@
   }
 
   /**
-   * A non-idempotent request is in flight at a target that has restarted. The previous start may
-   * have run it, so it is neither retried nor reported as "not run", and the caller is answered at
-   * once.
+   * A non-idempotent request is in flight at a target that has restarted. The previous incarnation
+   * may have run it, so it is neither retried nor reported as "not run", and the caller is answered
+   * immediately.
    */
   @Test
   void nonIdempotentRequestAtThePreviousIncarnationHasUnknownOutcome() throws Exception {
@@ -92,8 +94,8 @@
   }
 
   /**
-   * The facts of the new start arrive shortly after a request was sent to it. Within the clock skew
-   * the request may be running at the new start, so it continues.
+   * The registration of the new incarnation arrives shortly after a request was sent to it. Within
+   * the clock skew the request may be running at the new incarnation, so it continues.
    */
   @Test
   void requestThatMayBeAtTheNewIncarnationContinues() throws Exception {
