--- a/sageladder-client/src/main/java/org/sageladder/client/AttemptResult.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/AttemptResult.java
@@ -13,7 +13,7 @@
       implements AttemptResult {}
 
   /**
-   * The entry VM answered with a result of its own, without a response of the target.
+   * The entry VM answered with its own result, not with a response of the target.
    *
    * @param newPermit the permit that came with the result, or empty
    */
--- a/sageladder-client/src/main/java/org/sageladder/client/EntryClient.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/EntryClient.java
@@ -163,7 +163,7 @@
 
   private AttemptResult exchange(
       EntryAddress entry, AsyncRequestProducer request, Duration timeout, @Nullable BodySink sink) {
-    long deadline = System.nanoTime() + timeout.toNanos();
+    long deadlineNanos = System.nanoTime() + timeout.toNanos();
     AsyncClientEndpoint endpoint;
     try {
       endpoint = connect(entry, timeout);
@@ -176,7 +176,7 @@
       Future<BodyConsumer.ReceivedResponse> future =
           endpoint.execute(request, consumer, HttpCoreContext.create(), null);
       BodyConsumer.ReceivedResponse received =
-          future.get(Math.max(0, deadline - System.nanoTime()), TimeUnit.NANOSECONDS);
+          future.get(Math.max(0, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
       isComplete = true;
       if (received.head().containsHeader(LOOK_UP_AGAIN_HEADER)) {
         onDrainingEntry.accept(entry);
--- a/sageladder-client/src/main/java/org/sageladder/client/RetryBudget.java
+++ b/sageladder-client/src/main/java/org/sageladder/client/RetryBudget.java
@@ -12,9 +12,9 @@
   private final double tokensPerRequest;
   private double tokens;
 
-  private RetryBudget(double fraction, double saved) {
+  private RetryBudget(double fraction, double initialTokens) {
     this.tokensPerRequest = fraction;
-    this.tokens = saved;
+    this.tokens = initialTokens;
   }
 
   /** Creates a budget that starts with ten retries, or none if {@code fraction} is 0. */
--- a/sageladder-client/src/test/java/org/sageladder/client/RetryPolicyProperties.java
+++ b/sageladder-client/src/test/java/org/sageladder/client/RetryPolicyProperties.java
@@ -27,7 +27,7 @@
   private static final int MAX_ATTEMPTS = 12;
 
   // Guards against running a request twice, or reporting "not run" although a copy of it runs
-  // later. The connection may break, the issuer may refuse, another entry VM may be asked, or a
+  // later. The connection may break, the issuer may refuse, another entry VM may be tried, or a
   // copy that seemed lost may arrive late.
   @Property(tries = 5000, seed = "20261202")
   void requestRunsAtMostOnceAndNotRunIsNeverWrong(@ForAll long seed) {
@@ -203,7 +203,7 @@
         Answer.NotRun.class, assertInstanceOf(RetryPolicy.Step.End.class, step).answer());
   }
 
-  // While a request runs, its permit issuer reports this with a time to ask again, and every entry
+  // While a request runs, its permit issuer reports this with a retry-after time, and every entry
   // VM forwards the query to that issuer. Querying the next entry VM at once would only use up the
   // allowed queries, and a request that runs for a while would end with an unknown outcome.
   @Example
--- a/sageladder-client/src/test/java/org/sageladder/client/SageladderClientTest.java
+++ b/sageladder-client/src/test/java/org/sageladder/client/SageladderClientTest.java
@@ -168,8 +168,8 @@
     assertEquals("whole song", received.toString(StandardCharsets.UTF_8));
   }
 
-  // The entry VM that accepted a bid dies before it responds. The client must ask the next entry VM
-  // under the same permit; under another one the bid could run a second time.
+  // The entry VM that accepted a bid fails before it responds. The client must query the next entry
+  // VM under the same permit; under another one the bid could run a second time.
   @Test
   void lostRequestIsResentUnderSamePermit() {
     firstEntry.useScript(head -> isLookUp(head) ? route(60_000, "p-1") : "");
@@ -243,11 +243,10 @@
     return entry.requests().stream().map(SageladderClientTest::permitOf).toList();
   }
 
-  // One of six entry VMs dies. Until the cached routes to it have expired, every sixth request
+  // One of six entry VMs fails. Until the cached routes to it have expired, every sixth request
   // first tries it and is refused a connection. If these attempts counted as retries, they would
-  // use up the
-  // retry budget of all other requests, which would then end with NO_TARGET although five entry VMs
-  // are available.
+  // use up the retry budget of all other requests, which would then end with NO_TARGET although
+  // five entry VMs are available.
   @Test
   void unreachableEntryVmDoesNotUseRetryBudget() throws IOException {
     client.close();
@@ -316,8 +315,8 @@
   }
 
   // After half of the remaining time the client moves to the next entry VM. The first one, which
-  // knew only the deadline, gave the request a slot just then, and its run was aborted. Each
-  // request was started and aborted several times, and its outcome was reported as unknown.
+  // had received only the deadline, gave the request a slot just then, and its run was aborted.
+  // Each request was started and aborted several times, and its outcome was reported as unknown.
   @Test
   void attemptTimeoutIsSentToEntryVm() {
     firstEntry.useScript(
--- a/sageladder-entry/src/main/java/org/sageladder/entry/KeyRefresher.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/KeyRefresher.java
@@ -38,7 +38,7 @@
       scheduleRefresh(nextDelay());
     } catch (StoreException | RuntimeException e) {
       logger.atWarning().atMostEvery(1, TimeUnit.MINUTES).withCause(e).log(
-          "cannot read the permit keys; the known keys stay in use");
+          "cannot read the permit keys; the current keys stay in use");
       scheduleRefresh(RETRY_DELAY);
     }
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlStateMachine.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ControlStateMachine.java
@@ -199,10 +199,10 @@
     linkLostNanos.remove(from);
     if (message instanceof InnerMessage.Spread spread) {
       onSpreadMessage(from, spread.message());
-    } else if (message instanceof InnerMessage.HeartbeatMessage beat) {
-      onHeartbeat(from, beat.heartbeat());
-    } else if (message instanceof InnerMessage.HeartbeatAnswerMessage beatAnswer) {
-      onHeartbeatAnswer(from, beatAnswer.answer());
+    } else if (message instanceof InnerMessage.HeartbeatMessage heartbeatMessage) {
+      onHeartbeat(from, heartbeatMessage.heartbeat());
+    } else if (message instanceof InnerMessage.HeartbeatAnswerMessage answerMessage) {
+      onHeartbeatAnswer(from, answerMessage.answer());
     } else if (message instanceof InnerMessage.Direct direct) {
       effects.deliverPayload(from, direct.payload().topic(), direct.payload().content());
     }
@@ -239,7 +239,7 @@
     spreader.onLinkLost(vm);
   }
 
-  /** Time since the last sign of life of the zone's relay. */
+  /** Time since the last message from the zone's relay. */
   long relaySilenceNanos() {
     return time.nanos() - lastRelayMessageNanos;
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/HttpTargetProbe.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/HttpTargetProbe.java
@@ -62,8 +62,8 @@
     private void reportIdle(byte[] bytes) {
       try {
         JsonNode load = JSON.readTree(bytes);
-        boolean idle = load.path("busy").asInt(1) == 0 && !load.path("draining").asBoolean();
-        onAnswer.accept(idle);
+        boolean isIdle = load.path("busy").asInt(1) == 0 && !load.path("draining").asBoolean();
+        onAnswer.accept(isIdle);
       } catch (IOException e) {
         logger.atFine().withCause(e).log("malformed load report from target %s", holding.target());
       }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/Incarnations.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/Incarnations.java
@@ -26,10 +26,10 @@
    * @throws StoreException if the source is the store and the store does not answer
    */
   public static long forThisStart(
-      EntrySettings.Incarnation source, String customer, String vm, Store store, TimeSource time)
+      EntrySettings.Incarnation settings, String customer, String vm, Store store, TimeSource time)
       throws StoreException {
-    return switch (source.source()) {
-      case FIXED -> source.number();
+    return switch (settings.source()) {
+      case FIXED -> settings.number();
       case CLOCK -> fromClock(time);
       case STORE -> fromStore("incarnations/" + customer + "/" + vm, store);
     };
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/InnerKeys.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/InnerKeys.java
@@ -13,9 +13,9 @@
 /**
  * Supplies the keys of the inner protocol: first those of the settings, then those of the store.
  *
- * <p>A VM that starts while the store is down has no key from there and could not ask its peers for
- * the contract. Keys from the settings cover this case. All VMs of a customer have the same keys in
- * their settings, so these come first and are used for signing.
+ * <p>A VM that starts while the store is down has no key from there and could not request the
+ * contract from its peers. Keys from the settings cover this case. All VMs of a customer have the
+ * same keys in their settings, so these come first and are used for signing.
  */
 public final class InnerKeys implements Supplier<Optional<KeyRing>> {
   private final List<KeyRing.Key> settingsKeys;
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/PeerDirectory.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/PeerDirectory.java
@@ -281,13 +281,13 @@
   private List<String> knownZones(Map<String, RelayedView> views) {
     Set<String> zones = new TreeSet<>(views.keySet());
     zones.add(identity.zone());
-    listedVms.values().forEach(line -> zones.add(line.zone()));
+    listedVms.values().forEach(vm -> zones.add(vm.zone()));
     return List.copyOf(zones);
   }
 
   private List<String> listedVmsIn(String zone) {
     return listedVms.values().stream()
-        .filter(line -> line.zone().equals(zone))
+        .filter(vm -> vm.zone().equals(zone))
         .map(ListedVm::id)
         .toList();
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/TargetProbe.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/TargetProbe.java
@@ -7,7 +7,7 @@
 @FunctionalInterface
 public interface TargetProbe {
   /**
-   * Sends a probe to {@code target}; returns at once.
+   * Sends a probe to the target of {@code holding}; returns at once.
    *
    * @param onAnswer receives whether the target is idle, that is, has no busy slot and is not
    *     draining; not called if the target does not answer
--- a/sageladder-entry/src/main/java/org/sageladder/entry/control/ZoneTakeOver.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/control/ZoneTakeOver.java
@@ -31,10 +31,11 @@
  * a probe and is idle, the zone is assumed to have failed: in a partition the target would be
  * unreachable, and if the zone still served requests, the target would be busy sooner or later. As
  * this conclusion may be wrong, only half of the target's slots are used, and its own zone uses no
- * more than the other half until it knows that they were given back. So no target is overloaded.
+ * more than the other half until it has received notice that they were given back. So no target is
+ * overloaded.
  *
- * <p>A take-over is published as a replicated item, so that the next relay of either zone knows of
- * it. Runs on the zone's relay; not thread-safe.
+ * <p>A take-over is published as a replicated item, so that the next relay of either zone has it.
+ * Runs on the zone's relay; not thread-safe.
  */
 final class ZoneTakeOver {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/BodyCollector.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/BodyCollector.java
@@ -43,10 +43,10 @@
   @Override
   public int write(ByteBuffer source) {
     int length = source.remaining();
-    byte[] part = new byte[length];
-    source.get(part);
+    byte[] chunk = new byte[length];
+    source.get(chunk);
     if (bytes.size() + length <= maxBytes) {
-      bytes.writeBytes(part);
+      bytes.writeBytes(chunk);
     }
     return length;
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/BodyPipe.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/BodyPipe.java
@@ -136,10 +136,10 @@
       return false;
     }
     ByteBuffer view = bytes.duplicate();
-    byte[] part = new byte[Math.min(view.remaining(), HASHED_PREFIX_BYTES - prefixBytes)];
-    view.get(part);
-    prefixHash.putBytes(part);
-    prefixBytes += part.length;
+    byte[] chunk = new byte[Math.min(view.remaining(), HASHED_PREFIX_BYTES - prefixBytes)];
+    view.get(chunk);
+    prefixHash.putBytes(chunk);
+    prefixBytes += chunk.length;
     return prefixBytes == HASHED_PREFIX_BYTES;
   }
 
@@ -149,7 +149,7 @@
     return action;
   }
 
-  /** Runs {@code action} once the first 16 KB, or the whole of a shorter body, have arrived. */
+  /** Runs {@code action} once the first 16 KB, or all of a shorter body, have arrived. */
   public void whenPrefixComplete(Runnable action) {
     synchronized (lock) {
       if (!isEnded && prefixBytes < HASHED_PREFIX_BYTES) {
@@ -160,7 +160,7 @@
     action.run();
   }
 
-  /** Hash of the part of the first 16 KB that has arrived. */
+  /** Hash of the bytes that have arrived, up to the first 16 KB. */
   public long prefixHash() {
     synchronized (lock) {
       return prefixHash.getAsLong();
@@ -285,7 +285,7 @@
     }
   }
 
-  // discard() may have emptied the queue while this buffer was being written, so only the same
+  // discard() may have cleared the queue while this buffer was being written, so only the same
   // buffer is removed, never one with equal content.
   @SuppressWarnings("ReferenceEquality")
   private void returnCredit(int written, ByteBuffer head) throws IOException {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/BodyRecorder.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/BodyRecorder.java
@@ -31,9 +31,9 @@
       return;
     }
     ByteBuffer view = bytes.duplicate();
-    byte[] part = new byte[view.remaining()];
-    view.get(part);
-    copy.writeBytes(part);
+    byte[] chunk = new byte[view.remaining()];
+    view.get(chunk);
+    copy.writeBytes(chunk);
   }
 
   /** The complete body, or empty if it was too large. */
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/CallerExchange.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/CallerExchange.java
@@ -105,7 +105,7 @@
 
   /**
    * Runs {@code action} once when the exchange ends, or at once if it has ended. An end before the
-   * complete response means that the caller is gone.
+   * complete response means that the caller has disconnected.
    */
   public void onEnd(Runnable action) {
     endAction.set(action);
@@ -116,27 +116,31 @@
 
   /** Sends 100 Continue to a caller that expects it before it sends its body. */
   public void sendContinue() throws IOException {
-    ResponseChannel to = channel;
-    HttpContext in = context;
-    if (to == null || in == null || !request().containsHeader(HttpHeaders.EXPECT)) {
+    ResponseChannel currentChannel = channel;
+    HttpContext currentContext = context;
+    if (currentChannel == null
+        || currentContext == null
+        || !request().containsHeader(HttpHeaders.EXPECT)) {
       return;
     }
     try {
-      to.sendInformation(new BasicHttpResponse(100), in);
+      currentChannel.sendInformation(new BasicHttpResponse(100), currentContext);
     } catch (HttpException e) {
       throw new IOException("cannot send 100 Continue", e);
     }
   }
 
   /**
-   * Starts the response; false if one was started before or the caller is gone.
+   * Starts the response; false if one was started before or the caller has disconnected.
    *
    * @param details length and type of the body, or null if there is none
    */
   public boolean respond(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
-    ResponseChannel to = channel;
-    HttpContext in = context;
-    if (to == null || in == null || !isResponseStarted.compareAndSet(false, true)) {
+    ResponseChannel currentChannel = channel;
+    HttpContext currentContext = context;
+    if (currentChannel == null
+        || currentContext == null
+        || !isResponseStarted.compareAndSet(false, true)) {
       return false;
     }
     responseBody = body;
@@ -149,7 +153,7 @@
         response.setHeader(HttpHeaders.CONNECTION, "close");
         response.setHeader(LOOK_UP_AGAIN, "true");
       }
-      to.sendResponse(response, details, in);
+      currentChannel.sendResponse(response, details, currentContext);
       return true;
     } catch (IOException | HttpException e) {
       body.fail(e);
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/InFlightCounter.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/InFlightCounter.java
@@ -28,12 +28,14 @@
     targetRequestCount.incrementAndGet();
   }
 
-  /** Requests for targets since the start; look-ups and messages of peers do not count. */
+  /**
+   * Number of requests for targets since the start; look-ups and messages of peers do not count.
+   */
   public long targetRequestCount() {
     return targetRequestCount.get();
   }
 
-  /** Exchanges that have not ended. */
+  /** Number of exchanges that have not ended. */
   public int exchangeCount() {
     return exchangeCount.get();
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/exchange/OutboundExchange.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/exchange/OutboundExchange.java
@@ -167,24 +167,24 @@
     if (!isFinished.compareAndSet(false, true)) {
       return false;
     }
-    AsyncClientEndpoint known;
+    AsyncClientEndpoint currentEndpoint;
     synchronized (lock) {
-      known = endpoint;
+      currentEndpoint = endpoint;
     }
-    if (known != null) {
-      known.releaseAndReuse();
+    if (currentEndpoint != null) {
+      currentEndpoint.releaseAndReuse();
     }
     return true;
   }
 
   private void discard() {
-    AsyncClientEndpoint known;
+    AsyncClientEndpoint currentEndpoint;
     synchronized (lock) {
       isAbandoned = true;
-      known = endpoint;
+      currentEndpoint = endpoint;
     }
-    if (known != null) {
-      known.releaseAndDiscard();
+    if (currentEndpoint != null) {
+      currentEndpoint.releaseAndDiscard();
     }
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/GateTable.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/GateTable.java
@@ -176,18 +176,18 @@
         .toList();
   }
 
-  private ZoneSummary summary(String service, GateStats numbers, long nowMillis) {
+  private ZoneSummary summary(String service, GateStats stats, long nowMillis) {
     return new ZoneSummary(
         zone,
         customer,
         service,
         nowMillis,
-        numbers.usableSlots(),
-        numbers.busySlots(),
-        numbers.queuedCount(),
-        numbers.admittedPerSecond(),
-        numbers.ceilingPerSecond(),
-        numbers.offeredPerSecond());
+        stats.usableSlots(),
+        stats.busySlots(),
+        stats.queuedCount(),
+        stats.admittedPerSecond(),
+        stats.ceilingPerSecond(),
+        stats.offeredPerSecond());
   }
 
   /**
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/GuardedGate.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/GuardedGate.java
@@ -13,7 +13,7 @@
 import org.sageladder.core.result.ResultCode;
 
 /**
- * A gate that checks each admission once more right before the request is sent.
+ * A gate that rechecks each admission right before the request is sent.
  *
  * <p>Guards against dispatch by an entry VM that was paused or partitioned and whose targets may
  * have another holder by now: the gate itself has only the last view it received. A request that is
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/LinkLimiter.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/LinkLimiter.java
@@ -42,14 +42,14 @@
       return;
     }
     region = own.name();
-    double linkFraction = ownSlotFraction(view) / own.zones().size();
+    double ownFraction = ownSlotFraction(view) / own.zones().size();
     long now = time.nanos();
     for (Contract.LinkLimit limit : contract.linkLimits()) {
       if (limit.to().equals(region)) {
-        double share = linkFraction * limit.requestsPerSecond();
+        double requestsPerSecond = ownFraction * limit.requestsPerSecond();
         limitersByRegion
-            .computeIfAbsent(limit.from(), from -> LinkRateLimiter.of(share, now))
-            .updateRate(share, now);
+            .computeIfAbsent(limit.from(), from -> LinkRateLimiter.of(requestsPerSecond, now))
+            .updateRate(requestsPerSecond, now);
       }
     }
     limitersByRegion.keySet().removeIf(from -> !isLimited(contract, from));
@@ -78,12 +78,12 @@
    *     not known, and then no limit applies
    */
   public Optional<Result.NotRun> admitOrRefuse(String fromRegion, RequestClass requestClass) {
-    LinkRateLimiter share = fromRegion.equals(region) ? null : limitersByRegion.get(fromRegion);
+    LinkRateLimiter limiter = fromRegion.equals(region) ? null : limitersByRegion.get(fromRegion);
     long now = time.nanos();
-    if (share == null || share.tryAcquire(requestClass, now)) {
+    if (limiter == null || limiter.tryAcquire(requestClass, now)) {
       return Optional.empty();
     }
-    Duration retryAfter = share.retryAfter(requestClass, now);
+    Duration retryAfter = limiter.retryAfter(requestClass, now);
     return Optional.of(
         new Result.NotRun(
             ResultCode.LINK_LIMIT,
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/LoadPoller.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/LoadPoller.java
@@ -84,8 +84,8 @@
       BasicHttpRequest request = new BasicHttpRequest("GET", "/load");
       request.setScheme(host.getSchemeName());
       request.setAuthority(new URIAuthority(host));
-      LoadListener report = new LoadListener(gate, holding, time.nanos());
-      client.send(host, request, null, BodyPipe.of(new byte[0]), CONNECT_TIMEOUT, report);
+      LoadListener listener = new LoadListener(gate, holding, time.nanos());
+      client.send(host, request, null, BodyPipe.of(new byte[0]), CONNECT_TIMEOUT, listener);
     }
   }
 
--- a/sageladder-entry/src/main/java/org/sageladder/entry/gates/PreviousHolders.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/gates/PreviousHolders.java
@@ -10,8 +10,8 @@
 import org.sageladder.core.membership.ZoneView;
 
 /**
- * Tracks which entry VM held each target of the zone in earlier views, to tell apart the targets
- * that this entry VM takes over and those that had no holder before.
+ * Tracks which entry VM held each target of the zone in earlier views, to distinguish the targets
+ * that this entry VM takes over from those that had no holder before.
  *
  * <p>Otherwise the load of a target could grow by the gain of its shift cap twice: once at the
  * previous gate and once at the new gate, which starts counting from zero. A target counts as taken
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/HttpListener.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/HttpListener.java
@@ -129,9 +129,9 @@
       LocalReplies.addResultHeaders(response, ResultCode.BODY_LENGTH_INVALID);
       return;
     }
-    boolean tooLarge = response.getCode() == 431;
+    boolean isHeadTooLarge = response.getCode() == 431;
     LocalReplies.addResultHeaders(
-        response, tooLarge ? ResultCode.HEAD_TOO_LARGE : ResultCode.MALFORMED_REQUEST);
+        response, isHeadTooLarge ? ResultCode.HEAD_TOO_LARGE : ResultCode.MALFORMED_REQUEST);
   }
 
   /** The port on which this server listens. */
--- a/sageladder-entry/src/main/java/org/sageladder/entry/http/IdleConnectionHandler.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/http/IdleConnectionHandler.java
@@ -52,8 +52,8 @@
       lastResponseCount = responseCount;
       lastActivityNanos = now;
     } else if (now - lastActivityNanos > timeout.toNanoseconds()) {
-      // The library would reset the connection, and a caller that is just sending could not tell
-      // why.
+      // The library would reset the connection, and a caller that is sending a request could not
+      // determine the cause.
       session.close(CloseMode.GRACEFUL);
     }
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/log/Logs.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/log/Logs.java
@@ -43,33 +43,33 @@
   private static Formatter formatter(EntrySettings.LogFormat format, String vm) {
     return new Formatter() {
       @Override
-      public String format(LogRecord line) {
-        return format == EntrySettings.LogFormat.JSON ? json(line, vm) : text(line, vm);
+      public String format(LogRecord record) {
+        return format == EntrySettings.LogFormat.JSON ? json(record, vm) : text(record, vm);
       }
 
-      private String text(LogRecord line, String name) {
-        String trace = line.getThrown() == null ? "" : "\n" + trace(line.getThrown());
-        return line.getInstant()
+      private String text(LogRecord record, String name) {
+        String trace = record.getThrown() == null ? "" : "\n" + trace(record.getThrown());
+        return record.getInstant()
             + " "
-            + line.getLevel()
+            + record.getLevel()
             + " "
             + name
             + " "
-            + formatMessage(line)
+            + formatMessage(record)
             + trace
             + "\n";
       }
 
-      private String json(LogRecord line, String name) {
+      private String json(LogRecord record, String name) {
         ObjectNode json = JSON.createObjectNode();
-        Instant at = line.getInstant();
+        Instant at = record.getInstant();
         json.put("time", at.toString());
-        json.put("level", line.getLevel().getName());
+        json.put("level", record.getLevel().getName());
         json.put("vm", name);
-        json.put("logger", line.getLoggerName());
-        json.put("message", formatMessage(line));
-        if (line.getThrown() != null) {
-          json.put("error", trace(line.getThrown()));
+        json.put("logger", record.getLoggerName());
+        json.put("message", formatMessage(record));
+        if (record.getThrown() != null) {
+          json.put("error", trace(record.getThrown()));
         }
         return json + "\n";
       }
@@ -89,8 +89,8 @@
     }
 
     @Override
-    public synchronized void publish(LogRecord line) {
-      super.publish(line);
+    public synchronized void publish(LogRecord record) {
+      super.publish(record);
       flush();
     }
   }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/quarantine/CrashDetector.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/quarantine/CrashDetector.java
@@ -35,7 +35,7 @@
  * the crash.
  *
  * <p>A crash breaks all connections to a target within milliseconds, but each failure is seen
- * separately. So the failed requests are collected for a short time, then the target is asked for
+ * separately. So the failed requests are collected for a short time, then the target is queried for
  * its load: if it refuses the connection or responds with a later incarnation, it has crashed; if
  * it responds with the same incarnation, it has not.
  *
@@ -177,7 +177,7 @@
   /**
    * An incarnation number that differs between two crashes of a target even while the stale target
    * list still names the first incarnation. If they counted as one crash, the request would be
-   * admitted once more.
+   * admitted again.
    */
   private long crashIncarnation(Holding holding) {
     synchronized (lock) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/LookUps.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/LookUps.java
@@ -72,7 +72,7 @@
           case "service" -> service = value;
           case "block" -> block = value;
           default -> {
-            // Callers may add parameters of their own, such as one that bypasses a cache.
+            // Callers may add other parameters, such as one that bypasses a cache.
           }
         }
       }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/PermitSuccessors.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/PermitSuccessors.java
@@ -27,7 +27,7 @@
     }
   }
 
-  /** The successor of that incarnation, if one is known. */
+  /** The successor of that incarnation, if one is recorded. */
   public Optional<String> find(String vm, long incarnation) {
     return Optional.ofNullable(successors.get(new StoppedIncarnation(vm, incarnation)))
         .map(Successor::vm);
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestFlow.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestFlow.java
@@ -30,7 +30,7 @@
  * Processes one request: admission by a gate and dispatch to a target, or forwarding to another
  * entry VM, and the response.
  *
- * <p>{@code settled} is set by whichever ends the flow first: a response, a refusal, the deadline
+ * <p>{@code isSettled} is set by whichever ends the flow first: a response, a refusal, the deadline
  * or the caller's disconnect. Later events of abandoned attempts are ignored, so the caller gets
  * exactly one response.
  */
@@ -214,8 +214,8 @@
    */
   private long slotDeadlineNanos() {
     double workNanos = SERVICE_TIME_MARGIN * service.meanServiceMillis() * NANOS_PER_MILLI;
-    long end = attemptDeadlineNanos - deadlineNanos < 0 ? attemptDeadlineNanos : deadlineNanos;
-    return end - (long) Math.min(workNanos, head.attemptTimeout().toNanos() / 2.0);
+    long endNanos = attemptDeadlineNanos - deadlineNanos < 0 ? attemptDeadlineNanos : deadlineNanos;
+    return endNanos - (long) Math.min(workNanos, head.attemptTimeout().toNanos() / 2.0);
   }
 
   private void onAdmission(Gate gate, Admission admission) {
@@ -303,8 +303,8 @@
   }
 
   /**
-   * Reports an unknown outcome at the deadline of a dispatched run and waits on, to record a late
-   * response.
+   * Reports an unknown outcome at the deadline of a dispatched run and keeps waiting, to record a
+   * late response.
    */
   private void awaitLateResponse() {
     if (!state.runUnlessEnded(
@@ -460,8 +460,8 @@
   /**
    * Forwards a response to the caller and streams its body.
    *
-   * @return false if another result was settled before, or if the caller is gone and no run under a
-   *     permit needs the response
+   * @return false if another result was settled before, or if the caller has disconnected and no
+   *     run under a permit needs the response
    */
   boolean forwardResponse(
       HttpResponse response, @Nullable EntityDetails details, BodyPipe body, Outcome outcome) {
--- a/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestRouter.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/request/RequestRouter.java
@@ -94,16 +94,16 @@
 
   private void handleLookUp(CallerExchange exchange, String path) throws IOException {
     LookUps.Query query = LookUps.Query.parse(path);
-    Optional<Result.NotRun> fault = validate(query.contract(), query.service());
-    if (fault.isEmpty() && query.block() < 0) {
-      fault =
+    Optional<Result.NotRun> refusal = validate(query.contract(), query.service());
+    if (refusal.isEmpty() && query.block() < 0) {
+      refusal =
           Optional.of(
               Result.notRun(
                   ResultCode.UNKNOWN_BLOCK,
                   "block '" + query.blockText() + "' must be a whole number of at least 0"));
     }
-    if (fault.isPresent()) {
-      refuse(exchange, fault.get());
+    if (refusal.isPresent()) {
+      refuse(exchange, refusal.get());
       return;
     }
     Route route = lookUps.route(query.contract(), query.service(), query.block());
@@ -161,9 +161,9 @@
     }
     exchange.requestBody().limitLength(maxBodyBytes);
     RequestHead head = ((RequestHead.Parsed.Accepted) parsed).head();
-    Optional<Result.NotRun> fault = validate(head.customer(), head.service());
-    if (fault.isPresent()) {
-      refuse(exchange, fault.get());
+    Optional<Result.NotRun> refusal = validate(head.customer(), head.service());
+    if (refusal.isPresent()) {
+      refuse(exchange, refusal.get());
       return;
     }
     Contract.Service service = service(head.service());
@@ -178,13 +178,14 @@
     context
         .events()
         .record(EventKind.RECEIVED, head.id(), customer, service.name(), 0, head.forwardedBy());
-    String from = senderRegion(exchange, head);
+    String senderRegion = senderRegion(exchange, head);
     if (service.repeatable()) {
-      admitOrForward(RequestFlow.start(context, exchange, head, service), head, service, from);
+      admitOrForward(
+          RequestFlow.start(context, exchange, head, service), head, service, senderRegion);
       return;
     }
     permitEnforcer.runIfPermitted(
-        exchange, head, service, flow -> admitOrForward(flow, head, service, from));
+        exchange, head, service, flow -> admitOrForward(flow, head, service, senderRegion));
   }
 
   private Result.NotRun bodyTooLarge(long length) {
@@ -232,10 +233,10 @@
       RequestFlow flow, RequestHead head, Contract.Service service, String senderRegion) {
     ServiceGate gate = gates.gateWithTargets(head.service());
     if (gate != null) {
-      Optional<Result.NotRun> full =
+      Optional<Result.NotRun> linkRefusal =
           gates.linkLimiter().admitOrRefuse(senderRegion, service.requestClass());
-      if (full.isPresent()) {
-        flow.refuse(full.get());
+      if (linkRefusal.isPresent()) {
+        flow.refuse(linkRefusal.get());
         return;
       }
       flow.admitThrough(GuardedGate.of(gate, gate::inFlight, control.guard()));
--- a/sageladder-entry/src/main/java/org/sageladder/entry/stop/PermitHandOver.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/stop/PermitHandOver.java
@@ -34,7 +34,9 @@
 import org.sageladder.entry.request.Headers;
 import org.sageladder.entry.request.PeerRequestHandler;
 
-/** Hands the states of the permits issued here to a successor and notifies the other entry VMs. */
+/**
+ * Transfers the states of the permits issued here to a successor and notifies the other entry VMs.
+ */
 public final class PermitHandOver {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
@@ -187,7 +189,7 @@
     request.setScheme(host.getSchemeName());
     request.setAuthority(new URIAuthority(host));
     request.setHeader(Headers.DISPATCH_TOKEN, codec.seal(token(route, successor)));
-    CompletableFuture<Boolean> answered = new CompletableFuture<>();
+    CompletableFuture<Boolean> acknowledged = new CompletableFuture<>();
     Runnable cancel =
         client.send(
             host,
@@ -195,20 +197,20 @@
             new BasicEntityDetails(body.length, ContentType.APPLICATION_OCTET_STREAM),
             BodyPipe.of(body),
             CONNECT_TIMEOUT,
-            new Acknowledgement(answered));
+            new Acknowledgement(acknowledged));
     try {
-      return answered.get(RESPONSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+      return acknowledged.get(RESPONSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
       cancel.run();
       return false;
     }
   }
 
-  private record Acknowledgement(CompletableFuture<Boolean> answered)
+  private record Acknowledgement(CompletableFuture<Boolean> acknowledged)
       implements RequestSender.Listener {
     @Override
     public void onResponse(HttpResponse response, @Nullable EntityDetails details, BodyPipe body) {
-      answered.complete(response.getCode() == 204);
+      acknowledged.complete(response.getCode() == 204);
     }
 
     @Override
@@ -216,7 +218,7 @@
 
     @Override
     public void onFailure(boolean isSent, Exception cause) {
-      answered.complete(false);
+      acknowledged.complete(false);
     }
   }
 }
--- a/sageladder-entry/src/main/java/org/sageladder/entry/stop/PlannedStop.java
+++ b/sageladder-entry/src/main/java/org/sageladder/entry/stop/PlannedStop.java
@@ -110,10 +110,10 @@
     long handedOverNanos = time.nanos();
     await(limits.maxRunWait(), () -> issuer.runningCount() == 0);
     awaitIdle();
-    int cut = inFlight.exchangeCount();
+    int openExchangeCount = inFlight.exchangeCount();
     return new Outcome(
         handedOver,
-        cut,
+        openExchangeCount,
         Duration.ofNanos(lookUpsExpiredNanos - startNanos),
         Duration.ofNanos(runsEndedNanos - lookUpsExpiredNanos),
         Duration.ofNanos(handedOverNanos - runsEndedNanos),
@@ -157,8 +157,8 @@
   }
 
   private void await(Duration maxWait, BooleanSupplier done) throws InterruptedException {
-    long end = time.nanos() + maxWait.toNanos();
-    while (!done.getAsBoolean() && time.nanos() - end < 0) {
+    long endNanos = time.nanos() + maxWait.toNanos();
+    while (!done.getAsBoolean() && time.nanos() - endNanos < 0) {
       Thread.sleep(POLL_INTERVAL.toMillis());
     }
   }
--- a/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/control/ControlStateMachineTest.java
@@ -66,7 +66,7 @@
     assertTrue(node.machine.readinessExplanation().contains("neither the store nor a ready peer"));
   }
 
-  // All VMs of a zone start during a store outage. They can only ask each other, and none has a
+  // All VMs of a zone start during a store outage. They can only query each other, and none has a
   // contract.
   @Test
   void answersOfUnreadyPeersDoNotMakeVmReady() {
--- a/sageladder-entry/src/test/java/org/sageladder/entry/gates/GateTableTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/gates/GateTableTest.java
@@ -49,7 +49,7 @@
     second.useHistorySender((holder, viewNumber, history) -> sentHistories.add(history));
   }
 
-  // An entry VM joins the zone during a surge and gets a target that has just used the whole gain
+  // An entry VM joins the zone during a surge and gets a target that has just used the full gain
   // of its shift cap. The new gate starts counting from zero and would admit the same gain again
   // within one window, twice the shift that the contract allows to a cold cache.
   @Test
@@ -85,7 +85,7 @@
 
   // In a rolling restart, each entry VM that joins gets targets that were idle at its neighbour.
   // The neighbour dropped their counts as soon as it lost them and sent no history, so requests to
-  // them were refused for a whole window.
+  // them were refused for a full window.
   @Test
   void idleTargetMovesWithoutWait() {
     applyToBoth(view(1, "vm-1"));
@@ -100,7 +100,7 @@
   }
 
   // Three entry VMs of a zone start one after the other, and a target that may have been in use
-  // moves from one to the next. Each move restarted the wait of a whole window, so the first
+  // moves from one to the next. Each move restarted the wait of a full window, so the first
   // seconds of a new zone or of each rolling restart were refused.
   @Test
   void waitsOfSeveralMovesDoNotAddUp() {
@@ -157,7 +157,7 @@
   }
 
   // The process of an entry VM crashes, and the new process of the same name gets the targets back
-  // before the zone notices. It does not know what the old process admitted a second ago.
+  // before the zone notices. It has no record of what the old process admitted a second ago.
   @Test
   void restartedEntryVmGetsNoSecondGain() {
     applyToBoth(view(1, "vm-1"));
--- a/sageladder-entry/src/test/java/org/sageladder/entry/quarantine/CrashDetectorTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/quarantine/CrashDetectorTest.java
@@ -96,7 +96,7 @@
   }
 
   /**
-   * The target crashed and restarted before it was asked: only its incarnation reveals the crash.
+   * The target crashed and restarted before it was probed: only its incarnation reveals the crash.
    */
   @Test
   void targetWithLaterIncarnationHasCrashed() {
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public void broadcast(String topic, String id, byte[] content, Duration keep) {
+    public void broadcast(String topic, String id, byte[] content, Duration retention) {
       receivers.forEach(receiver -> receiver.receive("", content));
     }
 
--- a/sageladder-entry/src/test/java/org/sageladder/entry/request/RequestFlowTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/request/RequestFlowTest.java
@@ -160,7 +160,7 @@
   }
 
   /**
-   * An entry VM that is not the issuer refuses the request itself: it knows the outcome of one copy
+   * An entry VM that is not the issuer refuses the request itself: it has the outcome of one copy
    * only.
    */
   @Test
--- a/sageladder-entry/src/test/java/org/sageladder/entry/stop/PlannedStopTest.java
+++ b/sageladder-entry/src/test/java/org/sageladder/entry/stop/PlannedStopTest.java
@@ -64,8 +64,8 @@
     return PlannedStop.of(control, inFlight, issuer, handOver, time, LIMITS);
   }
 
-  private static Member member(String vm, boolean leaving) {
-    return new Member(vm, "riga-1", 1, "127.0.0.1", 1, 2, leaving);
+  private static Member member(String vm, boolean isDraining) {
+    return new Member(vm, "riga-1", 1, "127.0.0.1", 1, 2, isDraining);
   }
 
   /** A peer that adopts the permit states as a successor would, and then ends the open exchange. */
--- a/sageladder-platform/src/main/java/org/sageladder/platform/store/JsonHttpClient.java
+++ b/sageladder-platform/src/main/java/org/sageladder/platform/store/JsonHttpClient.java
@@ -112,9 +112,9 @@
 
   private Response call(String operation, AsyncRequestProducer request, Duration extraWait)
       throws StoreException {
-    long deadline = System.nanoTime() + timeout.plus(extraWait).toNanos();
+    long deadlineNanos = System.nanoTime() + timeout.plus(extraWait).toNanos();
     AsyncClientEndpoint endpoint = leaseEndpoint(operation);
-    Message<HttpResponse, byte[]> response = exchange(operation, endpoint, request, deadline);
+    Message<HttpResponse, byte[]> response = exchange(operation, endpoint, request, deadlineNanos);
     int status = response.getHead().getCode();
     if (status == 503) {
       throw new StoreException.Unavailable(operation + " at " + host + ": refused with 503", null);
@@ -136,7 +136,10 @@
   }
 
   private Message<HttpResponse, byte[]> exchange(
-      String operation, AsyncClientEndpoint endpoint, AsyncRequestProducer request, long deadline)
+      String operation,
+      AsyncClientEndpoint endpoint,
+      AsyncRequestProducer request,
+      long deadlineNanos)
       throws StoreException {
     boolean isReusable = false;
     try {
@@ -147,7 +150,7 @@
               HttpCoreContext.create(),
               null);
       Message<HttpResponse, byte[]> response =
-          future.get(Math.max(0, deadline - System.nanoTime()), TimeUnit.NANOSECONDS);
+          future.get(Math.max(0, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
       isReusable = true;
       return response;
     } catch (TimeoutException e) {
--- a/sageladder-platform/src/test/java/org/sageladder/platform/contract/ContractWriterTest.java
+++ b/sageladder-platform/src/test/java/org/sageladder/platform/contract/ContractWriterTest.java
@@ -98,8 +98,7 @@
   }
 
   // A response is lost, and then the store becomes unavailable. Only the later calls are refused,
-  // so
-  // reporting that nothing was written would be wrong if the first write took effect.
+  // so reporting that nothing was written would be wrong if the first write took effect.
   @Test
   void outageAfterALostResponseIsReportedAsOutcomeUnknown() throws Exception {
     store.failNextWrites(
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/InnerLinks.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/InnerLinks.java
@@ -41,7 +41,7 @@
  *
  * <pre>{@code
  * InnerLinks links = InnerLinks.open("127.0.0.1", 0, identity, keys::ring, receiver);
- * links.address(new PeerAddress("vm-2", "127.0.0.1", 7102));
+ * links.updateAddress(new PeerAddress("vm-2", "127.0.0.1", 7102));
  * links.send("vm-2", message);
  * }</pre>
  *
@@ -250,8 +250,9 @@
     if (vm.isEmpty()) {
       return;
     }
-    long jitter = (long) (RECONNECT_DELAY_NANOS * (0.5 + ThreadLocalRandom.current().nextDouble()));
-    reconnectAtNanos.put(vm, System.nanoTime() + jitter);
+    long delayNanos =
+        (long) (RECONNECT_DELAY_NANOS * (0.5 + ThreadLocalRandom.current().nextDouble()));
+    reconnectAtNanos.put(vm, System.nanoTime() + delayNanos);
     queuedMessages.remove(vm);
     receiver.onLinkLost(vm);
   }
--- a/sageladder-protocol/src/main/java/org/sageladder/protocol/MessageCodec.java
+++ b/sageladder-protocol/src/main/java/org/sageladder/protocol/MessageCodec.java
@@ -42,10 +42,10 @@
     Inner.Envelope.Builder envelope = Inner.Envelope.newBuilder();
     if (message instanceof InnerMessage.Spread spread) {
       setBody(envelope, spread.message());
-    } else if (message instanceof InnerMessage.HeartbeatMessage beat) {
-      envelope.setHeartbeat(MembershipCodec.encode(beat.heartbeat()));
-    } else if (message instanceof InnerMessage.HeartbeatAnswerMessage answer) {
-      envelope.setHeartbeatAnswer(encode(answer.answer()));
+    } else if (message instanceof InnerMessage.HeartbeatMessage heartbeatMessage) {
+      envelope.setHeartbeat(MembershipCodec.encode(heartbeatMessage.heartbeat()));
+    } else if (message instanceof InnerMessage.HeartbeatAnswerMessage answerMessage) {
+      envelope.setHeartbeatAnswer(encode(answerMessage.answer()));
     } else if (message instanceof InnerMessage.Direct direct) {
       envelope.setDirect(Inner.Direct.newBuilder().setPayload(toProtobuf(direct.payload())));
     }
--- a/sageladder-protocol/src/test/java/org/sageladder/protocol/HostilePeersProperties.java
+++ b/sageladder-protocol/src/test/java/org/sageladder/protocol/HostilePeersProperties.java
@@ -151,8 +151,8 @@
     awaitOpenLinks(1);
   }
 
-  // A peer dies in the middle of a frame. This is not a protocol violation: no drop is counted, and
-  // no state is kept.
+  // A peer fails in the middle of a frame. This is not a protocol violation: no drop is counted,
+  // and no state is kept.
   @Property(tries = 50, seed = "20261202")
   void truncatedFrameIsNotCountedAsDrop(@ForAll @IntRange(min = 1, max = 200) int missingBytes)
       throws Exception {
