--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperiment.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalExperiment.java
@@ -180,7 +180,7 @@
 
   /**
    * Announces the drain only in the list of VMs. The target itself still accepts work, so that the
-   * requests it receives afterwards show whether the gates follow the list.
+   * requests it receives afterwards show whether entry VMs follow the list.
    */
   private String announceDrain(ListedVm vm) {
     markLeaving(vm);
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalLoad.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalLoad.java
@@ -123,8 +123,8 @@
   private void countResult(String service, Answer answer) {
     String name;
     String detail = "";
-    if (answer instanceof Answer.Complete whole) {
-      name = "whole answer, status " + whole.status();
+    if (answer instanceof Answer.Complete complete) {
+      name = "whole answer, status " + complete.status();
     } else if (answer instanceof Answer.NotRun notRun) {
       name = "not run, " + notRun.code();
       detail = notRun.detail();
--- a/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalMain.java
+++ b/sageladder-assembly/src/main/java/org/sageladder/assembly/LocalMain.java
@@ -204,12 +204,12 @@
       if (target == null) {
         return;
       }
-      long start = System.nanoTime();
+      long startNanos = System.nanoTime();
       system.drainTarget(drainedTarget);
       while (target.busySlotCount() > 0) {
         Thread.sleep(1);
       }
-      drainMillis = (System.nanoTime() - start) / 1_000_000;
+      drainMillis = (System.nanoTime() - startNanos) / 1_000_000;
     }
 
     private void sampleHeadroom(Duration period) throws InterruptedException {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/AtMostOnceMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/atmostonce/AtMostOnceMain.java
@@ -42,11 +42,12 @@
       FaultInjector faults = new FaultInjector(bed, 20_261_202);
       Thread faultThread = new Thread(faults, "disorder");
       faultThread.start();
-      long start = System.nanoTime();
+      long startNanos = System.nanoTime();
       run(bed, outcomes, requestCount);
       faults.stop();
       faultThread.join();
-      boolean hasPassed = report(bed, outcomes, faults, requestCount, System.nanoTime() - start);
+      boolean hasPassed =
+          report(bed, outcomes, faults, requestCount, System.nanoTime() - startNanos);
       if (!hasPassed) {
         System.out.print(bed.logTails());
       }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/background/BackgroundMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/background/BackgroundMain.java
@@ -73,14 +73,14 @@
     Histogram baselineMillis = listFor(Duration.ofSeconds(6));
     ExecutorService listing = Executors.newSingleThreadExecutor();
     Future<Histogram> listingDuringPulls = listing.submit(() -> listUntilStopped());
-    long start = System.nanoTime();
+    long startNanos = System.nanoTime();
     PeriodicFaultInjector injector = PeriodicFaultInjector.start(bed);
     List<String> seeds =
         bed.entries().stream().map(entry -> "127.0.0.1:" + entry.callersPort()).toList();
     try (SageladderClient client = SageladderClient.start(ClientOptions.seeds(seeds))) {
       pullAll(client, count);
     }
-    long seconds = Math.max(1, (System.nanoTime() - start) / 1_000_000_000);
+    long seconds = Math.max(1, (System.nanoTime() - startNanos) / 1_000_000_000);
     injector.stop();
     isStopped = true;
     Histogram loadedMillis = listingDuringPulls.get();
@@ -154,12 +154,12 @@
   private void pull(SageladderClient client, int number) {
     String path = "/records?answerBytes=" + RECORD_BYTES + "&work=pull" + number;
     CheckedSink sink = CheckedSink.of(RequestChecksum.of("GET", path, new byte[0]));
-    long start = System.nanoTime();
+    long startNanos = System.nanoTime();
     Answer answer =
         client.fetch(
             Request.get(TestBed.CUSTOMER, "archive", number % 1_000, path).deadline(PULL_DEADLINE),
             sink);
-    pullMillis.recordValue(millisSince(start));
+    pullMillis.recordValue(millisSince(startNanos));
     attemptCount.add(answer.attemptCount());
     restartCount.add(sink.restartCount());
     if (answer instanceof Answer.Complete) {
@@ -192,7 +192,7 @@
             SplittableRandom random = new SplittableRandom(seed);
             int port = randomPort(random);
             while (!isStopped && System.nanoTime() < untilNanos) {
-              long start = System.nanoTime();
+              long startNanos = System.nanoTime();
               Reply reply =
                   caller.send(
                       port,
@@ -204,7 +204,7 @@
                       Duration.ofSeconds(3),
                       Duration.ofSeconds(4));
               if (reply.ran()) {
-                latencyMillis.recordValue(millisSince(start));
+                latencyMillis.recordValue(millisSince(startNanos));
               }
               if (!reply.ran() || reply.shouldLookUpAgain()) {
                 port = randomPort(random);
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ControlSlopes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ControlSlopes.java
@@ -143,20 +143,20 @@
     Contract contract = fleetContract(zones, vmsPerZone);
     try (StoreServer store = StoreServer.start("127.0.0.1", 0);
         LocalSystem system = LocalSystem.start(store, contract, vmsPerZone);
-        BlockingHttpClient caller = BlockingHttpClient.withTimeout(TIMEOUT);
+        BlockingHttpClient httpClient = BlockingHttpClient.withTimeout(TIMEOUT);
         Store client = HttpStore.connect(store.address(), TIMEOUT)) {
       system.awaitReady();
       Thread.sleep(SETTLE_TIME.toMillis());
-      double bytesBefore = controlBytes(system, caller);
+      double bytesBefore = controlBytes(system, httpClient);
       long callsBefore = storeCalls(store);
       long cpuBefore = cpuNanos();
-      long start = System.nanoTime();
+      long startNanos = System.nanoTime();
       changeContract(client, contract);
       Thread.sleep(INTERVAL.toMillis());
-      double seconds = (System.nanoTime() - start) / 1e9;
+      double seconds = (System.nanoTime() - startNanos) / 1e9;
       double coreFraction = (cpuNanos() - cpuBefore) / 1e9 / seconds;
       double callsPerSecond = (storeCalls(store) - callsBefore) / seconds;
-      double bytesPerSecond = (controlBytes(system, caller) - bytesBefore) / seconds;
+      double bytesPerSecond = (controlBytes(system, httpClient) - bytesBefore) / seconds;
       Runtime runtime = Runtime.getRuntime();
       for (int i = 0; i < 4; i++) {
         System.gc();
@@ -206,20 +206,20 @@
     return store.counts().values().stream().mapToLong(Long::longValue).sum();
   }
 
-  private static double controlBytes(LocalSystem system, BlockingHttpClient caller)
+  private static double controlBytes(LocalSystem system, BlockingHttpClient httpClient)
       throws IOException {
     double sum = 0;
     for (EntryVm vm : system.entries().values()) {
-      sum += controlBytes(vm, caller);
+      sum += controlBytes(vm, httpClient);
     }
     return sum;
   }
 
   /** Bytes of control messages of the inner protocol that one entry VM has sent and received. */
-  static double controlBytes(EntryVm vm, BlockingHttpClient caller) throws IOException {
+  static double controlBytes(EntryVm vm, BlockingHttpClient httpClient) throws IOException {
     double sum = 0;
     URI metrics = URI.create("http://127.0.0.1:" + vm.operatorsPort() + "/v1/metrics");
-    for (String line : caller.get(metrics).text().split("\n")) {
+    for (String line : httpClient.get(metrics).text().split("\n")) {
       if (line.startsWith("sageladder_control_bytes_")) {
         sum += Double.parseDouble(line.substring(line.lastIndexOf(' ') + 1));
       }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ExchangeSlopes.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/ExchangeSlopes.java
@@ -53,11 +53,11 @@
                   + TargetSize.SERVICE
                   + "&block=1");
       List<Slope.Point> points = new ArrayList<>();
-      try (BlockingHttpClient caller = BlockingHttpClient.withTimeout(TIMEOUT)) {
-        sendLookUps(caller, uri, WARM_UP_LOOK_UPS);
+      try (BlockingHttpClient httpClient = BlockingHttpClient.withTimeout(TIMEOUT)) {
+        sendLookUps(httpClient, uri, WARM_UP_LOOK_UPS);
         for (int count : COUNTS) {
           double before = cpuMicros(serverThreads);
-          sendLookUps(caller, uri, count);
+          sendLookUps(httpClient, uri, count);
           points.add(new Slope.Point(count, cpuMicros(serverThreads) - before));
         }
       }
@@ -76,7 +76,8 @@
     return threads.stream().mapToLong(THREADS::getThreadCpuTime).filter(t -> t > 0).sum() / 1e3;
   }
 
-  private static void sendLookUps(BlockingHttpClient caller, URI uri, int count) throws Exception {
+  private static void sendLookUps(BlockingHttpClient httpClient, URI uri, int count)
+      throws Exception {
     ExecutorService callers = Executors.newFixedThreadPool(CALLERS);
     try {
       List<Future<?>> done = new ArrayList<>();
@@ -85,7 +86,7 @@
             callers.submit(
                 () -> {
                   for (int n = 0; n < count / CALLERS; n++) {
-                    if (caller.get(uri).status() != 200) {
+                    if (httpClient.get(uri).status() != 200) {
                       throw new IOException("look-up was not answered with status 200");
                     }
                   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/FailureCosts.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/FailureCosts.java
@@ -40,10 +40,10 @@
   private final Contract contract;
 
   private FailureCosts(
-      StoreServer store, LocalSystem system, BlockingHttpClient caller, Contract contract) {
+      StoreServer store, LocalSystem system, BlockingHttpClient httpClient, Contract contract) {
     this.store = store;
     this.system = system;
-    this.httpClient = caller;
+    this.httpClient = httpClient;
     this.contract = contract;
   }
 
@@ -110,10 +110,10 @@
     Contract contract = ControlSlopes.fleetContract(zones, VMS_PER_ZONE);
     try (StoreServer store = StoreServer.start("127.0.0.1", 0);
         LocalSystem system = LocalSystem.start(store, contract, VMS_PER_ZONE);
-        BlockingHttpClient caller = BlockingHttpClient.withTimeout(TIMEOUT)) {
+        BlockingHttpClient httpClient = BlockingHttpClient.withTimeout(TIMEOUT)) {
       system.awaitReady();
       Thread.sleep(SETTLE_TIME.toMillis());
-      return new FailureCosts(store, system, caller, contract).measureFleet();
+      return new FailureCosts(store, system, httpClient, contract).measureFleet();
     }
   }
 
--- a/sageladder-bench/src/main/java/org/sageladder/bench/capacity/Measure.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/capacity/Measure.java
@@ -31,9 +31,9 @@
     }
     double[] times = new double[runs];
     for (int i = 0; i < runs; i++) {
-      long start = THREADS.getCurrentThreadCpuTime();
+      long startNanos = THREADS.getCurrentThreadCpuTime();
       work.run();
-      times[i] = THREADS.getCurrentThreadCpuTime() - start;
+      times[i] = THREADS.getCurrentThreadCpuTime() - startNanos;
     }
     Arrays.sort(times);
     return times[0];
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/SteadyLoad.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/SteadyLoad.java
@@ -113,8 +113,8 @@
     for (int port : ports) {
       reply = caller.send(port, method, service, path, body, permit, DEADLINE, CLIENT_TIMEOUT);
       if (!reply.isRefused()) {
-        boolean isWhole = reply.isAnswerTo(RequestChecksum.of(method, path, body), ANSWER_BYTES);
-        return reply.ran() && !isWhole ? Reply.CUT : reply;
+        boolean isComplete = reply.isAnswerTo(RequestChecksum.of(method, path, body), ANSWER_BYTES);
+        return reply.ran() && !isComplete ? Reply.CUT : reply;
       }
     }
     return reply;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/drain/TargetStops.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/drain/TargetStops.java
@@ -41,13 +41,13 @@
     while (System.nanoTime() - lastBusyNanos < IDLE_NANOS
         && System.nanoTime() - startNanos < MAX_STOP_NANOS) {
       Thread.sleep(1);
-      long now = System.nanoTime();
+      long nowNanos = System.nanoTime();
       if (target.executions().total() != started) {
         started = target.executions().total();
-        lastStartNanos = now;
+        lastStartNanos = nowNanos;
       }
       if (target.busySlotCount() > 0) {
-        lastBusyNanos = now;
+        lastBusyNanos = nowNanos;
       }
     }
     stopCount++;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/FleetVm.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/FleetVm.java
@@ -22,13 +22,13 @@
   private final BlockingHttpClient httpClient;
   private long eventCursor;
 
-  private FleetVm(EntryProcess process, BlockingHttpClient caller) {
+  private FleetVm(EntryProcess process, BlockingHttpClient httpClient) {
     this.process = process;
-    this.httpClient = caller;
+    this.httpClient = httpClient;
   }
 
-  static FleetVm of(EntryProcess process, BlockingHttpClient caller) {
-    return new FleetVm(process, caller);
+  static FleetVm of(EntryProcess process, BlockingHttpClient httpClient) {
+    return new FleetVm(process, httpClient);
   }
 
   /** Name of the VM. */
--- a/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Sample.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/fleet/Sample.java
@@ -42,11 +42,11 @@
       bytesBefore.add(controlBytes(vm));
       cpuBefore.add(vm.cpuMillis());
     }
-    long start = System.nanoTime();
+    long startNanos = System.nanoTime();
     work.run(millis);
-    long remainingMillis = millis - (System.nanoTime() - start) / 1_000_000;
+    long remainingMillis = millis - (System.nanoTime() - startNanos) / 1_000_000;
     Thread.sleep(Math.max(0, remainingMillis));
-    double seconds = (System.nanoTime() - start) / 1e9;
+    double seconds = (System.nanoTime() - startNanos) / 1e9;
     Map<String, Long> calls = new LinkedHashMap<>();
     fleet
         .store()
--- a/sageladder-bench/src/main/java/org/sageladder/bench/path/PathMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/path/PathMain.java
@@ -86,13 +86,13 @@
 
   private void timeCall(Histogram histogram, HttpRequest request)
       throws IOException, InterruptedException {
-    long start = System.nanoTime();
+    long startNanos = System.nanoTime();
     HttpResponse<byte[]> response = client.send(request, HttpResponse.BodyHandlers.ofByteArray());
     if (response.statusCode() != 200 || response.body().length != 512) {
       throw new IOException(
           "unexpected response with status " + response.statusCode() + " to " + request.uri());
     }
-    histogram.recordValue((System.nanoTime() - start) / 1_000);
+    histogram.recordValue((System.nanoTime() - startNanos) / 1_000);
   }
 
   private boolean report() {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/AdmissionLog.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/AdmissionLog.java
@@ -60,19 +60,20 @@
    */
   boolean allowsOneMore(String scope, int maxGain, long nowNanos) {
     Map<Long, Integer> counts = countsByScope.getOrDefault(scope, Map.of());
-    long now = stepAt(nowNanos);
-    for (long end = now; end < now + STEPS_PER_WINDOW; end++) {
-      if (windowCount(counts, end) + 1 > windowCount(counts, end - STEPS_PER_WINDOW) + maxGain) {
+    long currentStep = stepAt(nowNanos);
+    for (long endStep = currentStep; endStep < currentStep + STEPS_PER_WINDOW; endStep++) {
+      if (windowCount(counts, endStep) + 1
+          > windowCount(counts, endStep - STEPS_PER_WINDOW) + maxGain) {
         return false;
       }
     }
     return true;
   }
 
-  private static int windowCount(Map<Long, Integer> counts, long end) {
+  private static int windowCount(Map<Long, Integer> counts, long endStep) {
     int count = 0;
     for (int offset = 0; offset < STEPS_PER_WINDOW; offset++) {
-      count += counts.getOrDefault(end - offset, 0);
+      count += counts.getOrDefault(endStep - offset, 0);
     }
     return count;
   }
@@ -85,10 +86,10 @@
     for (Map.Entry<String, Map<Long, Integer>> scope : countsByScope.entrySet()) {
       boolean isRegion = scope.getKey().startsWith("region");
       int maxGain = isRegion ? setup.regionGainRequests() : setup.targetGainRequests();
-      for (long end = 0; end <= stepAt(endNanos) + STEPS_PER_WINDOW; end++) {
-        int count = windowCount(scope.getValue(), end);
+      for (long endStep = 0; endStep <= stepAt(endNanos) + STEPS_PER_WINDOW; endStep++) {
+        int count = windowCount(scope.getValue(), endStep);
         violations +=
-            count > windowCount(scope.getValue(), end - STEPS_PER_WINDOW) + maxGain ? 1 : 0;
+            count > windowCount(scope.getValue(), endStep - STEPS_PER_WINDOW) + maxGain ? 1 : 0;
       }
     }
     return violations;
@@ -99,8 +100,10 @@
     int overCapacity = 0;
     double capacityPerWindow = setup.regionCapacityPerSecond() * setup.windowSeconds();
     for (Map.Entry<String, Map<Long, Integer>> scope : countsByScope.entrySet()) {
-      for (long end = 0; scope.getKey().startsWith("region") && end <= stepAt(endNanos); end++) {
-        overCapacity += windowCount(scope.getValue(), end) > 1.1 * capacityPerWindow ? 1 : 0;
+      for (long endStep = 0;
+          scope.getKey().startsWith("region") && endStep <= stepAt(endNanos);
+          endStep++) {
+        overCapacity += windowCount(scope.getValue(), endStep) > 1.1 * capacityPerWindow ? 1 : 0;
       }
     }
     return overCapacity;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/ClusterSimulation.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/ClusterSimulation.java
@@ -177,7 +177,7 @@
       boolean hasSameSummaries =
           i > 0 && vms.get(i - 1).region == vm.region && setup.summaryLossProbability() == 0;
       vm.table = hasSameSummaries ? vms.get(i - 1).table : rebuildTable(vm);
-      oscillationCounter.recordSample(i, remoteFractions(vm));
+      oscillationCounter.recordSample(i, crossRegionFractions(vm));
     }
   }
 
@@ -187,8 +187,8 @@
     return LookUpTable.build(state, SteeringInputs.after(vm.table, scheduler.time().wallMillis()));
   }
 
-  private double[] remoteFractions(EntryVm vm) {
-    double[] remote = new double[setup.regionCount()];
+  private double[] crossRegionFractions(EntryVm vm) {
+    double[] fractions = new double[setup.regionCount()];
     int zones = setup.regionCount() * setup.zonesPerRegion();
     for (int region = 0; region < setup.regionCount(); region++) {
       for (int zone = 0; zone < zones; zone++) {
@@ -196,10 +196,10 @@
             policy == Policy.IDLE_SLOTS
                 ? idleFraction(vm, zone)
                 : vm.table.trafficFraction(Setup.CUSTOMER, Setup.SERVICE, region, zone);
-        remote[region] += zone / setup.zonesPerRegion() == region ? 0 : fraction;
+        fractions[region] += zone / setup.zonesPerRegion() == region ? 0 : fraction;
       }
     }
-    return remote;
+    return fractions;
   }
 
   /** The latest summary of each entry VM that {@code receiver} has received. */
@@ -310,22 +310,22 @@
         : route.entries().stream().map(member -> vmsByName.get(member.vm())).toList();
   }
 
-  private EntryVm drawByIdleSlots(EntryVm askedVm) {
+  private EntryVm drawByIdleSlots(EntryVm lookUpVm) {
     double remainder = random.nextDouble();
     int zones = setup.regionCount() * setup.zonesPerRegion();
     for (int zone = 0; zone < zones; zone++) {
-      remainder -= idleFraction(askedVm, zone);
+      remainder -= idleFraction(lookUpVm, zone);
       if (remainder < 0) {
         return vms.get(zone * setup.vmsPerZone() + random.nextInt(setup.vmsPerZone()));
       }
     }
-    return randomVm(askedVm.region);
+    return randomVm(lookUpVm.region);
   }
 
-  private double idleFraction(EntryVm askedVm, int zone) {
+  private double idleFraction(EntryVm lookUpVm, int zone) {
     double idleInZone = 0;
     double idleTotal = 0;
-    for (ZoneSummary summary : summariesReceivedBy(askedVm)) {
+    for (ZoneSummary summary : summariesReceivedBy(lookUpVm)) {
       double idleSlots = Math.max(0, summary.slots() - summary.busy() - summary.queued());
       idleTotal += idleSlots;
       idleInZone += summary.zone().equals(vms.get(zone * setup.vmsPerZone()).zone) ? idleSlots : 0;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/LookUpSpeed.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/LookUpSpeed.java
@@ -67,9 +67,9 @@
   private static double minBuildMillis(ClusterState state, SteeringInputs inputs) {
     long minNanos = Long.MAX_VALUE;
     for (int i = 0; i < 5; i++) {
-      long start = System.nanoTime();
+      long startNanos = System.nanoTime();
       LookUpTable built = LookUpTable.build(state, inputs);
-      minNanos = Math.min(minNanos, System.nanoTime() - start);
+      minNanos = Math.min(minNanos, System.nanoTime() - startNanos);
       if (built.lookUp("c", "s0", 1, 1) == null) {
         throw new IllegalStateException("look-up table has no route for block 1 of service s0");
       }
@@ -84,13 +84,13 @@
       names[i] = "s" + i;
     }
     long foundCount = 0;
-    long start = System.nanoTime();
+    long startNanos = System.nanoTime();
     for (int i = 0; i < count; i++) {
       long bits = random.nextLong();
       int block = (int) ((bits >>> 8) % BLOCKS);
       foundCount += table.lookUp("c", names[i % SERVICES], block, bits) == null ? 0 : 1;
     }
-    long nanos = System.nanoTime() - start;
+    long nanos = System.nanoTime() - startNanos;
     if (foundCount != count) {
       throw new IllegalStateException(count - foundCount + " look-ups found no route");
     }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/OscillationCounter.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/OscillationCounter.java
@@ -16,18 +16,18 @@
     this.direction = new int[vms][regions];
   }
 
-  void recordSample(int vm, double[] remoteFractions) {
-    for (int region = 0; region < remoteFractions.length; region++) {
-      double change = remoteFractions[region] - lastExtreme[vm][region];
+  void recordSample(int vm, double[] crossRegionFractions) {
+    for (int region = 0; region < crossRegionFractions.length; region++) {
+      double change = crossRegionFractions[region] - lastExtreme[vm][region];
       int currentDirection = direction[vm][region];
       if (currentDirection == 0
           ? Math.abs(change) >= MIN_CHANGE
           : change * currentDirection <= -MIN_CHANGE) {
         reversalCount += currentDirection == 0 ? 0 : 1;
         direction[vm][region] = change > 0 ? 1 : -1;
-        lastExtreme[vm][region] = remoteFractions[region];
+        lastExtreme[vm][region] = crossRegionFractions[region];
       } else if (change * currentDirection > 0) {
-        lastExtreme[vm][region] = remoteFractions[region];
+        lastExtreme[vm][region] = crossRegionFractions[region];
       }
     }
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/Shares.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/Shares.java
@@ -3,7 +3,7 @@
 /**
  * Measures the load lost by dividing a region's allowed gain statically among its gates, by
  * comparing the same targets behind many gates with a share each and behind a single gate with the
- * whole gain.
+ * entire gain.
  *
  * <p>This difference is the most that lending between gates could recover. Targets may grow by
  * their full capacity, so that only the region shares limit admission.
--- a/sageladder-bench/src/main/java/org/sageladder/bench/policy/VirtualScheduler.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/policy/VirtualScheduler.java
@@ -29,12 +29,12 @@
   }
 
   void advance(Duration step) {
-    long end = time.nanos() + step.toNanos();
-    while (!tasks.isEmpty() && tasks.peek().dueNanos() <= end) {
+    long endNanos = time.nanos() + step.toNanos();
+    while (!tasks.isEmpty() && tasks.peek().dueNanos() <= endNanos) {
       Task task = tasks.remove();
       time.advance(Duration.ofNanos(Math.max(0, task.dueNanos() - time.nanos())));
       task.action().run();
     }
-    time.advance(Duration.ofNanos(end - time.nanos()));
+    time.advance(Duration.ofNanos(endNanos - time.nanos()));
   }
 }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/recovery/RecoveryBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/recovery/RecoveryBench.java
@@ -44,7 +44,7 @@
   private static final long TAKEOVER_LOAD_MILLIS = 20_000;
   private static final double AIM_SECONDS = 10;
   private static final double AIM_TAKEOVER_SECONDS = 15;
-  // Small enough that the callers of the lost zone cannot all shift to one place at once.
+  // Small enough that the callers of the lost zone cannot all shift to one region at the same time.
   private static final double CAP_GAIN_FRACTION = 0.1;
   private static final Duration DEADLINE = Duration.ofSeconds(2);
 
@@ -142,11 +142,11 @@
 
   private double measureTakeoverSeconds(Fleet fleet) throws InterruptedException {
     String zone = Contracts.zone(ZONES - 1);
-    long from = elapsedMillis();
+    long fromMillis = elapsedMillis();
     fleet.killEntryVms(zone);
     long lostNanos = System.nanoTime();
     runLoad(TAKEOVER_LOAD_MILLIS);
-    printSummary("entry VMs lost", from, elapsedMillis());
+    printSummary("entry VMs lost", fromMillis, elapsedMillis());
     // Requests that the lost VMs had already sent are started within the first half second.
     long settled = lostNanos + TimeUnit.MILLISECONDS.toNanos(500);
     long first = capCheck.firstStartAfter(settled, targets(zone));
@@ -154,15 +154,17 @@
   }
 
   private long countFailuresInOutage(Fleet fleet, long millis) throws InterruptedException {
-    long from = elapsedMillis();
+    long fromMillis = elapsedMillis();
     fleet.store().setFaults(StoreFaults.none().withDown(true));
     runLoad(millis);
     fleet.store().setFaults(StoreFaults.none());
-    long to = elapsedMillis();
+    long toMillis = elapsedMillis();
     runLoad(4_000);
-    printSummary("store down " + millis / 1_000 + " s", from, to);
+    printSummary("store down " + millis / 1_000 + " s", fromMillis, toMillis);
     return outcomes.stream()
-        .filter(each -> each.dueMillis() >= from && each.dueMillis() < to && !each.isComplete())
+        .filter(
+            each ->
+                each.dueMillis() >= fromMillis && each.dueMillis() < toMillis && !each.isComplete())
         .count();
   }
 
@@ -235,17 +237,18 @@
     return answer instanceof Answer.Complete ? "whole" : "other";
   }
 
-  private void printSummary(String phase, long from, long to) {
+  private void printSummary(String phase, long fromMillis, long toMillis) {
     Map<String, Integer> names = new TreeMap<>();
     long slowest = 0;
     for (Outcome each : outcomes) {
-      if (each.dueMillis() >= from && each.dueMillis() < to) {
+      if (each.dueMillis() >= fromMillis && each.dueMillis() < toMillis) {
         names.merge(each.name(), 1, Integer::sum);
         slowest = Math.max(slowest, each.endMillis() - each.dueMillis());
       }
     }
     System.out.printf(
-        "%5.1f to %5.1f s, %-16s %s, slowest %d ms%n", from / 1e3, to / 1e3, phase, names, slowest);
+        "%5.1f to %5.1f s, %-16s %s, slowest %d ms%n",
+        fromMillis / 1e3, toMillis / 1e3, phase, names, slowest);
   }
 
   private long elapsedMillis() {
--- a/sageladder-bench/src/main/java/org/sageladder/bench/reverts/RevertsBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/reverts/RevertsBench.java
@@ -101,12 +101,12 @@
   }
 
   private void injectFault() throws IOException, InterruptedException {
-    int kind = random.nextInt(5);
-    faultCounts[kind]++;
+    int faultNumber = random.nextInt(5);
+    faultCounts[faultNumber]++;
     List<FleetVm> vms = fleet.vms();
     FleetVm vm = vms.get(random.nextInt(vms.size()));
     resumeAll();
-    switch (kind) {
+    switch (faultNumber) {
       case 0 -> {
         fleet.collectEvents(each -> true);
         vm.kill();
--- a/sageladder-bench/src/main/java/org/sageladder/bench/spread/SpreadBench.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/spread/SpreadBench.java
@@ -41,11 +41,11 @@
     Contract contract = Contracts.of(ZONES, 24, 200);
     double maxSeconds;
     double maxSecondsAfterRelayLoss;
-    long started = System.nanoTime();
+    long startNanos = System.nanoTime();
     try (Fleet fleet = Fleet.start(new FleetOptions(contract, VMS_PER_ZONE, HEAP_MEGABYTES))) {
       System.out.printf(
           "%d entry VMs in %d zones started in %.1f s%n",
-          fleet.vms().size(), ZONES, (System.nanoTime() - started) / 1e9);
+          fleet.vms().size(), ZONES, (System.nanoTime() - startNanos) / 1e9);
       SpreadBench bench = new SpreadBench(fleet, changes);
       maxSeconds = bench.measureWithoutFaults();
       bench.measureSlowStore();
@@ -93,14 +93,18 @@
     Fleet.Acceptance accepted = writeChange();
     Map<String, Long> otherZones =
         fleet.awaitRevision(accepted.revision(), TIMEOUT, vm -> !vm.zone().equals(zone));
-    otherZones.values().forEach(at -> otherZonesTimes.recordValue(at - accepted.sentMicros()));
-    long resumed = System.currentTimeMillis() * 1_000;
+    otherZones
+        .values()
+        .forEach(micros -> otherZonesTimes.recordValue(micros - accepted.sentMicros()));
+    long resumedMicros = System.currentTimeMillis() * 1_000;
     for (FleetVm vm : paused) {
       vm.resume();
     }
     Map<String, Long> resumedZone =
         fleet.awaitRevision(accepted.revision(), TIMEOUT, vm -> vm.zone().equals(zone));
-    resumedZone.values().forEach(at -> resumedZoneTimes.recordValue(Math.max(0, at - resumed)));
+    resumedZone
+        .values()
+        .forEach(micros -> resumedZoneTimes.recordValue(Math.max(0, micros - resumedMicros)));
     report("one zone paused, the others", otherZonesTimes);
     report("that zone after it goes on", resumedZoneTimes);
   }
--- a/sageladder-bench/src/main/java/org/sageladder/bench/whole/Exchanges.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/whole/Exchanges.java
@@ -25,6 +25,8 @@
   private static final double CHUNKED_FRACTION = 0.3;
   private static final int MAX_SMALL_BYTES = 1_024;
   private static final int MAX_LARGE_BYTES = 200_000;
+
+  /** One in this many requests asks for a response of up to {@link #MAX_LARGE_BYTES}. */
   private static final int LARGE_RESPONSE_INTERVAL = 200;
 
   private final TestBed bed;
--- a/sageladder-bench/src/main/java/org/sageladder/bench/whole/WholeAnswersMain.java
+++ b/sageladder-bench/src/main/java/org/sageladder/bench/whole/WholeAnswersMain.java
@@ -26,9 +26,9 @@
       }
       Thread.sleep(1_500);
       Exchanges exchanges = new Exchanges(bed);
-      long start = System.nanoTime();
+      long startNanos = System.nanoTime();
       exchanges.run(count);
-      long seconds = Math.max(1, (System.nanoTime() - start) / 1_000_000_000);
+      long seconds = Math.max(1, (System.nanoTime() - startNanos) / 1_000_000_000);
       System.out.println(count + " exchanges in " + seconds + " s");
       exchanges.print();
       Recordings recordings = new Recordings(bed);
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/WholeProcessTest.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/WholeProcessTest.java
@@ -79,7 +79,7 @@
     background.shutdownNow();
   }
 
-  /** Replaces an entry VM that has ended and updates the platform's list at once. */
+  /** Replaces an entry VM that has ended and updates the platform's list immediately. */
   private static void replace(EntryProcess ended) throws IOException {
     cluster.unlist(ended);
     cluster.addEntry(ended.vm() + "x", ended.zone());
@@ -255,10 +255,10 @@
   }
 
   // A caller closes its connection while the target processes the request. The slot must be freed
-  // at once, not only when the abandoned work is done. The entry VM sees the close as the end of
-  // input, which the HTTP library by default treats as a half-closed connection whose caller still
-  // reads. Deadline and service time exceed the test's timeout, so only the close can free the
-  // slot.
+  // immediately, not only when the abandoned work is done. The entry VM sees the close as the end
+  // of input, which the HTTP library by default treats as a half-closed connection whose caller
+  // still reads. Deadline and service time exceed the test's timeout, so only the close can free
+  // the slot.
   @Test
   void closedCallerConnectionFreesTheSlot() throws Exception {
     List<TargetServer> targets = cluster.targetsOf("lot-listing");
--- a/sageladder-bench/src/test/java/org/sageladder/bench/process/Workload.java
+++ b/sageladder-bench/src/test/java/org/sageladder/bench/process/Workload.java
@@ -72,17 +72,17 @@
             .id(key);
     Answer answer = client.send(request);
     boolean isOwnAnswer =
-        !(answer instanceof Answer.Complete whole) || isOwnAnswer(whole, path, body);
+        !(answer instanceof Answer.Complete complete) || isOwnAnswer(complete, path, body);
     return new CompletedRequest(answer, isOwnAnswer);
   }
 
-  private boolean isOwnAnswer(Answer.Complete whole, String path, byte[] body) {
+  private boolean isOwnAnswer(Answer.Complete complete, String path, byte[] body) {
     long checksum = RequestChecksum.of("POST", path, body);
     AnswerPattern.Checker checker = AnswerPattern.checker(checksum);
-    checker.add(ByteBuffer.wrap(whole.body()));
+    checker.add(ByteBuffer.wrap(complete.body()));
     boolean hasMatchingChecksum =
-        whole.header("Request-Checksum").filter(String.valueOf(checksum)::equals).isPresent();
-    return whole.status() != 200
+        complete.header("Request-Checksum").filter(String.valueOf(checksum)::equals).isPresent();
+    return complete.status() != 200
         || (hasMatchingChecksum && checker.matches() && checker.length() == answerBytes);
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Deployment.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Deployment.java
@@ -25,7 +25,7 @@
  * @param entryVmsByZone number of entry VMs in each zone
  * @param services the services
  * @param routes routes of the initial configuration
- * @param requestProfiles kinds of request that callers send
+ * @param requestProfiles traffic of each kind of request that callers send
  * @param networkDelays delays between hosts
  * @param tenants workspaces with API keys; empty if requests carry no API key
  */
@@ -370,7 +370,7 @@
   /** The same deployment with {@code factor} times the request rate. */
   Deployment withRateFactor(double factor) {
     List<RequestProfile> scaledKinds =
-        requestProfiles.stream().map(kind -> kind.withRateFactor(factor)).toList();
+        requestProfiles.stream().map(profile -> profile.withRateFactor(factor)).toList();
     return new Deployment(
         regionByZone, entryVmsByZone, services, routes, scaledKinds, networkDelays, tenants);
   }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Fleet.java
@@ -163,7 +163,7 @@
     context.day().endMillis(nowMillis());
     long maxDeadlineMillis =
         context.deployment().requestProfiles().stream()
-            .mapToLong(kind -> kind.deadlineMillis())
+            .mapToLong(profile -> profile.deadlineMillis())
             .max()
             .orElse(0);
     runFor(maxDeadlineMillis + 1_000);
@@ -248,15 +248,15 @@
   }
 
   /**
-   * Adds a route, or replaces the one with the same name, and makes callers send {@code kind} on
+   * Adds a route, or replaces the one with the same name, and makes callers send {@code profile} on
    * it.
    */
-  public void addRoute(RouteRule added, RequestProfile kind) {
+  public void addRoute(RouteRule added, RequestProfile profile) {
     List<RouteRule> updated = new ArrayList<>(routes());
     updated.removeIf(route -> route.name().equals(added.name()));
     updated.add(added);
     writeConfiguration(updated);
-    callers.forEach(each -> each.addProfile(kind, 1.0 / callers.size()));
+    callers.forEach(each -> each.addProfile(profile, 1.0 / callers.size()));
   }
 
   /** Evacuates a zone. */
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/Scenario.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/Scenario.java
@@ -31,7 +31,11 @@
   private static final int MIN_TROUBLES = 1;
   private static final int TROUBLE_COUNT_RANGE = 4;
 
-  /** A trouble by name, and when to inject it, in milliseconds after the start of the traffic. */
+  /**
+   * A trouble by name, and when to inject it, in milliseconds after the start of the traffic.
+   * {@code sageladder-days} prints it with {@link #toString}, so the names of the record and its
+   * components are part of the output.
+   */
   public record Strike(long atMillis, String trouble) {}
 
   /** Result of a scenario: the recorded day and one line for each violation of a rule. */
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/TrafficReport.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/TrafficReport.java
@@ -42,9 +42,9 @@
     }
   }
 
-  private final Map<Long, RequestCounts> byTime = new TreeMap<>();
-  private final Map<String, RequestCounts> byKind = new TreeMap<>();
-  private final Map<String, RequestCounts> byZone = new TreeMap<>();
+  private final Map<Long, RequestCounts> requestsByTime = new TreeMap<>();
+  private final Map<String, RequestCounts> requestsByRoute = new TreeMap<>();
+  private final Map<String, RequestCounts> requestsByZone = new TreeMap<>();
 
   private final Map<String, RunCounts> runsByRoute = new TreeMap<>();
 
@@ -66,8 +66,8 @@
      * request's last run.
      */
     void recordResponse(
-        Ledger.Attempt asked, Ledger.Run run, long arrivedMillis, long latencyMillis) {
-      if (latencyMillis <= asked.route().latencyGoalMillis()) {
+        Ledger.Attempt attempt, Ledger.Run run, long arrivedMillis, long latencyMillis) {
+      if (latencyMillis <= attempt.route().latencyGoalMillis()) {
         return;
       }
       lateCount++;
@@ -78,11 +78,11 @@
       }
     }
 
-    void addRun(Ledger.Attempt asked, Ledger.Run run) {
+    void addRun(Ledger.Attempt attempt, Ledger.Run run) {
       runCount++;
       uncachedCount += run.hadCached() ? 0 : 1;
-      objects.add(asked.path());
-      objectTargetPairs.add(asked.path() + ' ' + run.target());
+      objects.add(attempt.path());
+      objectTargetPairs.add(attempt.path() + ' ' + run.target());
     }
 
     @Override
@@ -103,31 +103,34 @@
 
   static TrafficReport of(SimulatedDay day, Deployment deployment) {
     TrafficReport report = new TrafficReport();
-    List<String> kinds = deployment.requestProfiles().stream().map(RequestProfile::route).toList();
+    List<String> routes = deployment.requestProfiles().stream().map(RequestProfile::route).toList();
     for (CompletedRequest request : day.requests()) {
-      if (kinds.contains(request.profile().route())) {
+      if (routes.contains(request.profile().route())) {
         long startMillis = request.startedAtMillis() / WINDOW_MILLIS * WINDOW_MILLIS;
-        report.byTime.computeIfAbsent(startMillis, at -> new RequestCounts()).add(request);
+        report.requestsByTime.computeIfAbsent(startMillis, at -> new RequestCounts()).add(request);
         report
-            .byKind
+            .requestsByRoute
             .computeIfAbsent(request.profile().route(), key -> new RequestCounts())
             .add(request);
-        report.byZone.computeIfAbsent(request.zone(), key -> new RequestCounts()).add(request);
+        report
+            .requestsByZone
+            .computeIfAbsent(request.zone(), key -> new RequestCounts())
+            .add(request);
       }
     }
     Map<String, Long> arrivalMillisById = new HashMap<>();
     day.ledger().arrivals().forEach(arrival -> arrivalMillisById.put(arrival.id(), arrival.at()));
-    for (Ledger.Attempt asked : day.ledger().attempts().values()) {
+    for (Ledger.Attempt attempt : day.ledger().attempts().values()) {
       RunCounts routeRuns =
-          report.runsByRoute.computeIfAbsent(asked.route().name(), key -> new RunCounts());
-      List<Ledger.Run> requestRuns = day.ledger().runs(asked.id());
-      requestRuns.forEach(run -> routeRuns.addRun(asked, run));
-      Long arrivedMillis = arrivalMillisById.get(asked.id());
-      Optional<Ledger.Answered> answer = day.ledger().answer(asked.id());
+          report.runsByRoute.computeIfAbsent(attempt.route().name(), key -> new RunCounts());
+      List<Ledger.Run> requestRuns = day.ledger().runs(attempt.id());
+      requestRuns.forEach(run -> routeRuns.addRun(attempt, run));
+      Long arrivedMillis = arrivalMillisById.get(attempt.id());
+      Optional<Ledger.Answered> answer = day.ledger().answer(attempt.id());
       if (!requestRuns.isEmpty() && arrivedMillis != null && answer.isPresent()) {
         Ledger.Run last = requestRuns.get(requestRuns.size() - 1);
         routeRuns.recordResponse(
-            asked, last, arrivedMillis, answer.get().at() - asked.sentAtMillis());
+            attempt, last, arrivedMillis, answer.get().at() - attempt.sentAtMillis());
       }
     }
     return report;
@@ -135,10 +138,11 @@
 
   void print(PrintStream out) {
     out.println("  from ms       asked in time  served");
-    byTime.forEach(
+    requestsByTime.forEach(
         (startMillis, counts) -> out.printf(Locale.ROOT, "  %-12d %s%n", startMillis, counts));
-    byKind.forEach((kind, counts) -> out.printf(Locale.ROOT, "  %-12s %s%n", kind, counts));
-    runsByRoute.forEach((kind, counts) -> out.printf(Locale.ROOT, "  %-12s %s%n", kind, counts));
-    byZone.forEach((zone, counts) -> out.printf(Locale.ROOT, "  %-12s %s%n", zone, counts));
+    requestsByRoute.forEach(
+        (route, counts) -> out.printf(Locale.ROOT, "  %-12s %s%n", route, counts));
+    runsByRoute.forEach((route, counts) -> out.printf(Locale.ROOT, "  %-12s %s%n", route, counts));
+    requestsByZone.forEach((zone, counts) -> out.printf(Locale.ROOT, "  %-12s %s%n", zone, counts));
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/AddedRouteRule.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/AddedRouteRule.java
@@ -71,7 +71,7 @@
     Map<String, Long> configuredMillis = new HashMap<>();
     day.ledger()
         .events(PlatformEvent.Kind.CONFIGURATION)
-        .forEach(moment -> configuredMillis.merge(moment.subject(), moment.atMillis(), Math::min));
+        .forEach(event -> configuredMillis.merge(event.subject(), event.atMillis(), Math::min));
     return configuredMillis;
   }
 }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/ArrivalRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/ArrivalRules.java
@@ -45,7 +45,7 @@
             isAccepted(arrival)
                 && day.ledger()
                     .attempt(arrival.id())
-                    .map(asked -> day.allowedServices(asked.route().name()))
+                    .map(attempt -> day.allowedServices(attempt.route().name()))
                     .filter(services -> !services.contains(arrival.service()))
                     .isPresent());
   }
@@ -57,7 +57,7 @@
             isAccepted(arrival)
                 && day.ledger()
                     .attempt(arrival.id())
-                    .filter(asked -> !asked.route().allows(arrival.region()))
+                    .filter(attempt -> !attempt.route().allows(arrival.region()))
                     .isPresent());
   }
 
@@ -65,11 +65,11 @@
     Map<String, Long> leftMillis = new HashMap<>();
     day.ledger()
         .events(PlatformEvent.Kind.TARGET_LEAVES)
-        .forEach(moment -> leftMillis.putIfAbsent(moment.subject(), moment.atMillis()));
+        .forEach(event -> leftMillis.putIfAbsent(event.subject(), event.atMillis()));
     // A running target whose entry expired and was written again has not left.
     day.ledger()
         .events(PlatformEvent.Kind.TARGET_BACK)
-        .forEach(moment -> leftMillis.remove(moment.subject()));
+        .forEach(event -> leftMillis.remove(event.subject()));
     return arrivalsWhere(
         day,
         arrival -> {
@@ -90,8 +90,8 @@
         arrival ->
             arrival.fate() != Ledger.Fate.OTHER_TARGET
                 && evacuations.stream()
-                    .filter(moment -> moment.subject().equals(arrival.zone()))
-                    .anyMatch(moment -> isDuringEvacuation(day, moment, reopened, arrival)));
+                    .filter(event -> event.subject().equals(arrival.zone()))
+                    .anyMatch(event -> isDuringEvacuation(day, event, reopened, arrival)));
   }
 
   private static boolean isDuringEvacuation(
@@ -99,9 +99,9 @@
     long reopenedMillis =
         reopened.stream()
             .filter(
-                moment ->
-                    moment.subject().equals(evacuated.subject())
-                        && moment.atMillis() > evacuated.atMillis())
+                event ->
+                    event.subject().equals(evacuated.subject())
+                        && event.atMillis() > evacuated.atMillis())
             .mapToLong(PlatformEvent::atMillis)
             .min()
             .orElse(Long.MAX_VALUE);
@@ -116,28 +116,28 @@
     return arrivalsWhere(
         day,
         arrival -> {
-          Optional<Attempt> asked = day.ledger().attempt(arrival.id());
-          if (asked.isEmpty() || !isAccepted(arrival)) {
+          Optional<Attempt> attempt = day.ledger().attempt(arrival.id());
+          if (attempt.isEmpty() || !isAccepted(arrival)) {
             return false;
           }
           Set<String> allowedServices =
-              asked.get().route().services().stream()
+              attempt.get().route().services().stream()
                   .map(share -> share.service())
                   .collect(Collectors.toSet());
-          long changedMillis = lastChangeMillis(day, asked.get());
+          long changedMillis = lastChangeMillis(day, attempt.get());
           return !allowedServices.contains(arrival.service())
-              && asked.get().sentAtMillis()
+              && attempt.get().sentAtMillis()
                   > changedMillis + day.bounds().configurationApplyMillis()
               && day.isInContact(arrival.from(), changedMillis, arrival.at());
         });
   }
 
-  private static long lastChangeMillis(SimulatedDay day, Attempt asked) {
+  private static long lastChangeMillis(SimulatedDay day, Attempt attempt) {
     return day.ledger().events(PlatformEvent.Kind.CONFIGURATION).stream()
         .filter(
-            moment ->
-                moment.subject().equals(asked.route().name())
-                    && moment.atMillis() <= asked.sentAtMillis())
+            event ->
+                event.subject().equals(attempt.route().name())
+                    && event.atMillis() <= attempt.sentAtMillis())
         .map(PlatformEvent::atMillis)
         .max(Comparator.naturalOrder())
         .orElse(0L);
@@ -171,11 +171,12 @@
   private static void countContinuedRun(
       SimulatedDay day, Ledger.Run run, int[] abandonedRuns, List<String> continuedRuns) {
     Optional<Long> at = day.ledger().callerLeftAtMillis(run.id());
-    Optional<Attempt> asked = day.ledger().attempt(run.id());
-    if (at.isEmpty() || asked.isEmpty() || !asked.get().route().idempotent()) {
+    Optional<Attempt> attempt = day.ledger().attempt(run.id());
+    if (at.isEmpty() || attempt.isEmpty() || !attempt.get().route().idempotent()) {
       return;
     }
-    if (!day.isInContact(asked.get().entryVmIp(), at.get(), at.get() + CLOSE_PROPAGATION_MILLIS)) {
+    if (!day.isInContact(
+        attempt.get().entryVmIp(), at.get(), at.get() + CLOSE_PROPAGATION_MILLIS)) {
       return;
     }
     boolean continued =
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/BudgetRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/BudgetRules.java
@@ -98,11 +98,11 @@
    */
   private static Map<String, NavigableMap<Long, Integer>> requestTimesByService(SimulatedDay day) {
     Map<String, NavigableMap<Long, Integer>> requests = new HashMap<>();
-    for (Attempt asked : day.ledger().attempts().values()) {
-      asked
+    for (Attempt attempt : day.ledger().attempts().values()) {
+      attempt
           .route()
           .services()
-          .forEach(share -> add(requests, share.service(), asked.sentAtMillis()));
+          .forEach(share -> add(requests, share.service(), attempt.sentAtMillis()));
     }
     return requests;
   }
@@ -123,7 +123,7 @@
         .forEach(
             (id, runs) -> {
               int maxTargets =
-                  day.ledger().attempt(id).map(asked -> asked.route().maxTargets()).orElse(1);
+                  day.ledger().attempt(id).map(attempt -> attempt.route().maxTargets()).orElse(1);
               long targets = runs.stream().map(Ledger.Run::target).distinct().count();
               if (targets > maxTargets) {
                 violations.add(id + " ran at " + targets + " targets");
@@ -138,18 +138,18 @@
     for (Arrival arrival : day.ledger().arrivals()) {
       day.ledger()
           .attempt(arrival.id())
-          .filter(asked -> exceedsDeadline(arrival, asked))
-          .filter(asked -> day.isInContact(arrival.from(), asked.sentAtMillis(), arrival.at()))
-          .ifPresent(asked -> violations.add(arrival.toString()));
+          .filter(attempt -> exceedsDeadline(arrival, attempt))
+          .filter(attempt -> day.isInContact(arrival.from(), attempt.sentAtMillis(), arrival.at()))
+          .ifPresent(attempt -> violations.add(arrival.toString()));
     }
     return violations.size() > MAX_REQUESTS_OVER_DEADLINE ? violations : List.of();
   }
 
-  private static boolean exceedsDeadline(Arrival arrival, Attempt asked) {
+  private static boolean exceedsDeadline(Arrival arrival, Attempt attempt) {
     long deadlineAtMillis = arrival.at() + arrival.deadlineMillis();
     return arrival.deadlineMillis() < 0
         || deadlineAtMillis
-            > asked.sentAtMillis() + asked.deadlineMillis() + DEADLINE_TOLERANCE_MILLIS;
+            > attempt.sentAtMillis() + attempt.deadlineMillis() + DEADLINE_TOLERANCE_MILLIS;
   }
 
   /** Requests that crash their targets and still reach further ones. */
@@ -158,10 +158,10 @@
     for (Arrival arrival : day.ledger().arrivals()) {
       day.ledger()
           .attempt(arrival.id())
-          .filter(asked -> asked.path().contains("poison"))
+          .filter(attempt -> attempt.path().contains("poison"))
           .ifPresent(
-              asked ->
-                  byPath.computeIfAbsent(asked.path(), path -> new ArrayList<>()).add(arrival));
+              attempt ->
+                  byPath.computeIfAbsent(attempt.path(), path -> new ArrayList<>()).add(arrival));
     }
     List<String> violations = new ArrayList<>();
     byPath.forEach(
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/KeyRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/KeyRules.java
@@ -30,9 +30,12 @@
     for (Delivery delivery : day.ledger().deliveries()) {
       day.ledger()
           .credential(delivery.id())
-          .filter(bearer -> delivery.keyShown() || !delivery.workspace().equals(bearer.workspace()))
+          .filter(
+              credential ->
+                  delivery.keyShown() || !delivery.workspace().equals(credential.workspace()))
           .ifPresent(
-              bearer -> violations.add(delivery + " carried a key of " + bearer.workspace()));
+              credential ->
+                  violations.add(delivery + " carried a key of " + credential.workspace()));
     }
     return violations;
   }
@@ -44,7 +47,7 @@
       boolean forged =
           day.ledger()
               .credential(delivery.id())
-              .filter(bearer -> !bearer.wasEverConfigured())
+              .filter(credential -> !credential.wasEverConfigured())
               .isPresent();
       if (forged && delivery.fate() == Ledger.Fate.TAKEN) {
         violations.add(delivery.id() + " ran with a key that was never issued");
@@ -59,18 +62,18 @@
    */
   static List<String> revokedKeys(SimulatedDay day) {
     List<String> violations = new ArrayList<>();
-    for (PlatformEvent moment : day.ledger().events(PlatformEvent.Kind.KEY_TAKEN_AWAY)) {
-      long inForceMillis = moment.atMillis() + day.bounds().configurationApplyMillis();
+    for (PlatformEvent event : day.ledger().events(PlatformEvent.Kind.KEY_TAKEN_AWAY)) {
+      long inForceMillis = event.atMillis() + day.bounds().configurationApplyMillis();
       for (Delivery delivery : day.ledger().deliveries()) {
         boolean carriesKey =
             day.ledger()
                 .credential(delivery.id())
-                .filter(b -> b.key().equals(moment.subject()))
+                .filter(credential -> credential.key().equals(event.subject()))
                 .isPresent();
         if (carriesKey
             && delivery.fate() == Ledger.Fate.TAKEN
             && isSentInContact(day, delivery.id(), inForceMillis)) {
-          violations.add(delivery.id() + " ran after its key was revoked at " + moment.atMillis());
+          violations.add(delivery.id() + " ran after its key was revoked at " + event.atMillis());
         }
       }
     }
@@ -79,22 +82,24 @@
 
   /** Returns true if the request carries no key, or one that was issued and never revoked. */
   static boolean isKeyValid(SimulatedDay day, String id) {
-    Ledger.Credential bearer = day.ledger().credential(id).orElse(null);
-    if (bearer == null) {
+    Ledger.Credential credential = day.ledger().credential(id).orElse(null);
+    if (credential == null) {
       return true;
     }
     boolean revoked =
         day.ledger().events(PlatformEvent.Kind.KEY_TAKEN_AWAY).stream()
-            .anyMatch(moment -> moment.subject().equals(bearer.key()));
-    return bearer.wasEverConfigured() && !revoked;
+            .anyMatch(event -> event.subject().equals(credential.key()));
+    return credential.wasEverConfigured() && !revoked;
   }
 
   private static boolean isSentInContact(SimulatedDay day, String id, long afterMillis) {
     return day.ledger()
         .attempt(id)
-        .filter(asked -> asked.sentAtMillis() > afterMillis)
+        .filter(attempt -> attempt.sentAtMillis() > afterMillis)
         .filter(
-            asked -> day.isInContact(asked.entryVmIp(), asked.sentAtMillis(), asked.sentAtMillis()))
+            attempt ->
+                day.isInContact(
+                    attempt.entryVmIp(), attempt.sentAtMillis(), attempt.sentAtMillis()))
         .isPresent();
   }
 
@@ -156,13 +161,13 @@
     for (String id : day.ledger().attempts().keySet()) {
       day.ledger()
           .credential(id)
-          .filter(bearer -> !bearer.workspace().isEmpty())
+          .filter(credential -> !credential.workspace().isEmpty())
           .ifPresent(
-              bearer -> {
+              credential -> {
                 int succeeded =
                     day.ledger().answer(id).filter(a -> a.status() / 100 == 2).isPresent() ? 1 : 0;
                 int[] workspaceCounts =
-                    counts.computeIfAbsent(bearer.workspace(), name -> new int[2]);
+                    counts.computeIfAbsent(credential.workspace(), name -> new int[2]);
                 workspaceCounts[0]++;
                 workspaceCounts[1] += succeeded;
                 totalCounts[0]++;
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/ResponseRules.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/ResponseRules.java
@@ -43,12 +43,12 @@
 
   static List<String> refusedButRan(SimulatedDay day) {
     List<String> violations = new ArrayList<>();
-    for (Ledger.Attempt asked : day.ledger().attempts().values()) {
-      int status = day.ledger().answer(asked.id()).map(Ledger.Answered::status).orElse(0);
-      if (!asked.route().idempotent()
+    for (Ledger.Attempt attempt : day.ledger().attempts().values()) {
+      int status = day.ledger().answer(attempt.id()).map(Ledger.Answered::status).orElse(0);
+      if (!attempt.route().idempotent()
           && NOT_RUN_STATUSES.contains(status)
-          && !day.ledger().runs(asked.id()).isEmpty()) {
-        violations.add(asked.id() + " was answered " + status + " and ran");
+          && !day.ledger().runs(attempt.id()).isEmpty()) {
+        violations.add(attempt.id() + " was answered " + status + " and ran");
       }
     }
     return violations;
@@ -56,11 +56,11 @@
 
   static List<String> wrongResponses(SimulatedDay day) {
     List<String> violations = new ArrayList<>();
-    for (Ledger.Attempt asked : day.ledger().attempts().values()) {
+    for (Ledger.Attempt attempt : day.ledger().attempts().values()) {
       day.ledger()
-          .answer(asked.id())
+          .answer(attempt.id())
           .filter(answer -> answer.status() != 0 && !isCorrect(day, answer))
-          .ifPresent(answer -> violations.add(asked.id() + " received " + answer));
+          .ifPresent(answer -> violations.add(attempt.id() + " received " + answer));
     }
     return violations;
   }
@@ -84,11 +84,11 @@
   /** Valid requests, allowed by every configuration, that the system itself denied. */
   static List<String> deniedRequests(SimulatedDay day) {
     List<String> violations = new ArrayList<>();
-    for (Ledger.Attempt asked : day.ledger().attempts().values()) {
-      int status = day.ledger().answer(asked.id()).map(Ledger.Answered::status).orElse(0);
+    for (Ledger.Attempt attempt : day.ledger().attempts().values()) {
+      int status = day.ledger().answer(attempt.id()).map(Ledger.Answered::status).orElse(0);
       boolean denied = status >= 300 && status < 500 && !NOT_RUN_STATUSES.contains(status);
-      if (denied && !(status == UNAUTHORIZED && !KeyRules.isKeyValid(day, asked.id()))) {
-        violations.add(asked.id() + " of " + asked.route().name() + " received " + status);
+      if (denied && !(status == UNAUTHORIZED && !KeyRules.isKeyValid(day, attempt.id()))) {
+        violations.add(attempt.id() + " of " + attempt.route().name() + " received " + status);
       }
     }
     return violations.size() > MAX_DENIED ? violations : List.of();
@@ -101,16 +101,17 @@
    */
   static List<String> cutByPlannedStop(SimulatedDay day) {
     List<String> violations = new ArrayList<>();
-    for (Ledger.Attempt asked : day.ledger().attempts().values()) {
+    for (Ledger.Attempt attempt : day.ledger().attempts().values()) {
       day.ledger()
-          .answer(asked.id())
+          .answer(attempt.id())
           .filter(answer -> answer.status() == 0)
-          .filter(answer -> reachedTarget(day, asked.id()))
-          .filter(answer -> day.isUndisturbed(asked.sentAtMillis(), answer.at()))
-          .filter(answer -> answer.at() - asked.sentAtMillis() < asked.route().timeoutMillis())
-          .filter(answer -> !outlastsGracePeriod(day, asked))
+          .filter(answer -> reachedTarget(day, attempt.id()))
+          .filter(answer -> day.isUndisturbed(attempt.sentAtMillis(), answer.at()))
+          .filter(answer -> answer.at() - attempt.sentAtMillis() < attempt.route().timeoutMillis())
+          .filter(answer -> !outlastsGracePeriod(day, attempt))
           .ifPresent(
-              answer -> violations.add(asked.id() + " at " + asked.entryVmIp() + " was cut off"));
+              answer ->
+                  violations.add(attempt.id() + " at " + attempt.entryVmIp() + " was cut off"));
     }
     return violations;
   }
@@ -119,13 +120,13 @@
    * Returns true if the VM was being stopped, the request was sent before the stop or shortly after
    * it began, and its target was still running it in the last sixth of the grace time.
    */
-  private static boolean outlastsGracePeriod(SimulatedDay day, Ledger.Attempt asked) {
+  private static boolean outlastsGracePeriod(SimulatedDay day, Ledger.Attempt attempt) {
     long lastSixthOffsetMillis = day.bounds().graceMillis() * 5 / 6;
-    return day.plannedIntervals(asked.entryVmIp()).stream()
-        .filter(stop -> asked.sentAtMillis() <= stop.fromMillis() + EXCUSED_AFTER_STOP_MILLIS)
+    return day.plannedIntervals(attempt.entryVmIp()).stream()
+        .filter(stop -> attempt.sentAtMillis() <= stop.fromMillis() + EXCUSED_AFTER_STOP_MILLIS)
         .anyMatch(
             stop ->
-                day.ledger().runs(asked.id()).stream()
+                day.ledger().runs(attempt.id()).stream()
                     .anyMatch(
                         run ->
                             run.endedAtMillis() < 0
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/ShiftRule.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/rule/ShiftRule.java
@@ -124,13 +124,13 @@
       }
     }
     Map<String, NavigableMap<Long, Window>> byRegion = new TreeMap<>();
-    for (Ledger.Attempt asked : day.ledger().attempts().values()) {
-      String region = runRegionById.get(asked.id());
+    for (Ledger.Attempt attempt : day.ledger().attempts().values()) {
+      String region = runRegionById.get(attempt.id());
       if (region != null) {
         byRegion
-            .computeIfAbsent(asked.region(), name -> new TreeMap<>())
+            .computeIfAbsent(attempt.region(), name -> new TreeMap<>())
             .computeIfAbsent(
-                (asked.sentAtMillis() - beginsMillis) / STEP_MILLIS, number -> new Window())
+                (attempt.sentAtMillis() - beginsMillis) / STEP_MILLIS, number -> new Window())
             .count(region);
       }
     }
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/OperatorTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/OperatorTroubles.java
@@ -96,7 +96,7 @@
         fleet.deployment().requestProfiles().stream()
             .max(
                 Comparator.comparingDouble(
-                    kind -> kind.requestsPerSecond() * kind.meanServiceMillis()))
+                    profile -> profile.requestsPerSecond() * profile.meanServiceMillis()))
             .orElseThrow();
     RouteRule template =
         fleet.routes().stream()
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/StoreTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/StoreTroubles.java
@@ -59,15 +59,15 @@
     all.put("entries-of-others", StoreTroubles::writeForeignEntries);
   }
 
-  private static void put(Map<String, Trouble> all, String name, StoreFaultMode kind) {
-    all.put(name, (fleet, random) -> inject(fleet, random, kind, caller -> true));
+  private static void put(Map<String, Trouble> all, String name, StoreFaultMode mode) {
+    all.put(name, (fleet, random) -> inject(fleet, random, mode, caller -> true));
   }
 
   private static void inject(
-      Fleet fleet, Random random, StoreFaultMode kind, Predicate<String> affects) {
+      Fleet fleet, Random random, StoreFaultMode mode, Predicate<String> affects) {
     long millis = Troubles.randomMillis(random, MIN_TROUBLE_MILLIS, MAX_TROUBLE_MILLIS);
     Troubles.recordAtAll(fleet, millis);
-    fleet.storePort().setFault(kind, affects);
+    fleet.storePort().setFault(mode, affects);
     fleet.runAfter(
         millis,
         () -> {
@@ -82,12 +82,12 @@
   }
 
   private static void refuseSomeVms(Fleet fleet, Random random) {
-    StoreFaultMode kind = REFUSAL_MODES.get(random.nextInt(REFUSAL_MODES.size()));
+    StoreFaultMode mode = REFUSAL_MODES.get(random.nextInt(REFUSAL_MODES.size()));
     List<String> affectedIps =
         Troubles.pickEntries(fleet, random, REFUSED_VM_COUNT).stream()
             .map(entry -> entry.host().ip())
             .toList();
-    inject(fleet, random, kind, affectedIps::contains);
+    inject(fleet, random, mode, affectedIps::contains);
   }
 
   /**
--- a/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/TargetTroubles.java
+++ b/sageladder-scenario/src/main/java/org/sageladder/scenario/trouble/TargetTroubles.java
@@ -106,10 +106,10 @@
     }
   }
 
-  private static void injectFault(Fleet fleet, Random random, Fault kind) {
+  private static void injectFault(Fleet fleet, Random random, Fault fault) {
     List<FleetTarget> affected = pick(fleet, random, FAULTY_FRACTION);
     Troubles.recordAtAll(fleet, TROUBLE_MILLIS);
-    affected.forEach(target -> target.process().setFault(kind, FAULTY_RESPONSE_FRACTION));
+    affected.forEach(target -> target.process().setFault(fault, FAULTY_RESPONSE_FRACTION));
     fleet.runAfter(
         TROUBLE_MILLIS, () -> affected.forEach(target -> target.process().setFault(Fault.NONE, 0)));
   }
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/KeyRulesTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/KeyRulesTest.java
@@ -35,7 +35,7 @@
   private final Ledger ledger = day.ledger();
 
   private void recordSent(String id, String workspace, boolean everHeld, long at) {
-    ledger.attempt(new Ledger.Attempt(id, ROUTE, "/r/1", "", "north", "10.1.0.1", at, 2_000));
+    ledger.recordAttempt(new Ledger.Attempt(id, ROUTE, "/r/1", "", "north", "10.1.0.1", at, 2_000));
     ledger.recordCredential(id, new Ledger.Credential(workspace, "k-" + workspace, everHeld));
   }
 
--- a/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/RulesTest.java
+++ b/sageladder-scenario/src/test/java/org/sageladder/scenario/rule/RulesTest.java
@@ -45,7 +45,7 @@
 
   private void recordSent(String id, boolean idempotent, long at) {
     RouteRule route = route(idempotent);
-    ledger.attempt(new Attempt(id, route, "/a/" + id, "", "north", VM, at, 3_000));
+    ledger.recordAttempt(new Attempt(id, route, "/a/" + id, "", "north", VM, at, 3_000));
   }
 
   private static Arrival arrival(String id, long at) {
@@ -344,7 +344,7 @@
       String id = "q" + i;
       RouteRule route = route(true);
       long at = BASE_MILLIS + i * 4_000L;
-      ledger.attempt(new Attempt(id, route, "/a/poison", "", "north", VM, at, 3_000));
+      ledger.recordAttempt(new Attempt(id, route, "/a/poison", "", "north", VM, at, 3_000));
       ledger.recordArrival(arrival(id, at));
     }
     assertViolated("BUDGET crashes");
--- a/sageladder-standin/src/main/java/org/sageladder/standin/http/ConnectionTable.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/http/ConnectionTable.java
@@ -38,7 +38,7 @@
     return details.getRemoteAddress();
   }
 
-  /** Closes the connection from {@code peer} at once, even with requests in flight. */
+  /** Closes the connection from {@code peer} immediately, even with requests in flight. */
   public void close(SocketAddress peer) {
     IOSession session = sessionsByPeer.get(peer);
     if (session != null) {
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately. */
   public void closeAll() {
     sessionsByPeer.values().forEach(session -> session.close(CloseMode.IMMEDIATE));
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/http/JsonServer.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/http/JsonServer.java
@@ -48,7 +48,7 @@
     return port;
   }
 
-  /** Closes all open connections at once; callers may connect again. */
+  /** Closes all open connections immediately; callers may connect again. */
   public void closeConnections() {
     connections.closeAll();
   }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedHost.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedHost.java
@@ -10,8 +10,8 @@
 /**
  * A host of the simulated network, which is running, suspended or powered off.
  *
- * <p>As an executor it runs tasks at once while it is running, defers them while it is suspended,
- * and drops them while it is powered off.
+ * <p>As an executor it runs tasks immediately while it is running, defers them while it is
+ * suspended, and drops them while it is powered off.
  */
 public final class SimulatedHost implements Executor {
   private final SimulatedNetwork network;
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedPort.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/SimulatedPort.java
@@ -25,7 +25,7 @@
     return host;
   }
 
-  /** Accepts a connection, which is established at this end at once. */
+  /** Accepts a connection, which is established at this end immediately. */
   void accept(SimulatedChannel channel) {
     channel.onEstablished();
     pipeline().fireChannelRead(channel);
--- a/sageladder-standin/src/main/java/org/sageladder/standin/network/VirtualLoop.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/network/VirtualLoop.java
@@ -13,7 +13,7 @@
  * <pre>{@code
  * VirtualLoop loop = VirtualLoop.create();
  * loop.schedule(() -> System.out.println("a minute later"), 1, TimeUnit.MINUTES);
- * loop.runFor(60_000); // returns at once
+ * loop.runFor(60_000); // returns immediately
  * }</pre>
  *
  * <p>Must be used on the thread that created it.
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallersStandIn.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/CallersStandIn.java
@@ -330,7 +330,7 @@
       headers.put("Authorization", "Token " + credential.key());
       ledger.recordCredential(id, credential);
     }
-    ledger.attempt(
+    ledger.recordAttempt(
         new Ledger.Attempt(
             id,
             route.get(),
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/Ledger.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/Ledger.java
@@ -49,8 +49,8 @@
   }
 
   /**
-   * The arrival of a request at a target. Reports of broken rules print it, so the component names
-   * are part of their format.
+   * The arrival of a request at a target. Reports of rule violations print it, so the component
+   * names are part of their format.
    *
    * @param from IP address of the entry VM that sent it
    * @param wellFormed false where path or body differ from what the caller sent
@@ -131,8 +131,8 @@
   }
 
   /**
-   * The answer that a caller received. Reports of broken rules print it, so the component names are
-   * part of their format.
+   * The answer that a caller received. Reports of rule violations print it, so the component names
+   * are part of their format.
    *
    * @param status HTTP status, or 0 where the connection closed before a complete answer
    * @param body body of the answer
@@ -143,14 +143,14 @@
       String id, int status, String body, boolean sealed, @Nullable String named, long at) {}
 
   /**
-   * A change of the platform's state, or the start or end of a fault.
+   * A change of the platform's state, or the start or end of a trouble.
    *
    * @param subject what the event is about, such as a target's id, a zone or a route
    */
   public record PlatformEvent(Kind kind, String subject, long atMillis) {
     /** Kinds of events. */
     public enum Kind {
-      /** The store has recorded that a target is leaving or gone. */
+      /** The store has recorded that a target is leaving or has left. */
       TARGET_LEAVES,
       /** The store has the entry of a live target again after it had expired. */
       TARGET_BACK,
@@ -164,9 +164,9 @@
       KEY_TAKEN_AWAY,
       /** The store has a configuration that lowers a workspace's quota. */
       QUOTA_LOWERED,
-      /** A fault starts. */
+      /** A trouble starts. */
       TROUBLE_BEGINS,
-      /** The fault ends. */
+      /** A trouble ends. */
       TROUBLE_ENDS
     }
   }
@@ -218,7 +218,7 @@
   }
 
   /** Records an attempt when it is sent. */
-  public void attempt(Attempt attempt) {
+  public void recordAttempt(Attempt attempt) {
     attempts.put(attempt.id(), attempt);
   }
 
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreModel.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/StoreModel.java
@@ -242,14 +242,14 @@
 
   /** Ends leases and watches whose time has run out. */
   public void expireDue() {
-    long now = clock.getAsLong();
+    long nowMillis = clock.getAsLong();
     leases.entrySet().stream()
-        .filter(entry -> entry.getValue().expiresAtMillis() <= now)
+        .filter(entry -> entry.getValue().expiresAtMillis() <= nowMillis)
         .map(Map.Entry::getKey)
         .toList()
         .forEach(this::revokeLease);
     if (!areWatchesStalled) {
-      watches.removeIf(watch -> watch.deadlineMillis() <= now && tryComplete(watch));
+      watches.removeIf(watch -> watch.deadlineMillis() <= nowMillis && tryComplete(watch));
     }
   }
 }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/platform/TargetStandIn.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/platform/TargetStandIn.java
@@ -60,7 +60,7 @@
     final long deadlineMillis;
     final ServerPort.Exchange exchange;
     Ledger.@Nullable Run run;
-    boolean isCallerGone;
+    boolean hasCallerLeft;
 
     Job(String id, String object, String path, long deadlineMillis, ServerPort.Exchange exchange) {
       this.id = id;
@@ -109,8 +109,8 @@
   /**
    * Starts a target on its port.
    *
-   * @param facts facts that the target reports; entry VMs are taken to know from the start how long
-   *     it is cold
+   * @param facts facts that the target reports; entry VMs are assumed to know from the start how
+   *     long it is cold
    * @param crashProcess ends the target's process
    */
   public static TargetStandIn start(
@@ -252,9 +252,9 @@
   }
 
   private boolean exceedsColdRate() {
-    long now = loop.nowMillis();
-    coldArrivals.addLast(now);
-    while (coldArrivals.getFirst() <= now - SECOND_MILLIS) {
+    long nowMillis = loop.nowMillis();
+    coldArrivals.addLast(nowMillis);
+    while (coldArrivals.getFirst() <= nowMillis - SECOND_MILLIS) {
       coldArrivals.removeFirst();
     }
     return coldArrivals.size() > CRASH_RATE_FACTOR * traits.coldRequestsPerSecond();
@@ -263,7 +263,7 @@
   private void startQueued() {
     while (running.size() < traits.slots() && !queue.isEmpty()) {
       Job job = queue.removeFirst();
-      if (job.isCallerGone) {
+      if (job.hasCallerLeft) {
         continue;
       }
       if (loop.nowMillis() >= job.deadlineMillis) {
@@ -309,7 +309,7 @@
   }
 
   private void onCallerLeft(Job job) {
-    job.isCallerGone = true;
+    job.hasCallerLeft = true;
     Ledger.Run run = job.run;
     if (running.remove(job) && run != null) {
       run.recordEnd(loop.nowMillis(), 0, null);
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreState.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/StoreState.java
@@ -151,11 +151,11 @@
 
   /** Ends the leases that have expired and deletes their keys. */
   public synchronized void expireLeases() {
-    long now = time.nanos();
+    long nowNanos = time.nanos();
     Iterator<Lease> all = leases.values().iterator();
     while (all.hasNext()) {
       Lease lease = all.next();
-      if (lease.expiresAtNanos - now <= 0) {
+      if (lease.expiresAtNanos - nowNanos <= 0) {
         all.remove();
         deleteKeys(lease);
       }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/store/VmTable.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/store/VmTable.java
@@ -42,8 +42,8 @@
 
   /** Returns the list as callers see it now, ordered by id. */
   synchronized List<ListedVm> visibleVms() {
-    long now = time.nanos();
-    while (!pending.isEmpty() && pending.peek().changedAtNanos() + lagNanos - now <= 0) {
+    long nowNanos = time.nanos();
+    while (!pending.isEmpty() && pending.peek().changedAtNanos() + lagNanos - nowNanos <= 0) {
       apply(pending.remove());
     }
     return List.copyOf(visibleVms.values());
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/SlotTable.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/SlotTable.java
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Takes a slot or a place in the queue, or refuses the request. With {@link Decision#STARTED} the
-   * caller runs the work itself; with {@link Decision#QUEUED} a later {@link #release} returns
+   * Takes a slot or a position in the queue, or refuses the request. With {@link Decision#STARTED}
+   * the caller runs the work itself; with {@link Decision#QUEUED} a later {@link #release} returns
    * {@code start}.
    */
   synchronized Decision offer(Runnable start, long deadlineNanos) {
@@ -167,10 +167,10 @@
 
   /** Returns the load as reported, with the faults applied. */
   synchronized Load reportedLoad() {
-    long cutoff = time.nanos() - Duration.ofMillis(faults.loadLagMillis()).toNanos();
+    long cutoffNanos = time.nanos() - Duration.ofMillis(faults.loadLagMillis()).toNanos();
     Load visible = loadSamples.getFirst().load();
     for (LoadSample sample : loadSamples) {
-      if (sample.atNanos() - cutoff > 0) {
+      if (sample.atNanos() - cutoffNanos > 0) {
         break;
       }
       visible = sample.load();
@@ -195,24 +195,25 @@
 
   private double coldStartFactor() {
     double coldNanos = Duration.ofMillis(options.coldMillis()).toNanos();
-    long warmingSince = startedAtNanos + Duration.ofMillis(options.startMillis()).toNanos();
-    double elapsed = time.nanos() - warmingSince;
-    if (elapsed >= coldNanos) {
+    long warmingSinceNanos = startedAtNanos + Duration.ofMillis(options.startMillis()).toNanos();
+    double elapsedNanos = time.nanos() - warmingSinceNanos;
+    if (elapsedNanos >= coldNanos) {
       return 1;
     }
-    return options.coldFactor() + (1 - options.coldFactor()) * Math.max(0, elapsed) / coldNanos;
+    return options.coldFactor()
+        + (1 - options.coldFactor()) * Math.max(0, elapsedNanos) / coldNanos;
   }
 
   /**
    * Adds a sample and drops those that are older than the report lag, except the latest of them.
    */
   private void recordLoad() {
-    long now = time.nanos();
-    loadSamples.add(new LoadSample(now, load()));
-    long cutoff = now - Duration.ofMillis(faults.loadLagMillis()).toNanos();
+    long nowNanos = time.nanos();
+    loadSamples.add(new LoadSample(nowNanos, load()));
+    long cutoffNanos = nowNanos - Duration.ofMillis(faults.loadLagMillis()).toNanos();
     while (loadSamples.size() > 1) {
       LoadSample oldest = loadSamples.removeFirst();
-      if (loadSamples.getFirst().atNanos() - cutoff > 0) {
+      if (loadSamples.getFirst().atNanos() - cutoffNanos > 0) {
         loadSamples.addFirst(oldest);
         return;
       }
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetServer.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/TargetServer.java
@@ -162,7 +162,7 @@
     schedule(this::closeAndScheduleRestart, 0);
   }
 
-  /** Closes all connections and restarts at once on the same port as a new incarnation. */
+  /** Closes all connections and restarts immediately on the same port as a new incarnation. */
   public void restart() {
     stopIncarnation();
     rebind();
--- a/sageladder-standin/src/main/java/org/sageladder/standin/target/WorkExchange.java
+++ b/sageladder-standin/src/main/java/org/sageladder/standin/target/WorkExchange.java
@@ -25,7 +25,7 @@
  * One request on a target: receives it, waits for a slot, runs it and sends the answer.
  *
  * <p>Lock order: this exchange, then the slot table. Answers are sent without a lock. If the
- * connection closes at any point, the slot or the place in the queue is released.
+ * connection closes at any point, the slot or the position in the queue is released.
  */
 final class WorkExchange implements AsyncServerExchangeHandler {
   private static final int BUFFER_BYTES = 16 * 1024;
@@ -239,8 +239,9 @@
       }
     }
     if (producedBytes == work.answerBytes()) {
-      // Releases the slot before the end of the answer is sent: a gate that has received the
-      // complete answer may send the next request at once, which would otherwise exceed the slots.
+      // Releases the slot before the end of the answer is sent: an entry VM that has received the
+      // complete answer may send the next request immediately, which would otherwise exceed the
+      // slots.
       finish();
       out.endStream();
       server.recordAnswer();
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/StatusCommand.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/StatusCommand.java
@@ -96,17 +96,17 @@
 
   private ExitCode awaitInForce(Duration within) throws CtlException {
     List<URI> operators = invocation.requiredOperators();
-    long start = System.nanoTime();
+    long startNanos = System.nanoTime();
     while (true) {
       List<StateResponse> responses = fetchStates(operators);
       List<String> lagging = findLagging(responses);
       if (lagging.isEmpty()) {
         printZones(responses, invocation.out());
-        long millis = (System.nanoTime() - start) / 1_000_000;
+        long millis = (System.nanoTime() - startNanos) / 1_000_000;
         invocation.out().println("in force everywhere after " + millis + " ms");
         return ExitCode.OK;
       }
-      if (System.nanoTime() - start >= within.toNanos()) {
+      if (System.nanoTime() - startNanos >= within.toNanos()) {
         printZones(responses, invocation.out());
         lagging.forEach(line -> invocation.err().println("lags: " + line));
         boolean noneAnswered = responses.stream().allMatch(response -> response.state() == null);
--- a/sageladder-tools/src/main/java/org/sageladder/tools/ctl/TraceCommand.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/ctl/TraceCommand.java
@@ -74,14 +74,15 @@
                   + "; no entry VM of these files received it, or its lines were dropped");
       return ExitCode.NOT_FOUND;
     }
-    long from = own.stream().mapToLong(LogLine::atMillis).min().orElseThrow();
-    relatedLines(lines, own, id).forEach(line -> invocation.out().println(line.format(from)));
+    long fromMillis = own.stream().mapToLong(LogLine::atMillis).min().orElseThrow();
+    relatedLines(lines, own, id).forEach(line -> invocation.out().println(line.format(fromMillis)));
     return ExitCode.OK;
   }
 
   private static List<LogLine> relatedLines(List<LogLine> lines, List<LogLine> own, String id) {
-    long from = own.stream().mapToLong(LogLine::atMillis).min().orElseThrow() - CONTEXT_MILLIS;
-    long to = own.stream().mapToLong(LogLine::atMillis).max().orElseThrow() + CONTEXT_MILLIS;
+    long fromMillis =
+        own.stream().mapToLong(LogLine::atMillis).min().orElseThrow() - CONTEXT_MILLIS;
+    long toMillis = own.stream().mapToLong(LogLine::atMillis).max().orElseThrow() + CONTEXT_MILLIS;
     Set<String> vms = new HashSet<>();
     Set<String> targets = new HashSet<>();
     for (LogLine line : own) {
@@ -90,7 +91,7 @@
     }
     targets.remove("");
     return lines.stream()
-        .filter(line -> line.atMillis() >= from && line.atMillis() <= to)
+        .filter(line -> line.atMillis() >= fromMillis && line.atMillis() <= toMillis)
         .filter(line -> line.isAboutRequest(id) || (line.isAboutState() && vms.contains(line.vm())))
         .filter(
             line ->
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Arrivals.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Arrivals.java
@@ -32,20 +32,20 @@
       List<Arrival> arrivals) {
     boolean repeatable = contract.service(load.service()).orElseThrow().repeatable();
     List<RegionWeight> weights = weightsOrUniform(contract, load);
-    double start = 0;
+    double startNanos = 0;
     int number = 0;
     for (RateStep step : load.steps()) {
-      double end = start + step.duration().toNanos();
-      double due = start;
+      double endNanos = startNanos + step.duration().toNanos();
+      double dueNanos = startNanos;
       while (step.rate() > 0) {
-        due += -Math.log(1 - random.nextDouble()) * 1e9 / step.rate();
-        if (due >= end) {
+        dueNanos += -Math.log(1 - random.nextDouble()) * 1e9 / step.rate();
+        if (dueNanos >= endNanos) {
           break;
         }
         String region = drawRegion(weights, random);
         arrivals.add(
             new Arrival(
-                (long) due,
+                (long) dueNanos,
                 idPrefix + "-" + load.service() + "-" + ++number,
                 load.service(),
                 repeatable,
@@ -54,7 +54,7 @@
                 load.deadline(),
                 load.answerBytes()));
       }
-      start = end;
+      startNanos = endNanos;
     }
   }
 
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Checks.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Checks.java
@@ -126,7 +126,7 @@
     add(
         "no target holds more than its slots",
         maxExcess == 0,
-        "at most " + maxExcess + " beyond its slots, in " + readingsOverLimit + " looks" + where,
+        "at most " + maxExcess + " beyond its slots, in " + readingsOverLimit + " readings" + where,
         "0");
   }
 
@@ -174,7 +174,7 @@
         "leaving target " + fault.affected() + " gets no new work",
         startedBefore > 0 && lateNanos <= limits.noNewWorkAfter().toNanos(),
         startedBefore
-            + " starts before the sign, the last "
+            + " starts before the announcement, the last "
             + formatMillis(lateNanos)
             + " after it",
         "some before, at most " + formatMillis(limits.noNewWorkAfter().toNanos()) + " after");
@@ -183,7 +183,7 @@
         idleNanos >= 0 && idleNanos - announcedNanos <= limits.drainWithin().toNanos(),
         idleNanos < 0
             ? "not idle at the end"
-            : "idle " + formatMillis(idleNanos - announcedNanos) + " after the sign",
+            : "idle " + formatMillis(idleNanos - announcedNanos) + " after the announcement",
         "at most " + formatMillis(limits.drainWithin().toNanos()));
     checkNothingCutOff(fault);
   }
@@ -219,17 +219,17 @@
 
   private void checkService(ServiceLimit limit) {
     String service = limit.service();
-    double latency = variant.latency(service).getValueAtPercentile(limit.percentile()) / 1e3;
+    double latencyMillis = variant.latency(service).getValueAtPercentile(limit.percentile()) / 1e3;
     add(
         service + ": latency at percentile " + limit.percentile(),
-        latency <= limit.latencyAtMost().toNanos() / 1e6,
-        String.format(Locale.ROOT, "%.1f ms", latency),
+        latencyMillis <= limit.latencyAtMost().toNanos() / 1e6,
+        String.format(Locale.ROOT, "%.1f ms", latencyMillis),
         "at most " + formatMillis(limit.latencyAtMost().toNanos()));
-    double whole = variant.completeFraction(service);
+    double completeFraction = variant.completeFraction(service);
     add(
         service + ": whole answers",
-        whole >= limit.wholeAtLeast(),
-        formatPercent(whole) + " " + describe(variant.countsByOutcome(service)),
+        completeFraction >= limit.wholeAtLeast(),
+        formatPercent(completeFraction) + " " + describe(variant.countsByOutcome(service)),
         "at least " + formatPercent(limit.wholeAtLeast()));
     if (!variant.samples().targets().isEmpty()) {
       double headroom = variant.minHeadroom(service);
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Experiment.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Experiment.java
@@ -108,8 +108,8 @@
 
   /**
    * Limits of the experiment. They add to the properties that are checked in every experiment:
-   * non-repeatable requests run at most once, refused requests did not run, answers are whole, and
-   * shift caps and slots are respected.
+   * non-repeatable requests run at most once, refused requests did not run, answers are complete,
+   * and shift caps and slots are respected.
    *
    * @param unknownAtMost maximum fraction of requests for which it is unknown whether they ran
    * @param noNewWorkAfter maximum time from the announcement of a drain to the last request that
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Plots.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Plots.java
@@ -140,7 +140,7 @@
   }
 
   /**
-   * Plots, for each service, the rate of due requests as a dashed line and the rate of whole
+   * Plots, for each service, the rate of due requests as a dashed line and the rate of complete
    * answers as a solid line.
    */
   private static Plot ratesPlot(VariantResult variant) throws IOException {
@@ -184,7 +184,7 @@
     counts.computeIfAbsent(name, key -> new TreeMap<>()).merge(bucket, 1, Integer::sum);
   }
 
-  /** Plots the slowest whole answer of each half second, which shows when requests were slow. */
+  /** Plots the slowest complete answer of each half second, which shows when requests were slow. */
   private static Plot slowestAnswersPlot(VariantResult variant) throws IOException {
     Map<String, Map<Long, Double>> maxMillis = new TreeMap<>();
     for (RequestResult result : variant.results()) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteFaults.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/RemoteFaults.java
@@ -100,7 +100,7 @@
 
   /**
    * Drains a target. If the list of VMs is available, only the list announces the drain: the target
-   * itself continues to accept work, which shows whether the gates act on the list. Otherwise the
+   * itself continues to accept work, which shows whether entry VMs act on the list. Otherwise the
    * target receives the drain request through its administration endpoint.
    */
   private String drain(TargetView target) throws IOException {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/RequestResult.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/RequestResult.java
@@ -16,9 +16,11 @@
 
   /** Outcome reported to the caller. */
   public enum Outcome {
-    /** The caller got the whole answer to its own request. */
+    /** The caller got the complete answer to its own request. */
     WHOLE,
-    /** The caller got the answer to another request, or a truncated answer presented as whole. */
+    /**
+     * The caller got the answer to another request, or a truncated answer presented as complete.
+     */
     WRONG,
     /** The request ran, but its answer is not available. */
     RAN_UNSEEN,
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/Sampler.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/Sampler.java
@@ -47,12 +47,12 @@
 
   private void sample() {
     List<Reading> sample = new ArrayList<>(targets.size());
-    long now = System.nanoTime();
+    long nowNanos = System.nanoTime();
     for (int i = 0; i < targets.size(); i++) {
       sample.add(readOrRepeatLast(i));
     }
     synchronized (this) {
-      atNanos.add(now - startNanos);
+      atNanos.add(nowNanos - startNanos);
       readings.add(List.copyOf(sample));
     }
   }
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/SlowRequests.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/SlowRequests.java
@@ -22,7 +22,7 @@
   }
 
   /**
-   * Selects, for each service, the slowest whole answers after the warm-up, slowest first, and a
+   * Selects, for each service, the slowest complete answers after the warm-up, slowest first, and a
    * few requests with outcome {@code UNKNOWN} or {@code WRONG}.
    */
   static SlowRequests of(VariantResult variant) {
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemSender.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/SystemSender.java
@@ -46,8 +46,8 @@
   }
 
   private static SendResult classify(Answer answer, TargetRequest request) {
-    if (answer instanceof Answer.Complete whole) {
-      return classifyComplete(whole, request);
+    if (answer instanceof Answer.Complete complete) {
+      return classifyComplete(complete, request);
     }
     if (answer instanceof Answer.RanAnswerUnavailable ran) {
       return new SendResult(Outcome.RAN_UNSEEN, ran.code().name(), "", ran.attemptCount());
@@ -63,15 +63,21 @@
    * A status other than 200 comes from the target itself, such as 504 after the deadline, so the
    * request ran or may have run.
    */
-  private static SendResult classifyComplete(Answer.Complete whole, TargetRequest request) {
-    if (whole.status() != 200) {
+  private static SendResult classifyComplete(Answer.Complete complete, TargetRequest request) {
+    if (complete.status() != 200) {
       return new SendResult(
-          Outcome.UNKNOWN, "STATUS_" + whole.status(), whole.target(), whole.attemptCount());
+          Outcome.UNKNOWN,
+          "STATUS_" + complete.status(),
+          complete.target(),
+          complete.attemptCount());
     }
-    String checksum = whole.header(TargetRequest.CHECKSUM_HEADER).orElse("");
-    boolean isCorrect = request.isAnsweredBy(checksum, whole.body());
+    String checksum = complete.header(TargetRequest.CHECKSUM_HEADER).orElse("");
+    boolean isCorrect = request.isAnsweredBy(checksum, complete.body());
     return new SendResult(
-        isCorrect ? Outcome.WHOLE : Outcome.WRONG, "OK", whole.target(), whole.attemptCount());
+        isCorrect ? Outcome.WHOLE : Outcome.WRONG,
+        "OK",
+        complete.target(),
+        complete.attemptCount());
   }
 
   @Override
--- a/sageladder-tools/src/main/java/org/sageladder/tools/load/VariantResult.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/load/VariantResult.java
@@ -49,7 +49,7 @@
     return nanos >= experiment.warmUp().toNanos();
   }
 
-  /** Latency, in microseconds, of the whole answers of one service after the warm-up. */
+  /** Latency, in microseconds, of the complete answers of one service after the warm-up. */
   Histogram latency(String service) {
     Histogram histogram = new Histogram(MAX_LATENCY_MICROS, 3);
     for (RequestResult result : results(service)) {
@@ -69,14 +69,15 @@
   }
 
   /**
-   * Fraction of the requests to one service that got a whole answer; 1 if there were no requests.
+   * Fraction of the requests to one service that got a complete answer; 1 if there were no
+   * requests.
    */
   double completeFraction(String service) {
     int all = results(service).size();
     return all == 0 ? 1 : countsByOutcome(service).getOrDefault(Outcome.WHOLE, 0) / (double) all;
   }
 
-  /** Fraction of whole answers that came from a target outside the caller's region. */
+  /** Fraction of complete answers that came from a target outside the caller's region. */
   double crossRegionFraction(String service) {
     Map<String, String> regionOfTarget = new HashMap<>();
     for (TargetView target : samples.targets()) {
@@ -85,16 +86,16 @@
           .regionOfZone(target.zone())
           .ifPresent(region -> regionOfTarget.put(target.id(), region.name()));
     }
-    int whole = 0;
+    int completeCount = 0;
     int crossRegion = 0;
     for (RequestResult result : results(service)) {
       String region = regionOfTarget.get(result.target());
       if (result.outcome() == Outcome.WHOLE && region != null) {
-        whole++;
+        completeCount++;
         crossRegion += region.equals(result.arrival().region()) ? 0 : 1;
       }
     }
-    return whole == 0 ? 0 : crossRegion / (double) whole;
+    return completeCount == 0 ? 0 : crossRegion / (double) completeCount;
   }
 
   /** Smallest fraction of free slots over a service's targets at any sample after the warm-up. */
--- a/sageladder-tools/src/main/java/org/sageladder/tools/timeline/ClockOffset.java
+++ b/sageladder-tools/src/main/java/org/sageladder/tools/timeline/ClockOffset.java
@@ -19,7 +19,7 @@
 
   /**
    * Bounds from one request and its answer: the other clock read {@code remoteMicros} at some time
-   * between {@code askedMicros} and {@code answeredMicros} of the local clock.
+   * between {@code sentMicros} and {@code answeredMicros} of the local clock.
    */
   public static ClockOffset ofExchange(long sentMicros, long remoteMicros, long answeredMicros) {
     return new ClockOffset(remoteMicros - answeredMicros, remoteMicros - sentMicros);
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/ChecksTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/ChecksTest.java
@@ -89,9 +89,10 @@
     assertTrue(failedChecks(beyond).contains("no target holds more than its slots"));
   }
 
-  // Without the shift cap, a surge of searches reaches a cold region at once, where empty caches
-  // make every search slow. The cap allows a target a gain of 0.34 of 50 requests per second in a
-  // window of 5 s, which is 85 requests. The surge gains 550 requests, the permitted growth 50.
+  // Without the shift cap, a surge of searches reaches a cold region immediately, where empty
+  // caches make every search slow. The cap allows a target a gain of 0.34 of 50 requests per second
+  // in a window of 5 s, which is 85 requests. The surge gains 550 requests, the permitted growth
+  // 50.
   @Test
   void surgeBeyondTheCapFailsTheVerdictAndOneWithinItDoesNot() {
     VariantResult surge =
--- a/sageladder-tools/src/test/java/org/sageladder/tools/load/DisabledCapTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/load/DisabledCapTest.java
@@ -23,7 +23,7 @@
 
 // Guards against a verdict that cannot fail: a release that admits requests without shift caps
 // would pass, and the first real surge would overload cold caches. The test runs the same surge
-// through the real gate on a virtual clock, once with the contract in force and once with the
+// through a real ServiceGate on a virtual clock, once with the contract in force and once with the
 // contract of --disable caps. The checks use the contract in force in both runs.
 class DisabledCapTest {
   private static final String SEARCH = "lyric-search";
--- a/sageladder-tools/src/test/java/org/sageladder/tools/timeline/TimeLineTest.java
+++ b/sageladder-tools/src/test/java/org/sageladder/tools/timeline/TimeLineTest.java
@@ -9,8 +9,8 @@
 import org.sageladder.core.event.EventKind;
 
 class TimeLineTest {
-  // The gate's clock is 40 ms behind. Sorted by wall clock, the gate would seem to receive the
-  // request before it was forwarded, and an operator would suspect the wrong VM.
+  // The clock of the receiving VM "gate" is 40 ms behind. Sorted by wall clock, it would seem to
+  // receive the request before it was forwarded, and an operator would suspect the wrong VM.
   @Test
   void receiptIsOrderedAfterItsSendDespiteClockSkew() {
     ProcessEvents edge =
